--- a/internal/rollout/core.go
+++ b/internal/rollout/core.go
@@ -5,65 +5,65 @@
 	"time"
 )
 
-// Core decides for one process whom to talk to, whether to read the service,
-// what to ask for and when to be ready. It is handed the time with each call,
-// and isn't safe for concurrent use.
+// Core decides for one process which partners to keep, whether to read the
+// service, which versions to fetch and when the process is ready. Each call
+// passes in the time. It isn't safe for concurrent use.
 type Core struct {
-	tuning    Tuning
-	roster    *roster
-	sightings sightings
-	partners  partners
-	intake    intake
-	start     start
-
-	told      map[ID]time.Time // when sightings last went to a peer
-	noService bool
-	blind     bool
-	lastTick  time.Time
-	wokeAt    time.Time // when it last began or came back from a pause
-	neighbor  time.Time // when a process of the same failure domain last spoke to it
+	tuning     Tuning
+	membership *membership
+	reports    peerReports
+	partners   partners
+	transfers  transferState
+	startup    startup
+
+	lastReportsSent     map[ID]time.Time // when peer reports were last sent, by peer
+	noService           bool
+	noServiceConfigured bool
+	lastTick            time.Time
+	runningSince        time.Time // since the start or the last pause
+	lastDomainContact   time.Time // last message from a process of the same failure domain
 }
 
-// NewCore returns the core of a process that knows nothing yet.
+// NewCore returns the core of a process without a version and without peers.
 func NewCore(self Member, t Tuning, now time.Time) *Core {
 	return &Core{
-		tuning:    t.withDefaults(),
-		roster:    newRoster(self),
-		sightings: sightings{byID: make(map[ID]seen)},
-		partners:  partners{failed: make(map[ID]failure)},
-		intake:    intake{doubted: make(map[ID]time.Time)},
-		told:      make(map[ID]time.Time),
-		start:     start{began: now, reports: make(map[ID]report)},
-		lastTick:  now, wokeAt: now,
+		tuning:          t.withDefaults(),
+		membership:      newMembership(self),
+		reports:         peerReports{byID: make(map[ID]timedReport)},
+		partners:        partners{failed: make(map[ID]failure)},
+		transfers:       transferState{ignoredUntil: make(map[ID]time.Time)},
+		lastReportsSent: make(map[ID]time.Time),
+		startup:         startup{startedAt: now, reports: make(map[ID]startupReport)},
+		lastTick:        now, runningSince: now,
 	}
 }
 
-// SetMembers takes the processes that a bundle lists.
+// SetMembers sets the processes that a bundle lists.
 func (c *Core) SetMembers(members []Member) {
-	c.roster.set(members)
-	listed := func(id ID) bool { _, ok := c.roster.byID[id]; return ok }
-	c.sightings.keep(listed)
-	maps.DeleteFunc(c.told, func(id ID, _ time.Time) bool { return !listed(id) })
+	c.membership.update(members)
+	listed := func(id ID) bool { _, ok := c.membership.byID[id]; return ok }
+	c.reports.retain(listed)
+	maps.DeleteFunc(c.lastReportsSent, func(id ID, _ time.Time) bool { return !listed(id) })
 	maps.DeleteFunc(c.partners.failed, func(id ID, _ failure) bool { return !listed(id) })
 }
 
-// SetHeld says what is in force from now on.
-func (c *Core) SetHeld(s Summary) { c.intake.held = s }
+// SetHeld sets the active version.
+func (c *Core) SetHeld(s Summary) { c.transfers.held = s }
 
-// Held returns what is in force.
-func (c *Core) Held() Summary { return c.intake.held }
+// Held returns the active version.
+func (c *Core) Held() Summary { return c.transfers.held }
 
-// Tick must be called at least twice a second. After a gap the process was
-// paused: what it believes of the others is out of date.
+// Tick must be called at least twice a second. A longer gap means that the
+// process was paused and its view of its peers is out of date.
 func (c *Core) Tick(now time.Time) {
-	if now.Sub(c.lastTick) >= c.tuning.Pause {
-		c.wokeAt = now
+	if now.Sub(c.lastTick) >= c.tuning.PauseThreshold {
+		c.runningSince = now
 	}
 	c.lastTick = now
 }
 
-// Self returns what this process says of itself.
-func (c *Core) Self(now time.Time) Sighting {
+// Self returns the report of this process about itself.
+func (c *Core) Self(now time.Time) PeerReport {
 	state := StateStarting
 	switch r := c.Readiness(now); {
 	case r.Confirmed:
@@ -71,123 +71,127 @@
 	case r.Ready:
 		state = StateUnconfirmed
 	}
-	held := c.intake.held
-	return Sighting{ID: c.roster.self.ID(), Version: held.Version, Mark: held.Mark(), State: state, NoService: c.noService, Blind: c.blind}
+	held := c.transfers.held
+	return PeerReport{ID: c.membership.self.ID(), Version: held.Version, DigestPrefix: held.DigestPrefix(), State: state, NoService: c.noService, NoServiceConfigured: c.noServiceConfigured}
 }
 
-// Heard takes in what a peer said: of itself, as its certificate names it, and
-// of others.
-func (c *Core) Heard(now time.Time, peer ID, from Sighting, others []Sighting) {
+// RecordReports records a peer's report about itself, under the ID in its
+// certificate, and its reports about others.
+func (c *Core) RecordReports(now time.Time, peer ID, from PeerReport, others []PeerReport) {
 	from.ID, from.AgeMillis = peer, 0
-	c.partners.succeed(peer)
-	m, known := c.roster.byID[peer]
+	c.partners.clearFailure(peer)
+	m, known := c.membership.byID[peer]
 	if !known {
 		return
 	}
-	c.start.heard(m, from)
-	if m.FailureDomain != c.roster.self.FailureDomain {
+	c.startup.record(m, from)
+	if m.FailureDomain != c.membership.self.FailureDomain {
 		return
 	}
-	c.neighbor = now
-	c.sightings.note(now, from)
-	for _, one := range others {
-		if other, ok := c.roster.byID[one.ID]; ok && other.FailureDomain == c.roster.self.FailureDomain && one.ID != c.roster.self.ID() {
-			c.sightings.note(now, one)
+	c.lastDomainContact = now
+	c.reports.record(now, from)
+	for _, report := range others {
+		if other, ok := c.membership.byID[report.ID]; ok && other.FailureDomain == c.membership.self.FailureDomain && report.ID != c.membership.self.ID() {
+			c.reports.record(now, report)
 		}
 	}
 }
 
-// Failed says that a partner didn't answer.
-func (c *Core) Failed(now time.Time, peer ID) { c.partners.fail(now, peer, c.tuning) }
+// PartnerFailed records that a partner didn't answer.
+func (c *Core) PartnerFailed(now time.Time, peer ID) { c.partners.recordFailure(now, peer, c.tuning) }
 
-// Partners returns whom to keep links to now.
+// Partners returns the partners to keep links to now.
 func (c *Core) Partners(now time.Time) []Member {
-	if c.tuning.EveryoneReads {
+	if c.tuning.AllProcessesRead {
 		return nil
 	}
-	return c.partners.choose(now, c.roster, c.tuning)
+	return c.partners.choose(now, c.membership, c.tuning)
 }
 
-// Tell returns the sightings that go along with a message to a peer. Those of
-// other failure domains need none, and nobody needs them with each of many
-// messages.
-func (c *Core) Tell(now time.Time, peer ID) []Sighting {
-	if m, ok := c.roster.byID[peer]; !ok || m.FailureDomain != c.roster.self.FailureDomain {
+// ReportsFor returns the peer reports to send along with a message to a peer.
+// Peers in other failure domains get none, and a peer gets them at most once in
+// half a heartbeat.
+func (c *Core) ReportsFor(now time.Time, peer ID) []PeerReport {
+	if m, ok := c.membership.byID[peer]; !ok || m.FailureDomain != c.membership.self.FailureDomain {
 		return nil
 	}
-	if now.Sub(c.told[peer]) < c.tuning.Heartbeat/2 {
+	if now.Sub(c.lastReportsSent[peer]) < c.tuning.Heartbeat/2 {
 		return nil
 	}
-	c.told[peer] = now
-	first := c.tuning.Readers + c.tuning.SpareReaders + candidates
-	return c.sightings.tell(now, c.roster.readers, first, peer)
+	c.lastReportsSent[peer] = now
+	first := c.tuning.Readers + c.tuning.SpareReaders + readerCandidates
+	return c.reports.selectFor(now, c.membership.readerRanking, first, peer)
 }
 
-// Judge decides what to do about a version that a peer says it has.
-func (c *Core) Judge(now time.Time, from ID, offered Summary) Advice {
-	return c.intake.judge(now, from, offered, c.tuning)
+// EvaluateOffer decides what to do about a version that a peer says it has.
+func (c *Core) EvaluateOffer(now time.Time, from ID, offered Summary) Decision {
+	return c.transfers.evaluate(now, from, offered, c.tuning)
 }
 
-// Begin says that a version is being transferred to this process.
-func (c *Core) Begin(now time.Time, version uint64) { c.intake.begin(now, version) }
+// BeginTransfer records that a transfer of a version to this process has
+// started.
+func (c *Core) BeginTransfer(now time.Time, version uint64) { c.transfers.begin(now, version) }
 
-// End says that the transfer has ended, and whether what the peer sent proved
-// its claim.
-func (c *Core) End(now time.Time, from ID, version uint64, proved bool) {
-	c.intake.end(now, from, version, proved, c.tuning)
+// EndTransfer records that the transfer has ended, and whether the peer proved
+// its offer.
+func (c *Core) EndTransfer(now time.Time, from ID, version uint64, proved bool) {
+	c.transfers.end(now, from, version, proved, c.tuning)
 }
 
-// Service says whether the last read of the service was of use.
-func (c *Core) Service(ok bool) { c.noService = !ok }
+// SetServiceUsable records whether the last read of the service gave a usable
+// answer.
+func (c *Core) SetServiceUsable(ok bool) { c.noService = !ok }
 
-// SetBlind says that this process has no service to read.
-func (c *Core) SetBlind() { c.blind = true }
+// SetNoServiceConfigured records that the settings name no configuration
+// service.
+func (c *Core) SetNoServiceConfigured() { c.noServiceConfigured = true }
 
-// Reads says whether this process reads the service now.
-func (c *Core) Reads(now time.Time) bool {
-	if c.blind {
+// ShouldRead says whether this process reads the service now.
+func (c *Core) ShouldRead(now time.Time) bool {
+	if c.noServiceConfigured {
 		return false
 	}
-	if c.tuning.EveryoneReads || c.intake.held.Version == 0 {
-		return true // with nothing in force, nobody else is known
+	if c.tuning.AllProcessesRead || c.transfers.held.Version == 0 {
+		return true // without an active version no other process is known
 	}
-	if !c.hasView(now) {
+	if !c.viewIsCurrent(now) {
 		return false
 	}
-	useful, all := 0, 0
-	for _, m := range c.roster.readers {
-		if m.ID() == c.roster.self.ID() {
-			return useful < c.tuning.Readers && all < c.tuning.Readers+c.tuning.SpareReaders
+	useful, alive := 0, 0
+	for _, m := range c.membership.readerRanking {
+		if m.ID() == c.membership.self.ID() {
+			return useful < c.tuning.Readers && alive < c.tuning.Readers+c.tuning.SpareReaders
 		}
-		one, ok := c.sightings.byID[m.ID()]
-		if !ok || one.sighting.Blind || now.Sub(one.at) > c.tuning.Silence {
+		known, ok := c.reports.byID[m.ID()]
+		if !ok || known.report.NoServiceConfigured || now.Sub(known.reportedAt) > c.tuning.PeerTimeout {
 			continue
 		}
-		all++
-		if !one.sighting.NoService {
+		alive++
+		if !known.report.NoService {
 			useful++
 		}
 	}
 	return false
 }
 
-// hasView says whether the process may judge by what it knows of the others:
-// after a start or a pause, only once a neighbor spoke to it, or none did for
-// the time in which one would have. One that has just started may be alone, and
-// must then have asked the service before it serves.
-func (c *Core) hasView(now time.Time) bool {
-	grace := c.tuning.Silence
-	if !c.start.confirmed {
-		grace = c.tuning.StartWait / aloneShare
+// viewIsCurrent says whether the process may act on its peer reports. After a
+// start or a pause this needs a message from a process of the same failure
+// domain, or enough time in which one would have arrived. The time is shorter
+// at the start: the process may be alone, and must then have read the service
+// before it serves.
+func (c *Core) viewIsCurrent(now time.Time) bool {
+	grace := c.tuning.PeerTimeout
+	if !c.startup.confirmed {
+		grace = c.tuning.StartWait / isolatedReadDivisor
 	}
-	return c.neighbor.After(c.wokeAt) || now.Sub(c.wokeAt) >= grace || len(c.roster.readers) == 1
+	return c.lastDomainContact.After(c.runningSince) || now.Sub(c.runningSince) >= grace || len(c.membership.readerRanking) == 1
 }
 
-// aloneShare is the part of the wait at the start after which a process that
-// heard from nobody reads the service itself.
-const aloneShare = 4
+// isolatedReadDivisor divides StartWait into the time after which a process
+// that has started, and received no message, reads the service itself.
+const isolatedReadDivisor = 4
 
-// Readiness says whether the process may serve by what it has in force.
+// Readiness says whether the process may serve with the active version.
 func (c *Core) Readiness(now time.Time) Readiness {
-	return c.start.judge(now, c.intake.held, c.roster, c.tuning)
+	return c.startup.evaluate(now, c.transfers.held, c.membership, c.tuning)
 }
--- a/internal/rollout/delta.go
+++ b/internal/rollout/delta.go
@@ -8,32 +8,33 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxManifest bounds a manifest in bytes; that of 3,700 endpoints has 10,000.
-const maxManifest = 1 << 20
+// maxManifestBytes limits the size of a manifest; that of 3,700 endpoints has
+// 10,000 bytes.
+const maxManifestBytes = 1 << 20
 
 // packManifest compresses a manifest with its predecessor as the dictionary:
-// two that follow each other differ in a few digests.
+// successive manifests differ in a few digests.
 func packManifest(base, text []byte) []byte {
 	var out bytes.Buffer
 	w, err := flate.NewWriterDict(&out, flate.BestCompression, base)
 	if err != nil {
-		panic(err) // the level is a constant of the library
+		panic(err) // the compression level is a valid constant
 	}
-	_, _ = w.Write(text) // a buffer takes everything
+	_, _ = w.Write(text) // writes to a buffer don't fail
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// unpackManifest undoes packManifest.
+// unpackManifest reverses packManifest.
 func unpackManifest(base, packed []byte) ([]byte, error) {
 	r := flate.NewReaderDict(bytes.NewReader(packed), base)
 	defer r.Close()
-	text, err := io.ReadAll(io.LimitReader(r, maxManifest+1))
+	text, err := io.ReadAll(io.LimitReader(r, maxManifestBytes+1))
 	if err != nil {
 		return nil, errors.Wrapf(ErrBadMessage, "unpack manifest: %s", err)
 	}
-	if len(text) > maxManifest {
-		return nil, errors.Wrapf(ErrBadMessage, "manifest of more than %d bytes", maxManifest)
+	if len(text) > maxManifestBytes {
+		return nil, errors.Wrapf(ErrBadMessage, "manifest of more than %d bytes", maxManifestBytes)
 	}
 	return text, nil
 }
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -1,15 +1,16 @@
-// Package rollout brings each accepted bundle into force at every process
-// within seconds, and never takes one back.
+// Package rollout distributes each accepted bundle to every process within
+// seconds, and never goes back to a lower version.
 //
-// In each failure domain a few processes read the configuration service. All
-// know who they are without agreeing on it: the first of a rendezvous ranking
-// among the processes that were heard of lately. Every process keeps a few
-// partners, some in its own failure domain and some in others, tells them of a
-// new version and hears from them. News travels along these links in both
-// directions. Whoever hears of a higher version fetches the signed manifest
-// and the sections that it lacks, verifies them itself, and puts them in force
-// whole, by swapping one immutable snapshot.
+// In each failure domain a few processes read the configuration service. They
+// are chosen without a quorum: each process ranks the processes that reported
+// recently by rendezvous hashing, and the first ones read. Every process keeps
+// links to a few partners, some in its own failure domain and some in others.
+// Announcements of new versions travel along these links in both directions. A
+// process that learns of a higher version fetches the signed manifest and the
+// sections that it lacks, verifies them itself, and activates the version as a
+// whole by swapping one immutable snapshot.
 //
-// Core decides: it is handed the time and reports, and does nothing itself.
-// Store verifies and keeps what is in force. Node carries out what they decide.
+// Core makes the decisions: it is given the time and the peers' reports, and
+// does no I/O. Store verifies versions and keeps the active one. Node carries
+// out the decisions.
 package rollout
--- a/internal/rollout/errors.go
+++ b/internal/rollout/errors.go
@@ -6,10 +6,9 @@
 	"coveferry/internal/bundle"
 )
 
-// Reason names why a version was refused, in metrics and logs.
+// Reason says in metrics and logs why a version was refused.
 type Reason string
 
-// The reasons.
 const (
 	ReasonRolledBack Reason = "rolled_back"
 	ReasonExpired    Reason = "expired"
@@ -17,13 +16,14 @@
 	ReasonUnknownKey Reason = "unknown_key"
 	ReasonTampered   Reason = "tampered"
 	ReasonInvalid    Reason = "invalid"
-	ReasonIncomplete Reason = "incomplete" // sections couldn't be had
+	ReasonIncomplete Reason = "incomplete" // sections could not be fetched
 )
 
-// errUnknownBase is a difference from a manifest that isn't at hand.
-var errUnknownBase = errors.New("rollout: difference from an unknown manifest")
+// errUnknownBase is returned for a delta whose base manifest isn't in the
+// history.
+var errUnknownBase = errors.New("rollout: delta against an unknown manifest")
 
-// reasonOf classes an error of bundle; the empty reason is for errors that
+// reasonOf maps an error to a reason. The empty reason is for errors that
 // aren't refusals, such as a broken connection.
 func reasonOf(err error) Reason {
 	for _, c := range []struct {
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -14,22 +14,25 @@
 	"coveferry/internal/rollout/lab"
 )
 
-// world is a fleet on a network in memory, in the fake time of a bubble.
-type world struct {
+// fleetTest is a fleet on an in-memory network, in the fake time of a synctest
+// bubble.
+type fleetTest struct {
 	*gomega.WithT
 	*lab.Fleet
 	t   *testing.T
 	net *lab.Memory
 }
 
-// play runs a scene and then checks what must hold after every one of them.
-func play(t *testing.T, cfg lab.Config, scene func(w *world)) {
+// runFleet runs a test on a fleet and then checks that no process ever went
+// back to a lower version.
+func runFleet(t *testing.T, cfg lab.Config, run func(w *fleetTest)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{WithT: gomega.NewWithT(t), t: t, net: lab.NewMemory()}
+		w := &fleetTest{WithT: gomega.NewWithT(t), t: t, net: lab.NewMemory()}
 		cfg.Network = w.net
-		// The whole fleet starts at once in each scene, which takes its time.
-		cfg.Tuning.SettleAfter = cmp.Or(cfg.Tuning.SettleAfter, time.Second)
+		// The whole fleet starts at once in each test, so no peer is confirmed
+		// then.
+		cfg.Tuning.AcceptUnconfirmedAfter = cmp.Or(cfg.Tuning.AcceptUnconfirmedAfter, time.Second)
 		cfg.Log = zerolog.Nop()
 		if os.Getenv("ROLLOUT_LOG") != "" {
 			cfg.Log = zerolog.New(os.Stderr).With().Timestamp().Logger()
@@ -38,54 +41,55 @@
 		w.Expect(err).NotTo(gomega.HaveOccurred())
 		w.Fleet = f
 		defer f.Close()
-		scene(w)
-		w.neverBack()
+		run(w)
+		w.expectMonotonicVersions()
 	})
 }
 
-// neverBack asks that no version at any process was followed by a lower one in
-// the same life.
-func (w *world) neverBack() {
+// expectMonotonicVersions checks that the versions at each process rose within
+// each incarnation.
+func (w *fleetTest) expectMonotonicVersions() {
 	w.t.Helper()
-	for _, p := range w.Procs {
+	for _, p := range w.Processes {
 		last := lab.Applied{}
-		for _, a := range p.Log() {
-			w.Expect(a.Life > last.Life || a.Version > last.Version).To(gomega.BeTrue(), "%s: %v after %v", p.Peer, a, last)
+		for _, a := range p.AppliedVersions() {
+			w.Expect(a.Incarnation > last.Incarnation || a.Version > last.Version).To(gomega.BeTrue(), "%s: %v after %v", p.Peer, a, last)
 			last = a
 		}
 	}
 }
 
-func (w *world) publish(version uint64) {
+func (w *fleetTest) publish(version uint64) {
 	w.t.Helper()
 	w.Expect(w.Publish(version)).To(gomega.Succeed())
 }
 
-// put publishes a version at one server only.
-func (w *world) put(server int, version uint64) {
+// publishAt publishes a version at one server only.
+func (w *fleetTest) publishAt(server int, version uint64) {
 	w.t.Helper()
 	w.Expect(w.Servers[server].Put(w.Sign(w.Bundle(version)))).To(gomega.Succeed())
 }
 
-// begin starts all with a version and lets them settle.
-func (w *world) begin(version uint64) {
+// startConfirmed starts all processes with a version and waits until they are
+// confirmed.
+func (w *fleetTest) startConfirmed(version uint64) {
 	w.t.Helper()
 	w.publish(version)
 	w.Expect(w.StartAll()).To(gomega.Succeed())
 	time.Sleep(8 * time.Second)
 	for range 60 {
 		time.Sleep(time.Second)
-		if w.confirmed() {
+		if w.allConfirmed() {
 			break
 		}
 	}
-	w.Expect(w.confirmed()).To(gomega.BeTrue())
-	w.expectAll(version)
+	w.Expect(w.allConfirmed()).To(gomega.BeTrue())
+	w.expectVersion(version)
 }
 
-// confirmed says whether all processes are sure of what they have.
-func (w *world) confirmed() bool {
-	for _, p := range w.Procs {
+// allConfirmed says whether all processes are confirmed.
+func (w *fleetTest) allConfirmed() bool {
+	for _, p := range w.Processes {
 		if !p.Node().Readiness().Confirmed {
 			return false
 		}
@@ -93,26 +97,27 @@
 	return true
 }
 
-func (w *world) expectAll(version uint64) {
+func (w *fleetTest) expectVersion(version uint64) {
 	w.t.Helper()
-	for _, p := range w.Procs {
+	for _, p := range w.Processes {
 		if p.Running() {
 			w.Expect(p.Version()).To(gomega.Equal(version), p.Peer.Name)
 		}
 	}
 }
 
-// restart takes a process away and starts it again without a memory.
-func (w *world) restart(p *lab.Proc) {
+// restart stops a process and starts it again without its state.
+func (w *fleetTest) restart(p *lab.Process) {
 	w.t.Helper()
 	p.Stop()
 	w.Expect(p.Start()).To(gomega.Succeed())
 }
 
-// split cuts the processes for which side is true off from the others.
-func (w *world) split(side func(p *lab.Proc) bool, act func(a, b string)) {
-	for _, a := range w.Procs {
-		for _, b := range w.Procs {
+// partition calls act, such as Cut or Heal, for each process on the given side
+// and each process on the other side.
+func (w *fleetTest) partition(side func(p *lab.Process) bool, act func(a, b string)) {
+	for _, a := range w.Processes {
+		for _, b := range w.Processes {
 			if side(a) && !side(b) {
 				act(a.Peer.Name, b.Peer.Name)
 			}
@@ -121,9 +126,9 @@
 }
 
 // readers lists the processes that read the service now, by failure domain.
-func (w *world) readers() map[string][]*lab.Proc {
-	out := make(map[string][]*lab.Proc)
-	for _, p := range w.Procs {
+func (w *fleetTest) readers() map[string][]*lab.Process {
+	out := make(map[string][]*lab.Process)
+	for _, p := range w.Processes {
 		if p.Running() && p.Node().Reading() {
 			out[p.FailureDomain] = append(out[p.FailureDomain], p)
 		}
@@ -131,7 +136,7 @@
 	return out
 }
 
-func (w *world) calls() int {
+func (w *fleetTest) calls() int {
 	n := 0
 	for _, s := range w.Servers {
 		n += s.Stats().Calls
@@ -139,8 +144,8 @@
 	return n
 }
 
-// refused says whether a process refused something for a reason.
-func refused(p *lab.Proc, reason rollout.Reason) bool {
+// hasRefusal says whether a process refused a version for the given reason.
+func hasRefusal(p *lab.Process, reason rollout.Reason) bool {
 	for _, r := range p.Node().Status(time.Now()).Refused {
 		if r.Reason == reason {
 			return true
@@ -149,6 +154,6 @@
 	return false
 }
 
-func standard() lab.Config {
-	return lab.Config{Nodes: 24, Domains: 3, Services: 1, Start: 1}
+func defaultFleet() lab.Config {
+	return lab.Config{Nodes: 24, Domains: 3, Services: 1, InitialVersion: 1}
 }
--- a/internal/rollout/fuzz_test.go
+++ b/internal/rollout/fuzz_test.go
@@ -10,8 +10,8 @@
 	"coveferry/internal/control"
 )
 
-// fuzzMessage asks that a message that passes its check has the same check
-// after another trip over the wire, and that using it doesn't panic.
+// fuzzMessage checks that a message that passes its check still passes after
+// re-encoding, and that using it doesn't panic.
 func fuzzMessage[T control.Checker](f *testing.F, use func(T), seeds ...T) {
 	f.Helper()
 	for _, s := range seeds {
@@ -43,16 +43,16 @@
 	members := fleetOf(6, 2, 1)
 	c := coreOf(members, 0, 1)
 	fuzzMessage(f, func(e Exchange) {
-		c.Heard(t0, members[2].ID(), e.From, e.Others)
-		c.Judge(t0, members[2].ID(), e.Held)
-		if c.Held() != sum(1) || len(c.sightings.byID) > len(members) {
-			panic("hearing changes nothing but what is known of listed processes")
+		c.RecordReports(t0, members[2].ID(), e.From, e.Others)
+		c.EvaluateOffer(t0, members[2].ID(), e.Held)
+		if c.Held() != summaryOf(1) || len(c.reports.byID) > len(members) {
+			panic("reports must only change what is known of listed processes")
 		}
-	}, Exchange{Held: sum(3), From: settled(members[2].ID(), 3), Others: []Sighting{settled(members[4].ID(), 2)}, WaitMillis: 2000})
+	}, Exchange{Held: summaryOf(3), From: settledReport(members[2].ID(), 3), Others: []PeerReport{settledReport(members[4].ID(), 2)}, WaitMillis: 2000})
 }
 
 func FuzzNews(f *testing.F) {
-	fuzzMessage(f, func(News) {}, News{Held: sum(3), From: settled("agent/n1", 3)})
+	fuzzMessage(f, func(ExchangeReply) {}, ExchangeReply{Held: summaryOf(3), From: settledReport("agent/n1", 3)})
 }
 
 func FuzzSectionsRequest(f *testing.F) {
@@ -66,12 +66,12 @@
 		f.Fatal(err)
 	}
 	text, sig := bundle.SignManifest(&bundle.Manifest{Format: bundle.Format, Version: 3, Issued: t0, Expires: t0.Add(time.Hour), Sections: []bundle.Digest{}}, key)
-	s := NewStore([]bundle.PublicKey{pub}, func(*Held) { panic("nothing that is drawn at random is genuine") })
+	s := NewStore([]bundle.PublicKey{pub}, func(*Held) { panic("a random update must not verify") })
 	n := &Node{store: s}
 	none := func(digests []digest) ([]string, error) {
 		return nil, &bundle.MissingSectionError{Digests: digests}
 	}
-	fuzzMessage(f, func(u Update) { _ = n.take(u, none) },
+	fuzzMessage(f, func(u Update) { _ = n.applyUpdate(u, none) },
 		Update{Manifest: &ManifestText{Text: string(text), Signature: string(sig)}, Sections: []string{"{}"}},
 		Update{Manifest: &ManifestText{Delta: packManifest(text, text), Base: bundle.DigestOf(text), Signature: string(sig)}},
 		Update{Whole: &WholeFile{Source: "{}", Signature: string(sig)}})
@@ -80,13 +80,13 @@
 func FuzzUnpackManifest(f *testing.F) {
 	base := bytes.Repeat([]byte("digest,"), 100)
 	f.Add(packManifest(base, append([]byte("x"), base...)))
-	f.Add(packManifest(nil, make([]byte, maxManifest+1)))
+	f.Add(packManifest(nil, make([]byte, maxManifestBytes+1)))
 	f.Fuzz(func(t *testing.T, packed []byte) {
 		text, err := unpackManifest(base, packed)
 		if err != nil {
 			return
 		}
-		if len(text) > maxManifest {
+		if len(text) > maxManifestBytes {
 			t.Fatalf("%d bytes", len(text))
 		}
 		again, err := unpackManifest(base, packManifest(base, text))
--- a/internal/rollout/intake.go
+++ b/internal/rollout/intake.go
@@ -5,64 +5,66 @@
 // Action is what to do about a version that a peer has.
 type Action int
 
-// The actions.
 const (
-	// Rest: nothing is to be done.
-	Rest Action = iota
-	// Take: fetch the peer's version.
-	Take
-	// Wait: a transfer is under way; ask again after the advice's time.
+	// NoAction ignores the offer.
+	NoAction Action = iota
+	// Pull fetches the peer's version.
+	Pull
+	// Wait evaluates the offer again after Decision.Wait, as a transfer is in
+	// progress.
 	Wait
-	// Give: the peer is behind; send it what is in force here.
-	Give
-	// Clash: the peer has other content under the same version.
-	Clash
+	// Push sends the active version to the peer, which is behind.
+	Push
+	// Conflict: the peer has different content under the same version.
+	Conflict
 )
 
-// Advice is an action with its time.
-type Advice struct {
+// Decision is an action and its parameter.
+type Decision struct {
 	Action Action
-	// Wait is how long to wait, for the action of that name.
+	// Wait is how long to wait; it is set for the action Wait.
 	Wait time.Duration
 }
 
-// intake decides which offers to take up.
-type intake struct {
+// transferState decides which offers to accept.
+type transferState struct {
 	held Summary
-	// busy is the version that is being transferred, and since when.
-	busy      uint64
-	busySince time.Time
-	// doubted are peers that couldn't prove a claim, and until when.
-	doubted map[ID]time.Time
+	// inProgress is the version that is being transferred, started at
+	// startedAt.
+	inProgress uint64
+	startedAt  time.Time
+	// ignoredUntil is set for peers that failed to prove an offer.
+	ignoredUntil map[ID]time.Time
 }
 
-func (i *intake) judge(now time.Time, from ID, offered Summary, t Tuning) Advice {
+func (i *transferState) evaluate(now time.Time, from ID, offered Summary, t Tuning) Decision {
 	switch {
 	case offered.Version < i.held.Version:
-		return Advice{Action: Give}
+		return Decision{Action: Push}
 	case offered == i.held:
-		return Advice{}
+		return Decision{}
 	case offered.Version == i.held.Version:
-		return Advice{Action: Clash}
-	case now.Before(i.doubted[from]):
-		return Advice{}
+		return Decision{Action: Conflict}
+	case now.Before(i.ignoredUntil[from]):
+		return Decision{}
 	}
-	if left := i.busySince.Add(t.Patience).Sub(now); i.busy >= offered.Version && left > 0 {
-		return Advice{Action: Wait, Wait: left}
+	if left := i.startedAt.Add(t.TransferWait).Sub(now); i.inProgress >= offered.Version && left > 0 {
+		return Decision{Action: Wait, Wait: left}
 	}
-	return Advice{Action: Take}
+	return Decision{Action: Pull}
 }
 
-func (i *intake) begin(now time.Time, version uint64) {
-	i.busy, i.busySince = version, now
+func (i *transferState) begin(now time.Time, version uint64) {
+	i.inProgress, i.startedAt = version, now
 }
 
-// end closes a transfer. A peer that didn't prove its claim is doubted.
-func (i *intake) end(now time.Time, from ID, version uint64, proved bool, t Tuning) {
-	if i.busy == version {
-		i.busy = 0
+// end records the end of a transfer. Offers of a peer that didn't prove its
+// claim are ignored for a while.
+func (i *transferState) end(now time.Time, from ID, version uint64, proved bool, t Tuning) {
+	if i.inProgress == version {
+		i.inProgress = 0
 	}
 	if !proved {
-		i.doubted[from] = now.Add(t.Distrust)
+		i.ignoredUntil[from] = now.Add(t.IgnorePeerFor)
 	}
 }
--- a/internal/rollout/lab/lab.go
+++ b/internal/rollout/lab/lab.go
@@ -1,7 +1,7 @@
-// Package lab runs a fleet of rollout nodes in one process, over a network that
-// is handed in: in memory for tests, loopback for measurements. It publishes
-// versions, stops and restarts nodes, and notes when each version came into
-// force at each of them.
+// Package lab runs a fleet of rollout nodes in one process, over a given
+// network: in memory for tests, loopback for measurements. It publishes
+// versions, stops and restarts nodes, and records when each version became
+// active at each of them.
 package lab
 
 import (
@@ -24,10 +24,10 @@
 	"coveferry/internal/standin/configsvc"
 )
 
-// Network is where a fleet runs.
+// Network connects the processes of a fleet.
 type Network interface {
-	// Listen opens the listener of a named process; an empty address is one of
-	// the network's choice.
+	// Listen opens the listener of a named process; the network chooses the
+	// address if it is empty.
 	Listen(name, address string) (net.Listener, error)
 	// Dialer returns the dial function of a named process.
 	Dialer(name string) control.Dial
@@ -40,22 +40,24 @@
 	Nodes, Domains int
 	// Services is the number of servers of the configuration service.
 	Services int
-	// Apart gives each failure domain one server only, by turns; otherwise every
-	// process knows all servers.
-	Apart bool
-	// Reads limits the calls a second at each server; 0 is the stand-in's own.
-	Reads  float64
-	Tuning rollout.Tuning
-	// Start is the version that the nodes' bundle file holds; 0 is no file.
-	Start uint64
-	Log   zerolog.Logger
+	// ServerPerDomain assigns one server to each failure domain, round-robin;
+	// otherwise every process knows all servers.
+	ServerPerDomain bool
+	// ReadsPerSecond limits the calls per second at each server; 0 is the
+	// default of the stand-in.
+	ReadsPerSecond float64
+	Tuning         rollout.Tuning
+	// InitialVersion is the version in the bundle file of each node; 0 means no
+	// file.
+	InitialVersion uint64
+	Log            zerolog.Logger
 }
 
-// routerEvery makes every so manyth node a router; the others are agents.
-const routerEvery = 8
+// routerInterval makes every eighth node a router; the others are agents.
+const routerInterval = 8
 
-// Fleet is a fleet of nodes. Its methods other than those of Proc are for one
-// goroutine.
+// Fleet is a fleet of nodes. Its methods, other than those of Process, aren't
+// safe for concurrent use.
 type Fleet struct {
 	cfg       Config
 	authority *identity.Authority
@@ -63,18 +65,18 @@
 	public    bundle.PublicKey
 	template  bundle.Bundle
 	Servers   []*Server
-	Procs     []*Proc
+	Processes []*Process
 }
 
 // Server is one server of the configuration service.
 type Server struct {
 	*configsvc.Service
-	http *http.Server
-	url  *url.URL
-	has  map[bundle.Digest]bool // the sections published so far
+	http      *http.Server
+	url       *url.URL
+	published map[bundle.Digest]bool // sections published so far
 }
 
-// New makes a fleet whose nodes aren't started yet.
+// New returns a fleet whose nodes aren't started yet.
 func New(cfg Config) (*Fleet, error) {
 	authority, err := identity.Ephemeral(identity.WithClock(time.Now))
 	if err != nil {
@@ -90,7 +92,7 @@
 		}
 	}
 	for i := range cfg.Nodes {
-		if err := f.addProc(i); err != nil {
+		if err := f.addProcess(i); err != nil {
 			return nil, err
 		}
 	}
@@ -104,16 +106,16 @@
 	if err != nil {
 		return errors.Wrap(err, "lab")
 	}
-	svc := configsvc.New(configsvc.Config{ReadsPerSecond: f.cfg.Reads})
-	s := &Server{Service: svc, http: &http.Server{Handler: svc.Handler()}, url: &url.URL{Scheme: "http", Host: l.Addr().String()}, has: make(map[bundle.Digest]bool)}
+	svc := configsvc.New(configsvc.Config{ReadsPerSecond: f.cfg.ReadsPerSecond})
+	s := &Server{Service: svc, http: &http.Server{Handler: svc.Handler()}, url: &url.URL{Scheme: "http", Host: l.Addr().String()}, published: make(map[bundle.Digest]bool)}
 	f.Servers = append(f.Servers, s)
-	go func() { _ = s.http.Serve(l) }() // it ends with Close
+	go func() { _ = s.http.Serve(l) }() // ends on Close
 	return nil
 }
 
-func (f *Fleet) addProc(i int) error {
+func (f *Fleet) addProcess(i int) error {
 	peer := identity.Peer{Role: identity.RoleAgent, Name: fmt.Sprintf("node-%d", i)}
-	if i%routerEvery == 0 {
+	if i%routerInterval == 0 {
 		peer.Role = identity.RoleRouter
 	}
 	l, err := f.cfg.Network.Listen(peer.Name, "")
@@ -124,7 +126,7 @@
 	if err != nil {
 		return errors.Wrap(err, "lab")
 	}
-	f.Procs = append(f.Procs, &Proc{
+	f.Processes = append(f.Processes, &Process{
 		fleet: f, identity: id, listener: l, domain: i % f.cfg.Domains,
 		Member: rollout.Member{
 			Peer: peer, Address: l.Addr().String(),
@@ -137,14 +139,14 @@
 // Public returns the key that the nodes trust.
 func (f *Fleet) Public() bundle.PublicKey { return f.public }
 
-// Operator returns a new operator's identity.
+// Operator returns a new operator identity.
 func (f *Fleet) Operator() (*identity.Identity, error) {
 	return f.authority.Identity(identity.RoleOperator, "operator")
 }
 
 // StartAll starts all nodes that aren't running.
 func (f *Fleet) StartAll() error {
-	for _, p := range f.Procs {
+	for _, p := range f.Processes {
 		if err := p.Start(); err != nil {
 			return err
 		}
@@ -152,64 +154,65 @@
 	return nil
 }
 
-// Close stops everything.
+// Close stops all nodes and servers.
 func (f *Fleet) Close() {
 	var stops sync.WaitGroup
-	for _, p := range f.Procs {
+	for _, p := range f.Processes {
 		stops.Go(p.Stop)
 	}
 	stops.Wait()
 	for _, s := range f.Servers {
-		_ = s.http.Close() // nobody uses it any more
+		_ = s.http.Close() // the nodes are stopped already
 	}
 }
 
-// Proc is one process. It may be stopped and started again, without a memory.
-type Proc struct {
+// Process is one process. It can be stopped and restarted, and loses its state
+// on each stop.
+type Process struct {
 	rollout.Member
-	// NoFile says that it has no bundle file.
+	// NoFile says that the process has no bundle file.
 	NoFile   bool
 	fleet    *Fleet
 	identity *identity.Identity
 	listener net.Listener
 	domain   int
 
-	mu      sync.Mutex
-	life    *life
-	ready   map[int]Ready // by life
-	log     []Applied
-	traffic control.Traffic
+	mu              sync.Mutex
+	current         *incarnation
+	ready           map[int]ReadyEvent // by incarnation
+	appliedVersions []Applied
+	traffic         control.Traffic
 }
 
-// Applied is a version that came into force.
+// Applied is a version that became active.
 type Applied struct {
 	Version uint64
 	At      time.Time
-	// Life counts the starts of the process, from 1.
-	Life int
+	// Incarnation counts the starts of the process, from 1.
+	Incarnation int
 }
 
-// Ready is how a process first became ready in a life.
-type Ready struct {
+// ReadyEvent is the first readiness of a process in an incarnation.
+type ReadyEvent struct {
 	rollout.Readiness
 	Version uint64
 	At      time.Time
 }
 
-// life is what lasts from a start to a stop.
-type life struct {
+// incarnation is the state of a process from a start to a stop.
+type incarnation struct {
 	number int
 	node   *rollout.Node
 	srv    *control.Server
 	cancel context.CancelFunc
-	work   sync.WaitGroup
+	wg     sync.WaitGroup
 }
 
-// Start starts the process, unless it runs.
-func (p *Proc) Start() error {
+// Start starts the process, unless it is running.
+func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.life != nil && p.life.cancel != nil {
+	if p.current != nil && p.current.cancel != nil {
 		return nil
 	}
 	if p.listener == nil {
@@ -220,134 +223,134 @@
 		p.listener = l
 	}
 	number := 1
-	if p.life != nil {
-		number += p.life.number
+	if p.current != nil {
+		number += p.current.number
 	}
-	p.life = p.newLife(number)
+	p.current = p.newIncarnation(number)
 	return nil
 }
 
-func (p *Proc) newLife(number int) *life {
+func (p *Process) newIncarnation(number int) *incarnation {
 	f := p.fleet
 	dial := f.cfg.Network.Dialer(p.Peer.Name)
 	services := p.services(p.traffic.Count(dial))
-	lf := &life{number: number}
-	lf.node = rollout.New(rollout.Config{
+	inc := &incarnation{number: number}
+	inc.node = rollout.New(rollout.Config{
 		Self: p.Member, Keys: []bundle.PublicKey{f.public},
 		Client:      control.ClientConfig{Identity: p.identity, Dial: dial, Traffic: &p.traffic, Log: f.cfg.Log},
 		Services:    services,
-		Apply:       func(s *bundle.Snapshot) { p.applied(s.Version(), number) },
-		OnReadiness: func(r rollout.Readiness) { p.noteReady(r, number) },
+		Apply:       func(s *bundle.Snapshot) { p.recordApplied(s.Version(), number) },
+		OnReadiness: func(r rollout.Readiness) { p.recordReady(r, number) },
 		Tuning:      f.cfg.Tuning,
 		Log:         f.cfg.Log.With().Str("node", p.Peer.Name).Logger(),
 	})
-	lf.srv = control.NewServer(control.ServerConfig{
+	inc.srv = control.NewServer(control.ServerConfig{
 		Listener: p.listener, Identity: p.identity, Roles: identity.Roles(), Traffic: &p.traffic, Log: f.cfg.Log,
 	})
 	p.listener = nil
-	lf.node.Register(lf.srv)
+	inc.node.Register(inc.srv)
 	ctx, cancel := context.WithCancel(context.Background())
-	lf.cancel = cancel
-	lf.work.Go(func() { _ = lf.srv.Run() })
-	lf.work.Go(func() {
-		if f.cfg.Start > 0 && !p.NoFile {
-			_ = lf.node.Begin(f.file(f.cfg.Start)) // the node logs a refusal
+	inc.cancel = cancel
+	inc.wg.Go(func() { _ = inc.srv.Run() })
+	inc.wg.Go(func() {
+		if f.cfg.InitialVersion > 0 && !p.NoFile {
+			_ = inc.node.Begin(f.signedFile(f.cfg.InitialVersion)) // the node logs refusals
 		}
-		_ = lf.node.Run(ctx) // it ends with ctx, without an error
+		_ = inc.node.Run(ctx) // ends with ctx, without an error
 		for _, s := range services {
 			s.Close()
 		}
 	})
-	return lf
+	return inc
 }
 
-func (p *Proc) services(dial control.Dial) []*rollout.Service {
+func (p *Process) services(dial control.Dial) []*rollout.Service {
 	f := p.fleet
 	var out []*rollout.Service
 	for i, s := range f.Servers {
-		if !f.cfg.Apart || p.domain%len(f.Servers) == i {
+		if !f.cfg.ServerPerDomain || p.domain%len(f.Servers) == i {
 			out = append(out, rollout.NewService(s.url, dial))
 		}
 	}
 	return out
 }
 
-func (p *Proc) applied(version uint64, life int) {
+func (p *Process) recordApplied(version uint64, number int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.log = append(p.log, Applied{Version: version, At: time.Now(), Life: life})
+	p.appliedVersions = append(p.appliedVersions, Applied{Version: version, At: time.Now(), Incarnation: number})
 }
 
-func (p *Proc) noteReady(r rollout.Readiness, life int) {
+func (p *Process) recordReady(r rollout.Readiness, number int) {
 	version := p.Version()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, known := p.ready[life]; known || !r.Ready {
+	if _, known := p.ready[number]; known || !r.Ready {
 		return
 	}
 	if p.ready == nil {
-		p.ready = make(map[int]Ready)
+		p.ready = make(map[int]ReadyEvent)
 	}
-	p.ready[life] = Ready{Readiness: r, Version: version, At: time.Now()}
+	p.ready[number] = ReadyEvent{Readiness: r, Version: version, At: time.Now()}
 }
 
 // FirstReady returns how the process first became ready since its last start,
-// and false if it isn't yet.
-func (p *Proc) FirstReady() (Ready, bool) {
+// and false if it hasn't yet.
+func (p *Process) FirstReady() (ReadyEvent, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r, ok := p.ready[p.life.number]
+	r, ok := p.ready[p.current.number]
 	return r, ok
 }
 
-// Stop stops the process at once, if it runs. It forgets everything.
-func (p *Proc) Stop() {
+// Stop stops the process at once, if it is running. Its state is lost.
+func (p *Process) Stop() {
 	p.mu.Lock()
-	lf := p.life
-	if lf == nil || lf.cancel == nil {
+	inc := p.current
+	if inc == nil || inc.cancel == nil {
 		p.mu.Unlock()
 		return
 	}
-	cancel := lf.cancel
-	lf.cancel = nil
+	cancel := inc.cancel
+	inc.cancel = nil
 	p.mu.Unlock()
 	cancel()
-	_ = lf.srv.Stop() // the listener may be closed already
-	lf.work.Wait()
+	_ = inc.srv.Stop() // the listener may be closed already
+	inc.wg.Wait()
 }
 
 // Node returns the node of the last start.
-func (p *Proc) Node() *rollout.Node {
+func (p *Process) Node() *rollout.Node {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life.node
+	return p.current.node
 }
 
-// Running says whether the process runs.
-func (p *Proc) Running() bool {
+// Running says whether the process is running.
+func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life != nil && p.life.cancel != nil
+	return p.current != nil && p.current.cancel != nil
 }
 
-// Log returns the versions that came into force so far, in order.
-func (p *Proc) Log() []Applied {
+// AppliedVersions returns the versions that became active so far, in order.
+func (p *Process) AppliedVersions() []Applied {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]Applied(nil), p.log...)
+	return append([]Applied(nil), p.appliedVersions...)
 }
 
 // Identity returns the process's certificate.
-func (p *Proc) Identity() *identity.Identity { return p.identity }
+func (p *Process) Identity() *identity.Identity { return p.identity }
 
-// Version returns the version in force, 0 for none.
-func (p *Proc) Version() uint64 {
+// Version returns the active version, 0 for none.
+func (p *Process) Version() uint64 {
 	if h := p.Node().Held(); h != nil {
 		return h.Summary.Version
 	}
 	return 0
 }
 
-// Traffic counts the process's bytes, on the control channel and with the
+// Traffic counts the bytes of the process on the control channel and with the
 // configuration service.
-func (p *Proc) Traffic() *control.Traffic { return &p.traffic }
+func (p *Process) Traffic() *control.Traffic { return &p.traffic }
--- a/internal/rollout/lab/networks.go
+++ b/internal/rollout/lab/networks.go
@@ -11,7 +11,7 @@
 	"coveferry/internal/memnet"
 )
 
-// Loopback is the loopback interface, with ports of the kernel's choice.
+// Loopback is the loopback interface, with ports chosen by the kernel.
 type Loopback struct{}
 
 // Listen implements Network.
@@ -29,13 +29,13 @@
 	return (&net.Dialer{Timeout: dialTimeout}).DialContext
 }
 
-// Memory is a network in memory, whose processes can be cut off from each
+// Memory is an in-memory network whose processes can be disconnected from each
 // other. It is safe for concurrent use.
 type Memory struct {
 	net *memnet.Net
 
 	mu        sync.Mutex
-	addresses map[string]string // by the processes' names
+	addresses map[string]string // by process name
 }
 
 // NewMemory returns a network without processes.
@@ -63,7 +63,7 @@
 	}
 }
 
-// Cut cuts two processes off from each other, in both directions.
+// Cut blocks connections between two processes in both directions.
 func (m *Memory) Cut(a, b string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,15 +71,15 @@
 	m.net.Cut(b, m.addresses[a])
 }
 
-// CutWay lets no connection of one process to another through; those in the
-// other direction stay.
-func (m *Memory) CutWay(from, to string) {
+// CutOneWay blocks connections from one process to another, but not in the
+// other direction.
+func (m *Memory) CutOneWay(from, to string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.net.Cut(from, m.addresses[to])
 }
 
-// Heal ends a cut.
+// Heal reverses Cut and CutOneWay.
 func (m *Memory) Heal(a, b string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/rollout/lab/publish.go
+++ b/internal/rollout/lab/publish.go
@@ -12,7 +12,7 @@
 
 const validity = 365 * 24 * time.Hour
 
-// newTemplate lists the fleet's processes.
+// newTemplate returns a bundle that lists the processes of the fleet.
 func (f *Fleet) newTemplate() bundle.Bundle {
 	issued := time.Now().UTC().Truncate(time.Second)
 	b := bundle.Bundle{
@@ -23,7 +23,7 @@
 		Teams:   []bundle.Team{{Name: "t", KeyHashes: []string{bundle.HashKey("k")}, Grants: []bundle.Grant{{Class: "queries", Tier: "gold"}}}},
 		Limits:  bundle.Limits{RequestBytes: 1 << 20, QueueEntries: 256, QueueBytes: 32 << 20},
 	}
-	for i, p := range f.Procs {
+	for i, p := range f.Processes {
 		if p.Peer.Role == identity.RoleRouter {
 			b.Routers = append(b.Routers, bundle.Router{Name: p.Peer.Name, ControlAddress: p.Address, FailureDomain: p.FailureDomain, Region: p.Region})
 			continue
@@ -36,42 +36,42 @@
 	return b
 }
 
-// Bundle returns the content of a version: one endpoint differs from the version
-// before.
+// Bundle returns the content of a version, in which one endpoint differs from
+// the previous version.
 func (f *Fleet) Bundle(version uint64) bundle.Bundle {
 	b := f.template
 	b.Version = version
 	b.Endpoints = append([]bundle.Endpoint(nil), b.Endpoints...)
 	for i := range b.Endpoints {
-		b.Endpoints[i].Slots = 1 + changesOf(i, int(version), len(b.Endpoints))
+		b.Endpoints[i].Slots = 1 + countChanges(i, int(version), len(b.Endpoints))
 	}
 	return b
 }
 
-// changesOf counts the versions up to the given one that changed an endpoint:
-// they take turns.
-func changesOf(endpoint, version, endpoints int) int {
+// countChanges counts the versions up to the given one that changed an
+// endpoint; endpoints change round-robin.
+func countChanges(endpoint, version, endpoints int) int {
 	if version < endpoint {
 		return 0
 	}
 	return (version-endpoint)/endpoints + 1
 }
 
-// Published is a version in the form in which it is published.
-type Published struct {
-	Version  uint64
-	Signed   []byte
-	Sections map[bundle.Digest][]byte
+// SignedVersion is a version in the form in which it is published.
+type SignedVersion struct {
+	Version        uint64
+	SignedManifest []byte
+	Sections       map[bundle.Digest][]byte
 }
 
 // Sign signs a bundle for publishing.
-func (f *Fleet) Sign(b bundle.Bundle) Published { return SignWith(b, f.Key) }
+func (f *Fleet) Sign(b bundle.Bundle) SignedVersion { return SignWith(b, f.Key) }
 
-// SignWith signs a bundle with a key of the caller's.
-func SignWith(b bundle.Bundle, key bundle.PrivateKey) Published {
+// SignWith signs a bundle with the given key.
+func SignWith(b bundle.Bundle, key bundle.PrivateKey) SignedVersion {
 	m, sections := bundle.Split(&b)
 	src, sig := bundle.SignManifest(&m, key)
-	return Published{Version: b.Version, Signed: bundle.EncodeSignedManifest(src, sig), Sections: sections}
+	return SignedVersion{Version: b.Version, SignedManifest: bundle.EncodeSignedManifest(src, sig), Sections: sections}
 }
 
 // Publish publishes a version at all servers.
@@ -86,27 +86,27 @@
 }
 
 // Put publishes a version at this server: its new sections, then the manifest.
-func (s *Server) Put(p Published) error {
+func (s *Server) Put(p SignedVersion) error {
 	for d, text := range p.Sections {
-		if s.has[d] {
+		if s.published[d] {
 			continue
 		}
-		s.has[d] = true
+		s.published[d] = true
 		if _, err := s.Publish(rollout.KeySection(d), text); err != nil {
 			return err
 		}
 	}
-	_, err := s.Publish(rollout.KeyManifest, p.Signed)
+	_, err := s.Publish(rollout.KeyManifest, p.SignedManifest)
 	return err
 }
 
-// file returns a version as a signed bundle file.
-func (f *Fleet) file(version uint64) rollout.WholeFile {
+// signedFile returns a version as a signed bundle file.
+func (f *Fleet) signedFile(version uint64) rollout.WholeFile {
 	b := f.Bundle(version)
 	src := bundle.Encode(&b)
 	sig, err := bundle.Sign("lab", src, f.Key)
 	if err != nil {
-		panic(err) // the lab's own bundle passes its check
+		panic(err) // the generated bundle is valid
 	}
 	return rollout.WholeFile{Source: string(src), Signature: string(sig)}
 }
--- a/internal/rollout/link.go
+++ b/internal/rollout/link.go
@@ -11,39 +11,40 @@
 	"coveferry/internal/control"
 )
 
-// minPace is the shortest time between two exchanges over a link, whatever the
-// partner answers.
-const minPace = 100 * time.Millisecond
+// minExchangeInterval is the shortest time between two exchanges over a link,
+// whatever the partner answers.
+const minExchangeInterval = 100 * time.Millisecond
 
-// link keeps up with one partner: it hears of the partner's news by an
-// exchange that waits for them, and tells the partner of this process's.
+// link exchanges versions with one partner. It learns of the partner's versions
+// by long-polling exchanges, and offers it each new version of this process.
 type link struct {
 	node   *Node
 	member Member
 	id     ID
 	client *control.Client
-	// behind wakes the teller when the partner turns out to lack a version.
-	behind chan struct{}
+	// partnerBehind wakes offerVersions when the partner turns out to lack a
+	// version.
+	partnerBehind chan struct{}
 
-	mu    sync.Mutex
-	known Summary // what the partner has
+	mu          sync.Mutex
+	partnerHeld Summary // active at the partner
 }
 
 func newLink(n *Node, m Member) *link {
 	return &link{
 		node: n, member: m, id: m.ID(),
-		client: n.pool.Client(control.Target{Address: m.Address, Peer: m.Peer}),
-		behind: make(chan struct{}, 1),
+		client:        n.pool.Client(control.Target{Address: m.Address, Peer: m.Peer}),
+		partnerBehind: make(chan struct{}, 1),
 	}
 }
 
-// run ends with ctx, when the partner is no longer one.
+// run returns when ctx ends, which is when the member is no longer a partner.
 func (l *link) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var teller sync.WaitGroup
-	teller.Go(func() { l.tell(ctx) })
-	defer teller.Wait()
+	var wg sync.WaitGroup
+	wg.Go(func() { l.offerVersions(ctx) })
+	defer wg.Wait()
 	defer cancel()
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
@@ -58,43 +59,45 @@
 			clock.Sleep(ctx, l.node.tuning.RetryMin)
 		default:
 			wait = jitter(l.node.tuning.Heartbeat)
-			clock.Sleep(ctx, minPace-time.Since(began))
+			clock.Sleep(ctx, minExchangeInterval-time.Since(began))
 		}
 	}
 }
 
-// exchange tells and hears, and takes up what it heard.
+// exchange sends an Exchange, records the reply, and pulls the partner's
+// version if it is higher.
 func (l *link) exchange(ctx context.Context, wait time.Duration) error {
-	req := l.node.compose(l.id)
+	req := l.node.newExchange(l.id)
 	req.WaitMillis = wait.Milliseconds()
-	news, err := control.Call(ctx, l.client, methodExchange, req)
+	reply, err := control.Call(ctx, l.client, methodExchange, req)
 	if err != nil {
 		return err
 	}
-	if err := news.Check(); err != nil {
+	if err := reply.Check(); err != nil {
 		return err
 	}
-	l.node.heard(l.id, news.From, news.Others)
-	l.note(news.Held)
-	offered := news.Held
+	l.node.recordReports(l.id, reply.From, reply.Others)
+	l.recordPartnerHeld(reply.Held)
+	offered := reply.Held
 	if l.node.pull(ctx, l.member, offered) {
 		return nil
 	}
 	if offered.Version > l.node.store.Summary().Version {
-		clock.Sleep(ctx, l.node.tuning.Heartbeat) // it couldn't be had; asking at once would not help
+		clock.Sleep(ctx, l.node.tuning.Heartbeat) // the pull failed; retrying at once would not help
 	}
 	return nil
 }
 
-// note keeps what the partner has, and wakes the teller if that is too little.
-func (l *link) note(s Summary) {
+// recordPartnerHeld records the partner's active version, and wakes
+// offerVersions if it is behind.
+func (l *link) recordPartnerHeld(s Summary) {
 	l.mu.Lock()
-	l.known = s
+	l.partnerHeld = s
 	l.mu.Unlock()
 	if s.Version < l.node.store.Summary().Version {
 		select {
-		case l.behind <- struct{}{}:
-		default: // it is awake already
+		case l.partnerBehind <- struct{}{}:
+		default: // a wakeup is pending
 		}
 	}
 }
@@ -102,83 +105,83 @@
 func (l *link) lacks(s Summary) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known.Version < s.Version
+	return l.partnerHeld.Version < s.Version
 }
 
-// tell offers each new version to the partner, unless it has it.
-func (l *link) tell(ctx context.Context) {
+// offerVersions offers each new version to the partner, unless the partner has
+// it.
+func (l *link) offerVersions(ctx context.Context) {
 	for {
-		held, changed := l.node.next()
+		held, changed := l.node.watchHeld()
 		if l.lacks(held) {
 			l.offer(ctx, held)
 		}
 		select {
 		case <-changed:
-		case <-l.behind:
+		case <-l.partnerBehind:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// offer's failures are left to the exchange, which notices that the partner is
-// gone, or that it still lacks the version.
+// offer ignores failures: the next exchange detects that the partner is
+// unreachable or still lacks the version.
 func (l *link) offer(ctx context.Context, held Summary) {
 	reply, err := control.Call(ctx, l.client, methodOffer, Offer{Summary: held})
 	if err != nil || !reply.Want {
 		return
 	}
-	update, ok := l.node.store.Since(reply.Held)
+	update, ok := l.node.store.UpdateSince(reply.Held)
 	if !ok {
 		return
 	}
 	delivered, err := control.Call(ctx, l.client, methodDeliver, update)
 	if err == nil {
 		l.mu.Lock()
-		l.known = delivered.Held
+		l.partnerHeld = delivered.Held
 		l.mu.Unlock()
 	}
 }
 
-// compose makes the message that goes to a peer.
-func (n *Node) compose(to ID) Exchange {
+// newExchange returns the message for a peer.
+func (n *Node) newExchange(to ID) Exchange {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	return Exchange{Held: n.core.Held(), From: n.core.Self(now), Others: n.core.Tell(now, to)}
+	return Exchange{Held: n.core.Held(), From: n.core.Self(now), Others: n.core.ReportsFor(now, to)}
 }
 
-func (n *Node) heard(peer ID, from Sighting, others []Sighting) {
+func (n *Node) recordReports(peer ID, from PeerReport, others []PeerReport) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.core.Heard(time.Now(), peer, from, others)
+	n.core.RecordReports(time.Now(), peer, from, others)
 }
 
 func (n *Node) partnerFailed(id ID, err error) {
 	n.cfg.Log.Debug().Err(err).Str("peer", string(id)).Msg("partner failed")
 	n.mu.Lock()
-	n.core.Failed(time.Now(), id)
+	n.core.PartnerFailed(time.Now(), id)
 	n.mu.Unlock()
 	n.wake()
 }
 
-// pull fetches a version that a peer offers, if it is of use. It returns
-// whether the peer's version, or a higher one, is in force in the end.
+// pull fetches a version that a peer offers, if it is needed. It returns
+// whether the offered version or a higher one is active at the end.
 func (n *Node) pull(ctx context.Context, m Member, offered Summary) bool {
 	id := m.ID()
 	for {
-		switch advice := n.judge(id, offered); advice.Action {
-		case Take:
-			// Only once: what doesn't work now is tried again with the next
-			// exchange, at its pace.
-			n.finish(id, offered, n.fetch(ctx, m))
+		switch decision := n.evaluateOffer(id, offered); decision.Action {
+		case Pull:
+			// A single attempt: the next exchange retries at its own pace.
+			n.finishTransfer(id, offered, n.fetch(ctx, m))
 			return n.store.Summary().Version >= offered.Version
 		case Wait:
-			if !clock.Sleep(ctx, advice.Wait) {
+			if !clock.Sleep(ctx, decision.Wait) {
 				return false
 			}
-		case Clash:
-			n.refuse(string(id), clashError(offered))
+		case Conflict:
+			n.refuse(string(id), conflictError(offered))
 			return false
 		default:
 			return n.store.Summary().Version >= offered.Version
@@ -186,35 +189,35 @@
 	}
 }
 
-// judge asks the core what to do about an offer, and notes that a transfer
-// begins if it is to be taken.
-func (n *Node) judge(id ID, offered Summary) Advice {
+// evaluateOffer asks the core what to do about an offer, and records the start
+// of the transfer if the answer is Pull.
+func (n *Node) evaluateOffer(id ID, offered Summary) Decision {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	advice := n.core.Judge(now, id, offered)
-	if advice.Action == Take {
-		n.core.Begin(now, offered.Version)
+	decision := n.core.EvaluateOffer(now, id, offered)
+	if decision.Action == Pull {
+		n.core.BeginTransfer(now, offered.Version)
 	}
-	return advice
+	return decision
 }
 
-// finish notes how a transfer from a peer ended. A peer whose claim the
-// transfer disproved isn't asked again for a while; one that couldn't be
-// reached may be.
-func (n *Node) finish(id ID, offered Summary, err error) {
+// finishTransfer records how a transfer from a peer ended. Offers of a peer
+// whose claim the transfer disproved are ignored for a while; those of an
+// unreachable peer aren't.
+func (n *Node) finishTransfer(id ID, offered Summary, err error) {
 	proved := n.store.Summary().Version >= offered.Version || err != nil && reasonOf(err) == ""
 	if err != nil && !errors.Is(err, context.Canceled) {
 		n.refuse(string(id), err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.core.End(time.Now(), id, offered.Version, proved)
+	n.core.EndTransfer(time.Now(), id, offered.Version, proved)
 }
 
 func (n *Node) fetch(ctx context.Context, m Member) error {
 	client := n.pool.Client(control.Target{Address: m.Address, Peer: m.Peer})
-	ask := func(digests []digest) ([]string, error) {
+	fetchSections := func(digests []digest) ([]string, error) {
 		reply, err := control.Call(ctx, client, methodSections, SectionsRequest{Digests: digests})
 		return reply.Sections, err
 	}
@@ -222,16 +225,17 @@
 	if err != nil {
 		return err
 	}
-	err = n.take(update, ask)
+	err = n.applyUpdate(update, fetchSections)
 	if !errors.Is(err, errUnknownBase) {
 		return err
 	}
-	// A summary that is no peer's brings the manifest in full.
+	// No peer has a manifest of the zero digest, so the reply holds the
+	// manifest in full.
 	update, err = control.Call(ctx, client, methodFetch, Fetch{Held: Summary{Version: n.store.Summary().Version}})
 	if err != nil {
 		return err
 	}
-	err = n.take(update, ask)
+	err = n.applyUpdate(update, fetchSections)
 	if errors.Is(err, errUnknownBase) {
 		return errors.Wrap(ErrBadMessage, "a difference where the whole manifest was asked for")
 	}
--- a/internal/rollout/measure/measure.go
+++ b/internal/rollout/measure/measure.go
@@ -1,5 +1,5 @@
-// Package measure plays rollouts on fleets of nodes in this process, over real
-// loopback sockets, and reports what they cost and how long they take.
+// Package measure runs rollouts on fleets of nodes in this process, over real
+// loopback sockets, and reports their cost and duration.
 package measure
 
 import (
@@ -19,23 +19,21 @@
 // Mode is how processes learn of versions.
 type Mode string
 
-// The modes.
 const (
-	// ModePeers: few read, the others hear from peers.
+	// ModePeers: a few processes read the service, the others learn from peers.
 	ModePeers Mode = "peers"
 	// ModeWatch: every process watches the service.
 	ModeWatch Mode = "everyone-watches"
 )
 
-// Trouble is what the configuration service suffers from.
+// ServiceFault is a fault of the configuration service.
 type Trouble string
 
-// The troubles.
 const (
-	// TroubleNone: one server, which is up.
+	// FaultNone: one server, which is up.
 	TroubleNone Trouble = "none"
-	// TroubleStale: each failure domain has one of three servers; one of them
-	// is stuck at an old version, one is down.
+	// FaultStale: each failure domain has one of three servers; one of them is
+	// stuck at an old version, one is down.
 	TroubleStale Trouble = "a third stale, a third dead"
 )
 
@@ -45,49 +43,53 @@
 	Domains int
 	Mode    Mode
 	Trouble Trouble
-	// Changes is how many versions are published, one each Every.
+	// Changes is the number of versions, published at the interval Every.
 	Changes int
 	Every   time.Duration
-	// RestartShare is the part of the nodes that are restarted meanwhile.
+	// RestartShare is the fraction of nodes that are restarted during the
+	// measurement.
 	RestartShare float64
 }
 
-// Point is what was measured.
+// Point is the result of one measurement.
 type Point struct {
 	Nodes   int     `json:"nodes"`
 	Domains int     `json:"failure_domains"`
 	Mode    Mode    `json:"mode"`
 	Trouble Trouble `json:"trouble"`
 	Changes int     `json:"changes"`
-	// Restarts is how many nodes were restarted.
+	// Restarts is the number of restarted nodes.
 	Restarts int `json:"restarts"`
 
-	// CallsPerSecond counts the calls at all servers, refused ones included.
+	// CallsPerSecond counts the calls at all servers, including refused ones.
 	CallsPerSecond   float64 `json:"calls_per_second"`
 	LimitedPerSecond float64 `json:"limited_per_second"`
-	// BytesPerSecond is what a node sends and receives, on average and most.
+	// BytesPerSecond is the traffic sent and received by a node, on average;
+	// MaxBytesPerSecond that of the busiest node.
 	BytesPerSecond    float64 `json:"bytes_per_second_a_node"`
 	MaxBytesPerSecond float64 `json:"bytes_per_second_busiest_node"`
-	// CPUShare is the processor time of a node, in parts of a core. It includes
+	// CPUShare is the CPU time of a node, as a fraction of a core. It includes
 	// the stand-in service, divided by the nodes.
 	CPUShare float64 `json:"cpu_share_a_node"`
 
-	// InForce is the time from publishing until a node has that version or a
-	// higher one, over all changes and nodes that ran throughout.
+	// InForce is the time from publishing a version until a node activates it
+	// or a higher one, over all changes and all nodes that weren't restarted.
 	InForce Quantiles `json:"in_force_seconds"`
-	// NeverInForce is the part of these that had not got there at the end.
+	// NeverInForce is the fraction of these that had not completed at the end.
 	NeverInForce float64 `json:"never_in_force"`
 	// Ready is the time from a node's restart until it is ready.
 	Ready Quantiles `json:"ready_seconds"`
-	// ReadyBelow is how many restarted nodes were ready with a lower version
-	// than they had before, SureBelow how many of these were sure of it.
+	// ReadyBelow is the number of restarted nodes that became ready with a
+	// lower version than before the restart; SureBelow is how many of them were
+	// confirmed.
 	ReadyBelow int `json:"ready_below"`
 	SureBelow  int `json:"sure_below"`
-	// Backwards is how often a version was followed by a lower one in a life.
+	// Backwards counts how often a version was followed by the same or a lower
+	// one within an incarnation.
 	Backwards int `json:"backwards"`
 }
 
-// Quantiles of a time in seconds.
+// Quantiles holds quantiles of durations in seconds.
 type Quantiles struct {
 	P50   float64 `json:"p50"`
 	P99   float64 `json:"p99"`
@@ -105,70 +107,70 @@
 }
 
 const (
-	staleServers = 3
-	// warmUp is how long a fleet has to settle before it is measured, at the
-	// least and at the most.
+	serversWhenStale = 3
+	// warmUp and maxWarmUp are the shortest and the longest time to wait until
+	// a fleet is ready for the measurement.
 	warmUp    = 8 * time.Second
 	maxWarmUp = 60 * time.Second
-	// after is how long the last change has to come into force.
-	after = 6 * time.Second
-	// firstVersion is that of the nodes' bundle file.
+	// drainTime is how long to wait for the last version to become active.
+	drainTime = 6 * time.Second
+	// firstVersion is the version in the nodes' bundle file.
 	firstVersion = 1
 )
 
-// Run plays a scenario.
+// Run runs a scenario.
 func Run(ctx context.Context, sc Scenario) (Point, error) {
 	f, err := newFleet(sc)
 	if err != nil {
 		return Point{}, err
 	}
 	defer f.Close()
-	if err := settle(ctx, f, sc); err != nil {
+	if err := startAndWaitReady(ctx, f, sc); err != nil {
 		return Point{}, err
 	}
-	r := &run{Fleet: f, sc: sc}
-	if err := r.play(ctx); err != nil {
+	r := &measurement{Fleet: f, sc: sc}
+	if err := r.run(ctx); err != nil {
 		return Point{}, err
 	}
 	return r.point(), nil
 }
 
 func newFleet(sc Scenario) (*lab.Fleet, error) {
-	cfg := lab.Config{Network: lab.Loopback{}, Nodes: sc.Nodes, Domains: sc.Domains, Services: 1, Start: firstVersion}
-	cfg.Tuning.SettleAfter = time.Second // the whole fleet starts at once here
-	cfg.Tuning.EveryoneReads = sc.Mode == ModeWatch
+	cfg := lab.Config{Network: lab.Loopback{}, Nodes: sc.Nodes, Domains: sc.Domains, Services: 1, InitialVersion: firstVersion}
+	cfg.Tuning.AcceptUnconfirmedAfter = time.Second // the whole fleet starts at once here
+	cfg.Tuning.AllProcessesRead = sc.Mode == ModeWatch
 	if sc.Trouble == TroubleStale {
-		cfg.Services, cfg.Apart = staleServers, true
+		cfg.Services, cfg.ServerPerDomain = serversWhenStale, true
 	}
 	return lab.New(cfg)
 }
 
-// settle starts the fleet and waits until all nodes are ready.
-func settle(ctx context.Context, f *lab.Fleet, sc Scenario) error {
+// startAndWaitReady starts the fleet, waits until all nodes are ready and
+// injects the fault.
+func startAndWaitReady(ctx context.Context, f *lab.Fleet, sc Scenario) error {
 	if err := f.Publish(firstVersion); err != nil {
 		return errors.Wrap(err, "publish")
 	}
 	if err := f.StartAll(); err != nil {
 		return err
 	}
-	if !wait(ctx, warmUp) {
+	if !sleep(ctx, warmUp) {
 		return ctx.Err()
 	}
 	for began := time.Now(); time.Since(began) < maxWarmUp; {
 		if allReady(f, sc) {
-			return trouble(f, sc)
+			return injectFault(f, sc)
 		}
-		if !wait(ctx, time.Second) {
+		if !sleep(ctx, time.Second) {
 			return ctx.Err()
 		}
 	}
 	return errors.Newf("the fleet wasn't ready after %s", maxWarmUp)
 }
 
-// allReady says whether all nodes are ready and, where they talk to each other,
-// sure of it.
+// allReady says whether all nodes are ready and, with ModePeers, confirmed.
 func allReady(f *lab.Fleet, sc Scenario) bool {
-	for _, p := range f.Procs {
+	for _, p := range f.Processes {
 		r := p.Node().Readiness()
 		if !r.Ready || sc.Mode == ModePeers && !r.Confirmed {
 			return false
@@ -177,7 +179,7 @@
 	return true
 }
 
-func trouble(f *lab.Fleet, sc Scenario) error {
+func injectFault(f *lab.Fleet, sc Scenario) error {
 	if sc.Trouble != TroubleStale {
 		return nil
 	}
@@ -185,7 +187,7 @@
 	return f.Servers[0].Pin(rollout.KeyManifest, 1)
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -194,63 +196,63 @@
 	}
 }
 
-// run is a measurement under way.
-type run struct {
+// measurement is a running measurement.
+type measurement struct {
 	*lab.Fleet
-	sc        Scenario
-	mu        sync.Mutex  // of restarts
-	published []time.Time // of version 2 and those that follow
-	restarts  []restart
-	before    reading
-	spent     reading
+	sc            Scenario
+	mu            sync.Mutex  // guards restarts
+	published     []time.Time // of versions 2 and up
+	restarts      []restart
+	startCounters counters
+	endCounters   counters
 }
 
-// restart is a node that was restarted.
+// restart is a restarted node.
 type restart struct {
-	proc   *lab.Proc
-	at     time.Time
-	before uint64 // the version that it had
+	proc          *lab.Process
+	at            time.Time
+	versionBefore uint64
 }
 
-// reading is a state of all counters.
-type reading struct {
-	at     time.Time
-	cpu    time.Duration
-	calls  int
-	denied int
-	bytes  []uint64 // by node
+// counters is a reading of all counters.
+type counters struct {
+	at      time.Time
+	cpu     time.Duration
+	calls   int
+	limited int
+	bytes   []uint64 // by node
 }
 
-func (r *run) read() reading {
-	out := reading{at: time.Now(), cpu: cpuTime()}
+func (r *measurement) readCounters() counters {
+	out := counters{at: time.Now(), cpu: cpuTime()}
 	for _, s := range r.Servers {
 		stats := s.Stats()
 		out.calls += stats.Calls
-		out.denied += stats.Limited
+		out.limited += stats.Limited
 	}
-	for _, p := range r.Procs {
+	for _, p := range r.Processes {
 		out.bytes = append(out.bytes, p.Traffic().Received()+p.Traffic().Sent())
 	}
 	return out
 }
 
-// cpuTime is the processor time of this process so far.
+// cpuTime returns the CPU time of this process so far.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		return 0 // it doesn't fail for the own process
+		return 0 // can't fail for the own process
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// play publishes a version each interval and restarts nodes in between.
-func (r *run) play(ctx context.Context) error {
-	r.before = r.read()
+// run publishes a version at each interval and restarts nodes in between.
+func (r *measurement) run(ctx context.Context) error {
+	r.startCounters = r.readCounters()
 	restarts := int(r.sc.RestartShare * float64(r.sc.Nodes))
 	var restarting errgroup.Group
 	for i := range r.sc.Changes {
-		due := r.before.at.Add(time.Duration(i) * r.sc.Every)
-		if !wait(ctx, time.Until(due)) {
+		due := r.startCounters.at.Add(time.Duration(i) * r.sc.Every)
+		if !sleep(ctx, time.Until(due)) {
 			return ctx.Err()
 		}
 		r.published = append(r.published, time.Now())
@@ -258,24 +260,24 @@
 			return errors.Wrap(err, "publish")
 		}
 		for n := i * restarts / r.sc.Changes; n < (i+1)*restarts/r.sc.Changes; n++ {
-			p := r.Procs[n*len(r.Procs)/max(1, restarts)]
+			p := r.Processes[n*len(r.Processes)/max(1, restarts)]
 			restarting.Go(func() error { return r.restart(p) })
 		}
 		if err := restarting.Wait(); err != nil {
 			return err
 		}
 	}
-	if !wait(ctx, r.sc.Every) {
+	if !sleep(ctx, r.sc.Every) {
 		return ctx.Err()
 	}
-	r.spent = r.read()
-	wait(ctx, after)
+	r.endCounters = r.readCounters()
+	sleep(ctx, drainTime)
 	return ctx.Err()
 }
 
-// restart takes a node away and starts it again without a memory.
-func (r *run) restart(p *lab.Proc) error {
-	one := restart{proc: p, before: p.Version()}
+// restart stops a node and starts it again without its state.
+func (r *measurement) restart(p *lab.Process) error {
+	one := restart{proc: p, versionBefore: p.Version()}
 	p.Stop()
 	one.at = time.Now()
 	if err := p.Start(); err != nil {
--- a/internal/rollout/measure/slope.go
+++ b/internal/rollout/measure/slope.go
@@ -2,8 +2,7 @@
 
 import "gonum.org/v1/gonum/stat"
 
-// Slope is a straight line through one figure against the number of nodes, by
-// least squares.
+// Slope is a least-squares line of one metric against the number of nodes.
 type Slope struct {
 	Mode      Mode    `json:"mode"`
 	Figure    string  `json:"figure"`
@@ -11,36 +10,36 @@
 	PerNode   float64 `json:"per_node"`
 }
 
-// figure is one that slopes are given of.
-type figure struct {
+// fittedMetric is a metric that Slopes fits.
+type fittedMetric struct {
 	name string
 	of   func(Point) float64
 }
 
-var figures = []figure{
+var fittedMetrics = []fittedMetric{
 	{"calls/s at the service", func(p Point) float64 { return p.CallsPerSecond }},
 	{"bytes/s a node", func(p Point) float64 { return p.BytesPerSecond }},
 	{"part of a core a node", func(p Point) float64 { return p.CPUShare }},
 	{"p99 seconds until in force", func(p Point) float64 { return p.InForce.P99 }},
 }
 
-// Slopes fits each figure of each mode; it needs two points of a mode.
+// Slopes fits each metric in each mode that has at least two points.
 func Slopes(points []Point) []Slope {
 	out := []Slope{}
 	for _, mode := range []Mode{ModePeers, ModeWatch} {
 		var nodes []float64
-		var of []Point
+		var matching []Point
 		for _, p := range points {
 			if p.Mode == mode {
-				nodes, of = append(nodes, float64(p.Nodes)), append(of, p)
+				nodes, matching = append(nodes, float64(p.Nodes)), append(matching, p)
 			}
 		}
-		if len(of) < 2 {
+		if len(matching) < 2 {
 			continue
 		}
-		for _, f := range figures {
-			values := make([]float64, len(of))
-			for i, p := range of {
+		for _, f := range fittedMetrics {
+			values := make([]float64, len(matching))
+			for i, p := range matching {
 				values[i] = f.of(p)
 			}
 			a, b := stat.LinearRegression(nodes, values, nil, false)
--- a/internal/rollout/member.go
+++ b/internal/rollout/member.go
@@ -12,13 +12,13 @@
 	"coveferry/internal/identity"
 )
 
-// ID names a process in all messages: its role, a slash and its name.
+// ID identifies a process in all messages: its role, a slash and its name.
 type ID string
 
 // IDOf returns the ID of the holder of a certificate.
 func IDOf(p identity.Peer) ID { return ID(string(p.Role) + "/" + p.Name) }
 
-// Peer returns the role and name that an ID is made of.
+// Peer parses an ID into role and name.
 func (id ID) Peer() (identity.Peer, error) {
 	role, name, ok := strings.Cut(string(id), "/")
 	if !ok || !identity.Role(role).Valid() {
@@ -27,11 +27,11 @@
 	return identity.Peer{Role: identity.Role(role), Name: name}, nil
 }
 
-// Member is a process and its place.
+// Member is a process, its address and its location.
 type Member struct {
 	Peer identity.Peer
-	// Address is where it listens for the control channel; empty if others
-	// don't know.
+	// Address is the listen address of the control channel; empty if unknown to
+	// others.
 	Address       string
 	FailureDomain string
 	Region        string
@@ -40,7 +40,7 @@
 // ID returns the member's ID.
 func (m Member) ID() ID { return IDOf(m.Peer) }
 
-// MembersOf lists the processes that a bundle makes known, by their IDs.
+// MembersOf lists the processes in a bundle, sorted by ID.
 func MembersOf(b *bundle.Bundle) []Member {
 	var out []Member
 	for i := range b.Endpoints {
@@ -64,7 +64,7 @@
 	return out
 }
 
-// purpose keeps the rankings of one process list apart.
+// purpose separates the rankings of the same list.
 type purpose string
 
 const (
@@ -72,15 +72,15 @@
 	rankPartners purpose = "partner"
 )
 
-// rank orders members by rendezvous hashing: each member's place depends on
-// the key and its own ID only, so that one more or less leaves the order of
-// the others as it was.
-func rank(why purpose, key string, members []Member) []Member {
+// rank orders members by rendezvous hashing: each member's score depends only
+// on the key and its own ID, so adding or removing a member leaves the order of
+// the others unchanged.
+func rank(use purpose, key string, members []Member) []Member {
 	type scored struct {
 		score uint64
 		at    int
 	}
-	seed := xxhash.Sum64String(string(why) + "/" + key)
+	seed := xxhash.Sum64String(string(use) + "/" + key)
 	list := make([]scored, len(members))
 	for i := range members {
 		list[i] = scored{mix(seed ^ members[i].hash()), i}
@@ -95,12 +95,12 @@
 	return out
 }
 
-// hash is that of the ID.
+// hash returns a hash of the ID.
 func (m *Member) hash() uint64 {
 	return xxhash.Sum64String(m.Peer.Name) ^ xxhash.Sum64String(string(m.Peer.Role))
 }
 
-// mix spreads the bits of a number, as the last step of MurmurHash3 does.
+// mix is the finalizer of MurmurHash3.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/rollout/message.go
+++ b/internal/rollout/message.go
@@ -10,49 +10,50 @@
 	"coveferry/internal/identity"
 )
 
-// Bounds of what a message may hold.
+// Limits of a message.
 const (
-	maxIDLength  = 96
-	maxSightings = 64
-	maxWait      = 30 * time.Second
-	// maxSections bounds the sections of one message or request.
+	maxIDLength    = 96
+	maxPeerReports = 64
+	maxWait        = 30 * time.Second
+	// maxSections limits the sections of one message or request.
 	maxSections = 4096
-	// inlineBytes is how much of sections goes along with a manifest; the
-	// rest is asked for.
+	// inlineBytes limits the sections sent along with a manifest; the receiver
+	// requests the rest.
 	inlineBytes = 1 << 20
 )
 
-// ErrBadMessage marks a message that a peer must not send.
+// ErrBadMessage marks an invalid message of a peer.
 var ErrBadMessage = errors.New("rollout: bad message")
 
-// Summary names what a process has in force. The zero Summary is nothing.
+// Summary identifies the active version of a process. The zero Summary means
+// none.
 type Summary struct {
 	Version uint64        `json:"v"`
 	Digest  bundle.Digest `json:"d"` // of the content
 }
 
-// markLength is the length of a mark, in characters of a digest.
-const markLength = 8
+// digestPrefixLength counts characters of the printed digest.
+const digestPrefixLength = 8
 
-// Mark returns the beginning of the digest; it is empty for nothing.
-func (s Summary) Mark() string {
+// DigestPrefix returns the start of the digest; it is empty for the zero
+// Summary.
+func (s Summary) DigestPrefix() string {
 	if s.Version == 0 {
 		return ""
 	}
-	return s.Digest.String()[:markLength]
+	return s.Digest.String()[:digestPrefixLength]
 }
 
-// State is how sure a process is of what it has in force.
+// State says how far a process has confirmed its version.
 type State string
 
-// The states of a process.
 const (
-	// StateStarting: it isn't ready yet.
+	// StateStarting: the process isn't ready yet.
 	StateStarting State = "starting"
-	// StateUnconfirmed: it serves by what it has, but hasn't heard from enough
-	// others that there is nothing newer.
+	// StateUnconfirmed: the process serves, but too few peers have confirmed
+	// that there is no higher version.
 	StateUnconfirmed State = "unconfirmed"
-	// StateSettled: it has.
+	// StateSettled: enough peers have confirmed it.
 	StateSettled State = "settled"
 )
 
@@ -60,38 +61,40 @@
 	return s == StateStarting || s == StateUnconfirmed || s == StateSettled
 }
 
-// Sighting is what was last heard of a process.
-type Sighting struct {
+// PeerReport is the last known report of a process about itself.
+type PeerReport struct {
 	ID      ID     `json:"id"`
 	Version uint64 `json:"v"`
-	// Mark is the beginning of the content's digest, enough to tell contents
-	// apart.
-	Mark  string `json:"m,omitempty"`
-	State State  `json:"st"`
-	// NoService says that it reads the configuration service in vain: the
-	// service doesn't answer it, or gives what is old.
+	// DigestPrefix is the start of the content's digest, enough to tell
+	// contents apart.
+	DigestPrefix string `json:"m,omitempty"`
+	State        State  `json:"st"`
+	// NoService says that the process reads the configuration service and gets
+	// no answer or an outdated one.
 	NoService bool `json:"ns,omitempty"`
-	// Blind says that it never reads the service, as its settings name none.
-	Blind bool `json:"b,omitempty"`
-	// AgeMillis is how long ago the process said so itself, in milliseconds.
-	// Times travel as ages, as clocks of VMs differ.
+	// NoServiceConfigured says that the process never reads the service, as its
+	// settings name none.
+	NoServiceConfigured bool `json:"b,omitempty"`
+	// AgeMillis is the time since the process made the report, in milliseconds.
+	// Ages are sent instead of timestamps because the clocks of VMs differ.
 	AgeMillis int64 `json:"age,omitempty"`
 }
 
-func (s Sighting) check() error {
-	if s.ID == "" || len(s.ID) > maxIDLength || len(s.Mark) > markLength || !s.State.valid() || s.AgeMillis < 0 {
+func (s PeerReport) check() error {
+	if s.ID == "" || len(s.ID) > maxIDLength || len(s.DigestPrefix) > digestPrefixLength || !s.State.valid() || s.AgeMillis < 0 {
 		return errors.Wrap(ErrBadMessage, "sighting")
 	}
 	return nil
 }
 
-// Exchange tells a partner what the caller has and knows, and asks the same.
+// Exchange sends a partner the caller's active version and peer reports, and
+// asks for the partner's.
 type Exchange struct {
-	Held   Summary    `json:"held"`
-	From   Sighting   `json:"from"`
-	Others []Sighting `json:"others,omitempty"`
-	// WaitMillis is how long the partner may wait for news before it replies,
-	// in milliseconds.
+	Held   Summary      `json:"held"`
+	From   PeerReport   `json:"from"`
+	Others []PeerReport `json:"others,omitempty"`
+	// WaitMillis is how long the partner may wait for a higher version before
+	// it replies, in milliseconds.
 	WaitMillis int64 `json:"wait,omitempty"`
 }
 
@@ -100,11 +103,11 @@
 	if e.WaitMillis < 0 || e.WaitMillis > maxWait.Milliseconds() {
 		return errors.Wrap(ErrBadMessage, "wait")
 	}
-	return checkNews(e.From, e.Others)
+	return checkReports(e.From, e.Others)
 }
 
-func checkNews(from Sighting, others []Sighting) error {
-	if len(others) > maxSightings {
+func checkReports(from PeerReport, others []PeerReport) error {
+	if len(others) > maxPeerReports {
 		return errors.Wrapf(ErrBadMessage, "%d sightings", len(others))
 	}
 	for _, s := range others {
@@ -115,40 +118,40 @@
 	return from.check()
 }
 
-// News is the reply to an Exchange.
-type News struct {
-	Held   Summary    `json:"held"`
-	From   Sighting   `json:"from"`
-	Others []Sighting `json:"others,omitempty"`
+// ExchangeReply is the reply to an Exchange.
+type ExchangeReply struct {
+	Held   Summary      `json:"held"`
+	From   PeerReport   `json:"from"`
+	Others []PeerReport `json:"others,omitempty"`
 }
 
-// Check says whether a reply may be used.
-func (n News) Check() error { return checkNews(n.From, n.Others) }
+// Check says whether the reply is valid.
+func (n ExchangeReply) Check() error { return checkReports(n.From, n.Others) }
 
-// Offer tells a partner of a version that has just come into force.
+// Offer announces a newly activated version to a partner.
 type Offer struct {
 	Summary Summary `json:"s"`
 }
 
-// OfferReply says whether the partner wants it, and what it has.
+// OfferReply says whether the partner wants the version, and which one it has.
 type OfferReply struct {
 	Want bool    `json:"want"`
 	Held Summary `json:"held"`
 }
 
-// Fetch asks for what is in force.
+// Fetch asks for the active version.
 type Fetch struct {
-	Held Summary `json:"held"` // what the caller has
+	Held Summary `json:"held"` // active at the caller
 }
 
-// Update is a version in a form that proves it. One of Manifest and Whole is
-// set.
+// Update is a version with the signature that proves it. Exactly one of
+// Manifest and Whole is set.
 type Update struct {
-	// Summary is what the sender says it is; the rest proves it.
+	// Summary is the sender's claim; it is verified against the rest.
 	Summary  Summary       `json:"s"`
 	Manifest *ManifestText `json:"manifest,omitempty"`
 	Whole    *WholeFile    `json:"whole,omitempty"`
-	// Sections are those that the receiver is thought to lack.
+	// Sections holds sections that the receiver probably lacks.
 	Sections []string `json:"sections,omitempty"`
 }
 
@@ -163,23 +166,23 @@
 	return nil
 }
 
-// ManifestText is a signed manifest, in full or as a difference.
+// ManifestText is a signed manifest, in full or as a delta.
 type ManifestText struct {
 	Text string `json:"text,omitempty"`
-	// Delta, if set, stands in place of Text: the text compressed with that of
-	// the manifest Base as the dictionary.
+	// Delta, if set, replaces Text. It is the text compressed with the manifest
+	// Base as the dictionary.
 	Delta     []byte        `json:"delta,omitempty"`
 	Base      bundle.Digest `json:"base,omitzero"`
 	Signature string        `json:"signature"`
 }
 
-// WholeFile is a signed bundle file.
+// BundleFile is a signed bundle file.
 type WholeFile struct {
 	Source    string `json:"source"`
 	Signature string `json:"signature"`
 }
 
-// DeliverReply says what the receiver has in force after an Update.
+// DeliverReply holds the receiver's active version after an Update.
 type DeliverReply struct {
 	Held Summary `json:"held"`
 }
@@ -197,18 +200,18 @@
 	return nil
 }
 
-// SectionsReply holds some of the sections that were asked for, at least one
-// unless the peer has none of them.
+// SectionsReply holds some of the requested sections, at least one unless the
+// peer has none of them.
 type SectionsReply struct {
 	Sections []string `json:"sections"`
 }
 
-// fetchTimeout bounds the moving of a bundle, whole.
+// fetchTimeout limits a call that transfers a bundle.
 const fetchTimeout = 10 * time.Second
 
 // The methods of the control channel.
 var (
-	methodExchange = control.NewMethod[Exchange, News]("bundle.exchange", identity.RoleRouter, identity.RoleAgent).
+	methodExchange = control.NewMethod[Exchange, ExchangeReply]("bundle.exchange", identity.RoleRouter, identity.RoleAgent).
 			WithTimeout(exchangeTimeout)
 	methodOffer   = control.NewMethod[Offer, OfferReply]("bundle.offer", identity.RoleRouter, identity.RoleAgent)
 	methodDeliver = control.NewMethod[Update, DeliverReply]("bundle.deliver", identity.RoleRouter, identity.RoleAgent).
@@ -217,9 +220,9 @@
 			WithTimeout(fetchTimeout)
 	methodSections = control.NewMethod[SectionsRequest, SectionsReply]("bundle.sections", identity.RoleRouter, identity.RoleAgent).
 			WithTimeout(fetchTimeout)
-	// MethodStatus is for operators.
+	// MethodStatus serves operators.
 	MethodStatus = control.NewMethod[StatusRequest, Status]("bundle.status", identity.RoleOperator, identity.RoleRouter, identity.RoleAgent)
 )
 
-// exchangeTimeout leaves an exchange its wait and some more.
+// exchangeTimeout covers the wait of an exchange and its transfer.
 const exchangeTimeout = 5 * time.Second
--- a/internal/rollout/metrics.go
+++ b/internal/rollout/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// The metrics of a node.
+// Names of the metrics of a node.
 const (
 	MetricVersion   = "coveferry_bundle_version"
 	MetricAccepted  = "coveferry_bundle_accepted_timestamp_seconds"
@@ -22,8 +22,8 @@
 	reads   *prometheus.CounterVec
 }
 
-// newMetrics publishes a node's metrics; without a registerer they are kept
-// for nobody.
+// newMetrics creates and registers a node's metrics; a nil registerer leaves
+// them unregistered.
 func newMetrics(reg prometheus.Registerer, n *Node) *metrics {
 	m := &metrics{
 		refused: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -47,8 +47,8 @@
 	gauge(MetricExpires, "Until when the bundle in force may be accepted as new, as a Unix time in seconds; 0 for none.", func() float64 {
 		return unixOf(n.store.Held(), func(h *Held) time.Time { return h.Snapshot.Bundle().Expires })
 	})
-	gauge(MetricConfirmed, "1 if enough other processes said that there is no higher version, else 0.", func() float64 { return number(n.Readiness().Confirmed) })
-	gauge(MetricReader, "1 if this process reads the configuration service now, else 0.", func() float64 { return number(n.Reading()) })
+	gauge(MetricConfirmed, "1 if enough other processes said that there is no higher version, else 0.", func() float64 { return boolToFloat(n.Readiness().Confirmed) })
+	gauge(MetricReader, "1 if this process reads the configuration service now, else 0.", func() float64 { return boolToFloat(n.Reading()) })
 	return m
 }
 
@@ -59,16 +59,16 @@
 	return float64(of(h).Unix())
 }
 
-func number(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// refuse counts a refusal; peers are counted together, as a metric must not
-// grow with the fleet.
-func (m *metrics) refuse(source string, reason Reason) {
+// recordRefusal counts a refusal. All peers share one label value, as the
+// number of series must not grow with the fleet.
+func (m *metrics) recordRefusal(source string, reason Reason) {
 	kind := "peer"
 	switch source {
 	case sourceService:
@@ -79,7 +79,7 @@
 	m.refused.WithLabelValues(kind, string(reason)).Inc()
 }
 
-func (m *metrics) read(err error) {
+func (m *metrics) recordRead(err error) {
 	result := "ok"
 	if err != nil {
 		result = "failed"
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -15,29 +15,31 @@
 	modelStep    = 500 * time.Millisecond
 )
 
-// modelNode is one process of the model: a core, and what is needed to hold it
-// to its promises.
+// modelNode is one process of the model: a core, and the state that is needed
+// to check it.
 type modelNode struct {
 	core *Core
 	up   bool
-	// paused processes do nothing; their clock goes on.
+	// paused processes do nothing while time goes on.
 	paused bool
-	// island tells which side of a partition it is on.
-	island int
-	began  time.Time
-	// sureAt is the version with which it was first sure in this life.
-	sure bool
+	// partition is the side of a network partition; processes reach only those
+	// of the same side.
+	partition int
+	startedAt time.Time
+	// confirmed is set once the process was confirmed in this incarnation.
+	confirmed bool
 }
 
-// model is a fleet of cores that talk in steps. Versions are numbers: that only
-// genuine ones are taken is the business of Store.
+// model is a fleet of cores that exchange messages in steps. Versions are plain
+// numbers, as Store verifies them.
 type model struct {
 	t       *rapid.T
 	g       *gomega.WithT
 	now     time.Time
 	members []Member
 	nodes   []*modelNode
-	// service is what the service serves, newest what was published last.
+	// service is the version that the service returns, newest the one that was
+	// published last.
 	service, newest uint64
 	serviceUp       bool
 	reads           int
@@ -54,40 +56,40 @@
 	return m
 }
 
-// start starts a process without a memory, but for the bundle file.
+// start starts a process that has only its bundle file.
 func (m *model) start(i int) {
 	c := NewCore(m.members[i], Tuning{}, m.now)
 	c.SetMembers(m.members)
-	c.SetHeld(sum(1))
-	*m.nodes[i] = modelNode{core: c, up: true, island: m.nodes[i].island, began: m.now}
+	c.SetHeld(summaryOf(1))
+	*m.nodes[i] = modelNode{core: c, up: true, partition: m.nodes[i].partition, startedAt: m.now}
 }
 
-func (m *model) runs(i int) bool { return m.nodes[i].up && !m.nodes[i].paused }
+func (m *model) isRunning(i int) bool { return m.nodes[i].up && !m.nodes[i].paused }
 
-// take is what a process does about a version that it is offered.
-func (m *model) take(i int, from ID, offered Summary) {
+// applyOffer does what a node does about an offered version.
+func (m *model) applyOffer(i int, from ID, offered Summary) {
 	c := m.nodes[i].core
-	if c.Judge(m.now, from, offered).Action != Take {
+	if c.EvaluateOffer(m.now, from, offered).Action != Pull {
 		return
 	}
-	c.Begin(m.now, offered.Version)
-	m.g.Expect(offered.Version).To(gomega.BeNumerically(">", c.Held().Version), "never back")
+	c.BeginTransfer(m.now, offered.Version)
+	m.g.Expect(offered.Version).To(gomega.BeNumerically(">", c.Held().Version), "the version must not go down")
 	c.SetHeld(offered)
-	c.End(m.now, from, offered.Version, true)
+	c.EndTransfer(m.now, from, offered.Version, true)
 }
 
-// step lets every process that runs do what its core wants.
+// step runs what the core of each running process wants.
 func (m *model) step() {
 	m.now = m.now.Add(modelStep)
 	for i, n := range m.nodes {
-		if !m.runs(i) {
+		if !m.isRunning(i) {
 			continue
 		}
 		n.core.Tick(m.now)
 		for _, p := range n.core.Partners(m.now) {
 			m.exchange(i, p)
 		}
-		if n.core.Reads(m.now) {
+		if n.core.ShouldRead(m.now) {
 			m.read(i)
 		}
 		m.check(i)
@@ -97,15 +99,15 @@
 func (m *model) exchange(i int, with Member) {
 	j := m.indexOf(with.ID())
 	a := m.nodes[i].core
-	if !m.runs(j) || m.nodes[i].island != m.nodes[j].island {
-		a.Failed(m.now, with.ID())
+	if !m.isRunning(j) || m.nodes[i].partition != m.nodes[j].partition {
+		a.PartnerFailed(m.now, with.ID())
 		return
 	}
 	b, me := m.nodes[j].core, m.members[i].ID()
-	b.Heard(m.now, me, a.Self(m.now), a.Tell(m.now, with.ID()))
-	a.Heard(m.now, with.ID(), b.Self(m.now), b.Tell(m.now, me))
-	m.take(i, with.ID(), b.Held())
-	m.take(j, me, a.Held())
+	b.RecordReports(m.now, me, a.Self(m.now), a.ReportsFor(m.now, with.ID()))
+	a.RecordReports(m.now, with.ID(), b.Self(m.now), b.ReportsFor(m.now, me))
+	m.applyOffer(i, with.ID(), b.Held())
+	m.applyOffer(j, me, a.Held())
 }
 
 func (m *model) indexOf(id ID) int {
@@ -121,33 +123,33 @@
 	m.reads++
 	c := m.nodes[i].core
 	if !m.serviceUp {
-		c.Service(false)
+		c.SetServiceUsable(false)
 		return
 	}
-	c.Service(m.service >= c.Held().Version)
-	m.take(i, "service", sum(m.service))
+	c.SetServiceUsable(m.service >= c.Held().Version)
+	m.applyOffer(i, "service", summaryOf(m.service))
 }
 
-// check holds a process to its promises on being ready.
+// check checks the guarantees about readiness.
 func (m *model) check(i int) {
 	n := m.nodes[i]
 	r := n.core.Readiness(m.now)
-	waited := m.now.Sub(n.began) >= DefaultTuning().StartWait
-	m.g.Expect(!r.Ready || r.Confirmed || waited).To(gomega.BeTrue(), "ready before it heard or waited")
-	m.g.Expect(r.Ready || !waited).To(gomega.BeTrue(), "the wait is bounded")
-	if r.Confirmed && !n.sure {
-		n.sure = true
+	waited := m.now.Sub(n.startedAt) >= DefaultTuning().StartWait
+	m.g.Expect(!r.Ready || r.Confirmed || waited).To(gomega.BeTrue(), "ready before it was confirmed or StartWait passed")
+	m.g.Expect(r.Ready || !waited).To(gomega.BeTrue(), "not ready after StartWait")
+	if r.Confirmed && !n.confirmed {
+		n.confirmed = true
 		m.g.Expect(r.Peers >= 3 && r.Domains >= 2).To(gomega.BeTrue())
 	}
 }
 
-func (m *model) draw(label string) int { return rapid.IntRange(0, modelNodes-1).Draw(m.t, label) }
+func (m *model) drawNode(label string) int { return rapid.IntRange(0, modelNodes-1).Draw(m.t, label) }
 
-// calm ends all faults and lets the fleet come to rest.
-func (m *model) calm() {
+// recoverAndSettle ends all faults and runs until the fleet has converged.
+func (m *model) recoverAndSettle() {
 	m.serviceUp, m.service = true, m.newest
 	for i, n := range m.nodes {
-		n.island, n.paused = 0, false
+		n.partition, n.paused = 0, false
 		if !n.up {
 			m.start(i)
 		}
@@ -168,17 +170,17 @@
 			},
 			"stale":   func(t *rapid.T) { m.service = uint64(rapid.IntRange(1, int(m.newest)).Draw(t, "version")) },
 			"service": func(*rapid.T) { m.serviceUp = !m.serviceUp },
-			"stop":    func(*rapid.T) { m.nodes[m.draw("stop")].up = false },
-			"restart": func(*rapid.T) { m.start(m.draw("restart")) },
-			"pause":   func(*rapid.T) { n := m.nodes[m.draw("pause")]; n.paused = !n.paused },
-			"island":  func(t *rapid.T) { m.nodes[m.draw("island")].island = rapid.IntRange(0, 2).Draw(t, "side") },
+			"stop":    func(*rapid.T) { m.nodes[m.drawNode("stop")].up = false },
+			"restart": func(*rapid.T) { m.start(m.drawNode("restart")) },
+			"pause":   func(*rapid.T) { n := m.nodes[m.drawNode("pause")]; n.paused = !n.paused },
+			"island":  func(t *rapid.T) { m.nodes[m.drawNode("island")].partition = rapid.IntRange(0, 2).Draw(t, "side") },
 			"while": func(t *rapid.T) {
 				for range rapid.IntRange(1, 60).Draw(t, "steps") {
 					m.step()
 				}
 			},
 		})
-		m.calm()
+		m.recoverAndSettle()
 		for i, n := range m.nodes {
 			m.g.Expect(n.core.Held().Version).To(gomega.Equal(m.newest), string(m.members[i].ID()))
 		}
@@ -186,7 +188,7 @@
 		readers := make(map[string]int)
 		m.step()
 		for i, n := range m.nodes {
-			if n.core.Reads(m.now) {
+			if n.core.ShouldRead(m.now) {
 				readers[m.members[i].FailureDomain]++
 			}
 		}
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -15,31 +15,31 @@
 	"coveferry/internal/control"
 )
 
-// tickEvery is how often a node looks whether it has the right partners and
-// whether it is a reader.
-const tickEvery = 250 * time.Millisecond
+// tickInterval is how often a node checks its partners and whether it reads the
+// service.
+const tickInterval = 250 * time.Millisecond
 
-// Config is what a node needs.
+// Config configures a Node.
 type Config struct {
-	// Self is this process; its address may be empty.
+	// Self describes this process; its address may be empty.
 	Self Member
-	// Keys are those that a bundle may be signed with.
+	// Keys are trusted to sign bundles.
 	Keys []bundle.PublicKey
-	// Client reaches the other processes.
+	// Client connects to the other processes.
 	Client control.ClientConfig
 	// Services are the servers of the configuration service; there may be none.
 	Services []*Service
-	// Apply brings a version into force. It is called in the order of versions
-	// and must not wait.
+	// Apply activates a version. It is called in the order of versions and must
+	// not block.
 	Apply func(*bundle.Snapshot)
-	// OnReadiness is told of each change of the readiness; it may be nil.
+	// OnReadiness is called on each change of the readiness; it may be nil.
 	OnReadiness func(Readiness)
 	Tuning      Tuning
 	Log         zerolog.Logger
-	Metrics     prometheus.Registerer // nil for none
+	Metrics     prometheus.Registerer // may be nil
 }
 
-// Node is one process's part in spreading bundles.
+// Node takes part in the dissemination of bundles on behalf of one process.
 type Node struct {
 	cfg     Config
 	tuning  Tuning
@@ -51,42 +51,42 @@
 
 	mu        sync.Mutex
 	core      *Core
-	changed   chan struct{} // closed and renewed with each version
+	changed   chan struct{} // closed and replaced on each new version
 	readiness Readiness
 	reading   bool
-	// told is the highest version that each peer has said it has, so that it
-	// isn't woken for what it knows.
-	told map[ID]uint64
+	// announcedVersions is the highest version that each peer has announced, so
+	// that its waiting exchange isn't answered for a version that it has.
+	announcedVersions map[ID]uint64
 
-	kick chan struct{} // wakes the supervisor
+	wakeup chan struct{} // wakes the supervisor
 }
 
-// New returns a node that holds nothing yet.
+// New returns a node without a version.
 func New(cfg Config) *Node {
 	n := &Node{
-		cfg:     cfg,
-		tuning:  cfg.Tuning.withDefaults(),
-		id:      cfg.Self.ID(),
-		pool:    control.NewPool(cfg.Client, 0),
-		core:    NewCore(cfg.Self, cfg.Tuning, time.Now()),
-		changed: make(chan struct{}),
-		kick:    make(chan struct{}, 1),
-		told:    make(map[ID]uint64),
-		refused: refusals{log: cfg.Log},
+		cfg:               cfg,
+		tuning:            cfg.Tuning.withDefaults(),
+		id:                cfg.Self.ID(),
+		pool:              control.NewPool(cfg.Client, 0),
+		core:              NewCore(cfg.Self, cfg.Tuning, time.Now()),
+		changed:           make(chan struct{}),
+		wakeup:            make(chan struct{}, 1),
+		announcedVersions: make(map[ID]uint64),
+		refused:           refusals{log: cfg.Log},
 	}
 	if len(cfg.Services) == 0 {
-		n.core.SetBlind()
+		n.core.SetNoServiceConfigured()
 	}
-	n.store = NewStore(cfg.Keys, n.put)
+	n.store = NewStore(cfg.Keys, n.activate)
 	n.metrics = newMetrics(cfg.Metrics, n)
 	return n
 }
 
-// Begin takes a bundle file as the first version. One that has expired isn't
-// put in force, but tells which other processes there are; the error is then a
+// LoadFile activates a bundle file as the first version. An expired bundle
+// isn't activated, but its list of processes is used; the error is then a
 // *bundle.ExpiredError. Other errors are those of bundle.Accept.
 func (n *Node) Begin(file WholeFile) error {
-	err := n.store.AcceptWhole(time.Now(), file)
+	err := n.store.AcceptFile(time.Now(), file)
 	if !errors.Is(err, bundle.ErrExpired) {
 		return err
 	}
@@ -100,13 +100,13 @@
 	return err
 }
 
-// Snapshot returns what is in force, or nil.
+// Snapshot returns the active snapshot, or nil.
 func (n *Node) Snapshot() *bundle.Snapshot { return n.store.snapshot() }
 
-// Held returns what is in force with its summary, or nil.
+// Held returns the active version, or nil.
 func (n *Node) Held() *Held { return n.store.Held() }
 
-// Readiness says whether the process may serve by what it has in force.
+// Readiness says whether the process may serve with the active version.
 func (n *Node) Readiness() Readiness {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,14 +120,14 @@
 	return n.reading
 }
 
-// put is the store's callback for a new version.
-func (n *Node) put(h *Held) {
+// activate is the store's callback for a new version.
+func (n *Node) activate(h *Held) {
 	members := MembersOf(h.Snapshot.Bundle())
 	n.cfg.Apply(h.Snapshot)
 	n.mu.Lock()
 	n.core.SetHeld(h.Summary)
 	n.core.SetMembers(members)
-	maps.DeleteFunc(n.told, func(id ID, _ uint64) bool { _, listed := n.core.roster.byID[id]; return !listed })
+	maps.DeleteFunc(n.announcedVersions, func(id ID, _ uint64) bool { _, listed := n.core.membership.byID[id]; return !listed })
 	close(n.changed)
 	n.changed = make(chan struct{})
 	n.mu.Unlock()
@@ -137,71 +137,71 @@
 
 func (n *Node) wake() {
 	select {
-	case n.kick <- struct{}{}:
-	default: // it is awake already
+	case n.wakeup <- struct{}{}:
+	default: // a wakeup is pending
 	}
 }
 
-// next returns the summary in force and a channel that is closed when there
-// is another.
-func (n *Node) next() (Summary, <-chan struct{}) {
+// watchHeld returns the active version and a channel that is closed when it
+// changes.
+func (n *Node) watchHeld() (Summary, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.core.Held(), n.changed
 }
 
-// Run keeps links to partners and reads the service when it is this process's
-// turn, until ctx ends.
+// Run keeps links to partners and reads the service while this process is a
+// reader, until ctx ends.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer n.pool.Close()
 	sup := supervisor{node: n, links: make(map[Member]context.CancelFunc)}
-	defer sup.work.Wait()
+	defer sup.wg.Wait()
 	defer cancel()
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
-		sup.adjust(ctx)
+		sup.reconcile(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-		case <-n.kick:
+		case <-n.wakeup:
 		}
 	}
 }
 
-// supervisor starts and stops a node's links and its reader. Only the
-// goroutine of Run uses it.
+// supervisor starts and stops a node's links and its reader. Only the goroutine
+// of Run uses it.
 type supervisor struct {
 	node  *Node
 	links map[Member]context.CancelFunc
 	// stopReader is nil while the process doesn't read.
 	stopReader context.CancelFunc
-	work       sync.WaitGroup
+	wg         sync.WaitGroup
 }
 
-// plan is what the core wants now.
-type plan struct {
-	partners  []Member
-	reads     bool
-	readiness Readiness
-	changed   bool // the readiness
+// desiredState is what the core wants to run now.
+type desiredState struct {
+	partners         []Member
+	reads            bool
+	readiness        Readiness
+	readinessChanged bool // since the last call
 }
 
-func (n *Node) plan(now time.Time) plan {
+func (n *Node) desiredState(now time.Time) desiredState {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.core.Tick(now)
-	p := plan{partners: n.core.Partners(now), reads: n.core.Reads(now), readiness: n.core.Readiness(now)}
-	p.changed = p.readiness != n.readiness
+	p := desiredState{partners: n.core.Partners(now), reads: n.core.ShouldRead(now), readiness: n.core.Readiness(now)}
+	p.readinessChanged = p.readiness != n.readiness
 	n.readiness, n.reading = p.readiness, p.reads
 	return p
 }
 
-func (s *supervisor) adjust(ctx context.Context) {
-	p := s.node.plan(time.Now())
+func (s *supervisor) reconcile(ctx context.Context) {
+	p := s.node.desiredState(time.Now())
 	wanted := make(map[Member]bool, len(p.partners))
 	for _, m := range p.partners {
 		wanted[m] = true
@@ -215,8 +215,8 @@
 			delete(s.links, m)
 		}
 	}
-	s.adjustReader(ctx, p.reads)
-	if p.changed && s.node.cfg.OnReadiness != nil {
+	s.reconcileReader(ctx, p.reads)
+	if p.readinessChanged && s.node.cfg.OnReadiness != nil {
 		s.node.cfg.OnReadiness(p.readiness)
 	}
 }
@@ -225,23 +225,23 @@
 	ctx, cancel := context.WithCancel(ctx)
 	s.links[m] = cancel
 	l := newLink(s.node, m)
-	s.work.Go(func() { l.run(ctx) })
+	s.wg.Go(func() { l.run(ctx) })
 }
 
-func (s *supervisor) adjustReader(ctx context.Context, reads bool) {
+func (s *supervisor) reconcileReader(ctx context.Context, reads bool) {
 	switch {
 	case reads && s.stopReader == nil:
 		ctx, s.stopReader = context.WithCancel(ctx)
 		r := newReader(s.node)
-		s.work.Go(func() { r.run(ctx) })
+		s.wg.Go(func() { r.run(ctx) })
 	case !reads && s.stopReader != nil:
 		s.stopReader()
 		s.stopReader = nil
 	}
 }
 
-// jitter spreads a duration over its last quarter, so that processes don't
-// keep step.
+// jitter returns a random duration in the last quarter of d, so that processes
+// don't synchronize.
 func jitter(d time.Duration) time.Duration {
 	return d - time.Duration(rand.Int64N(int64(d)/4+1))
 }
--- a/internal/rollout/partners.go
+++ b/internal/rollout/partners.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// failure is what is known of a partner that didn't answer.
+// failure is the retry state of a partner that didn't answer.
 type failure struct {
 	retryAt time.Time
 	delay   time.Duration
 }
 
-// partners chooses whom to keep links to.
+// partners chooses which members to keep links to.
 type partners struct {
 	failed map[ID]failure
 }
 
-// fail puts a partner off; it is tried again after a delay that doubles.
-func (p *partners) fail(now time.Time, id ID, t Tuning) {
+// recordFailure excludes a partner until a delay has passed, which doubles with
+// each failure.
+func (p *partners) recordFailure(now time.Time, id ID, t Tuning) {
 	f := p.failed[id]
 	f.delay = min(max(2*f.delay, t.RetryMin), t.RetryMax)
 	f.retryAt = now.Add(f.delay)
 	p.failed[id] = f
 }
 
-// succeed forgets the failures of a partner.
-func (p *partners) succeed(id ID) { delete(p.failed, id) }
+// clearFailure resets the retry state of a partner.
+func (p *partners) clearFailure(id ID) { delete(p.failed, id) }
 
 func (p *partners) usable(now time.Time, m Member) bool {
 	f, failed := p.failed[m.ID()]
 	return !failed || !now.Before(f.retryAt)
 }
 
-// choose returns the partners to have now. The first outside is of the same
-// region, if there is one, and the second of another failure domain than the
-// first. Where one side has too few, the other fills in.
-func (p *partners) choose(now time.Time, r *roster, t Tuning) []Member {
-	total := t.Inside + t.Outside
+// choose returns the current partners. The first one in another failure domain
+// is of the same region, if there is one, and the second is in a different
+// failure domain than the first. Where too few members are local or remote, the
+// other kind fills up.
+func (p *partners) choose(now time.Time, r *membership, t Tuning) []Member {
+	total := t.LocalPartners + t.RemotePartners
 	chosen := make([]Member, 0, total)
 	add := func(from []Member, most int, match func(Member) bool) {
 		for _, m := range from {
@@ -48,16 +50,16 @@
 			}
 		}
 	}
-	add(r.inside, t.Inside, anyMember)
+	add(r.local, t.LocalPartners, anyMember)
 	inside := len(chosen)
-	add(r.outside, min(inside+1, total), func(m Member) bool { return m.Region == r.self.Region })
-	add(r.outside, min(inside+1, total), anyMember)
+	add(r.remote, min(inside+1, total), func(m Member) bool { return m.Region == r.self.Region })
+	add(r.remote, min(inside+1, total), anyMember)
 	if len(chosen) > inside {
 		first := chosen[inside].FailureDomain
-		add(r.outside, min(inside+2, total), func(m Member) bool { return m.FailureDomain != first })
+		add(r.remote, min(inside+2, total), func(m Member) bool { return m.FailureDomain != first })
 	}
-	add(r.outside, total, anyMember)
-	add(r.inside, total, anyMember)
+	add(r.remote, total, anyMember)
+	add(r.local, total, anyMember)
 	return chosen
 }
 
--- a/internal/rollout/reader.go
+++ b/internal/rollout/reader.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// readPace is the shortest time between a read that brought nothing new
-	// and the next, whatever the service answers.
-	readPace = time.Second
+	// minReadInterval is the shortest time between a read without a new value
+	// and the next read, whatever the service answers.
+	minReadInterval = time.Second
 	// minReadDelay and maxReadDelay bound the delay after a failed read; it
-	// doubles each time.
+	// doubles with each failure.
 	minReadDelay = 250 * time.Millisecond
 	maxReadDelay = 10 * time.Second
 )
 
-// reader reads the configuration service on behalf of its failure domain.
+// reader reads the configuration service for its failure domain.
 type reader struct {
-	node   *Node
-	server int // index of the one that is read now
-	mark   Mark
-	delay  *backoff.ExponentialBackOff
+	node     *Node
+	server   int // index of the server that is read now
+	revision Revision
+	delay    *backoff.ExponentialBackOff
 }
 
-// newReader begins at a server that depends on the process, so that the
-// readers of a failure domain don't all depend on one.
+// newReader starts at a server that depends on the process ID, so that the
+// readers of a failure domain don't all depend on the same server.
 func newReader(n *Node) *reader {
 	delay := backoff.NewExponentialBackOff()
 	delay.InitialInterval, delay.MaxInterval, delay.Multiplier = minReadDelay, maxReadDelay, 2
@@ -41,7 +41,7 @@
 }
 
 func (r *reader) run(ctx context.Context) {
-	defer r.node.service(true) // a process that doesn't read says nothing of the service
+	defer r.node.setServiceUsable(true) // a process that doesn't read reports nothing about the service
 	for ctx.Err() == nil {
 		if wait := r.read(ctx); wait > 0 && !clock.Sleep(ctx, wait) {
 			return
@@ -49,89 +49,91 @@
 	}
 }
 
-// read reads once and returns how long to wait until the next time.
+// read reads once and returns the wait before the next read.
 func (r *reader) read(ctx context.Context) time.Duration {
 	server := r.node.cfg.Services[r.server]
-	value, mark, ok, err := server.Manifest(ctx, r.mark)
+	value, revision, ok, err := server.Manifest(ctx, r.revision)
 	if ctx.Err() != nil {
 		return 0
 	}
-	r.node.metrics.read(err)
+	r.node.metrics.recordRead(err)
 	switch {
 	case err != nil:
-		return r.failed(err)
+		return r.handleFailure(err)
 	case !ok:
-		return r.unchanged(mark)
+		return r.handleUnchanged(revision)
 	}
-	fresh := mark != r.mark
-	r.mark = mark
-	if err := r.node.takeValue(ctx, server, value); err != nil {
-		return r.refused(err)
+	isNew := revision != r.revision
+	r.revision = revision
+	if err := r.node.applyValue(ctx, server, value); err != nil {
+		return r.handleRefused(err)
 	}
 	r.delay.Reset()
-	r.node.service(true)
-	if !fresh || mark == 0 {
-		return readPace
+	r.node.setServiceUsable(true)
+	if !isNew || revision == 0 {
+		return minReadInterval
 	}
 	return 0
 }
 
-// failed turns to the next server.
-func (r *reader) failed(err error) time.Duration {
-	r.node.service(false)
-	r.node.cfg.Log.Warn().Err(err).Msg("configuration service gave no answer")
+// handleFailure switches to the next server.
+func (r *reader) handleFailure(err error) time.Duration {
+	r.node.setServiceUsable(false)
+	r.node.cfg.Log.Warn().Err(err).Msg("configuration service read failed")
 	r.nextServer()
-	var failure *ServiceError
-	asked := time.Duration(0)
-	if errors.As(err, &failure) {
-		asked = failure.RetryAfter
+	var serviceErr *ServiceError
+	minDelay := time.Duration(0)
+	if errors.As(err, &serviceErr) {
+		minDelay = serviceErr.RetryAfter
 	}
-	return max(asked, r.delay.NextBackOff())
+	return max(minDelay, r.delay.NextBackOff())
 }
 
-// unchanged follows a watch that ended without news. A server that counts
-// lower than before began anew, or went back; it is read afresh.
-func (r *reader) unchanged(mark Mark) time.Duration {
-	if mark < r.mark {
-		r.mark = 0
-		return readPace
+// handleUnchanged handles a watch that ended without a new value. A server
+// whose revision went down has restarted or lost data; it is read from the
+// start.
+func (r *reader) handleUnchanged(mark Revision) time.Duration {
+	if mark < r.revision {
+		r.revision = 0
+		return minReadInterval
 	}
 	return 0
 }
 
-// refused follows a value that this process can't take. A server that is
-// merely behind is asked again at the reader's pace, after the others.
-func (r *reader) refused(err error) time.Duration {
-	r.node.service(false)
+// handleRefused handles a value that this process can't accept. If the value is
+// merely outdated and there is no other server, the next read follows after
+// minReadInterval; else the reader switches to the next server and backs off.
+func (r *reader) handleRefused(err error) time.Duration {
+	r.node.setServiceUsable(false)
 	r.node.refuse(sourceService, err)
 	if reasonOf(err) == ReasonRolledBack && len(r.node.cfg.Services) == 1 {
-		return readPace // the next watch waits for news
+		return minReadInterval // the next watch waits for a new value
 	}
 	r.nextServer()
-	return max(readPace, r.delay.NextBackOff())
+	return max(minReadInterval, r.delay.NextBackOff())
 }
 
 func (r *reader) nextServer() {
 	r.server = (r.server + 1) % len(r.node.cfg.Services)
-	r.mark = 0
+	r.revision = 0
 }
 
-// service says whether the service was of use.
-func (n *Node) service(ok bool) {
+// setServiceUsable records whether the service gave a usable answer.
+func (n *Node) setServiceUsable(ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.core.Service(ok)
+	n.core.SetServiceUsable(ok)
 }
 
-// takeValue takes what the service holds as the manifest.
-func (n *Node) takeValue(ctx context.Context, server *Service, value []byte) error {
+// applyValue verifies and activates the manifest that the service returned.
+func (n *Node) applyValue(ctx context.Context, server *Service, value []byte) error {
 	signed, err := bundle.DecodeSignedManifest(value)
 	if err != nil {
 		return err
 	}
-	return n.takeManifest(signed, nil, func(digests []digest) ([]string, error) {
+	return n.applyManifest(signed, nil, func(digests []digest) ([]string, error) {
 		text, err := server.Section(ctx, digests[0])
-		n.metrics.read(err)
+		n.metrics.recordRead(err)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/rollout/refusals.go
+++ b/internal/rollout/refusals.go
@@ -11,49 +11,49 @@
 	"coveferry/internal/bundle"
 )
 
-// Where a version came from, besides peers, which are named by their ID.
+// Sources of versions other than peers, which are identified by their ID.
 const (
 	sourceService = "configuration service"
 	sourceFile    = "bundle file"
 )
 
-// Refusal is a version that this process didn't take, and why.
+// Refusal is a version that this process refused, and why.
 type Refusal struct {
 	Source string `json:"source"`
 	Reason Reason `json:"reason"`
-	// Message says it in full, with what to do.
+	// Message is the error text, which says how to resolve it.
 	Message string `json:"message"`
-	// Count is how often, AgeMillis how long ago the last time.
+	// Count is the number of times, AgeMillis the time since the last one.
 	Count     int   `json:"count"`
 	AgeMillis int64 `json:"age_ms"`
 
 	last time.Time
 }
 
-// keptRefusals bounds the refusals that are remembered for operators.
-const keptRefusals = 16
+// maxRefusals limits the refusals that are kept for operators.
+const maxRefusals = 16
 
-// refusals remembers the latest refusals and logs each kind once.
+// refusals keeps the latest refusals and logs each distinct one once.
 type refusals struct {
 	log  zerolog.Logger
 	mu   sync.Mutex
-	list []Refusal // the latest last
+	list []Refusal // oldest first
 }
 
-// add remembers a refusal.
-func (r *refusals) add(now time.Time, one Refusal) {
+// add records a refusal.
+func (r *refusals) add(now time.Time, refusal Refusal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	one.Count, one.last = 1, now
-	at := slices.IndexFunc(r.list, func(old Refusal) bool { return old.Source == one.Source && old.Message == one.Message })
+	refusal.Count, refusal.last = 1, now
+	at := slices.IndexFunc(r.list, func(old Refusal) bool { return old.Source == refusal.Source && old.Message == refusal.Message })
 	if at >= 0 {
-		one.Count += r.list[at].Count
+		refusal.Count += r.list[at].Count
 		r.list = slices.Delete(r.list, at, at+1)
 	} else {
-		r.log.Warn().Str("source", one.Source).Str("reason", string(one.Reason)).Msg("bundle refused: " + one.Message)
+		r.log.Warn().Str("source", refusal.Source).Str("reason", string(refusal.Reason)).Msg("bundle refused: " + refusal.Message)
 	}
-	r.list = append(r.list, one)
-	if len(r.list) > keptRefusals {
+	r.list = append(r.list, refusal)
+	if len(r.list) > maxRefusals {
 		r.list = slices.Delete(r.list, 0, 1)
 	}
 }
@@ -69,19 +69,20 @@
 	return out
 }
 
-// refuse counts and logs a refusal. An error that says nothing of the version,
-// such as a broken connection, is none.
+// refuse counts and logs a refusal. Errors that say nothing about the version,
+// such as a broken connection, aren't refusals.
 func (n *Node) refuse(source string, err error) {
 	reason := reasonOf(err)
 	if reason == "" {
 		n.cfg.Log.Debug().Err(err).Str("source", source).Msg("bundle could not be fetched")
 		return
 	}
-	n.metrics.refuse(source, reason)
+	n.metrics.recordRefusal(source, reason)
 	n.refused.add(time.Now(), Refusal{Source: source, Reason: reason, Message: err.Error()})
 }
 
-// clashError says that a peer has other content under the version in force.
-func clashError(offered Summary) error {
+// conflictError reports that a peer has different content under the active
+// version.
+func conflictError(offered Summary) error {
 	return errors.Wrapf(bundle.ErrConflict, "version %d is in force here with other content; publish the right content under a higher version", offered.Version)
 }
--- a/internal/rollout/roster.go
+++ b/internal/rollout/roster.go
@@ -2,34 +2,35 @@
 
 import "slices"
 
-// roster is who is known, in the orders in which this process needs them.
-type roster struct {
+// membership holds the known processes and the rankings that this process uses.
+type membership struct {
 	self    Member
 	members []Member
 	byID    map[ID]Member
-	// readers ranks the failure domain's processes, this one included, for
-	// reading the service; all of them have the same order.
-	readers []Member
-	// inside and outside rank the others for being partners; each process has
-	// an order of its own, so that links spread evenly.
-	inside, outside []Member
+	// readerRanking ranks the processes of the failure domain, this one
+	// included, as readers of the service; all of them compute the same order.
+	readerRanking []Member
+	// local and remote rank the others as partners, in the own failure domain
+	// and in others. Each process has its own order, so that links spread
+	// evenly.
+	local, remote []Member
 }
 
-func newRoster(self Member) *roster {
-	r := &roster{self: self}
-	r.set(nil)
+func newMembership(self Member) *membership {
+	r := &membership{self: self}
+	r.update(nil)
 	return r
 }
 
-// set takes the processes that a new bundle lists. A process that isn't listed
-// counts itself in, as it may be the only one of its failure domain.
-func (r *roster) set(members []Member) {
+// update sets the processes that a new bundle lists. A process that isn't
+// listed includes itself, as it may be the only one of its failure domain.
+func (r *membership) update(members []Member) {
 	if r.byID != nil && slices.Equal(r.members, members) {
 		return
 	}
 	r.members = members
 	r.byID = make(map[ID]Member, len(members))
-	here, elsewhere := []Member{r.self}, []Member{}
+	local, remote := []Member{r.self}, []Member{}
 	self := r.self.ID()
 	for _, m := range members {
 		id := m.ID()
@@ -37,19 +38,19 @@
 		switch {
 		case id == self:
 		case m.FailureDomain == r.self.FailureDomain:
-			here = append(here, m)
+			local = append(local, m)
 		default:
-			elsewhere = append(elsewhere, m)
+			remote = append(remote, m)
 		}
 	}
-	r.readers = rank(rankReaders, r.self.FailureDomain, here)
-	r.inside = rank(rankPartners, string(r.self.ID()), here[1:])
-	r.outside = rank(rankPartners, string(r.self.ID()), elsewhere)
+	r.readerRanking = rank(rankReaders, r.self.FailureDomain, local)
+	r.local = rank(rankPartners, string(r.self.ID()), local[1:])
+	r.remote = rank(rankPartners, string(r.self.ID()), remote)
 }
 
-// others returns how many processes there are besides this one, and in how
-// many failure domains.
-func (r *roster) others() (processes, domains int) {
+// countOthers returns the number of other processes, and of their failure
+// domains.
+func (r *membership) countOthers() (processes, domains int) {
 	seen := make(map[string]bool)
 	for _, m := range r.members {
 		if m.ID() != r.self.ID() {
--- a/internal/rollout/serve.go
+++ b/internal/rollout/serve.go
@@ -11,7 +11,7 @@
 	"coveferry/internal/identity"
 )
 
-// Register adds the methods by which others talk to this node.
+// Register adds the node's methods to the server of the control channel.
 func (n *Node) Register(srv *control.Server) {
 	control.Register(srv, methodExchange, n.serveExchange)
 	control.Register(srv, methodOffer, n.serveOffer)
@@ -22,60 +22,61 @@
 }
 
 // serveExchange replies when there is a higher version than the caller's, or
-// when the caller's wait is over.
-func (n *Node) serveExchange(ctx context.Context, peer identity.Peer, req Exchange) (News, error) {
+// when the caller's wait ends.
+func (n *Node) serveExchange(ctx context.Context, peer identity.Peer, req Exchange) (ExchangeReply, error) {
 	id := IDOf(peer)
-	n.heard(id, req.From, req.Others)
-	over := time.NewTimer(time.Duration(req.WaitMillis) * time.Millisecond)
-	defer over.Stop()
+	n.recordReports(id, req.From, req.Others)
+	timer := time.NewTimer(time.Duration(req.WaitMillis) * time.Millisecond)
+	defer timer.Stop()
 	for waiting := true; waiting; {
-		held, changed := n.next()
-		if held.Version > max(req.Held.Version, n.toldBy(id)) {
+		held, changed := n.watchHeld()
+		if held.Version > max(req.Held.Version, n.announcedVersion(id)) {
 			break
 		}
 		select {
 		case <-changed:
-		case <-over.C:
+		case <-timer.C:
 			waiting = false
 		case <-ctx.Done():
-			return News{}, ctx.Err()
+			return ExchangeReply{}, ctx.Err()
 		}
 	}
-	msg := n.compose(id)
-	return News{Held: msg.Held, From: msg.From, Others: msg.Others}, nil
+	msg := n.newExchange(id)
+	return ExchangeReply{Held: msg.Held, From: msg.From, Others: msg.Others}, nil
 }
 
-// noteTold remembers what a listed peer says it has. A lie only keeps the liar
-// from being woken: its exchange ends with its wait all the same.
-func (n *Node) noteTold(id ID, version uint64) {
+// recordAnnouncedVersion records the version that a listed peer announces. A
+// false announcement affects only the sender: its exchange still ends with its
+// wait.
+func (n *Node) recordAnnouncedVersion(id ID, version uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if _, listed := n.core.roster.byID[id]; listed {
-		n.told[id] = version
+	if _, listed := n.core.membership.byID[id]; listed {
+		n.announcedVersions[id] = version
 	}
 }
 
-func (n *Node) toldBy(id ID) uint64 {
+func (n *Node) announcedVersion(id ID) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.told[id]
+	return n.announcedVersions[id]
 }
 
 func (n *Node) serveOffer(_ context.Context, peer identity.Peer, req Offer) (OfferReply, error) {
 	id := IDOf(peer)
-	n.noteTold(id, req.Summary.Version)
-	advice := n.judge(id, req.Summary)
-	if advice.Action == Clash {
-		n.refuse(string(id), clashError(req.Summary))
+	n.recordAnnouncedVersion(id, req.Summary.Version)
+	decision := n.evaluateOffer(id, req.Summary)
+	if decision.Action == Conflict {
+		n.refuse(string(id), conflictError(req.Summary))
 	}
-	return OfferReply{Want: advice.Action == Take, Held: n.store.Summary()}, nil
+	return OfferReply{Want: decision.Action == Pull, Held: n.store.Summary()}, nil
 }
 
-// serveDeliver takes an update that the peer sends unasked, as serveOffer let
-// it. Whatever it lacks is fetched from the peer, if it is known where.
+// serveDeliver applies an update that the peer pushes after serveOffer accepted
+// it. Missing parts are fetched from the peer, if its address is known.
 func (n *Node) serveDeliver(ctx context.Context, peer identity.Peer, u Update) (DeliverReply, error) {
 	id := IDOf(peer)
-	err := n.take(u, func(digests []digest) ([]string, error) {
+	err := n.applyUpdate(u, func(digests []digest) ([]string, error) {
 		return nil, &bundle.MissingSectionError{Digests: digests}
 	})
 	if errors.Is(err, bundle.ErrMissingSection) || errors.Is(err, errUnknownBase) {
@@ -83,19 +84,19 @@
 			err = n.fetch(ctx, m)
 		}
 	}
-	n.finish(id, u.Summary, err)
+	n.finishTransfer(id, u.Summary, err)
 	return DeliverReply{Held: n.store.Summary()}, nil
 }
 
 func (n *Node) member(id ID) (Member, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	m, ok := n.core.roster.byID[id]
+	m, ok := n.core.membership.byID[id]
 	return m, ok
 }
 
 func (n *Node) serveFetch(_ context.Context, _ identity.Peer, req Fetch) (Update, error) {
-	u, ok := n.store.Since(req.Held)
+	u, ok := n.store.UpdateSince(req.Held)
 	if !ok {
 		return Update{}, &control.Error{Code: control.CodeUnavailable, Message: "no bundle in force yet"}
 	}
--- a/internal/rollout/sightings.go
+++ b/internal/rollout/sightings.go
@@ -6,39 +6,40 @@
 )
 
 const (
-	// restAtOnce is how many sightings of ordinary processes go along with a
-	// message, in turn; those that matter for reading always do.
-	restAtOnce = 8
-	// candidates is how many more than the readers are always told of, so that
-	// everyone knows who is next.
-	candidates = 2
+	// otherReportsPerMessage is how many reports of processes below the reader
+	// candidates go along with a message, in rotation. Reports of the readers
+	// and reader candidates are always sent.
+	otherReportsPerMessage = 8
+	// readerCandidates is how many processes after the readers are always
+	// reported, so that every process knows the next readers.
+	readerCandidates = 2
 )
 
-// seen is a sighting and when the process said so, by this process's clock.
-type seen struct {
-	sighting Sighting
-	at       time.Time
+// timedReport is a report and when the process made it, by the local clock.
+type timedReport struct {
+	report     PeerReport
+	reportedAt time.Time
 }
 
-// sightings is what is known of the processes of one failure domain.
-type sightings struct {
-	byID map[ID]seen
-	next int // where the turn of ordinary processes goes on
+// peerReports holds the latest reports of the processes of one failure domain.
+type peerReports struct {
+	byID   map[ID]timedReport
+	cursor int // position of the rotation
 }
 
-// note keeps a sighting unless a fresher one is known. A sighting only ages on
-// its way, so none makes a silent process look alive.
-func (s *sightings) note(now time.Time, one Sighting) {
-	at := now.Add(-time.Duration(one.AgeMillis) * time.Millisecond)
-	if old, ok := s.byID[one.ID]; ok && !at.After(old.at) {
+// record stores a report unless a newer one is known. A forwarded report only
+// grows older, so forwarding can't make an unresponsive process look alive.
+func (s *peerReports) record(now time.Time, report PeerReport) {
+	at := now.Add(-time.Duration(report.AgeMillis) * time.Millisecond)
+	if old, ok := s.byID[report.ID]; ok && !at.After(old.reportedAt) {
 		return
 	}
-	one.AgeMillis = 0
-	s.byID[one.ID] = seen{sighting: one, at: at}
+	report.AgeMillis = 0
+	s.byID[report.ID] = timedReport{report: report, reportedAt: at}
 }
 
-// keep forgets processes that are no longer listed.
-func (s *sightings) keep(listed func(ID) bool) {
+// retain removes processes that are no longer listed.
+func (s *peerReports) retain(listed func(ID) bool) {
 	for id := range s.byID {
 		if !listed(id) {
 			delete(s.byID, id)
@@ -46,30 +47,31 @@
 	}
 }
 
-// aged returns a sighting as it is to be told now.
-func (s *sightings) aged(now time.Time, id ID) (Sighting, bool) {
+// withAge returns a report with its age at the given time.
+func (s *peerReports) withAge(now time.Time, id ID) (PeerReport, bool) {
 	one, ok := s.byID[id]
 	if !ok {
-		return Sighting{}, false
+		return PeerReport{}, false
 	}
-	out := one.sighting
-	out.AgeMillis = max(0, now.Sub(one.at).Milliseconds())
+	out := one.report
+	out.AgeMillis = max(0, now.Sub(one.reportedAt).Milliseconds())
 	return out, true
 }
 
-// tell returns what goes along with a message to a process of the same failure
-// domain: the first of the ranking, and some of the rest.
-func (s *sightings) tell(now time.Time, ranking []Member, first int, except ID) []Sighting {
+// selectFor returns the reports to send along with a message to a process of
+// the same failure domain: those of the first processes of the ranking, and
+// some of the others in rotation.
+func (s *peerReports) selectFor(now time.Time, ranking []Member, first int, except ID) []PeerReport {
 	first = min(first, len(ranking))
 	picked := slices.Clone(ranking[:first])
 	rest := ranking[first:]
-	for range min(restAtOnce, len(rest)) {
-		s.next = (s.next + 1) % len(rest)
-		picked = append(picked, rest[s.next])
+	for range min(otherReportsPerMessage, len(rest)) {
+		s.cursor = (s.cursor + 1) % len(rest)
+		picked = append(picked, rest[s.cursor])
 	}
-	var out []Sighting
+	var out []PeerReport
 	for _, m := range picked {
-		if one, ok := s.aged(now, m.ID()); ok && m.ID() != except {
+		if one, ok := s.withAge(now, m.ID()); ok && m.ID() != except {
 			out = append(out, one)
 		}
 	}
--- a/internal/rollout/source.go
+++ b/internal/rollout/source.go
@@ -15,7 +15,7 @@
 	"coveferry/internal/control"
 )
 
-// The keys of the configuration service under which bundles are published.
+// Keys of the configuration service under which bundles are published.
 const (
 	KeyManifest = "signed-manifest.json"
 	keySections = "sections/"
@@ -25,50 +25,50 @@
 const (
 	pathValues    = "/v1/values"
 	headerVersion = "X-Version"
-	// maxValue bounds a value in bytes; the service holds none that is larger.
-	maxValue = 1 << 20
-	// watchTimeout is longer than any service lets a watch wait.
+	// maxValueBytes limits a value; the service stores none that is larger.
+	maxValueBytes = 1 << 20
+	// watchTimeout is longer than the service holds a watch open.
 	watchTimeout = 45 * time.Second
 	readTimeout  = 5 * time.Second
 )
 
-// KeySection is the key of a section.
+// KeySection returns the key of a section.
 func KeySection(d bundle.Digest) string { return keySections + d.String() + sectionExt }
 
-// ErrService says that the configuration service gave no answer of use.
+// ErrService marks errors of the configuration service.
 var ErrService = errors.New("rollout: configuration service")
 
 // ServiceError says which server failed, and how.
 type ServiceError struct {
 	URL string
 	Err error
-	// RetryAfter is how long the server asks to be left alone; 0 if it
-	// doesn't.
+	// RetryAfter is the delay that the server asked for; 0 if none.
 	RetryAfter time.Duration
 }
 
-// Error returns the server and what went wrong.
+// Error returns the server and the cause.
 func (e *ServiceError) Error() string {
 	return ErrService.Error() + ": " + e.URL + ": " + e.Err.Error()
 }
 
-// Unwrap returns what went wrong.
+// Unwrap returns the cause.
 func (e *ServiceError) Unwrap() error { return e.Err }
 
-// Is reports whether target is the reason of this error.
+// Is makes the error match ErrService.
 func (e *ServiceError) Is(target error) bool { return target == ErrService }
 
-// Mark is the service's own number of a value's version, by which it is
-// watched; 0 is none.
-type Mark uint64
+// Revision is the service's own version number of a value, from which it is
+// watched; 0 means none.
+type Revision uint64
 
-// Service is one server of the configuration service.
+// ServiceClient is a client of one server of the configuration service.
 type Service struct {
 	url  string
 	http *http.Client
 }
 
-// NewService returns a client of the server at a base URL. A nil dial is TCP's.
+// NewServiceClient returns a client of the server at a base URL. A nil dial
+// uses TCP.
 func NewService(base *url.URL, dial control.Dial) *Service {
 	return &Service{
 		url: base.JoinPath(pathValues).String(),
@@ -82,9 +82,10 @@
 // Close closes idle connections.
 func (s *Service) Close() { s.http.CloseIdleConnections() }
 
-// Manifest reads the signed manifest. With a mark it waits until the service
-// has a later one; ok is false when none came in the time that it waits.
-func (s *Service) Manifest(ctx context.Context, after Mark) (value []byte, mark Mark, ok bool, err error) {
+// Manifest reads the signed manifest. With a revision it waits until the
+// service has a later one; ok is false if none arrived before the service ended
+// the watch.
+func (s *Service) Manifest(ctx context.Context, after Revision) (value []byte, revision Revision, ok bool, err error) {
 	query, timeout := "", readTimeout
 	if after > 0 {
 		query, timeout = "?wait="+strconv.FormatUint(uint64(after), 10), watchTimeout
@@ -94,46 +95,46 @@
 	return s.get(ctx, KeyManifest+query)
 }
 
-// Section reads one section, whose digest is checked later.
+// Section reads one section; the caller verifies its digest.
 func (s *Service) Section(ctx context.Context, d bundle.Digest) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	value, _, ok, err := s.get(ctx, KeySection(d))
 	if err == nil && !ok {
-		err = s.failure(errors.New("unexpected status 304"), 0)
+		err = s.newError(errors.New("unexpected status 304"), 0)
 	}
 	return value, err
 }
 
-func (s *Service) get(ctx context.Context, key string) (value []byte, mark Mark, ok bool, err error) {
+func (s *Service) get(ctx context.Context, key string) (value []byte, revision Revision, ok bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.url+"/"+key, nil)
 	if err != nil {
-		return nil, 0, false, s.failure(err, 0)
+		return nil, 0, false, s.newError(err, 0)
 	}
 	resp, err := s.http.Do(req)
 	if err != nil {
-		return nil, 0, false, s.failure(err, 0)
+		return nil, 0, false, s.newError(err, 0)
 	}
 	defer resp.Body.Close()
-	number, _ := strconv.ParseUint(resp.Header.Get(headerVersion), 10, 64) // 0 if it says none
+	number, _ := strconv.ParseUint(resp.Header.Get(headerVersion), 10, 64) // 0 if the header is missing
 	switch resp.StatusCode {
 	case http.StatusNotModified:
-		return nil, Mark(number), false, nil
+		return nil, Revision(number), false, nil
 	case http.StatusOK:
-		value, err = s.body(resp.Body)
-		return value, Mark(number), err == nil, err
+		value, err = s.readBody(resp.Body)
+		return value, Revision(number), err == nil, err
 	default:
-		return nil, 0, false, s.failure(errors.Newf("status %s", resp.Status), retryAfter(resp))
+		return nil, 0, false, s.newError(errors.Newf("status %s", resp.Status), retryAfter(resp))
 	}
 }
 
-func (s *Service) body(r io.Reader) ([]byte, error) {
-	value, err := io.ReadAll(io.LimitReader(r, maxValue+1))
+func (s *Service) readBody(r io.Reader) ([]byte, error) {
+	value, err := io.ReadAll(io.LimitReader(r, maxValueBytes+1))
 	if err != nil {
-		return nil, s.failure(err, 0)
+		return nil, s.newError(err, 0)
 	}
-	if len(value) > maxValue {
-		return nil, s.failure(errors.Newf("a value of more than %d bytes", maxValue), 0)
+	if len(value) > maxValueBytes {
+		return nil, s.newError(errors.Newf("a value of more than %d bytes", maxValueBytes), 0)
 	}
 	return value, nil
 }
@@ -146,6 +147,6 @@
 	return time.Duration(seconds) * time.Second
 }
 
-func (s *Service) failure(err error, after time.Duration) error {
+func (s *Service) newError(err error, after time.Duration) error {
 	return &ServiceError{URL: s.url, Err: err, RetryAfter: after}
 }
--- a/internal/rollout/spread_test.go
+++ b/internal/rollout/spread_test.go
@@ -10,18 +10,18 @@
 	"coveferry/internal/rollout/lab"
 )
 
-func TestAVersionIsInForceEverywhereAndFewRead(t *testing.T) {
-	play(t, standard(), func(w *world) {
-		w.begin(1)
+func TestVersionReachesAllProcessesWithFewReads(t *testing.T) {
+	runFleet(t, defaultFleet(), func(w *fleetTest) {
+		w.startConfirmed(1)
 		w.Expect(w.readers()).To(gomega.HaveLen(3))
 		const changes, readers = 20, 3 * 2
 		before := w.calls()
 		for v := uint64(2); v < 2+changes; v++ {
 			w.publish(v)
 			time.Sleep(time.Second)
-			w.expectAll(v)
+			w.expectVersion(v)
 		}
-		// A reader watches once and reads one section for each change.
+		// Per change a reader makes one watch call and reads one section.
 		w.Expect(w.calls() - before).To(gomega.BeNumerically("<=", 2*readers*(changes+1)))
 		for _, domain := range w.readers() {
 			w.Expect(domain).To(gomega.HaveLen(2))
@@ -29,13 +29,13 @@
 	})
 }
 
-func TestReadsGrowWithFailureDomainsAndNotWithProcesses(t *testing.T) {
+func TestReadRateIsIndependentOfProcessCount(t *testing.T) {
 	quiet := func(nodes int) int {
 		calls := 0
-		cfg := standard()
+		cfg := defaultFleet()
 		cfg.Nodes = nodes
-		play(t, cfg, func(w *world) {
-			w.begin(1)
+		runFleet(t, cfg, func(w *fleetTest) {
+			w.startConfirmed(1)
 			before := w.calls()
 			time.Sleep(90 * time.Second)
 			calls = w.calls() - before
@@ -45,9 +45,9 @@
 	gomega.NewWithT(t).Expect(quiet(36)).To(gomega.BeNumerically("~", quiet(12), 6))
 }
 
-func TestReadersThatFallSilentAreReplaced(t *testing.T) {
-	play(t, lab.Config{Nodes: 8, Domains: 1, Services: 1, Start: 1}, func(w *world) {
-		w.begin(1)
+func TestUnresponsiveReadersAreReplaced(t *testing.T) {
+	runFleet(t, lab.Config{Nodes: 8, Domains: 1, Services: 1, InitialVersion: 1}, func(w *fleetTest) {
+		w.startConfirmed(1)
 		first := w.readers()["domain-0"]
 		w.Expect(first).To(gomega.HaveLen(2))
 		for _, p := range first {
@@ -57,31 +57,31 @@
 		w.Expect(w.readers()["domain-0"]).To(gomega.HaveLen(2))
 		w.publish(2)
 		time.Sleep(2 * time.Second)
-		w.expectAll(2)
+		w.expectVersion(2)
 		w.Expect(w.StartAll()).To(gomega.Succeed())
 		time.Sleep(15 * time.Second)
-		w.Expect(w.readers()["domain-0"]).To(gomega.ConsistOf(first), "the ranking holds again")
+		w.Expect(w.readers()["domain-0"]).To(gomega.ConsistOf(first), "the first readers of the ranking read again")
 	})
 }
 
-func TestASpareReadsInPlaceOfThoseThatReadInVain(t *testing.T) {
-	play(t, lab.Config{Nodes: 8, Domains: 1, Services: 1, Start: 1}, func(w *world) {
-		w.begin(1)
+func TestSpareReaderReplacesFailingReaders(t *testing.T) {
+	runFleet(t, lab.Config{Nodes: 8, Domains: 1, Services: 1, InitialVersion: 1}, func(w *fleetTest) {
+		w.startConfirmed(1)
 		first := w.readers()["domain-0"]
 		for _, p := range first {
 			w.net.Cut(p.Peer.Name, "service-0")
 		}
 		time.Sleep(20 * time.Second)
-		w.Expect(w.readers()["domain-0"]).To(gomega.HaveLen(3), "two in vain and a spare")
+		w.Expect(w.readers()["domain-0"]).To(gomega.HaveLen(3), "two failing readers and a spare")
 		w.publish(2)
 		time.Sleep(2 * time.Second)
-		w.expectAll(2)
+		w.expectVersion(2)
 	})
 }
 
-func TestADeadServiceIsNotOverrun(t *testing.T) {
-	play(t, standard(), func(w *world) {
-		w.begin(1)
+func TestReadsBackOffWhileServiceIsDown(t *testing.T) {
+	runFleet(t, defaultFleet(), func(w *fleetTest) {
+		w.startConfirmed(1)
 		w.Servers[0].SetDown(true)
 		time.Sleep(90 * time.Second)
 		w.Expect(w.readers()["domain-0"]).To(gomega.HaveLen(3))
@@ -89,140 +89,141 @@
 		before := w.calls()
 		w.Servers[0].SetDown(false)
 		time.Sleep(12 * time.Second)
-		w.expectAll(2)
+		w.expectVersion(2)
 		w.Expect(w.calls() - before).To(gomega.BeNumerically("<=", 9*4))
 	})
 }
 
 func TestOneReachableServerIsEnough(t *testing.T) {
-	cfg := standard()
+	cfg := defaultFleet()
 	cfg.Services = 3
-	play(t, cfg, func(w *world) {
-		w.begin(1)
+	runFleet(t, cfg, func(w *fleetTest) {
+		w.startConfirmed(1)
 		w.Servers[0].SetDown(true)
 		w.Expect(w.Servers[1].Pin(rollout.KeyManifest, 1)).To(gomega.Succeed())
 		w.publish(2)
 		time.Sleep(6 * time.Second)
-		w.expectAll(2)
+		w.expectVersion(2)
 	})
 }
 
-func TestASmallShareOfRestartingProcessesHoldsNobodyUp(t *testing.T) {
-	cfg := standard()
+func TestRestartsDoNotDelayVersions(t *testing.T) {
+	cfg := defaultFleet()
 	cfg.Nodes = 40
-	play(t, cfg, func(w *world) {
-		w.begin(1)
+	runFleet(t, cfg, func(w *fleetTest) {
+		w.startConfirmed(1)
 		for v := uint64(2); v < 12; v++ {
 			for i := range 4 {
-				w.restart(w.Procs[(int(v)*4+i)%len(w.Procs)])
+				w.restart(w.Processes[(int(v)*4+i)%len(w.Processes)])
 			}
 			w.publish(v)
 			time.Sleep(2 * time.Second)
-			w.expectAll(v)
+			w.expectVersion(v)
 		}
 	})
 }
 
-func TestALaggardCatchesUp(t *testing.T) {
-	play(t, standard(), func(w *world) {
-		w.begin(1)
-		slow := w.Procs[5]
-		alone := func(p *lab.Proc) bool { return p == slow }
-		w.split(alone, w.net.Cut)
-		w.net.Cut(slow.Peer.Name, "service-0")
+func TestIsolatedProcessCatchesUp(t *testing.T) {
+	runFleet(t, defaultFleet(), func(w *fleetTest) {
+		w.startConfirmed(1)
+		isolated := w.Processes[5]
+		alone := func(p *lab.Process) bool { return p == isolated }
+		w.partition(alone, w.net.Cut)
+		w.net.Cut(isolated.Peer.Name, "service-0")
 		w.publish(2)
 		time.Sleep(20 * time.Second)
-		w.Expect(slow.Version()).To(gomega.BeEquivalentTo(1))
+		w.Expect(isolated.Version()).To(gomega.BeEquivalentTo(1))
 		w.publish(3)
-		w.split(alone, w.net.Heal)
-		time.Sleep(7 * time.Second) // a partner that failed is tried every 5 s
-		w.expectAll(3)
+		w.partition(alone, w.net.Heal)
+		time.Sleep(7 * time.Second) // a failed partner is retried at least every 5 s
+		w.expectVersion(3)
 	})
 }
 
-func TestHalvesOfAPartitionJoin(t *testing.T) {
-	cfg := standard()
+func TestPartitionsConvergeAfterHealing(t *testing.T) {
+	cfg := defaultFleet()
 	cfg.Services = 2
-	play(t, cfg, func(w *world) {
-		w.begin(1)
-		left := func(p *lab.Proc) bool { return p.FailureDomain == "domain-0" }
-		w.split(left, w.net.Cut)
-		for _, p := range w.Procs {
+	runFleet(t, cfg, func(w *fleetTest) {
+		w.startConfirmed(1)
+		left := func(p *lab.Process) bool { return p.FailureDomain == "domain-0" }
+		w.partition(left, w.net.Cut)
+		for _, p := range w.Processes {
 			if left(p) {
 				w.net.Cut(p.Peer.Name, "service-1")
 			} else {
 				w.net.Cut(p.Peer.Name, "service-0")
 			}
 		}
-		w.put(0, 5)
-		w.put(1, 6)
+		w.publishAt(0, 5)
+		w.publishAt(1, 6)
 		time.Sleep(20 * time.Second)
-		for _, p := range w.Procs {
+		for _, p := range w.Processes {
 			want := uint64(6)
 			if left(p) {
 				want = 5
 			}
 			w.Expect(p.Version()).To(gomega.Equal(want), p.Peer.Name)
 		}
-		w.split(left, w.net.Heal)
+		w.partition(left, w.net.Heal)
 		time.Sleep(8 * time.Second)
-		w.expectAll(6)
+		w.expectVersion(6)
 	})
 }
 
-// pair is two processes, of which only the first reaches the service.
-func pair(t *testing.T, scene func(w *world, first, second *lab.Proc)) {
+// runPair runs a fleet of two processes, which a test lets reach each other or
+// the service in one direction only.
+func runPair(t *testing.T, run func(w *fleetTest, first, second *lab.Process)) {
 	t.Helper()
-	play(t, lab.Config{Nodes: 2, Domains: 1, Services: 1, Start: 1}, func(w *world) {
-		scene(w, w.Procs[0], w.Procs[1])
+	runFleet(t, lab.Config{Nodes: 2, Domains: 1, Services: 1, InitialVersion: 1}, func(w *fleetTest) {
+		run(w, w.Processes[0], w.Processes[1])
 	})
 }
 
-func TestAPartnerIsToldOfAVersion(t *testing.T) {
-	pair(t, func(w *world, first, second *lab.Proc) {
-		w.begin(1)
+func TestVersionIsOfferedToPartner(t *testing.T) {
+	runPair(t, func(w *fleetTest, first, second *lab.Process) {
+		w.startConfirmed(1)
 		w.net.Cut(second.Peer.Name, "service-0")
-		w.net.CutWay(second.Peer.Name, first.Peer.Name)
+		w.net.CutOneWay(second.Peer.Name, first.Peer.Name)
 		time.Sleep(5 * time.Second)
 		w.publish(2)
 		time.Sleep(time.Second)
-		w.expectAll(2)
+		w.expectVersion(2)
 	})
 }
 
-func TestAPartnerIsAskedForAVersion(t *testing.T) {
-	pair(t, func(w *world, first, second *lab.Proc) {
-		w.begin(1)
+func TestVersionIsPulledFromPartner(t *testing.T) {
+	runPair(t, func(w *fleetTest, first, second *lab.Process) {
+		w.startConfirmed(1)
 		w.net.Cut(second.Peer.Name, "service-0")
-		w.net.CutWay(first.Peer.Name, second.Peer.Name)
+		w.net.CutOneWay(first.Peer.Name, second.Peer.Name)
 		time.Sleep(5 * time.Second)
 		w.publish(2)
 		time.Sleep(time.Second)
-		w.expectAll(2)
+		w.expectVersion(2)
 	})
 }
 
-func TestADifferenceThatCannotBeReadIsAskedForInFull(t *testing.T) {
-	pair(t, func(w *world, first, second *lab.Proc) {
-		first.NoFile = true // it has the manifest of version 1, the second the file
+func TestUnknownDeltaBaseFallsBackToFullManifest(t *testing.T) {
+	runPair(t, func(w *fleetTest, first, second *lab.Process) {
+		first.NoFile = true // it gets the manifest of version 1, the second the file
 		w.net.Cut(second.Peer.Name, "service-0")
-		w.begin(1)
-		w.net.CutWay(first.Peer.Name, second.Peer.Name)
+		w.startConfirmed(1)
+		w.net.CutOneWay(first.Peer.Name, second.Peer.Name)
 		w.publish(2)
 		time.Sleep(time.Second)
-		w.expectAll(2)
+		w.expectVersion(2)
 		w.net.Heal(first.Peer.Name, second.Peer.Name)
-		w.net.CutWay(second.Peer.Name, first.Peer.Name)
+		w.net.CutOneWay(second.Peer.Name, first.Peer.Name)
 		time.Sleep(10 * time.Second)
 		w.publish(3)
 		time.Sleep(time.Second)
-		w.expectAll(3)
+		w.expectVersion(3)
 	})
 }
 
-func TestEachServerIsTriedInTurn(t *testing.T) {
-	play(t, lab.Config{Nodes: 2, Domains: 1, Services: 3, Start: 1}, func(w *world) {
-		w.begin(1)
+func TestServersAreTriedInTurn(t *testing.T) {
+	runFleet(t, lab.Config{Nodes: 2, Domains: 1, Services: 3, InitialVersion: 1}, func(w *fleetTest) {
+		w.startConfirmed(1)
 		for up := range w.Servers {
 			for i, s := range w.Servers {
 				s.SetDown(i != up)
@@ -230,7 +231,7 @@
 			version := uint64(2 + up)
 			w.publish(version)
 			time.Sleep(30 * time.Second)
-			w.expectAll(version)
+			w.expectVersion(version)
 		}
 	})
 }
--- a/internal/rollout/start.go
+++ b/internal/rollout/start.go
@@ -2,71 +2,72 @@
 
 import "time"
 
-// Readiness says whether a process may serve by what it has in force.
+// Readiness says whether a process may serve with its active version.
 type Readiness struct {
 	Ready bool
-	// Confirmed says that enough peers were heard, and none proved a higher
-	// version than the one in force.
+	// Confirmed says that enough peers reported, and none proved a higher
+	// version than the active one.
 	Confirmed bool
-	// Peers and Domains count the peers that were heard until then, and their
-	// failure domains; WantPeers and WantDomains are how many are enough.
+	// Peers and Domains count the peers whose reports were trusted so far, and
+	// their failure domains; WantPeers and WantDomains are the numbers needed.
 	Peers, Domains         int
 	WantPeers, WantDomains int
 }
 
-// report is what a peer said of itself, while this process wasn't sure yet.
-type report struct {
+// startupReport is a peer's report about itself before this process was
+// confirmed.
+type startupReport struct {
 	domain  string
 	state   State
 	version uint64
 }
 
-// start follows a process from its start until it is confirmed.
-type start struct {
-	began     time.Time
-	confirmed bool
-	final     Readiness // as it was when it was confirmed
-	reports   map[ID]report
+// startup tracks a process from its start until it is confirmed.
+type startup struct {
+	startedAt          time.Time
+	confirmed          bool
+	confirmedReadiness Readiness // at the time of the confirmation
+	reports            map[ID]startupReport
 }
 
-func (s *start) heard(m Member, one Sighting) {
+func (s *startup) record(m Member, report PeerReport) {
 	if s.confirmed {
 		return
 	}
-	s.reports[m.ID()] = report{domain: m.FailureDomain, state: one.State, version: one.Version}
+	s.reports[m.ID()] = startupReport{domain: m.FailureDomain, state: report.State, version: report.Version}
 }
 
-// judge counts the peers whose word can be relied on. One that claims more
-// than this process could get proof of doesn't count and holds nobody up
-// either, as its claim may be made up.
-func (s *start) judge(now time.Time, held Summary, r *roster, t Tuning) Readiness {
+// evaluate counts the peers whose reports can be trusted. A peer that reports a
+// version higher than the active one doesn't count, but doesn't block the
+// process either, as its claim may be false.
+func (s *startup) evaluate(now time.Time, held Summary, r *membership, t Tuning) Readiness {
 	if s.confirmed {
-		out := s.final
+		out := s.confirmedReadiness
 		out.Ready = held.Version > 0
 		return out
 	}
-	processes, domains := r.others()
+	processes, domains := r.countOthers()
 	out := Readiness{
 		WantPeers:   min(t.ConfirmPeers, processes),
 		WantDomains: min(t.ConfirmDomains, domains),
 	}
-	out.Peers, out.Domains = s.count(now, held, t)
+	out.Peers, out.Domains = s.countTrusted(now, held, t)
 	if processes > 0 && out.Peers >= out.WantPeers && out.Domains >= out.WantDomains && held.Version > 0 {
 		out.Ready, out.Confirmed = true, true
-		s.confirmed, s.final, s.reports = true, out, nil
+		s.confirmed, s.confirmedReadiness, s.reports = true, out, nil
 		return out
 	}
-	waited := !now.Before(s.began.Add(t.StartWait))
+	waited := !now.Before(s.startedAt.Add(t.StartWait))
 	out.Ready = held.Version > 0 && waited
 	return out
 }
 
-func (s *start) count(now time.Time, held Summary, t Tuning) (peers, domains int) {
-	takeAnyWord := !now.Before(s.began.Add(t.StartWait + t.SettleAfter))
+func (s *startup) countTrusted(now time.Time, held Summary, t Tuning) (peers, domains int) {
+	acceptUnconfirmed := !now.Before(s.startedAt.Add(t.StartWait + t.AcceptUnconfirmedAfter))
 	seen := make(map[string]bool)
 	for _, rep := range s.reports {
-		relied := rep.state == StateSettled || rep.state == StateUnconfirmed && takeAnyWord
-		if relied && rep.version <= held.Version {
+		trusted := rep.state == StateSettled || rep.state == StateUnconfirmed && acceptUnconfirmed
+		if trusted && rep.version <= held.Version {
 			peers++
 			seen[rep.domain] = true
 		}
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -5,93 +5,97 @@
 	"time"
 )
 
-// StatusRequest asks a process what it knows of its failure domain.
+// StatusRequest asks a process for its status and what it knows of its failure
+// domain.
 type StatusRequest struct{}
 
-// NeverHeard is the age of a process that was never heard of.
+// NeverReported is the age of a process of which no report arrived.
 const NeverHeard = -1
 
-// ProcessStatus is what is known of one process.
+// ProcessStatus is the last known status of one process.
 type ProcessStatus struct {
 	ID            ID     `json:"id"`
 	FailureDomain string `json:"failure_domain"`
-	// Version is 0, and Digest empty, if it has none or was never heard of.
-	// Digest is the beginning of the content's.
+	// Version is 0 and Digest is empty if the process has no version or never
+	// reported. Digest is a prefix of the content's digest.
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest,omitempty"`
 	State   State  `json:"state,omitempty"`
-	// NoService says that it reads the configuration service in vain.
+	// NoService says that the process gets no usable answer from the
+	// configuration service.
 	NoService bool `json:"no_service,omitempty"`
-	// AgeMillis is how long ago it said so, or NeverHeard.
+	// AgeMillis is the age of the process's report, or NeverReported.
 	AgeMillis int64 `json:"age_ms"`
 }
 
-// Contact is a process that can be asked about another failure domain.
+// Contact is a process that can be queried about another failure domain.
 type Contact struct {
 	ID            ID     `json:"id"`
 	FailureDomain string `json:"failure_domain"`
 	Address       string `json:"address"`
 }
 
-// Status is what a process knows.
+// Status is the reply to a StatusRequest.
 type Status struct {
 	Self ProcessStatus `json:"self"`
-	// Reader says that it reads the configuration service now.
+	// Reader says whether the process reads the configuration service now.
 	Reader bool `json:"reader"`
-	// Readiness says how sure it is of its version.
+	// Readiness says whether the process may serve and is confirmed.
 	Readiness Readiness `json:"readiness"`
-	// Refused are the versions that it refused lately.
+	// Refused lists the versions that it refused recently.
 	Refused []Refusal `json:"refused,omitempty"`
-	// Processes are those of its failure domain, itself included.
+	// Processes lists the processes of its failure domain, itself first.
 	Processes []ProcessStatus `json:"processes"`
-	// Contacts are some processes of each other failure domain.
+	// Contacts lists some processes of each other failure domain.
 	Contacts []Contact `json:"contacts,omitempty"`
 }
 
-// contactsPerDomain is how many processes of another failure domain are named.
+// contactsPerDomain is how many processes of each other failure domain are
+// listed.
 const contactsPerDomain = 3
 
-// Status tells operators what this process has, and knows of its failure
+// Status returns the status of this process and what it knows of its failure
 // domain.
 func (n *Node) Status(now time.Time) Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := Status{
 		Reader: n.reading, Readiness: n.core.Readiness(now), Refused: n.refused.recent(now),
-		Processes: n.core.Known(now), Contacts: n.core.Contacts(now),
+		Processes: n.core.DomainProcesses(now), Contacts: n.core.Contacts(now),
 	}
 	out.Self = out.Processes[0]
 	return out
 }
 
-// Known lists this process, then the others of its failure domain by ID.
-func (c *Core) Known(now time.Time) []ProcessStatus {
-	here := c.roster.self.FailureDomain
-	out := []ProcessStatus{statusOf(c.Self(now), here)}
-	for _, m := range c.roster.members {
-		if m.FailureDomain != here || m.ID() == c.roster.self.ID() {
+// DomainProcesses lists this process, then the others of its failure domain by
+// ID.
+func (c *Core) DomainProcesses(now time.Time) []ProcessStatus {
+	domain := c.membership.self.FailureDomain
+	out := []ProcessStatus{statusOf(c.Self(now), domain)}
+	for _, m := range c.membership.members {
+		if m.FailureDomain != domain || m.ID() == c.membership.self.ID() {
 			continue
 		}
-		one, ok := c.sightings.aged(now, m.ID())
+		one, ok := c.reports.withAge(now, m.ID())
 		if !ok {
-			out = append(out, ProcessStatus{ID: m.ID(), FailureDomain: here, AgeMillis: NeverHeard})
+			out = append(out, ProcessStatus{ID: m.ID(), FailureDomain: domain, AgeMillis: NeverHeard})
 			continue
 		}
-		out = append(out, statusOf(one, here))
+		out = append(out, statusOf(one, domain))
 	}
 	return out
 }
 
-func statusOf(s Sighting, domain string) ProcessStatus {
-	return ProcessStatus{ID: s.ID, FailureDomain: domain, Version: s.Version, Digest: s.Mark, State: s.State, NoService: s.NoService, AgeMillis: s.AgeMillis}
+func statusOf(s PeerReport, domain string) ProcessStatus {
+	return ProcessStatus{ID: s.ID, FailureDomain: domain, Version: s.Version, Digest: s.DigestPrefix, State: s.State, NoService: s.NoService, AgeMillis: s.AgeMillis}
 }
 
 // Contacts lists some processes of each other failure domain, those that are
-// of use as partners now first.
+// usable as partners now first.
 func (c *Core) Contacts(now time.Time) []Contact {
-	ranking := slices.Clone(c.roster.outside)
+	ranking := slices.Clone(c.membership.remote)
 	slices.SortStableFunc(ranking, func(a, b Member) int {
-		return int(number(c.partners.usable(now, b)) - number(c.partners.usable(now, a)))
+		return int(boolToFloat(c.partners.usable(now, b)) - boolToFloat(c.partners.usable(now, a)))
 	})
 	var out []Contact
 	count := make(map[string]int)
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -10,58 +10,60 @@
 	"coveferry/internal/bundle"
 )
 
-// keptManifests is how many versions a store remembers, so that it can say
-// what changed since.
-const keptManifests = 8
+// maxManifestHistory is how many versions a store remembers in order to compute
+// deltas.
+const maxManifestHistory = 8
 
-// Held is a version in force. It is immutable.
+// Held is an active version. It is immutable.
 type Held struct {
 	Snapshot *bundle.Snapshot
 	Summary  Summary
 	// AcceptedAt is when this process accepted it.
 	AcceptedAt time.Time
 
-	proof    proof
+	signed   signedForm
 	sections []bundle.Digest
 }
 
-// proof is what convinces others of a version; one field is set.
-type proof struct {
+// signedForm is the signed form of a version, by which others verify it; one
+// field is set.
+type signedForm struct {
 	manifest *bundle.SignedManifest
-	whole    *WholeFile
+	file     *WholeFile
 }
 
-// kept is a manifest that was in force.
-type kept struct {
+// manifestRecord is a manifest that was active.
+type manifestRecord struct {
 	digest   bundle.Digest
-	text     string // empty if the version came whole
+	text     string // empty if the version came as a bundle file
 	sections []bundle.Digest
 }
 
-// Store verifies versions and keeps the one in force with its sections. It is
-// safe for concurrent use.
+// Store verifies versions and keeps the active one and its sections. It is safe
+// for concurrent use.
 type Store struct {
 	keys []bundle.PublicKey
-	// put brings a version into force; it is called in the order of versions.
-	put func(*Held)
+	// onActivate is called for each activated version, in the order of
+	// versions.
+	onActivate func(*Held)
 
-	accept sync.Mutex // one version at a time, held while it is decoded
-	held   atomic.Pointer[Held]
+	acceptMu sync.Mutex // serializes versions; held while one is decoded
+	held     atomic.Pointer[Held]
 
 	mu       sync.Mutex
 	sections map[bundle.Digest][]byte
-	kept     []kept // the latest last
-	// updates are those that were made of the version in force, by what the
+	history  []manifestRecord // oldest first
+	// updateCache holds updates to the active version, by the version that the
 	// peer has.
-	updates map[Summary]Update
+	updateCache map[Summary]Update
 }
 
-// NewStore returns a store that holds nothing. It trusts the keys.
+// NewStore returns an empty store that trusts the keys.
 func NewStore(keys []bundle.PublicKey, put func(*Held)) *Store {
-	return &Store{keys: keys, put: put, sections: make(map[bundle.Digest][]byte), updates: make(map[Summary]Update)}
+	return &Store{keys: keys, onActivate: put, sections: make(map[bundle.Digest][]byte), updateCache: make(map[Summary]Update)}
 }
 
-// Held returns what is in force, or nil.
+// Held returns the active version, or nil.
 func (s *Store) Held() *Held { return s.held.Load() }
 
 func (s *Store) snapshot() *bundle.Snapshot {
@@ -71,7 +73,7 @@
 	return nil
 }
 
-// Summary names what is in force.
+// Summary identifies the active version.
 func (s *Store) Summary() Summary {
 	if h := s.held.Load(); h != nil {
 		return h.Summary
@@ -79,17 +81,19 @@
 	return Summary{}
 }
 
-// Opened is a signed manifest that verified and may follow what is in force.
-type Opened struct {
-	// Missing are the sections that aren't at hand.
+// VerifiedManifest is a signed manifest that was verified and may follow the
+// active version.
+type VerifiedManifest struct {
+	// Missing lists the sections that the store lacks.
 	Missing []bundle.Digest
 
 	signed   bundle.SignedManifest
 	manifest *bundle.Manifest
 }
 
-// Open verifies a signed manifest. The errors are those of bundle.OpenManifest.
-func (s *Store) Open(now time.Time, signed bundle.SignedManifest) (*Opened, error) {
+// Verify verifies a signed manifest. It returns the errors of
+// bundle.OpenManifest.
+func (s *Store) Verify(now time.Time, signed bundle.SignedManifest) (*VerifiedManifest, error) {
 	m, err := bundle.OpenManifest(now, s.snapshot(), []byte(signed.Manifest), []byte(signed.Signature), s.keys)
 	if err != nil {
 		return nil, err
@@ -97,14 +101,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	missing := bundle.Missing(func(d bundle.Digest) bool { return s.sections[d] != nil }, m)
-	return &Opened{Missing: missing, signed: signed, manifest: m}, nil
+	return &VerifiedManifest{Missing: missing, signed: signed, manifest: m}, nil
 }
 
-// Accept puts a version in force whose sections are at hand or given. Nothing
-// changes on an error, which is one of bundle.AcceptSections.
-func (s *Store) Accept(now time.Time, o *Opened, given [][]byte) error {
-	s.accept.Lock()
-	defer s.accept.Unlock()
+// Accept activates a version whose sections are in the store or given. On an
+// error, which is one of bundle.AcceptSections, nothing changes.
+func (s *Store) Accept(now time.Time, o *VerifiedManifest, given [][]byte) error {
+	s.acceptMu.Lock()
+	defer s.acceptMu.Unlock()
 	if s.Summary().Digest == o.manifest.Digest() {
 		return nil
 	}
@@ -114,27 +118,27 @@
 	if err != nil || next == current {
 		return err
 	}
-	s.enforce(now, next, o.manifest, proof{manifest: &o.signed}, parts)
+	s.activate(now, next, o.manifest, signedForm{manifest: &o.signed}, parts)
 	return nil
 }
 
-// AcceptWhole puts a signed bundle file in force; the errors are those of
+// AcceptFile activates a signed bundle file; it returns the errors of
 // bundle.Accept.
-func (s *Store) AcceptWhole(now time.Time, file WholeFile) error {
-	s.accept.Lock()
-	defer s.accept.Unlock()
+func (s *Store) AcceptFile(now time.Time, file WholeFile) error {
+	s.acceptMu.Lock()
+	defer s.acceptMu.Unlock()
 	current := s.snapshot()
 	next, err := bundle.Accept(now, current, []byte(file.Source), []byte(file.Signature), s.keys)
 	if err != nil || next == current {
 		return err
 	}
 	m, parts := bundle.Split(next.Bundle())
-	s.enforce(now, next, &m, proof{whole: &file}, s.withSections(slices.Collect(maps.Values(parts))))
+	s.activate(now, next, &m, signedForm{file: &file}, s.withSections(slices.Collect(maps.Values(parts))))
 	return nil
 }
 
-// withSections returns the sections at hand and those given, by their digests,
-// so that what doesn't fit its digest is simply not there.
+// withSections returns the sections of the store and those given, by their
+// computed digests; a section with altered content is thus not found.
 func (s *Store) withSections(given [][]byte) map[bundle.Digest][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,36 +152,36 @@
 	return parts
 }
 
-// enforce swaps the version in. s.accept is held.
-func (s *Store) enforce(now time.Time, next *bundle.Snapshot, m *bundle.Manifest, p proof, parts map[bundle.Digest][]byte) {
+// activate swaps the version in. The caller holds s.acceptMu.
+func (s *Store) activate(now time.Time, next *bundle.Snapshot, m *bundle.Manifest, p signedForm, parts map[bundle.Digest][]byte) {
 	h := &Held{
 		Snapshot:   next,
 		Summary:    Summary{Version: next.Version(), Digest: m.Digest()},
 		AcceptedAt: now,
-		proof:      p,
+		signed:     p,
 		sections:   m.Sections,
 	}
-	s.remember(h, parts)
+	s.updateHistory(h, parts)
 	s.held.Store(h)
-	s.put(h)
+	s.onActivate(h)
 }
 
-// remember keeps the new manifest and its sections, and drops the sections
-// that no kept manifest names.
-func (s *Store) remember(h *Held, parts map[bundle.Digest][]byte) {
+// updateHistory keeps the new manifest and its sections, and removes the
+// sections that no manifest of the history names.
+func (s *Store) updateHistory(h *Held, parts map[bundle.Digest][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	k := kept{digest: h.Summary.Digest, sections: h.sections}
-	if h.proof.manifest != nil {
-		k.text = h.proof.manifest.Manifest
+	k := manifestRecord{digest: h.Summary.Digest, sections: h.sections}
+	if h.signed.manifest != nil {
+		k.text = h.signed.manifest.Manifest
 	}
-	clear(s.updates)
-	s.kept = append(s.kept, k)
-	if len(s.kept) > keptManifests {
-		s.kept = slices.Delete(s.kept, 0, 1)
+	clear(s.updateCache)
+	s.history = append(s.history, k)
+	if len(s.history) > maxManifestHistory {
+		s.history = slices.Delete(s.history, 0, 1)
 	}
 	wanted := make(map[bundle.Digest][]byte)
-	for _, k := range s.kept {
+	for _, k := range s.history {
 		for _, d := range k.sections {
 			if text := parts[d]; text != nil {
 				wanted[d] = text
@@ -187,14 +191,15 @@
 	s.sections = wanted
 }
 
-// Sections returns sections at hand, as many as fit into a message.
+// Sections returns the requested sections that the store has, as many as fit
+// into a message.
 func (s *Store) Sections(digests []bundle.Digest) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.pick(digests)
+	return s.selectSections(digests)
 }
 
-func (s *Store) pick(digests []bundle.Digest) []string {
+func (s *Store) selectSections(digests []bundle.Digest) []string {
 	var out []string
 	size := 0
 	for _, d := range digests {
@@ -210,52 +215,52 @@
 	return out
 }
 
-// Since returns the version in force for a peer that has base, and false if
-// nothing is in force.
-func (s *Store) Since(base Summary) (Update, bool) {
+// UpdateSince returns the active version for a peer that has base, and false if
+// there is no active version.
+func (s *Store) UpdateSince(base Summary) (Update, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.held.Load()
 	if h == nil {
 		return Update{}, false
 	}
-	if h.proof.whole != nil {
-		return Update{Summary: h.Summary, Whole: h.proof.whole}, true
+	if h.signed.file != nil {
+		return Update{Summary: h.Summary, Whole: h.signed.file}, true
 	}
-	if made, ok := s.updates[base]; ok && made.Summary == h.Summary {
-		return made, true
+	if cached, ok := s.updateCache[base]; ok && cached.Summary == h.Summary {
+		return cached, true
 	}
-	signed := h.proof.manifest
+	signed := h.signed.manifest
 	out := Update{Summary: h.Summary, Manifest: &ManifestText{Text: signed.Manifest, Signature: signed.Signature}}
-	known, ok := s.keptLocked(base.Digest)
+	known, ok := s.historyLocked(base.Digest)
 	switch {
 	case ok:
-		out.Sections = s.pick(without(h.sections, known.sections))
+		out.Sections = s.selectSections(subtract(h.sections, known.sections))
 	case base.Version == 0:
-		out.Sections = s.pick(h.sections)
+		out.Sections = s.selectSections(h.sections)
 	}
 	if ok && known.text != "" {
 		out.Manifest.Delta = packManifest([]byte(known.text), []byte(signed.Manifest))
 		out.Manifest.Base, out.Manifest.Text = known.digest, ""
 	}
-	if len(s.updates) < keptManifests { // peers may claim to have anything
-		s.updates[base] = out
+	if len(s.updateCache) < maxManifestHistory { // bounds the cache, as peers may claim to have any version
+		s.updateCache[base] = out
 	}
 	return out, true
 }
 
-// without returns the digests that aren't among the known ones.
-func without(digests, known []bundle.Digest) []bundle.Digest {
+// subtract returns the digests that aren't among the known ones.
+func subtract(digests, known []bundle.Digest) []bundle.Digest {
 	return slices.DeleteFunc(slices.Clone(digests), func(d bundle.Digest) bool { return slices.Contains(known, d) })
 }
 
-func (s *Store) keptLocked(digest bundle.Digest) (kept, bool) {
-	for _, k := range s.kept {
+func (s *Store) historyLocked(digest bundle.Digest) (manifestRecord, bool) {
+	for _, k := range s.history {
 		if k.digest == digest {
 			return k, true
 		}
 	}
-	return kept{}, false
+	return manifestRecord{}, false
 }
 
 // Unpack returns the signed manifest of an update.
@@ -265,7 +270,7 @@
 		return out, nil
 	}
 	s.mu.Lock()
-	base, ok := s.keptLocked(m.Base)
+	base, ok := s.historyLocked(m.Base)
 	s.mu.Unlock()
 	if !ok || base.text == "" {
 		return out, errUnknownBase
--- a/internal/rollout/survey.go
+++ b/internal/rollout/survey.go
@@ -14,54 +14,55 @@
 	"coveferry/internal/identity"
 )
 
-// surveyAtOnce bounds the processes that a survey asks at once.
-const surveyAtOnce = 16
+// maxConcurrentQueries limits concurrent queries.
+const maxConcurrentQueries = 16
 
-// Survey is what a few processes know of the fleet: one of each failure domain
-// tells of all of it.
+// FleetStatus is the status of the fleet, collected from a few processes: one
+// of each failure domain reports on all of it.
 type Survey struct {
-	// Highest is the highest version that any process has in force.
+	// Highest is the highest active version of any process.
 	Highest uint64 `json:"highest"`
-	// Processes are all that are known, by failure domain and ID.
+	// Processes lists all known processes by failure domain and ID.
 	Processes []ProcessStatus `json:"processes"`
-	// Asked are the processes that were asked, with what they said.
+	// Asked holds the replies of the processes that were queried.
 	Asked []Status `json:"asked"`
-	// Failed are failure domains of which no process answered.
-	Failed []Unheard `json:"failed,omitempty"`
+	// Failed lists router addresses that didn't answer, and failure domains of
+	// which no process did.
+	Failed []QueryFailure `json:"failed,omitempty"`
 }
 
-// Unheard is a failure domain, or an address, that gave no answer.
-type Unheard struct {
+// QueryFailure is a failure domain, or an address, that didn't answer.
+type QueryFailure struct {
 	Where string `json:"where"`
 	Error string `json:"error"`
 }
 
-// Lags says whether a process hasn't the highest version in force.
+// Lags says whether a process has a lower version than the highest active one.
 func (s *Survey) Lags(p ProcessStatus) bool { return p.Version < s.Highest }
 
-// Lagging lists the processes that haven't the highest version in force.
+// Lagging lists the processes that lag.
 func (s *Survey) Lagging() []ProcessStatus {
 	return slices.DeleteFunc(slices.Clone(s.Processes), func(p ProcessStatus) bool { return !s.Lags(p) })
 }
 
-// Surveyor asks processes on an operator's behalf.
+// StatusClient queries the status of processes for an operator.
 type Surveyor struct {
 	pool *control.Pool
 }
 
-// NewSurveyor returns a surveyor that uses the pool's connections.
+// NewStatusClient returns a client that uses the pool's connections.
 func NewSurveyor(pool *control.Pool) *Surveyor { return &Surveyor{pool: pool} }
 
-// Ask asks the routers at the addresses, and then a process of each failure
-// domain that they name. It fails if none of the routers answers.
+// Query queries the routers at the addresses, then one process of each other
+// failure domain that they list. It fails if none of the routers answers.
 func (s *Surveyor) Ask(ctx context.Context, routers []string) (*Survey, error) {
-	c := collection{domains: make(map[string]bool), processes: make(map[ID]ProcessStatus)}
+	c := statusCollector{domains: make(map[string]bool), processes: make(map[ID]ProcessStatus)}
 	var failed []error
 	for _, address := range routers {
-		st, err := s.status(ctx, control.Target{Address: address, Peer: identity.Peer{Role: identity.RoleRouter, Name: identity.AnyName}})
+		st, err := s.queryStatus(ctx, control.Target{Address: address, Peer: identity.Peer{Role: identity.RoleRouter, Name: identity.AnyName}})
 		if err != nil {
 			failed = append(failed, err)
-			c.fail(address, err)
+			c.addFailure(address, err)
 			continue
 		}
 		c.add(st)
@@ -69,28 +70,29 @@
 	if len(c.asked) == 0 {
 		return nil, errors.Wrap(errors.Join(failed...), "no router answered")
 	}
-	s.askDomains(ctx, &c)
-	return c.survey(), nil
+	s.queryDomains(ctx, &c)
+	return c.fleetStatus(), nil
 }
 
-func (s *Surveyor) status(ctx context.Context, t control.Target) (Status, error) {
+func (s *Surveyor) queryStatus(ctx context.Context, t control.Target) (Status, error) {
 	return control.Call(ctx, s.pool.Client(t), MethodStatus, StatusRequest{})
 }
 
-// askDomains asks one process of each failure domain that wasn't asked yet.
-func (s *Surveyor) askDomains(ctx context.Context, c *collection) {
+// queryDomains queries one process of each failure domain that hasn't been
+// queried yet.
+func (s *Surveyor) queryDomains(ctx context.Context, c *statusCollector) {
 	var group errgroup.Group
-	group.SetLimit(surveyAtOnce)
-	for domain, contacts := range c.contacts() {
+	group.SetLimit(maxConcurrentQueries)
+	for domain, contacts := range c.contactsToQuery() {
 		group.Go(func() error {
-			s.askDomain(ctx, c, domain, contacts)
+			s.queryDomain(ctx, c, domain, contacts)
 			return nil
 		})
 	}
-	_ = group.Wait() // the collection holds the errors
+	_ = group.Wait() // the collector holds the errors
 }
 
-func (s *Surveyor) askDomain(ctx context.Context, c *collection, domain string, contacts []Contact) {
+func (s *Surveyor) queryDomain(ctx context.Context, c *statusCollector, domain string, contacts []Contact) {
 	var last error
 	for _, contact := range contacts {
 		peer, err := contact.ID.Peer()
@@ -98,50 +100,52 @@
 			last = err
 			continue
 		}
-		st, err := s.status(ctx, control.Target{Address: contact.Address, Peer: peer})
+		st, err := s.queryStatus(ctx, control.Target{Address: contact.Address, Peer: peer})
 		if err == nil {
 			c.add(st)
 			return
 		}
 		last = err
 	}
-	c.fail(domain, last)
+	c.addFailure(domain, last)
 }
 
-// collection gathers what processes say. It is safe for concurrent use.
-type collection struct {
+// statusCollector merges the replies of processes. It is safe for concurrent
+// use.
+type statusCollector struct {
 	mu        sync.Mutex
 	asked     []Status
 	domains   map[string]bool
 	processes map[ID]ProcessStatus
-	failed    []Unheard
+	failed    []QueryFailure
 }
 
-func (c *collection) add(st Status) {
+func (c *statusCollector) add(st Status) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.asked = append(c.asked, st)
 	c.domains[st.Self.FailureDomain] = true
 	for _, p := range st.Processes {
 		old, known := c.processes[p.ID]
-		if !known || fresher(p, old) {
+		if !known || moreRecent(p, old) {
 			c.processes[p.ID] = p
 		}
 	}
 }
 
-func fresher(a, b ProcessStatus) bool {
+func moreRecent(a, b ProcessStatus) bool {
 	return a.AgeMillis != NeverHeard && (b.AgeMillis == NeverHeard || a.AgeMillis < b.AgeMillis)
 }
 
-func (c *collection) fail(where string, err error) {
+func (c *statusCollector) addFailure(where string, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.failed = append(c.failed, Unheard{Where: where, Error: err.Error()})
+	c.failed = append(c.failed, QueryFailure{Where: where, Error: err.Error()})
 }
 
-// contacts lists whom to ask of the failure domains that nobody spoke for.
-func (c *collection) contacts() map[string][]Contact {
+// contactsToQuery lists the contacts of the failure domains of which no process
+// has replied.
+func (c *statusCollector) contactsToQuery() map[string][]Contact {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make(map[string][]Contact)
@@ -155,7 +159,7 @@
 	return out
 }
 
-func (c *collection) survey() *Survey {
+func (c *statusCollector) fleetStatus() *Survey {
 	out := &Survey{Asked: c.asked, Failed: c.failed, Processes: slices.Collect(maps.Values(c.processes))}
 	slices.SortFunc(out.Processes, func(a, b ProcessStatus) int {
 		return cmp.Or(cmp.Compare(a.FailureDomain, b.FailureDomain), cmp.Compare(a.ID, b.ID))
--- a/internal/rollout/survey_test.go
+++ b/internal/rollout/survey_test.go
@@ -15,11 +15,12 @@
 	"coveferry/internal/rollout/lab"
 )
 
-// survey asks as an operator does.
-func (w *world) survey(role identity.Role, routers ...string) (*rollout.Survey, error) {
+// fleetStatus queries the fleet status through the given routers, with a
+// certificate of the given role.
+func (w *fleetTest) fleetStatus(role identity.Role, routers ...string) (*rollout.Survey, error) {
 	id, err := w.Operator()
 	if role != identity.RoleOperator {
-		id, err = w.Procs[0].Identity(), nil
+		id, err = w.Processes[0].Identity(), nil
 	}
 	w.Expect(err).NotTo(gomega.HaveOccurred())
 	pool := control.NewPool(control.ClientConfig{Identity: id, Dial: w.net.Dialer("operator")}, 0)
@@ -27,16 +28,16 @@
 	return rollout.NewSurveyor(pool).Ask(w.t.Context(), routers)
 }
 
-func TestASurveyOfOneRouterShowsTheFleetAndWhoLags(t *testing.T) {
-	play(t, standard(), func(w *world) {
-		w.begin(1)
-		slow, gone, router := w.Procs[5], w.Procs[7], w.Procs[0]
-		w.split(func(p *lab.Proc) bool { return p == slow }, w.net.Cut)
+func TestFleetStatusFromOneRouterShowsLaggingProcesses(t *testing.T) {
+	runFleet(t, defaultFleet(), func(w *fleetTest) {
+		w.startConfirmed(1)
+		slow, gone, router := w.Processes[5], w.Processes[7], w.Processes[0]
+		w.partition(func(p *lab.Process) bool { return p == slow }, w.net.Cut)
 		w.net.Cut(slow.Peer.Name, "service-0")
 		gone.Stop()
 		w.publish(2)
 		time.Sleep(15 * time.Second)
-		s, err := w.survey(identity.RoleOperator, router.Address)
+		s, err := w.fleetStatus(identity.RoleOperator, router.Address)
 		w.Expect(err).NotTo(gomega.HaveOccurred())
 		w.Expect(s.Highest).To(gomega.BeEquivalentTo(2))
 		w.Expect(s.Processes).To(gomega.HaveLen(24))
@@ -44,15 +45,15 @@
 		var lagging []rollout.ID
 		for _, p := range s.Lagging() {
 			lagging = append(lagging, p.ID)
-			w.Expect(p.AgeMillis).To(gomega.BeNumerically(">", 10_000), "what is known of it is old, and says so")
+			w.Expect(p.AgeMillis).To(gomega.BeNumerically(">", 10_000), "its report is old")
 		}
 		w.Expect(lagging).To(gomega.ConsistOf(slow.ID(), gone.ID()))
-		_, err = w.survey(identity.RoleOperator, slow.Address+"0")
+		_, err = w.fleetStatus(identity.RoleOperator, slow.Address+"0")
 		w.Expect(err).To(gomega.MatchError(control.ErrUnreachable))
 	})
 }
 
-func TestKeysAreRotatedWithoutABreak(t *testing.T) {
+func TestKeyRotation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	oldPub, oldKey, _ := bundle.GenerateKey(nil)
 	newPub, newKey, _ := bundle.GenerateKey(nil)
@@ -61,8 +62,8 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	accept := func(s *rollout.Store, version uint64, key bundle.PrivateKey) error {
 		p := lab.SignWith(fleet.Bundle(version), key)
-		signed, _ := bundle.DecodeSignedManifest(p.Signed)
-		opened, err := s.Open(now, signed)
+		signed, _ := bundle.DecodeSignedManifest(p.SignedManifest)
+		opened, err := s.Verify(now, signed)
 		if err != nil {
 			return err
 		}
@@ -78,21 +79,21 @@
 	g.Expect(accept(before, 1, oldKey)).To(gomega.Succeed())
 	g.Expect(accept(during, 1, oldKey)).To(gomega.Succeed())
 	g.Expect(accept(during, 2, newKey)).To(gomega.Succeed())
-	g.Expect(accept(during, 3, oldKey)).To(gomega.Succeed(), "either may sign meanwhile")
+	g.Expect(accept(during, 3, oldKey)).To(gomega.Succeed(), "both keys are trusted during the rotation")
 	g.Expect(accept(after, 4, oldKey)).To(gomega.MatchError(bundle.ErrUnknownKey))
 	g.Expect(accept(before, 4, newKey)).To(gomega.MatchError(bundle.ErrUnknownKey))
 	g.Expect(before.Summary().Version).To(gomega.BeEquivalentTo(1), "a refused version changes nothing")
 }
 
-func TestAVersionIsPutInForceWholeOrNotAtAll(t *testing.T) {
+func TestVersionIsActivatedAtomically(t *testing.T) {
 	g := gomega.NewWithT(t)
 	fleet, err := lab.New(lab.Config{Network: lab.NewMemory(), Nodes: 40, Domains: 1})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	puts := 0
 	s := rollout.NewStore([]bundle.PublicKey{fleet.Public()}, func(*rollout.Held) { puts++ })
 	p := fleet.Sign(fleet.Bundle(1))
-	signed, _ := bundle.DecodeSignedManifest(p.Signed)
-	opened, err := s.Open(time.Now(), signed)
+	signed, _ := bundle.DecodeSignedManifest(p.SignedManifest)
+	opened, err := s.Verify(time.Now(), signed)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(opened.Missing).To(gomega.HaveLen(len(p.Sections)))
 	var given [][]byte
@@ -102,40 +103,40 @@
 		given = append(given, p.Sections[d])
 	}
 	g.Expect(s.Accept(time.Now(), opened, given)).To(gomega.Succeed())
-	g.Expect(s.Accept(time.Now(), opened, nil)).To(gomega.Succeed(), "again")
+	g.Expect(s.Accept(time.Now(), opened, nil)).To(gomega.Succeed(), "accepting a version twice succeeds")
 	g.Expect(puts).To(gomega.Equal(1))
 
 	later := fleet.Sign(fleet.Bundle(2))
-	next, _ := bundle.DecodeSignedManifest(later.Signed)
-	opened, err = s.Open(time.Now(), next)
+	next, _ := bundle.DecodeSignedManifest(later.SignedManifest)
+	opened, err = s.Verify(time.Now(), next)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(opened.Missing).To(gomega.HaveLen(1), "only what changed travels")
+	g.Expect(opened.Missing).To(gomega.HaveLen(1), "only the changed section is missing")
 }
 
-func TestWhatIsSentIsWhatChanged(t *testing.T) {
+func TestUpdatesContainOnlyChanges(t *testing.T) {
 	g := gomega.NewWithT(t)
 	fleet, err := lab.New(lab.Config{Network: lab.NewMemory(), Nodes: 200, Domains: 1})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	s := rollout.NewStore([]bundle.PublicKey{fleet.Public()}, func(*rollout.Held) {})
 	published := func(version uint64) (bundle.SignedManifest, [][]byte) {
 		p := fleet.Sign(fleet.Bundle(version))
-		signed, _ := bundle.DecodeSignedManifest(p.Signed)
+		signed, _ := bundle.DecodeSignedManifest(p.SignedManifest)
 		return signed, slices.Collect(maps.Values(p.Sections))
 	}
 	accept := func(version uint64) rollout.Summary {
 		signed, sections := published(version)
-		opened, err := s.Open(time.Now(), signed)
+		opened, err := s.Verify(time.Now(), signed)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(s.Accept(time.Now(), opened, sections)).To(gomega.Succeed())
 		return s.Summary()
 	}
 	first := accept(1)
 	_, all := published(1)
-	fresh, _ := s.Since(rollout.Summary{})
-	g.Expect(fresh.Sections).To(gomega.HaveLen(len(all)))
+	full, _ := s.UpdateSince(rollout.Summary{})
+	g.Expect(full.Sections).To(gomega.HaveLen(len(all)))
 	second := accept(2)
-	for range 2 { // the second time it is at hand
-		update, _ := s.Since(first)
+	for range 2 { // the second update comes from the cache
+		update, _ := s.UpdateSince(first)
 		g.Expect(update.Summary).To(gomega.Equal(second))
 		g.Expect(update.Manifest.Text).To(gomega.BeEmpty())
 		g.Expect(len(update.Manifest.Delta)).To(gomega.BeNumerically("<", 250), "two digests and the version")
@@ -146,12 +147,12 @@
 		g.Expect(signed).To(gomega.Equal(want))
 	}
 	third := accept(3)
-	update, _ := s.Since(first)
-	g.Expect(update.Summary).To(gomega.Equal(third), "not what was made before")
+	update, _ := s.UpdateSince(first)
+	g.Expect(update.Summary).To(gomega.Equal(third), "not the cached update")
 	for version := uint64(4); version < 12; version++ {
 		accept(version)
 	}
-	update, _ = s.Since(first)
-	g.Expect(update.Manifest.Delta).To(gomega.BeNil(), "the first manifest is forgotten")
+	update, _ = s.UpdateSince(first)
+	g.Expect(update.Manifest.Delta).To(gomega.BeNil(), "the first manifest left the history")
 	g.Expect(update.Sections).To(gomega.BeEmpty())
 }
--- a/internal/rollout/take.go
+++ b/internal/rollout/take.go
@@ -9,27 +9,27 @@
 
 type digest = bundle.Digest
 
-// askSections asks whoever sent a manifest for sections.
-type askSections func([]digest) ([]string, error)
+// sectionFetcher requests sections from the sender of a manifest.
+type sectionFetcher func([]digest) ([]string, error)
 
-// take puts an update in force after verifying it, asking for the sections
-// that it lacks. The errors are those of Store, or ask's.
-func (n *Node) take(u Update, ask askSections) error {
+// applyUpdate verifies an update, fetches the sections that are missing and
+// activates it. It returns the errors of Store and of the fetcher.
+func (n *Node) applyUpdate(u Update, fetch sectionFetcher) error {
 	if err := u.Check(); err != nil {
 		return err
 	}
 	if u.Whole != nil {
-		return n.store.AcceptWhole(time.Now(), *u.Whole)
+		return n.store.AcceptFile(time.Now(), *u.Whole)
 	}
 	signed, err := n.store.Unpack(u.Manifest)
 	if err != nil {
 		return err
 	}
-	return n.takeManifest(signed, u.Sections, ask)
+	return n.applyManifest(signed, u.Sections, fetch)
 }
 
-func (n *Node) takeManifest(signed bundle.SignedManifest, sections []string, ask askSections) error {
-	opened, err := n.store.Open(time.Now(), signed)
+func (n *Node) applyManifest(signed bundle.SignedManifest, sections []string, fetch sectionFetcher) error {
+	opened, err := n.store.Verify(time.Now(), signed)
 	if err != nil {
 		return err
 	}
@@ -37,37 +37,38 @@
 	for i, text := range sections {
 		given[i] = []byte(text)
 	}
-	given, err = complete(opened.Missing, given, ask)
+	given, err = fetchMissing(opened.Missing, given, fetch)
 	if err != nil {
 		return err
 	}
 	return n.store.Accept(time.Now(), opened, given)
 }
 
-// complete asks for sections until none is missing. Each round must bring at
-// least one that was asked for, so that it ends.
-func complete(missing []digest, given [][]byte, ask askSections) ([][]byte, error) {
-	missing = lacking(missing, given)
+// fetchMissing requests sections until none is missing. Each round must return
+// at least one requested section, so that the loop ends.
+func fetchMissing(missing []digest, given [][]byte, fetch sectionFetcher) ([][]byte, error) {
+	missing = stillMissing(missing, given)
 	for len(missing) > 0 {
-		texts, err := ask(missing[:min(len(missing), maxSections)])
+		texts, err := fetch(missing[:min(len(missing), maxSections)])
 		if err != nil {
 			return nil, err
 		}
-		fresh := make([][]byte, len(texts))
+		received := make([][]byte, len(texts))
 		for i, text := range texts {
-			fresh[i] = []byte(text)
+			received[i] = []byte(text)
 		}
-		left := lacking(missing, fresh)
-		if len(left) == len(missing) {
+		remaining := stillMissing(missing, received)
+		if len(remaining) == len(missing) {
 			return nil, &bundle.MissingSectionError{Digests: missing}
 		}
-		missing, given = left, append(given, fresh...)
+		missing, given = remaining, append(given, received...)
 	}
 	return given, nil
 }
 
-// lacking removes what was given from what was missing.
-func lacking(missing []digest, given [][]byte) []digest {
+// stillMissing returns the missing digests that aren't among the given
+// sections.
+func stillMissing(missing []digest, given [][]byte) []digest {
 	have := make(map[digest]bool, len(given))
 	for _, text := range given {
 		have[bundle.DigestOf(text)] = true
--- a/internal/rollout/tuning.go
+++ b/internal/rollout/tuning.go
@@ -5,59 +5,62 @@
 	"time"
 )
 
-// Tuning holds the numbers by which bundles spread. A zero field is the
-// default that DefaultTuning gives.
+// Tuning holds the parameters of the dissemination. A zero field takes the
+// value of DefaultTuning.
 type Tuning struct {
-	// Readers is how many processes of a failure domain read the service.
-	// SpareReaders is how many more may, in place of those that read in vain.
+	// Readers is how many processes of a failure domain read the configuration
+	// service. SpareReaders is how many more may read in place of readers that
+	// get no usable answer.
 	Readers, SpareReaders int
-	// Inside and Outside are how many partners a process has in its own
-	// failure domain and in others.
-	Inside, Outside int
+	// LocalPartners and RemotePartners are the numbers of partners in the
+	// process's own failure domain and in others.
+	LocalPartners, RemotePartners int
 	// Heartbeat is the longest time between two messages to a partner.
 	Heartbeat time.Duration
-	// Silence is how long a process counts as alive after it was heard of.
-	Silence time.Duration
-	// StartWait bounds how long a process that has just started waits to hear
-	// from others before it serves by what it has.
+	// PeerTimeout is how long after its last report a process counts as alive.
+	PeerTimeout time.Duration
+	// StartWait bounds how long a process that has just started waits for
+	// reports of peers before it serves with the version that it has.
 	StartWait time.Duration
-	// SettleAfter is how long after the start of a whole fleet, in which nobody
-	// has a memory, processes take each other's word.
-	SettleAfter time.Duration
-	// ConfirmPeers and ConfirmDomains are of how many peers and failure
-	// domains it wants to hear, if there are so many.
+	// AcceptUnconfirmedAfter is how long after StartWait a process also counts
+	// reports of unconfirmed peers. It lets a fleet that starts as a whole, in
+	// which no process is confirmed, become confirmed.
+	AcceptUnconfirmedAfter time.Duration
+	// ConfirmPeers and ConfirmDomains are the numbers of peers and failure
+	// domains whose reports confirm a version. They are capped by how many
+	// exist.
 	ConfirmPeers, ConfirmDomains int
-	// Patience is how long others wait for a transfer under way before they
-	// begin one of their own.
-	Patience time.Duration
-	// Distrust is how long a peer's claims are passed over after it couldn't
+	// TransferWait is how long a transfer in progress holds back other
+	// transfers of the same version.
+	TransferWait time.Duration
+	// IgnorePeerFor is how long offers of a peer are ignored after it failed to
 	// prove one.
-	Distrust time.Duration
-	// RetryMin and RetryMax bound the time until a partner that failed is
-	// tried again; it doubles with each failure.
+	IgnorePeerFor time.Duration
+	// RetryMin and RetryMax bound the delay before a failed partner is retried;
+	// it doubles with each failure.
 	RetryMin, RetryMax time.Duration
-	// Pause is the gap between two ticks from which a process takes itself to
-	// have been paused, so that its view of the others is out of date.
-	Pause time.Duration
-	// EveryoneReads makes each process read the service and talk to none: the
-	// version to compare with.
-	EveryoneReads bool
+	// PauseThreshold is the gap between two ticks from which the process
+	// assumes that it was paused, so that its view of its peers is out of date.
+	PauseThreshold time.Duration
+	// AllProcessesRead makes each process read the service and keep no
+	// partners. It is the baseline for comparisons.
+	AllProcessesRead bool
 }
 
-// DefaultTuning returns the numbers that were measured.
+// DefaultTuning returns the defaults.
 func DefaultTuning() Tuning {
 	return Tuning{
 		Readers: 2, SpareReaders: 1,
-		Inside: 2, Outside: 2,
-		Heartbeat:    2 * time.Second,
-		Silence:      10 * time.Second,
-		StartWait:    5 * time.Second,
-		SettleAfter:  30 * time.Second,
-		ConfirmPeers: 3, ConfirmDomains: 2,
-		Patience: 300 * time.Millisecond,
-		Distrust: 30 * time.Second,
-		RetryMin: time.Second, RetryMax: 5 * time.Second,
-		Pause: 4 * time.Second,
+		LocalPartners: 2, RemotePartners: 2,
+		Heartbeat:              2 * time.Second,
+		PeerTimeout:            10 * time.Second,
+		StartWait:              5 * time.Second,
+		AcceptUnconfirmedAfter: 30 * time.Second,
+		ConfirmPeers:           3, ConfirmDomains: 2,
+		TransferWait:  300 * time.Millisecond,
+		IgnorePeerFor: 30 * time.Second,
+		RetryMin:      time.Second, RetryMax: 5 * time.Second,
+		PauseThreshold: 4 * time.Second,
 	}
 }
 
@@ -65,13 +68,13 @@
 	d := DefaultTuning()
 	return Tuning{
 		Readers: cmp.Or(t.Readers, d.Readers), SpareReaders: cmp.Or(t.SpareReaders, d.SpareReaders),
-		Inside: cmp.Or(t.Inside, d.Inside), Outside: cmp.Or(t.Outside, d.Outside),
-		Heartbeat: cmp.Or(t.Heartbeat, d.Heartbeat), Silence: cmp.Or(t.Silence, d.Silence),
-		StartWait: cmp.Or(t.StartWait, d.StartWait), SettleAfter: cmp.Or(t.SettleAfter, d.SettleAfter),
+		LocalPartners: cmp.Or(t.LocalPartners, d.LocalPartners), RemotePartners: cmp.Or(t.RemotePartners, d.RemotePartners),
+		Heartbeat: cmp.Or(t.Heartbeat, d.Heartbeat), PeerTimeout: cmp.Or(t.PeerTimeout, d.PeerTimeout),
+		StartWait: cmp.Or(t.StartWait, d.StartWait), AcceptUnconfirmedAfter: cmp.Or(t.AcceptUnconfirmedAfter, d.AcceptUnconfirmedAfter),
 		ConfirmPeers: cmp.Or(t.ConfirmPeers, d.ConfirmPeers), ConfirmDomains: cmp.Or(t.ConfirmDomains, d.ConfirmDomains),
-		Patience: cmp.Or(t.Patience, d.Patience), Distrust: cmp.Or(t.Distrust, d.Distrust),
+		TransferWait: cmp.Or(t.TransferWait, d.TransferWait), IgnorePeerFor: cmp.Or(t.IgnorePeerFor, d.IgnorePeerFor),
 		RetryMin: cmp.Or(t.RetryMin, d.RetryMin), RetryMax: cmp.Or(t.RetryMax, d.RetryMax),
-		Pause:         cmp.Or(t.Pause, d.Pause),
-		EveryoneReads: t.EveryoneReads,
+		PauseThreshold:   cmp.Or(t.PauseThreshold, d.PauseThreshold),
+		AllProcessesRead: t.AllProcessesRead,
 	}
 }
