--- a/internal/placement/client.go
+++ b/internal/placement/client.go
@@ -12,49 +12,49 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds of the talk with engines and agents.
+// Limits of requests to engines and agents.
 const (
-	maxReplyBytes = 1 << 20
-	askWithin     = 2 * time.Second
-	setWithin     = 10 * time.Second
-	unloadWithin  = time.Minute
-	loadWithin    = 30 * time.Minute
+	maxReplyBytes  = 1 << 20
+	queryTimeout   = 2 * time.Second
+	settingTimeout = 10 * time.Second
+	unloadTimeout  = time.Minute
+	loadTimeout    = 30 * time.Minute
 )
 
-// Paths of engines.
+// Paths of the engine's interface.
 const (
 	pathOrders = "/orders"
 	pathModels = "/v1/models"
 )
 
-// modelList is what engines answer at pathModels.
+// modelList is the engine's response at pathModels.
 type modelList struct {
 	Data []struct {
 		ID string `json:"id"`
 	} `json:"data"`
 }
 
-// within bounds the time that an order takes.
-func (k Kind) within() time.Duration {
+// timeout limits the time that an order takes.
+func (k Kind) timeout() time.Duration {
 	switch k {
 	case LoadModel, LoadAdapter:
-		return loadWithin
+		return loadTimeout
 	case UnloadModel:
-		return unloadWithin
+		return unloadTimeout
 	default:
-		return setWithin
+		return settingTimeout
 	}
 }
 
-// engineClient talks to the agent's own engine.
+// engineClient calls the agent's own engine.
 type engineClient struct {
 	url  string
 	http *http.Client
 }
 
-// list asks what the engine holds.
-func (c *engineClient) list(ctx context.Context) ([]string, error) {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+// listModels returns what the engine holds.
+func (c *engineClient) listModels(ctx context.Context) ([]string, error) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var reply modelList
 	if err := getJSON(ctx, c.http, c.url+pathModels, &reply); err != nil {
@@ -67,19 +67,19 @@
 	return names, nil
 }
 
-// give carries an order to the engine and waits until it is done. The order is
-// sent once at most. The error is a *RefusedError if the engine answered.
-func (c *engineClient) give(ctx context.Context, o Order) error {
-	ctx, cancel := context.WithTimeout(ctx, o.Kind.within())
+// sendOrder sends an order to the engine, at most once, and waits until it is
+// done. The error is a *RefusedError if the engine responded.
+func (c *engineClient) sendOrder(ctx context.Context, o Order) error {
+	ctx, cancel := context.WithTimeout(ctx, o.Kind.timeout())
 	defer cancel()
 	body, err := json.Marshal(o)
 	if err != nil {
-		return errors.Wrap(err, "placement: encode an order")
+		return errors.Wrap(err, "placement: encode order")
 	}
-	once := io.NopCloser(bytes.NewReader(body)) // so that the transport can't repeat it
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url+pathOrders, once)
+	bodyReader := io.NopCloser(bytes.NewReader(body)) // hides the body's type, so that the transport can't resend it
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url+pathOrders, bodyReader)
 	if err != nil {
-		return errors.Wrap(err, "placement: make an order")
+		return errors.Wrap(err, "placement: create order request")
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
@@ -89,28 +89,28 @@
 func getJSON(ctx context.Context, c *http.Client, url string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return errors.Wrap(err, "placement: make a question")
+		return errors.Wrap(err, "placement: create query")
 	}
 	return do(c, req, into)
 }
 
-// do sends a request and decodes its answer, unless into is nil.
+// do sends a request and decodes the response into into, unless that is nil.
 func do(c *http.Client, req *http.Request, into any) error {
 	resp, err := c.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "placement: send")
+		return errors.Wrap(err, "placement: send request")
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if resp.StatusCode != http.StatusOK {
-		seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After")) // a date counts as none
+		seconds, _ := strconv.Atoi(resp.Header.Get("Retry-After")) // an HTTP date counts as 0
 		return &RefusedError{Status: resp.StatusCode, RetryAfter: time.Duration(max(0, seconds)) * time.Second}
 	}
 	if err != nil {
-		return errors.Wrap(err, "placement: read an answer")
+		return errors.Wrap(err, "placement: read response")
 	}
 	if into == nil {
 		return nil
 	}
-	return errors.Wrap(json.Unmarshal(body, into), "placement: decode an answer")
+	return errors.Wrap(json.Unmarshal(body, into), "placement: decode response")
 }
--- a/internal/placement/fence.go
+++ b/internal/placement/fence.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// counterBits leave 1,024 orders to each millisecond since the agent's start,
-// which no agent gives; numbers stay below 2^53, which every JSON reader holds
-// exactly, for 270 years.
+// counterBits allows 1,024 orders per millisecond since the agent's start, far
+// more than an agent sends. For 270 years the tokens stay below 2^53, up to
+// which every JSON reader represents integers exactly.
 const counterBits = 10
 
-// Fence yields fencing numbers: the agent's start in milliseconds, then a
-// counter. They rise within an incarnation, and an agent that started later has
-// higher ones, unless the VM's clock went back in between.
-type Fence struct{ last uint64 }
+// TokenSource yields fencing tokens: the agent's start in milliseconds, then a
+// counter. They increase within an incarnation. An agent that started later has
+// higher ones, unless the VM's clock was set back in between.
+type TokenSource struct{ last uint64 }
 
-// NewFence returns the numbers of an agent that started at the time.
-func NewFence(start time.Time) Fence {
-	return Fence{last: uint64(start.UnixMilli()) << counterBits}
+// NewTokenSource returns the tokens of an agent that started at the given time.
+func NewTokenSource(start time.Time) TokenSource {
+	return TokenSource{last: uint64(start.UnixMilli()) << counterBits}
 }
 
-// Next returns a number above all before it.
-func (f *Fence) Next() uint64 {
+// Next returns a token higher than all previous ones.
+func (f *TokenSource) Next() uint64 {
 	f.last++
 	return f.last
 }
--- a/internal/placement/peers.go
+++ b/internal/placement/peers.go
@@ -11,60 +11,61 @@
 )
 
 const (
-	// spareAsked is how many keepers more than needed are asked at once.
-	spareAsked = 4
-	maxAsking  = 8
+	// extraPeersQueried is how many keepers more than needed are queried at a
+	// time.
+	extraPeersQueried    = 4
+	maxConcurrentQueries = 8
 )
 
-// ask asks keepers of the surplus models for their reports, shortly before the
-// agent's turn to unload. It asks a bounded number, others each time, so that
-// those which don't answer stand in nobody's way.
-func (r *Runner) ask(ctx context.Context, plan *Plan) map[string]Seen {
-	now := wall(time.Now())
-	if plan.Unload.Next(now).Sub(now) > r.cfg.Bound {
+// queryPeers queries keepers of the surplus models for their reports, shortly
+// before the agent's slot to unload. It queries a bounded number, and others
+// each time, so that unresponsive peers don't block an unload.
+func (r *Runner) queryPeers(ctx context.Context, plan *Plan) map[string]TimedReport {
+	now := wallTime(time.Now())
+	if plan.UnloadSlots.Next(now).Sub(now) > r.cfg.MaxReportAge {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(askWithin, r.cfg.Bound/2))
+	ctx, cancel := context.WithTimeout(ctx, min(queryTimeout, r.cfg.MaxReportAge/2))
 	defer cancel()
 	var mu sync.Mutex
-	seen := make(map[string]Seen)
-	var asking errgroup.Group
-	asking.SetLimit(maxAsking)
-	for name, peer := range r.toAsk(plan) {
-		asking.Go(func() error {
-			at := wall(time.Now())
+	reports := make(map[string]TimedReport)
+	var queries errgroup.Group
+	queries.SetLimit(maxConcurrentQueries)
+	for name, peer := range r.peersToQuery(plan) {
+		queries.Go(func() error {
+			at := wallTime(time.Now())
 			var report Report
 			if getJSON(ctx, r.cfg.Peers, r.cfg.Scheme+"://"+peer.Address+PathReport, &report) != nil || report.Endpoint != name {
-				return nil // one that can't be heard doesn't count
+				return nil // a peer without a valid report doesn't count
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			seen[name] = Seen{Report: report, At: at}
+			reports[name] = TimedReport{Report: report, RequestedAt: at}
 			return nil
 		})
 	}
-	_ = asking.Wait() // no question ends with an error
-	return seen
+	_ = queries.Wait() // the queries return no errors
+	return reports
 }
 
-// toAsk picks the peers of the next questions.
-func (r *Runner) toAsk(plan *Plan) map[string]Peer {
+// peersToQuery selects the peers to query next.
+func (r *Runner) peersToQuery(plan *Plan) map[string]Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make(map[string]Peer)
 	for _, model := range Surplus(plan, &r.state) {
-		keepers := plan.keepers(model)
-		most := min(plan.MinReady+spareAsked, len(keepers))
-		for i := range most {
-			peer := keepers[(r.rotation+i)%len(keepers)]
+		keepers := plan.plannedKeepers(model)
+		limit := min(plan.MinReady+extraPeersQueried, len(keepers))
+		for i := range limit {
+			peer := keepers[(r.queryOffset+i)%len(keepers)]
 			out[peer.Name] = peer
 		}
 	}
-	r.rotation += spareAsked
+	r.queryOffset += extraPeersQueried
 	return out
 }
 
-// Wrap has a handler tell other agents what this one keeps, and its status.
+// Wrap returns a handler that also serves this agent's report and status.
 func (r *Runner) Wrap(next http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", next)
@@ -73,7 +74,8 @@
 	return mux
 }
 
-// serveReport asks the engine first, as its crash may have gone unnoticed.
+// serveReport queries the engine first, as the runner may not have noticed a
+// crash.
 func (r *Runner) serveReport(w http.ResponseWriter, req *http.Request) {
 	if err := r.observe(req.Context()); err != nil {
 		http.Error(w, "the engine's state isn't known", http.StatusServiceUnavailable)
@@ -93,12 +95,12 @@
 	if r.plan == nil || r.fenced || r.leaving {
 		return Report{}, false
 	}
-	return reportOf(r.plan, &r.state), true
+	return newReport(r.plan, &r.state), true
 }
 
 func (r *Runner) serveStatus(w http.ResponseWriter, _ *http.Request) { writeJSON(w, r.Status()) }
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the reader may have left
+	_ = json.NewEncoder(w).Encode(v) // the client may have disconnected
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -10,40 +10,45 @@
 	"coveferry/internal/bundle"
 )
 
-// Bounds of turns.
+// Parameters of time slots.
 const (
-	// storeShare is the part of the weight store's rate that turns use, so
-	// that small differences between clocks go unnoticed.
-	storeShare = 0.9
-	// unloadEvery is the time between the turns of two agents to unload, but
-	// all agents have their turn within unloadRound.
-	unloadEvery = time.Second
-	unloadRound = time.Minute
+	// storeUtilization is the fraction of the weight store's rate that the
+	// slots use, so that small clock differences don't exceed the rate.
+	storeUtilization = 0.9
+	// unloadSlotInterval is the interval between the unload slots of two
+	// agents. It is shorter for large fleets, so that every agent has a slot
+	// within maxUnloadRound.
+	unloadSlotInterval = time.Second
+	maxUnloadRound     = time.Minute
 )
 
 // Peer is another endpoint whose agent places models.
 type Peer struct {
 	Name    string
-	Address string // the agent's, IP and port
+	Address string // IP and port of the agent
 	Models  []string
 }
 
-// Plan is what one version of the bundle says to one endpoint. It is immutable.
+// Plan is the placement of one endpoint in one version of the bundle. It is
+// immutable.
 type Plan struct {
 	Version uint64
 	Self    string
 	Want    bundle.Placement
-	// Managed are the models that the bundle defines. Nothing else is ever
-	// unloaded: it may be an adapter, which an engine lists among its models.
+	// Managed lists the models that the bundle defines. Nothing else is ever
+	// unloaded: it may be an adapter, as engines list adapters among their
+	// models.
 	Managed []string
 	Peers   []Peer
-	// MinReady is how many others must keep a model that is unloaded.
+	// MinReady is how many others must keep a model before it is unloaded.
 	MinReady int
-	// Fetch are the turns to fetch weights, Unload those to unload a model.
-	Fetch, Unload Turns
+	// FetchSlots are the slots for fetching weights, UnloadSlots those for
+	// unloading a model.
+	FetchSlots, UnloadSlots TimeSlots
 }
 
-// NewPlan returns the plan of an endpoint; nil if the bundle places nothing there.
+// NewPlan returns the plan of an endpoint, or nil if the bundle has no
+// placement for it.
 func NewPlan(b *bundle.Bundle, self string) *Plan {
 	p := &Plan{Version: b.Version, Self: self, MinReady: max(1, b.Limits.MinReadyReplicas)}
 	var names []string
@@ -65,23 +70,23 @@
 	for _, m := range b.Models {
 		p.Managed = append(p.Managed, m.Name)
 	}
-	p.setTurns(names, b.Limits.WeightFetchesPerSecond)
+	p.setSlots(names, b.Limits.WeightFetchesPerSecond)
 	return p
 }
 
-// setTurns ranks the agents by a hash of their names, so that the order of the
-// bundle's list and neighbourhood in it mean nothing.
-func (p *Plan) setTurns(names []string, fetches float64) {
+// setSlots ranks the agents by a hash of their names, so that their order in
+// the bundle, and which are next to each other there, has no influence.
+func (p *Plan) setSlots(names []string, fetches float64) {
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
 	})
 	count, rank := len(names), slices.Index(names, p.Self)
-	fetch := time.Duration(float64(time.Second) / (storeShare * fetches))
-	p.Fetch = Turns{Interval: fetch, Rank: rank, Count: count}
-	p.Unload = Turns{Interval: min(unloadEvery, unloadRound/time.Duration(count)), Rank: rank, Count: count}
+	fetch := time.Duration(float64(time.Second) / (storeUtilization * fetches))
+	p.FetchSlots = TimeSlots{Interval: fetch, Rank: rank, Count: count}
+	p.UnloadSlots = TimeSlots{Interval: min(unloadSlotInterval, maxUnloadRound/time.Duration(count)), Rank: rank, Count: count}
 }
 
-// keepers are the peers that the plan wants to hold the model.
-func (p *Plan) keepers(model string) []Peer {
+// plannedKeepers returns the peers that the plan places the model on.
+func (p *Plan) plannedKeepers(model string) []Peer {
 	return slices.DeleteFunc(slices.Clone(p.Peers), func(q Peer) bool { return !slices.Contains(q.Models, model) })
 }
--- a/internal/placement/report.go
+++ b/internal/placement/report.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// PathReport is where an agent tells its Report to other agents.
+// PathReport serves the Report of an agent to other agents.
 const PathReport = "/v1/placement"
 
-// Report is what an agent says of its endpoint to other agents.
+// Report is an agent's report on its endpoint to other agents.
 type Report struct {
 	Endpoint string `json:"endpoint"`
-	// Bundle is the version of the bundle by which the agent acts.
+	// Bundle is the version of the bundle that the agent has applied.
 	Bundle uint64 `json:"bundle"`
-	// Keeps are the models that the engine holds and that the bundle of that
-	// version wants there. One that is about to be unloaded is never among
-	// them, from the decision on.
+	// Keeps lists the models that the engine holds and that this version of the
+	// bundle places there. A model is removed from it as soon as its unload is
+	// decided.
 	Keeps []string `json:"keeps,omitempty"`
 }
 
-// reportOf says what an endpoint keeps.
-func reportOf(p *Plan, s *State) Report {
+// newReport returns the report on an endpoint.
+func newReport(p *Plan, s *State) Report {
 	r := Report{Endpoint: p.Self, Bundle: p.Version}
 	for _, m := range p.Want.Models {
 		if s.holds(m) && !slices.Contains(r.Keeps, m) {
--- a/internal/placement/runner.go
+++ b/internal/placement/runner.go
@@ -17,27 +17,27 @@
 
 // Defaults of a Config.
 const (
-	defaultPoll  = time.Second
-	defaultBound = 5 * time.Second
+	defaultPoll         = time.Second
+	defaultMaxReportAge = 5 * time.Second
 )
 
-// Config is what a Runner needs.
+// Config configures a Runner.
 type Config struct {
-	Endpoint string // the endpoint's name in the bundle
-	// EngineURL is the base of the engine's interface.
+	Endpoint string // name in the bundle
+	// EngineURL is the base URL of the engine.
 	EngineURL string
 	Engine    *http.Client
-	// Peers reaches other agents, by Scheme.
+	// Peers connects to other agents, with the URL scheme Scheme.
 	Peers  *http.Client
 	Scheme string
-	// Start is when the agent started, by the VM's clock; zero is now.
+	// Start is when the agent started, by the VM's clock; zero means now.
 	Start time.Time
-	// Poll is the time between two looks at the engine; 0 is 1 s.
+	// Poll is the interval at which the engine is queried; 0 is 1 s.
 	Poll time.Duration
-	// Bound is the greatest age of a report by which a model is unloaded; 0
-	// is 5 s.
-	Bound time.Duration
-	// Rand returns random numbers from [0, 1); nil is a source of its own.
+	// MaxReportAge is the greatest age of a report that allows an unload; 0 is
+	// 5 s.
+	MaxReportAge time.Duration
+	// Rand returns random numbers from [0, 1); nil uses math/rand.
 	Rand    func() float64
 	Log     zerolog.Logger
 	Metrics prometheus.Registerer // may be nil
@@ -46,29 +46,29 @@
 // Runner carries out the plan of one endpoint, one order at a time. It is safe
 // for concurrent use.
 type Runner struct {
-	cfg     Config
-	engine  engineClient
-	metrics *metrics
-	changed chan struct{} // has room for one
+	cfg         Config
+	engine      engineClient
+	metrics     *metrics
+	planChanged chan struct{} // buffered
 
-	mu       sync.Mutex
-	version  uint64 // of the bundle in force
-	plan     *Plan
-	state    State
-	fence    Fence
-	fenced   bool
-	leaving  bool
-	failures int // in a row
-	// generation changes where an order begins and ends.
-	generation uint64
-	step       Step
-	rotation   int // of the peers that are asked
+	mu                  sync.Mutex
+	version             uint64 // of the active bundle
+	plan                *Plan
+	state               State
+	tokens              TokenSource
+	fenced              bool
+	leaving             bool
+	consecutiveFailures int
+	// orderEpoch changes when an order is decided on and when it ends.
+	orderEpoch  uint64
+	step        Step
+	queryOffset int // rotates the peers that are queried
 }
 
-// New returns a runner that has no plan yet.
+// New returns a runner without a plan.
 func New(cfg Config) *Runner {
 	cfg.Poll = cmp.Or(cfg.Poll, defaultPoll)
-	cfg.Bound = cmp.Or(cfg.Bound, defaultBound)
+	cfg.MaxReportAge = cmp.Or(cfg.MaxReportAge, defaultMaxReportAge)
 	if cfg.Start.IsZero() {
 		cfg.Start = time.Now()
 	}
@@ -76,15 +76,15 @@
 		cfg.Rand = rand.Float64
 	}
 	return &Runner{
-		cfg:     cfg,
-		engine:  engineClient{url: cfg.EngineURL, http: cfg.Engine},
-		metrics: newMetrics(cfg.Metrics),
-		changed: make(chan struct{}, 1),
-		fence:   NewFence(cfg.Start),
+		cfg:         cfg,
+		engine:      engineClient{url: cfg.EngineURL, http: cfg.Engine},
+		metrics:     newMetrics(cfg.Metrics),
+		planChanged: make(chan struct{}, 1),
+		tokens:      NewTokenSource(cfg.Start),
 	}
 }
 
-// Follow puts a bundle in force, unless a newer one is.
+// SetBundle makes a bundle the active one, unless a newer one is.
 func (r *Runner) Follow(b *bundle.Bundle) {
 	plan := NewPlan(b, r.cfg.Endpoint)
 	r.mu.Lock()
@@ -94,75 +94,75 @@
 	}
 	r.version, r.plan = b.Version, plan
 	select {
-	case r.changed <- struct{}{}:
-	default: // the runner is told already
+	case r.planChanged <- struct{}{}:
+	default: // a notification is pending
 	}
 }
 
-// Leave ends the orders, and what the endpoint holds counts for nobody from now
-// on.
+// Leave ends the orders. From then on the agent reports nothing, so others
+// don't count on this endpoint.
 func (r *Runner) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaving = true
 }
 
-// Run observes, decides and gives orders until the context ends. An order in
-// progress is then abandoned.
+// Run queries the engine, decides and sends orders until the context ends. An
+// order in progress is then abandoned.
 func (r *Runner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		timer := time.NewTimer(r.round(ctx))
+		timer := time.NewTimer(r.reconcile(ctx))
 		select {
 		case <-timer.C:
-		case <-r.changed:
+		case <-r.planChanged:
 		case <-ctx.Done():
 		}
 		timer.Stop()
 	}
 }
 
-// round gives one order at most and returns the time until the next round.
-func (r *Runner) round(ctx context.Context) time.Duration {
-	plan := r.current()
+// reconcile sends at most one order and returns the time until the next call.
+func (r *Runner) reconcile(ctx context.Context) time.Duration {
+	plan := r.activePlan()
 	if plan == nil {
 		return r.cfg.Poll
 	}
 	if err := r.observe(ctx); err != nil {
-		r.note(Step{Reason: ReasonUnknown})
+		r.recordStep(Step{Reason: ReasonUnknown})
 		return r.cfg.Poll
 	}
-	seen := r.ask(ctx, plan)
-	step := r.decide(plan, seen)
+	reports := r.queryPeers(ctx, plan)
+	step := r.decide(plan, reports)
 	wait := time.Until(step.At)
 	if step.Order.Kind == "" {
-		return r.pause(wait) // to the moment, so that random waits stay apart
+		return r.pollDelay(wait) // wakes up at that time, so that randomized delays stay apart
 	}
-	if wait > r.lead() {
-		return r.pause(wait - r.lead()/2)
+	if wait > r.decisionLead() {
+		return r.pollDelay(wait - r.decisionLead()/2)
 	}
-	if !r.await(ctx, step.At) {
-		r.drop(step.Order)
+	if !r.waitUntil(ctx, step.At) {
+		r.dropOrder(step.Order)
 		return 0
 	}
-	return r.carryOut(ctx, plan, step)
+	return r.execute(ctx, plan, step)
 }
 
-// pause is at most the time between two looks, and that if there is no moment to
-// wait for.
-func (r *Runner) pause(wait time.Duration) time.Duration {
+// pollDelay limits a wait to the poll interval, and returns the interval if
+// there is no wait.
+func (r *Runner) pollDelay(wait time.Duration) time.Duration {
 	if wait <= 0 {
 		return r.cfg.Poll
 	}
 	return min(wait, r.cfg.Poll)
 }
 
-// lead is how long before its turn an order may be decided on. Otherwise the
-// questions before it could take longer than a turn.
-func (r *Runner) lead() time.Duration { return min(r.cfg.Poll, r.cfg.Bound/2) }
+// decisionLead is how long before its slot an order may be decided on. Querying
+// peers first could otherwise take longer than a slot.
+func (r *Runner) decisionLead() time.Duration { return min(r.cfg.Poll, r.cfg.MaxReportAge/2) }
 
-// await waits for the moment. It returns false if the process slept past it:
-// what was known then may no longer be so.
-func (r *Runner) await(ctx context.Context, at time.Time) bool {
+// waitUntil waits until the given time. It returns false if the process was
+// paused past it, as its information may be out of date then.
+func (r *Runner) waitUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
 	select {
@@ -170,13 +170,14 @@
 	case <-ctx.Done():
 		return false
 	}
-	return wall(time.Now()).Sub(wall(at)) <= r.lead()
+	return wallTime(time.Now()).Sub(wallTime(at)) <= r.decisionLead()
 }
 
-// wall drops the monotonic reading, which stands still while a VM is paused.
-func wall(t time.Time) time.Time { return t.Round(0) }
+// wallTime drops the monotonic clock reading, which stands still while a VM is
+// paused.
+func wallTime(t time.Time) time.Time { return t.Round(0) }
 
-func (r *Runner) current() *Plan {
+func (r *Runner) activePlan() *Plan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.fenced || r.leaving {
@@ -185,111 +186,112 @@
 	return r.plan
 }
 
-// observe asks the engine what it holds. What is learned while an order begins
-// or ends is worth nothing.
+// observe queries what the engine holds. The result is discarded if an order
+// begins or ends meanwhile.
 func (r *Runner) observe(ctx context.Context) error {
 	r.mu.Lock()
-	before := r.generation
+	before := r.orderEpoch
 	r.mu.Unlock()
-	names, err := r.engine.list(ctx)
+	names, err := r.engine.listModels(ctx)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if before != r.generation {
-		return errObserved
+	if before != r.orderEpoch {
+		return errChangedDuringQuery
 	}
 	if err != nil {
-		r.state.forget()
+		r.state.reset()
 		return err
 	}
-	r.state.learn(names)
+	r.state.updateLoaded(names)
 	return nil
 }
 
-// decide takes the next step. From then on no report says that a model is kept
-// which is about to be unloaded.
-func (r *Runner) decide(plan *Plan, seen map[string]Seen) Step {
+// decide decides on the next step. From then on reports no longer list a model
+// that is about to be unloaded.
+func (r *Runner) decide(plan *Plan, reports map[string]TimedReport) Step {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.plan != plan {
 		return Step{}
 	}
-	now := wall(time.Now())
-	r.step = Next(now, plan, &r.state, seen, r.cfg.Bound)
+	now := wallTime(time.Now())
+	r.step = NextStep(now, plan, &r.state, reports, r.cfg.MaxReportAge)
 	r.metrics.surplus.Set(float64(len(Surplus(plan, &r.state))))
-	r.metrics.missing.Set(float64(missing(plan, &r.state)))
-	if r.step.Order.Kind != "" && r.step.At.Sub(now) <= r.lead() {
-		r.state.begin(r.step.Order)
-		r.generation++
+	r.metrics.missing.Set(float64(countMissing(plan, &r.state)))
+	if r.step.Order.Kind != "" && r.step.At.Sub(now) <= r.decisionLead() {
+		r.state.recordDecided(r.step.Order)
+		r.orderEpoch++
 	}
 	return r.step
 }
 
-func missing(p *Plan, s *State) int {
+func countMissing(p *Plan, s *State) int {
 	wanted := slices.Concat(p.Want.Models, p.Want.Adapters)
 	return len(slices.DeleteFunc(wanted, s.holds))
 }
 
-func (r *Runner) drop(o Order) {
+func (r *Runner) dropOrder(o Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state.drop(o)
+	r.state.recordDropped(o)
 }
 
-func (r *Runner) note(s Step) {
+func (r *Runner) recordStep(s Step) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.step = s
 }
 
-// carryOut gives the order, unless another plan came in force, and returns the
-// time until the next round.
-func (r *Runner) carryOut(ctx context.Context, plan *Plan, step Step) time.Duration {
-	o, ok := r.stamp(plan, step.Order)
+// execute sends the order, unless the plan has changed, and returns the time
+// until the next call of reconcile.
+func (r *Runner) execute(ctx context.Context, plan *Plan, step Step) time.Duration {
+	o, ok := r.assignToken(plan, step.Order)
 	if !ok {
 		return 0
 	}
-	err := r.engine.give(ctx, o)
-	r.settle(o, err)
+	err := r.engine.sendOrder(ctx, o)
+	r.recordOutcome(o, err)
 	if err != nil {
 		return r.cfg.Poll
 	}
 	return 0
 }
 
-// stamp numbers the order.
-func (r *Runner) stamp(plan *Plan, o Order) (Order, bool) {
+// assignToken assigns a fencing token to the order. It drops the order and
+// returns false if the plan has changed or the endpoint is leaving.
+func (r *Runner) assignToken(plan *Plan, o Order) (Order, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.plan != plan || r.leaving {
-		r.state.drop(o)
+		r.state.recordDropped(o)
 		return o, false
 	}
-	o.Fence = r.fence.Next()
+	o.Fence = r.tokens.Next()
 	return o, true
 }
 
-// settle notes how an order ended.
-func (r *Runner) settle(o Order, err error) {
+// recordOutcome records how an order ended.
+func (r *Runner) recordOutcome(o Order, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.generation++
+	r.orderEpoch++
 	outcome := outcomeOf(err)
 	r.metrics.orders.WithLabelValues(string(o.Kind), outcome).Inc()
 	event := r.cfg.Log.Info()
 	if err == nil {
-		r.state.done(o)
-		r.failures = 0
+		r.state.recordDone(o)
+		r.consecutiveFailures = 0
 	} else {
 		event = r.cfg.Log.Warn().Err(err)
-		r.state.failed(wall(time.Now()), o, err, r.failures, r.cfg.Rand())
-		r.failures++
+		r.state.recordFailed(wallTime(time.Now()), o, err, r.consecutiveFailures, r.cfg.Rand())
+		r.consecutiveFailures++
 	}
 	if outcome == outcomeFenced {
 		r.fenced = true
 		r.step = Step{Reason: ReasonFenced}
 		r.metrics.fenced.Set(1)
 	}
-	event.Str("order", string(o.Kind)).Str("target", o.Target).Uint64("fence", o.Fence).Str("outcome", outcome).Msg("order given")
+	event.Str("order", string(o.Kind)).Str("target", o.Target).Uint64("fence", o.Fence).Str("outcome", outcome).Msg("order finished")
 }
 
 func outcomeOf(err error) string {
@@ -298,7 +300,7 @@
 		return outcomeDone
 	case statusOf(err) == http.StatusConflict:
 		return outcomeFenced
-	case surely(err):
+	case hadNoEffect(err):
 		return outcomeRefused
 	default:
 		return outcomeUnknown
--- a/internal/placement/runner_test.go
+++ b/internal/placement/runner_test.go
@@ -17,8 +17,9 @@
 	"coveferry/internal/bundle"
 )
 
-// ordersOf lists the orders that an engine took, and checks their numbers.
-func (s *site) ordersOf(i int) []string {
+// receivedOrders lists the orders that an engine received, and checks that
+// their fencing tokens increase.
+func (s *testCluster) receivedOrders(i int) []string {
 	var out []string
 	var fence uint64
 	for _, o := range s.engines[i].State().Orders {
@@ -29,25 +30,25 @@
 	return out
 }
 
-func TestOrdersLoadBeforeTheyUnload(t *testing.T) {
+func TestLoadsPrecedeUnloads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 3)
+		s := newTestCluster(t, 3)
 		s.startAll()
-		s.follow(1, func(i int) bundle.Placement {
+		s.setPlacement(1, func(i int) bundle.Placement {
 			if i > 0 {
-				return hold("old")
+				return placementOf("old")
 			}
 			return bundle.Placement{Models: []string{"new"}, Adapters: []string{"adapter"}, Version: "v2", Role: "decode"}
 		})
 		time.Sleep(time.Minute)
-		s.Expect(s.ordersOf(0)).To(gomega.Equal([]string{
+		s.Expect(s.receivedOrders(0)).To(gomega.Equal([]string{
 			"set_version v2 true", "set_role decode true", "load_model new true", "load_adapter adapter true", "unload_model old true",
 		}))
-		s.Expect(s.ordersOf(1)).To(gomega.Equal([]string{"set_role decode true"}))
+		s.Expect(s.receivedOrders(1)).To(gomega.Equal([]string{"set_role decode true"}))
 		s.Expect(s.runners[0].Status()).To(gomega.And(
 			gomega.HaveField("Reason", ReasonPlaced), gomega.HaveField("Loaded", gomega.ConsistOf("new", "adapter"))))
 
-		s.engines[0].Crash() // which loses all that was ordered
+		s.engines[0].Crash() // loses all that was ordered
 		s.engines[0].Restart()
 		time.Sleep(time.Minute)
 		s.Expect(s.engines[0].State()).To(gomega.And(
@@ -55,33 +56,33 @@
 	})
 }
 
-func TestNobodyUnloadsWhatNobodyKeeps(t *testing.T) {
+func TestModelIsUnloadedOnlyWhileAnotherKeepsIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 8)
+		s := newTestCluster(t, 8)
 		s.startAll()
-		s.follow(1, func(int) bundle.Placement { return hold("new") })
+		s.setPlacement(1, func(int) bundle.Placement { return placementOf("new") })
 		time.Sleep(5 * time.Minute)
-		s.Expect(s.holders("new")).To(gomega.Equal(8))
-		s.Expect(s.holders("old")).To(gomega.Equal(8))
+		s.Expect(s.countHolders("new")).To(gomega.Equal(8))
+		s.Expect(s.countHolders("old")).To(gomega.Equal(8))
 		s.Expect(s.runners[0].Status().Reason).To(gomega.Equal(ReasonNeeded))
 
-		s.engines[7].Crash() // the one that is to keep it can't say so
+		s.engines[7].Crash() // the planned keeper can't report
 		keep := func(i int) bundle.Placement {
 			if i == 7 {
-				return hold("new", "old")
+				return placementOf("new", "old")
 			}
-			return hold("new")
+			return placementOf("new")
 		}
-		s.follow(2, keep)
+		s.setPlacement(2, keep)
 		time.Sleep(5 * time.Minute)
-		s.Expect(s.holders("old")).To(gomega.Equal(8))
+		s.Expect(s.countHolders("old")).To(gomega.Equal(8))
 		s.engines[7].Restart()
 		s.runners[7].Leave()
-		time.Sleep(5 * time.Minute) // what is on one that leaves counts no more
-		s.Expect(s.holders("old")).To(gomega.Equal(8))
+		time.Sleep(5 * time.Minute) // a model on a leaving endpoint doesn't count
+		s.Expect(s.countHolders("old")).To(gomega.Equal(8))
 		s.t.Cleanup(s.restart(7))
-		s.follow(3, keep)
-		s.until(time.Minute, func() bool { return s.holders("old") == 1 })
+		s.setPlacement(3, keep)
+		s.waitFor(time.Minute, func() bool { return s.countHolders("old") == 1 })
 		var at []time.Time
 		for i := range 7 {
 			orders := s.engines[i].State().Orders
@@ -89,23 +90,23 @@
 		}
 		slices.SortFunc(at, time.Time.Compare)
 		for i := range at[1:] {
-			s.Expect(at[i+1].Sub(at[i])).To(gomega.BeNumerically(">=", unloadEvery)) // one at a time
+			s.Expect(at[i+1].Sub(at[i])).To(gomega.BeNumerically(">=", unloadSlotInterval)) // one unload per slot
 		}
 	})
 }
 
-func TestAnOlderAgentIsFencedAndGivesNoMoreOrders(t *testing.T) {
+func TestOlderAgentIsFencedAndStopsSendingOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 1)
+		s := newTestCluster(t, 1)
 		older := New(Config{Endpoint: endpointName(0), EngineURL: "http://" + engineAddress(0), Engine: s.client("older")})
 		time.Sleep(time.Millisecond)
 		s.startAll()
-		s.follow(1, func(int) bundle.Placement { return hold("old") })
+		s.setPlacement(1, func(int) bundle.Placement { return placementOf("old") })
 		time.Sleep(time.Second)
 		s.runners = append(s.runners, older)
-		s.follow(2, func(int) bundle.Placement { return hold("old") })
+		s.setPlacement(2, func(int) bundle.Placement { return placementOf("old") })
 		for range 5 {
-			older.round(context.Background())
+			older.reconcile(context.Background())
 		}
 		s.Expect(older.Status().Reason).To(gomega.Equal(ReasonFenced))
 		var refused int
@@ -115,17 +116,17 @@
 			}
 		}
 		s.Expect(refused).To(gomega.Equal(1))
-		_, says := older.report()
-		s.Expect(says).To(gomega.BeFalse())
+		_, reports := older.report()
+		s.Expect(reports).To(gomega.BeFalse())
 	})
 }
 
-func TestFencesRiseWithinAndAcrossIncarnations(t *testing.T) {
+func TestFencingTokensIncreaseAcrossIncarnations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMilli(rapid.Int64Range(1_700_000_000_000, 4_000_000_000_000).Draw(t, "start"))
 		var last uint64
 		for range rapid.IntRange(1, 5).Draw(t, "incarnations") {
-			fence := NewFence(start)
+			fence := NewTokenSource(start)
 			for range rapid.IntRange(1, 1000).Draw(t, "orders") {
 				n := fence.Next()
 				if n <= last || n >= 1<<53 {
@@ -138,148 +139,150 @@
 	})
 }
 
-func TestAnOrderWhoseTurnWasSleptThroughIsDropped(t *testing.T) {
+func TestOrderIsDroppedAfterMissedSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		r := New(Config{})
-		g.Expect(r.await(t.Context(), time.Now().Add(time.Second))).To(gomega.BeTrue())
-		g.Expect(r.await(t.Context(), time.Now().Add(-2*time.Second))).To(gomega.BeFalse())
+		g.Expect(r.waitUntil(t.Context(), time.Now().Add(time.Second))).To(gomega.BeTrue())
+		g.Expect(r.waitUntil(t.Context(), time.Now().Add(-2*time.Second))).To(gomega.BeFalse())
 	})
 }
 
-// transport answers requests by a function.
-type transport func() string
+// roundTripFunc responds to each request with the text that it returns.
+type roundTripFunc func() string
 
-func (f transport) RoundTrip(*http.Request) (*http.Response, error) {
+func (f roundTripFunc) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(f()))}, nil
 }
 
-func TestWhatTheEngineSaidWhileAnOrderEndedIsDropped(t *testing.T) {
+func TestModelListIsDiscardedIfAnOrderEndsDuringTheQuery(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := New(Config{EngineURL: "http://engine"})
-	r.engine.http = &http.Client{Transport: transport(func() string {
-		r.settle(Order{Kind: UnloadModel, Target: "old"}, nil)
+	r.engine.http = &http.Client{Transport: roundTripFunc(func() string {
+		r.recordOutcome(Order{Kind: UnloadModel, Target: "old"}, nil)
 		return `{"data":[{"id":"old"}]}`
 	})}
-	g.Expect(r.observe(t.Context())).To(gomega.MatchError(errObserved))
+	g.Expect(r.observe(t.Context())).To(gomega.MatchError(errChangedDuringQuery))
 	g.Expect(r.Status().Loaded).To(gomega.BeEmpty())
 }
 
-// loadAll has n agents load the model "new" at once, and returns how long it
-// took and how many calls the store refused.
+// loadAll makes n agents load the model "new" at once, and returns how long
+// that took and how many requests the store refused.
 func loadAll(t *testing.T, n int) (took time.Duration, limited int) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, n)
+		s := newTestCluster(t, n)
 		s.startAll()
-		time.Sleep(2345 * time.Millisecond) // somewhere in a round
-		s.follow(1, func(int) bundle.Placement { return hold("old", "new") })
-		took = s.until(time.Minute, func() bool { return s.holders("new") == n })
+		time.Sleep(2345 * time.Millisecond) // within a round of slots
+		s.setPlacement(1, func(int) bundle.Placement { return placementOf("old", "new") })
+		took = s.waitFor(time.Minute, func() bool { return s.countHolders("new") == n })
 		limited = s.store.Stats().Limited
 	})
 	return took, limited
 }
 
-// naivePause stands for what a refusal takes to come back.
-const naivePause = 50 * time.Millisecond
+// retryPause stands for the time until a refusal arrives.
+const retryPause = 50 * time.Millisecond
 
-// loadAllNaively has all engines told at once, and again soon after a refusal.
-func loadAllNaively(t *testing.T, n int) (took time.Duration, limited int) {
+// loadAllWithoutSlots sends the order to all engines at once, and again shortly
+// after each refusal.
+func loadAllWithoutSlots(t *testing.T, n int) (took time.Duration, limited int) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, n)
+		s := newTestCluster(t, n)
 		for i := range n {
 			c := engineClient{url: "http://" + engineAddress(i), http: s.client("naive")}
 			go func() {
-				for c.give(t.Context(), Order{Kind: LoadModel, Target: "new"}) != nil {
-					time.Sleep(naivePause)
+				for c.sendOrder(t.Context(), Order{Kind: LoadModel, Target: "new"}) != nil {
+					time.Sleep(retryPause)
 				}
 			}()
 		}
-		took = s.until(time.Minute, func() bool { return s.holders("new") == n })
+		took = s.waitFor(time.Minute, func() bool { return s.countHolders("new") == n })
 		limited = s.store.Stats().Limited
 	})
 	return took, limited
 }
 
-func TestAgentsHoldTheStoresRateWithoutTalking(t *testing.T) {
+func TestAgentsKeepToTheStoreRateWithoutCoordination(t *testing.T) {
 	for _, n := range []int{8, 64} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			ideal := time.Duration(float64(n) / storeRate * float64(time.Second))
 			took, limited := loadAll(t, n)
-			naively, refused := loadAllNaively(t, n)
-			t.Logf("%d agents: %v and %d refused; naively %v and %d refused", n, took, limited, naively, refused)
+			withoutSlots, refused := loadAllWithoutSlots(t, n)
+			t.Logf("%d agents: %v and %d refused; without slots %v and %d refused", n, took, limited, withoutSlots, refused)
 			g.Expect(limited).To(gomega.BeZero())
 			g.Expect(took).To(gomega.BeNumerically("<", ideal*5/4+time.Second))
-			g.Expect(refused).To(gomega.BeNumerically(">", n)) // the test can tell them apart
+			g.Expect(refused).To(gomega.BeNumerically(">", n)) // else the test could not detect missing slots
 		})
 	}
 }
 
-// Where the bundle's rate is too high the store refuses, and agents spread out.
-func TestAgentsBackOffWhereTheStoreRefuses(t *testing.T) {
+// If the bundle's rate is too high, the store refuses requests and agents
+// spread out.
+func TestAgentsBackOffWhenTheStoreRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, 8)
+		s := newTestCluster(t, 8)
 		s.startAll()
 		b := &bundle.Bundle{Version: 1, Models: []bundle.Model{{Name: "old"}, {Name: "new"}}}
 		b.Limits.WeightFetchesPerSecond = 1000 * storeRate
 		for i := range s.engines {
-			b.Endpoints = append(b.Endpoints, bundle.Endpoint{Name: endpointName(i), Placement: hold("old", "new")})
+			b.Endpoints = append(b.Endpoints, bundle.Endpoint{Name: endpointName(i), Placement: placementOf("old", "new")})
 		}
 		for _, r := range s.runners {
 			r.Follow(b)
 		}
-		took := s.until(time.Minute, func() bool { return s.holders("new") == 8 })
+		took := s.waitFor(time.Minute, func() bool { return s.countHolders("new") == 8 })
 		t.Logf("%v and %d refused", took, s.store.Stats().Limited)
 		s.Expect(s.store.Stats().Limited).To(gomega.And(gomega.BeNumerically(">", 0), gomega.BeNumerically("<", 16)))
 	})
 }
 
-func TestNext(t *testing.T) {
+func TestNextStep(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	turn := Turns{Interval: 2, Count: 1}
-	plan := &Plan{Version: 3, Self: "a", Want: hold("new"), Managed: []string{"old", "new"}, MinReady: 1, Fetch: turn, Unload: turn}
-	kept := func(age time.Duration, version uint64) map[string]Seen {
-		return map[string]Seen{"b": {Report: Report{Bundle: version, Keeps: []string{"old"}}, At: now.Add(-age)}}
+	slot := TimeSlots{Interval: 2, Count: 1}
+	plan := &Plan{Version: 3, Self: "a", Want: placementOf("new"), Managed: []string{"old", "new"}, MinReady: 1, FetchSlots: slot, UnloadSlots: slot}
+	reportOf := func(age time.Duration, version uint64) map[string]TimedReport {
+		return map[string]TimedReport{"b": {Report: Report{Bundle: version, Keeps: []string{"old"}}, RequestedAt: now.Add(-age)}}
 	}
 	placed := State{Loaded: []string{"old", "new", "unknown"}, Role: "decode"}
-	lacking := State{Loaded: []string{"old"}, Role: "decode"}
-	full := lacking
-	full.Full = true
-	refused := lacking
+	missing := State{Loaded: []string{"old"}, Role: "decode"}
+	full := missing
+	full.OutOfMemory = true
+	refused := missing
 	refused.NotBefore = now.Add(time.Second)
-	doubtful := placed
-	doubtful.Doubtful = []string{"new"}
+	maybeUnloaded := placed
+	maybeUnloaded.MaybeUnloaded = []string{"new"}
 	for _, c := range []struct {
-		name   string
-		state  State
-		seen   map[string]Seen
-		kind   Kind
-		reason Reason
+		name    string
+		state   State
+		reports map[string]TimedReport
+		kind    Kind
+		reason  Reason
 	}{
-		{"kept by another", placed, kept(4*time.Second, 3), UnloadModel, ReasonSurplus},
-		{"kept long ago", placed, kept(6*time.Second, 3), "", ReasonNeeded},
-		{"kept by an older bundle", placed, kept(0, 2), "", ReasonNeeded},
+		{"kept by another", placed, reportOf(4*time.Second, 3), UnloadModel, ReasonSurplus},
+		{"outdated report", placed, reportOf(6*time.Second, 3), "", ReasonNeeded},
+		{"report of an older bundle", placed, reportOf(0, 2), "", ReasonNeeded},
 		{"kept by nobody", placed, nil, "", ReasonNeeded},
-		{"missing", lacking, kept(0, 3), LoadModel, ReasonMissing},
-		{"no room", full, kept(0, 3), UnloadModel, ReasonSurplus},
-		{"refused", refused, kept(0, 3), "", ReasonBackoff},
-		{"perhaps unloaded", doubtful, kept(0, 3), LoadModel, ReasonMissing},
-		{"an engine that started", State{Loaded: []string{"old"}}, nil, SetRole, ReasonSet},
+		{"missing", missing, reportOf(0, 3), LoadModel, ReasonMissing},
+		{"out of memory", full, reportOf(0, 3), UnloadModel, ReasonSurplus},
+		{"refused", refused, reportOf(0, 3), "", ReasonBackoff},
+		{"maybe unloaded", maybeUnloaded, reportOf(0, 3), LoadModel, ReasonMissing},
+		{"restarted engine", State{Loaded: []string{"old"}}, nil, SetRole, ReasonSet},
 	} {
 		g := gomega.NewWithT(t)
-		step := Next(now, plan, &c.state, c.seen, 5*time.Second)
+		step := NextStep(now, plan, &c.state, c.reports, 5*time.Second)
 		g.Expect(step.Order.Kind).To(gomega.Equal(c.kind), c.name)
 		g.Expect(step.Reason).To(gomega.Equal(c.reason), c.name)
 	}
 }
 
-func TestSurelyKnowsWhichOrdersHadNoEffect(t *testing.T) {
+func TestHadNoEffect(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for status, want := range map[int]bool{
 		http.StatusTooManyRequests: true, http.StatusConflict: true, http.StatusServiceUnavailable: true,
 		http.StatusInsufficientStorage: true, http.StatusInternalServerError: false, http.StatusGatewayTimeout: false,
 	} {
-		g.Expect(surely(&RefusedError{Status: status})).To(gomega.Equal(want), "%d", status)
+		g.Expect(hadNoEffect(&RefusedError{Status: status})).To(gomega.Equal(want), "%d", status)
 	}
-	g.Expect(surely(context.DeadlineExceeded)).To(gomega.BeFalse())
+	g.Expect(hadNoEffect(context.DeadlineExceeded)).To(gomega.BeFalse())
 }
--- a/internal/placement/site_test.go
+++ b/internal/placement/site_test.go
@@ -19,9 +19,9 @@
 	"coveferry/internal/standin/weights"
 )
 
-// site is a set of agents with stand-in engines and one weight store, on a
-// network in memory and in fake time.
-type site struct {
+// testCluster is a set of agents with stand-in engines and one weight store, on
+// an in-memory network and in fake time.
+type testCluster struct {
 	*gomega.WithT
 	t       *testing.T
 	net     *memnet.Net
@@ -31,45 +31,45 @@
 	servers map[string]*http.Server // by address
 }
 
-const storeRate = 10.0 // requests a second
+const storeRate = 10.0 // requests per second
 
 func agentAddress(i int) string  { return fmt.Sprintf("10.0.%d.%d:7410", i/200, i%200+1) }
 func engineAddress(i int) string { return fmt.Sprintf("10.1.%d.%d:8000", i/200, i%200+1) }
 func endpointName(i int) string  { return fmt.Sprintf("engine-%02d", i) }
 
-// newSite starts engines that hold the model "old", and no agents.
-func newSite(t *testing.T, n int) *site {
-	s := &site{WithT: gomega.NewWithT(t), t: t, net: memnet.New(), servers: make(map[string]*http.Server)}
+// newTestCluster starts engines that hold the model "old", but no agents.
+func newTestCluster(t *testing.T, n int) *testCluster {
+	s := &testCluster{WithT: gomega.NewWithT(t), t: t, net: memnet.New(), servers: make(map[string]*http.Server)}
 	s.store = weights.New(weights.Config{RequestsPerSecond: storeRate, Sizes: map[string]int64{"new": 1, "old": 1, "adapter": 1}})
 	s.serve("store:1", s.store.Handler())
 	for i := range n {
 		eng := engine.New(engine.Config{Models: []string{"old"}, Fenced: true})
 		s.engines = append(s.engines, eng)
-		s.serve(engineAddress(i), s.fetching(eng.Handler(), s.client("engine")))
+		s.serve(engineAddress(i), s.withWeightFetch(eng.Handler(), s.client("engine")))
 	}
 	return s
 }
 
-func (s *site) serve(address string, h http.Handler) {
+func (s *testCluster) serve(address string, h http.Handler) {
 	l, err := s.net.Listen(address)
 	s.Expect(err).NotTo(gomega.HaveOccurred())
 	srv := &http.Server{Handler: h}
 	s.servers[address] = srv
-	go func() { _ = srv.Serve(l) }() // ends with the cleanup
+	go func() { _ = srv.Serve(l) }() // ends on cleanup
 	s.t.Cleanup(func() { _ = srv.Close() })
 }
 
-func (s *site) client(from string) *http.Client {
+func (s *testCluster) client(from string) *http.Client {
 	tr := &http.Transport{DialContext: s.net.Dialer(from)}
 	s.t.Cleanup(tr.CloseIdleConnections)
 	return &http.Client{Transport: tr}
 }
 
-// fetching has an engine fetch the weights before it carries out an order to
-// load, and pass the store's refusal on.
-func (s *site) fetching(h http.Handler, c *http.Client) http.Handler {
+// withWeightFetch makes an engine fetch the weights before it carries out an
+// order to load, and forward a refusal of the store.
+func (s *testCluster) withWeightFetch(h http.Handler, c *http.Client) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body) // of a request in memory
+		body, _ := io.ReadAll(r.Body) // reads from memory
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		var o Order
 		if json.Unmarshal(body, &o) != nil || o.Kind != LoadModel && o.Kind != LoadAdapter {
@@ -87,13 +87,13 @@
 			w.WriteHeader(resp.StatusCode)
 			return
 		}
-		_, _ = io.Copy(io.Discard, resp.Body) // its size is one byte
+		_, _ = io.Copy(io.Discard, resp.Body) // the weights are one byte
 		h.ServeHTTP(w, r)
 	})
 }
 
-// start starts an agent; the returned function ends it.
-func (s *site) start(i int) (stop func()) {
+// start starts an agent; the returned function stops it.
+func (s *testCluster) start(i int) (stop func()) {
 	c := s.client(endpointName(i))
 	r := New(Config{
 		Endpoint: endpointName(i), EngineURL: "http://" + engineAddress(i), Engine: c, Peers: c, Scheme: "http",
@@ -107,8 +107,8 @@
 	return func() { cancel(); <-done }
 }
 
-// restart starts a new agent in the place of one that left.
-func (s *site) restart(i int) (stop func()) {
+// restart starts a new agent in place of one that left.
+func (s *testCluster) restart(i int) (stop func()) {
 	_ = s.servers[agentAddress(i)].Close() // the listener is in memory
 	stop = s.start(i)
 	s.runners[i] = s.runners[len(s.runners)-1]
@@ -117,15 +117,15 @@
 }
 
 // startAll starts an agent for each engine, until the test ends.
-func (s *site) startAll() {
+func (s *testCluster) startAll() {
 	for i := range s.engines {
 		s.t.Cleanup(s.start(i))
 	}
 }
 
-// follow puts a bundle in force at all agents at once; want says what each
-// endpoint is to hold.
-func (s *site) follow(version uint64, want func(i int) bundle.Placement) {
+// setPlacement activates a bundle at all agents at once; want returns the
+// placement of each endpoint.
+func (s *testCluster) setPlacement(version uint64, want func(i int) bundle.Placement) {
 	b := &bundle.Bundle{Version: version, Models: []bundle.Model{{Name: "old"}, {Name: "new"}}}
 	b.Limits.WeightFetchesPerSecond = storeRate
 	for i := range s.engines {
@@ -136,12 +136,12 @@
 	}
 }
 
-func hold(models ...string) bundle.Placement {
+func placementOf(models ...string) bundle.Placement {
 	return bundle.Placement{Models: models, Role: "decode"}
 }
 
-// holders counts the engines that hold a model.
-func (s *site) holders(model string) int {
+// countHolders counts the engines that hold a model.
+func (s *testCluster) countHolders(model string) int {
 	n := 0
 	for _, e := range s.engines {
 		for _, m := range e.State().Models {
@@ -153,10 +153,11 @@
 	return n
 }
 
-// until waits in fake time, and returns how long it took; a limit bounds it.
-func (s *site) until(limit time.Duration, reached func() bool) time.Duration {
+// waitFor waits in fake time until the condition holds, and returns how long
+// that took. It fails after the limit.
+func (s *testCluster) waitFor(limit time.Duration, condition func() bool) time.Duration {
 	begin := time.Now()
-	for !reached() {
+	for !condition() {
 		s.Expect(time.Since(begin)).To(gomega.BeNumerically("<", limit))
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -8,57 +8,58 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds of the wait after the engine refused.
+// Limits of the backoff after the engine refused.
 const (
-	backoffBase = time.Second
-	backoffMost = 30 * time.Second
-	// maxDoublings keeps the shift within the type.
+	baseBackoff = time.Second
+	maxBackoff  = 30 * time.Second
+	// maxDoublings prevents an overflow of the shift.
 	maxDoublings = 10
 )
 
-// learn takes over what the engine lists. An engine that lost something has
-// started again, and its version and role with it.
-func (s *State) learn(names []string) {
+// updateLoaded stores the engine's list. An engine that lost something has
+// restarted, and lost its version and role too.
+func (s *State) updateLoaded(names []string) {
 	for _, before := range s.Loaded {
-		if !slices.Contains(names, before) && !slices.Contains(s.Doubtful, before) {
-			s.forget()
+		if !slices.Contains(names, before) && !slices.Contains(s.MaybeUnloaded, before) {
+			s.reset()
 			break
 		}
 	}
 	s.Loaded = names
 }
 
-// forget drops all that is known of the engine, save what may yet happen to it.
-func (s *State) forget() {
-	s.Loaded, s.Version, s.Role, s.Full = nil, "", "", false
+// reset drops all that is known of the engine, except unloads that may still
+// take effect.
+func (s *State) reset() {
+	s.Loaded, s.Version, s.Role, s.OutOfMemory = nil, "", "", false
 }
 
-// begin notes that an order is decided on. A model to unload counts as gone from
-// now on.
-func (s *State) begin(o Order) {
-	if o.Kind == UnloadModel && !slices.Contains(s.Doubtful, o.Target) {
-		s.Doubtful = append(s.Doubtful, o.Target)
+// recordDecided records that an order was decided on. A model to unload counts
+// as not held from then on.
+func (s *State) recordDecided(o Order) {
+	if o.Kind == UnloadModel && !slices.Contains(s.MaybeUnloaded, o.Target) {
+		s.MaybeUnloaded = append(s.MaybeUnloaded, o.Target)
 	}
 }
 
-// drop notes that an order wasn't carried out and never will be.
-func (s *State) drop(o Order) {
+// recordDropped records that an order wasn't carried out and never will be.
+func (s *State) recordDropped(o Order) {
 	if o.Kind == UnloadModel {
-		s.Doubtful = without(s.Doubtful, o.Target)
+		s.MaybeUnloaded = remove(s.MaybeUnloaded, o.Target)
 	}
 }
 
-// done notes an order that was carried out.
-func (s *State) done(o Order) {
+// recordDone records an order that was carried out.
+func (s *State) recordDone(o Order) {
 	switch o.Kind {
 	case LoadModel, LoadAdapter:
-		s.Doubtful = without(s.Doubtful, o.Target)
-		s.Loaded = append(without(s.Loaded, o.Target), o.Target)
-		s.Full = false
+		s.MaybeUnloaded = remove(s.MaybeUnloaded, o.Target)
+		s.Loaded = append(remove(s.Loaded, o.Target), o.Target)
+		s.OutOfMemory = false
 	case UnloadModel:
-		s.Doubtful = without(s.Doubtful, o.Target)
-		s.Loaded = without(s.Loaded, o.Target)
-		s.Full = false
+		s.MaybeUnloaded = remove(s.MaybeUnloaded, o.Target)
+		s.Loaded = remove(s.Loaded, o.Target)
+		s.OutOfMemory = false
 	case SetVersion:
 		s.Version = o.Target
 	case SetRole:
@@ -66,28 +67,29 @@
 	}
 }
 
-// failed notes an order that ended with an error. failures counts those in a
-// row, and random is from [0, 1).
-func (s *State) failed(now time.Time, o Order, err error, failures int, random float64) {
-	if surely(err) {
-		s.drop(o)
+// recordFailed records an order that ended with an error. failures counts the
+// preceding consecutive failures, and random is from [0, 1).
+func (s *State) recordFailed(now time.Time, o Order, err error, failures int, random float64) {
+	if hadNoEffect(err) {
+		s.recordDropped(o)
 	}
-	s.Full = s.Full || statusOf(err) == http.StatusInsufficientStorage
+	s.OutOfMemory = s.OutOfMemory || statusOf(err) == http.StatusInsufficientStorage
 	s.NotBefore = now.Add(backoff(err, failures, random))
 }
 
-// backoff is at least what the engine asks for, and besides a random part of a
-// time that doubles, so that those who were refused together come apart.
+// backoff returns the delay that the engine asked for plus a random part of a
+// span that doubles with each failure, so that agents that were refused
+// together spread out.
 func backoff(err error, failures int, random float64) time.Duration {
 	var refused *RefusedError
 	var floor time.Duration
 	if errors.As(err, &refused) {
-		floor = min(refused.RetryAfter, backoffMost)
+		floor = min(refused.RetryAfter, maxBackoff)
 	}
-	span := min(backoffBase<<min(failures, maxDoublings), backoffMost)
+	span := min(baseBackoff<<min(failures, maxDoublings), maxBackoff)
 	return floor + time.Duration(random*float64(span))
 }
 
-func without(names []string, name string) []string {
+func remove(names []string, name string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == name })
 }
--- a/internal/placement/status.go
+++ b/internal/placement/status.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// PathStatus is where an agent tells its Status.
+// PathStatus serves the Status of an agent.
 const PathStatus = "/v1/placement/status"
 
-// Status is what an operator may ask of a runner.
+// Status describes a runner to operators.
 type Status struct {
 	Endpoint string `json:"endpoint"`
-	// Bundle is the version acted by; 0 if it places nothing here.
+	// Bundle is the version of the plan; 0 if the bundle has no placement for
+	// this endpoint.
 	Bundle uint64   `json:"bundle"`
 	Loaded []string `json:"loaded"`
-	// Next is the order that comes next, empty if none does, and At its time.
+	// Next is the kind of the next order, empty if there is none, and At its
+	// time.
 	Next   Kind      `json:"next,omitempty"`
 	Target string    `json:"target,omitempty"`
 	At     time.Time `json:"at,omitzero"`
 	Reason Reason    `json:"reason,omitempty"`
 }
 
-// Status returns the present status.
+// Status returns the current status.
 func (r *Runner) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/placement/step.go
+++ b/internal/placement/step.go
@@ -8,7 +8,6 @@
 // Kind is what an order asks of the engine.
 type Kind string
 
-// The kinds of orders.
 const (
 	LoadModel   Kind = "load_model"
 	UnloadModel Kind = "unload_model"
@@ -17,78 +16,78 @@
 	SetRole     Kind = "set_role"
 )
 
-// Order is what the engine reads.
+// Order is the body of a request to the engine.
 type Order struct {
 	Kind   Kind   `json:"kind"`
 	Target string `json:"target"`
 	Fence  uint64 `json:"fence"`
 }
 
-// Reason says why a step is what it is.
+// Reason explains a step.
 type Reason string
 
-// The reasons of steps.
 const (
-	ReasonPlaced  Reason = "placed"      // the engine is as the bundle wants
-	ReasonSet     Reason = "set"         // a version or role is set
-	ReasonMissing Reason = "missing"     // something wanted isn't loaded
-	ReasonSurplus Reason = "surplus"     // something loaded isn't wanted, and others keep it
-	ReasonNeeded  Reason = "needed"      // too few others are known to keep what isn't wanted
-	ReasonBackoff Reason = "backoff"     // the engine refused not long ago
-	ReasonUnknown Reason = "unreachable" // the engine doesn't say what it holds
-	ReasonFenced  Reason = "fenced"      // a newer agent gives the orders
+	ReasonPlaced  Reason = "placed"      // the engine is as the bundle specifies
+	ReasonSet     Reason = "set"         // a version or role is to be set
+	ReasonMissing Reason = "missing"     // something specified isn't loaded
+	ReasonSurplus Reason = "surplus"     // something loaded isn't specified, and enough others keep it
+	ReasonNeeded  Reason = "needed"      // too few others are known to keep a surplus model
+	ReasonBackoff Reason = "backoff"     // the engine refused recently
+	ReasonUnknown Reason = "unreachable" // the engine doesn't list what it holds
+	ReasonFenced  Reason = "fenced"      // a newer agent sends the orders
 )
 
-// Step is the next order and when to give it; the zero Order means to wait.
+// Step is the next order and when to send it; the zero Order means to wait.
 type Step struct {
 	Order  Order
 	At     time.Time
 	Reason Reason
 }
 
-// State is what is known of the engine.
+// State is the known state of the engine.
 type State struct {
 	Loaded []string // models and adapters, as the engine lists them
-	// Doubtful are models that an order to unload may yet take away, since
-	// its answer never came.
-	Doubtful []string
-	// Version and Role are what was ordered since the engine last started;
-	// engines don't list them.
+	// MaybeUnloaded lists models that an order to unload may still remove,
+	// since its response never arrived.
+	MaybeUnloaded []string
+	// Version and Role are the ones set since the engine last started; engines
+	// don't list them.
 	Version, Role string
-	// Full says that the engine had no memory for the last load.
-	Full bool
+	// OutOfMemory says that the engine had no memory for the last load.
+	OutOfMemory bool
 	// NotBefore is when the engine may be asked to load again.
 	NotBefore time.Time
 }
 
 func (s *State) holds(name string) bool {
-	return slices.Contains(s.Loaded, name) && !slices.Contains(s.Doubtful, name)
+	return slices.Contains(s.Loaded, name) && !slices.Contains(s.MaybeUnloaded, name)
 }
 
-// Seen is a report of another agent and when it was asked for.
-type Seen struct {
-	Report Report
-	At     time.Time
+// TimedReport is a report of another agent and when it was requested.
+type TimedReport struct {
+	Report      Report
+	RequestedAt time.Time
 }
 
-// Next decides on the next step. What is wanted is loaded before anything is
-// unloaded, unless the engine is full. seen are the reports of others, by name.
-func Next(now time.Time, p *Plan, s *State, seen map[string]Seen, bound time.Duration) Step {
-	if o, ok := setting(p, s); ok {
+// NextStep decides on the next step. It loads what the plan specifies before it
+// unloads anything, unless the engine is out of memory. reports are those of
+// other agents, by endpoint name, and count up to the age maxAge.
+func NextStep(now time.Time, p *Plan, s *State, reports map[string]TimedReport, maxAge time.Duration) Step {
+	if o, ok := nextSetting(p, s); ok {
 		return Step{Order: o, At: now, Reason: ReasonSet}
 	}
 	load, missing := nextLoad(p, s)
-	if missing && !s.Full {
+	if missing && !s.OutOfMemory {
 		if now.Before(s.NotBefore) {
 			return Step{At: s.NotBefore, Reason: ReasonBackoff}
 		}
-		return Step{Order: load, At: p.Fetch.Next(now), Reason: ReasonMissing}
+		return Step{Order: load, At: p.FetchSlots.Next(now), Reason: ReasonMissing}
 	}
-	if step, surplus := nextUnload(now, p, s, seen, bound); surplus {
+	if step, surplus := nextUnload(now, p, s, reports, maxAge); surplus {
 		return step
 	}
 	if missing {
-		return Step{Order: load, At: p.Fetch.Next(later(now, s.NotBefore)), Reason: ReasonMissing}
+		return Step{Order: load, At: p.FetchSlots.Next(later(now, s.NotBefore)), Reason: ReasonMissing}
 	}
 	return Step{Reason: ReasonPlaced}
 }
@@ -100,7 +99,7 @@
 	return b
 }
 
-func setting(p *Plan, s *State) (Order, bool) {
+func nextSetting(p *Plan, s *State) (Order, bool) {
 	if v := p.Want.Version; v != "" && v != s.Version {
 		return Order{Kind: SetVersion, Target: v}, true
 	}
@@ -124,20 +123,20 @@
 	return Order{}, false
 }
 
-// nextUnload picks the first surplus model that others keep. It returns false
-// if nothing is surplus.
-func nextUnload(now time.Time, p *Plan, s *State, seen map[string]Seen, bound time.Duration) (Step, bool) {
+// nextUnload picks the first surplus model that enough others keep. It returns
+// false if there is no surplus.
+func nextUnload(now time.Time, p *Plan, s *State, reports map[string]TimedReport, maxAge time.Duration) (Step, bool) {
 	surplus := Surplus(p, s)
-	at := p.Unload.Next(now)
+	at := p.UnloadSlots.Next(now)
 	for _, m := range surplus {
-		if kept(at, p, m, seen, bound) >= p.MinReady {
+		if countKeepers(at, p, m, reports, maxAge) >= p.MinReady {
 			return Step{Order: Order{Kind: UnloadModel, Target: m}, At: at, Reason: ReasonSurplus}, true
 		}
 	}
 	return Step{At: at, Reason: ReasonNeeded}, len(surplus) > 0
 }
 
-// Surplus lists the models that the engine holds and the plan doesn't want.
+// Surplus lists the models that the engine holds and the plan doesn't specify.
 func Surplus(p *Plan, s *State) []string {
 	var out []string
 	for _, name := range s.Loaded {
@@ -152,14 +151,15 @@
 	return slices.Contains(p.Want.Models, name) || slices.Contains(p.Want.Adapters, name)
 }
 
-// kept counts the others that keep a model, by reports that are young enough at
-// the time of the order. An agent that acts by an older bundle doesn't count,
-// whatever it holds: a newer one may have it unload the model, and count on us.
-func kept(at time.Time, p *Plan, model string, seen map[string]Seen, bound time.Duration) int {
+// countKeepers counts the others that keep a model, by reports no older than
+// maxAge at the time of the order. An agent with an older bundle doesn't count,
+// whatever it holds: a newer bundle may make it unload the model while it
+// counts on this agent to keep it.
+func countKeepers(at time.Time, p *Plan, model string, reports map[string]TimedReport, maxAge time.Duration) int {
 	n := 0
-	for name, s := range seen {
-		young := at.Sub(s.At) <= bound
-		if name != p.Self && young && s.Report.Bundle >= p.Version && slices.Contains(s.Report.Keeps, model) {
+	for name, s := range reports {
+		recent := at.Sub(s.RequestedAt) <= maxAge
+		if name != p.Self && recent && s.Report.Bundle >= p.Version && slices.Contains(s.Report.Keeps, model) {
 			n++
 		}
 	}
--- a/internal/placement/turns.go
+++ b/internal/placement/turns.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Turns divide time among agents that don't talk: the clock goes round all
-// agents, and each acts only in the middle of its own interval. They hold
-// whenever an agent learned of the bundle and however often it tries. Clocks
-// that differ by less than half an interval keep two agents apart.
-type Turns struct {
-	Interval time.Duration // above 0
+// TimeSlots divides time among agents without communication: slots rotate
+// through all agents, and each agent acts only in the middle of its own slot.
+// This holds no matter when an agent received the bundle and how often it
+// retries. Two agents stay apart as long as their clocks differ by less than
+// half an interval.
+type TimeSlots struct {
+	Interval time.Duration // must be positive
 	Rank     int           // of this agent, from 0
-	Count    int           // agents, at least 1
+	Count    int           // number of agents, at least 1
 }
 
-// Next is the agent's first turn that is not before now.
-func (t Turns) Next(now time.Time) time.Time {
+// Next returns the agent's first slot that is not before now.
+func (t TimeSlots) Next(now time.Time) time.Time {
 	round := t.Interval * time.Duration(t.Count)
 	at := now.Truncate(round).Add(t.Interval*time.Duration(t.Rank) + t.Interval/2)
 	if at.Before(now) {
--- a/internal/placement/world_test.go
+++ b/internal/placement/world_test.go
@@ -13,8 +13,8 @@
 	"coveferry/internal/bundle"
 )
 
-// Every run draws the same worlds, so that it gives the same verdict; give
-// -rapid.seed for others.
+// A fixed seed makes every run check the same clusters and give the same
+// result; -rapid.seed selects another one.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -22,161 +22,162 @@
 }
 
 const (
-	model      = "m"
-	worldSteps = 400
-	worldsEach = 30
+	model           = "m"
+	simSteps        = 400
+	clustersPerSeed = 30
 )
 
-// member is an agent of the world with its engine.
-type member struct {
-	name    string
-	version int // index of the bundle that it acts by
-	holds   bool
-	state   State
-	seen    map[string]Seen
-	pending Order
-	late    bool // an order to unload whose answer was lost is still under way
+// simAgent is a simulated agent with its engine.
+type simAgent struct {
+	name       string
+	version    int // index of its bundle
+	holds      bool
+	state      State
+	reports    map[string]TimedReport
+	pending    Order
+	lateUnload bool // an unload whose response was lost may still take effect
 }
 
-// world runs the core of several agents, whose messages and orders are delayed
-// at will and whose bundles differ.
-type world struct {
+// simCluster runs the decision logic of several agents with delayed messages
+// and orders, and different bundle versions.
+type simCluster struct {
 	*rapid.T
-	rng      *rand.Rand // evenly spread, which rapid's own choices aren't
-	now      time.Time
-	crashed  time.Time
-	minReady int
-	bound    time.Duration
-	plans    [][]*Plan // by version and member
-	members  []*member
+	rng          *rand.Rand // uniform, unlike rapid's own choices
+	now          time.Time
+	lastCrash    time.Time
+	minReady     int
+	maxReportAge time.Duration
+	plans        [][]*Plan // by version and agent
+	agents       []*simAgent
 }
 
-func newWorld(t *rapid.T, rng *rand.Rand, minReady int, bound time.Duration) *world {
-	w := &world{T: t, rng: rng, now: time.Unix(1_800_000_000, 0), minReady: minReady, bound: bound}
+func newSimCluster(t *rapid.T, rng *rand.Rand, minReady int, maxReportAge time.Duration) *simCluster {
+	w := &simCluster{T: t, rng: rng, now: time.Unix(1_800_000_000, 0), minReady: minReady, maxReportAge: maxReportAge}
 	for i := range 1 + minReady + rng.IntN(3) {
-		m := &member{name: fmt.Sprintf("e%d", i), holds: true, seen: make(map[string]Seen)}
+		m := &simAgent{name: fmt.Sprintf("e%d", i), holds: true, reports: make(map[string]TimedReport)}
 		m.state.Role, m.state.Loaded = "r", []string{model}
-		w.members = append(w.members, m)
+		w.agents = append(w.agents, m)
 	}
 	for version := range 5 {
-		w.plans = append(w.plans, w.plan(version))
+		w.plans = append(w.plans, w.newPlans(version))
 	}
 	return w
 }
 
-func pick[T any](w *world, from ...T) T { return from[w.rng.IntN(len(from))] }
+func choose[T any](w *simCluster, from ...T) T { return from[w.rng.IntN(len(from))] }
 
-func (w *world) plan(version int) []*Plan {
+func (w *simCluster) newPlans(version int) []*Plan {
 	b := &bundle.Bundle{Version: uint64(version + 1), Models: []bundle.Model{{Name: model}, {Name: "other"}}}
 	b.Limits = bundle.Limits{WeightFetchesPerSecond: 1, MinReadyReplicas: w.minReady}
-	for _, m := range w.members {
-		want := pick(w, model, "other")
+	for _, m := range w.agents {
+		want := choose(w, model, "other")
 		b.Endpoints = append(b.Endpoints, bundle.Endpoint{Name: m.name, Placement: bundle.Placement{Models: []string{want}, Role: "r"}})
 	}
-	plans := make([]*Plan, len(w.members))
-	for i, m := range w.members {
+	plans := make([]*Plan, len(w.agents))
+	for i, m := range w.agents {
 		plans[i] = NewPlan(b, m.name)
-		plans[i].Fetch = Turns{Interval: 2, Count: 1} // turns are tested apart
-		plans[i].Unload = plans[i].Fetch
+		plans[i].FetchSlots = TimeSlots{Interval: 2, Count: 1} // slots have their own tests
+		plans[i].UnloadSlots = plans[i].FetchSlots
 	}
 	return plans
 }
 
-func (w *world) planOf(m *member) *Plan { return w.plans[m.version][slices.Index(w.members, m)] }
+func (w *simCluster) planOf(m *simAgent) *Plan { return w.plans[m.version][slices.Index(w.agents, m)] }
 
-// observe has the agent learn what its engine holds, unless it gives an order.
-func (w *world) observe(m *member) bool {
+// observe makes the agent learn what its engine holds, unless an order is
+// pending.
+func (w *simCluster) observe(m *simAgent) bool {
 	if m.pending.Kind != "" {
 		return false
 	}
-	names := without(m.state.Loaded, model)
+	names := remove(m.state.Loaded, model)
 	if m.holds {
 		names = append(names, model)
 	}
-	m.state.learn(names)
+	m.state.updateLoaded(names)
 	m.state.Role = "r"
 	return true
 }
 
-func (w *world) ask(m *member) {
-	of := pick(w, w.members...)
-	w.observe(of)
-	m.seen[of.name] = Seen{Report: reportOf(w.planOf(of), &of.state), At: w.now}
+func (w *simCluster) queryPeer(m *simAgent) {
+	peer := choose(w, w.agents...)
+	w.observe(peer)
+	m.reports[peer.name] = TimedReport{Report: newReport(w.planOf(peer), &peer.state), RequestedAt: w.now}
 }
 
-func (w *world) decide(m *member) {
+func (w *simCluster) decide(m *simAgent) {
 	if !w.observe(m) {
 		return
 	}
-	step := Next(w.now, w.planOf(m), &m.state, m.seen, w.bound)
+	step := NextStep(w.now, w.planOf(m), &m.state, m.reports, w.maxReportAge)
 	if step.Order.Kind != "" {
 		m.pending = step.Order
-		m.state.begin(step.Order)
+		m.state.recordDecided(step.Order)
 	}
 }
 
-// deliver carries the pending order out, and may lose the answer or leave an
-// order to unload under way.
-func (w *world) deliver(m *member) {
+// deliver carries out the pending order. It may lose the response, or leave an
+// unload in flight.
+func (w *simCluster) deliver(m *simAgent) {
 	o := m.pending
 	if o.Kind == "" {
 		return
 	}
 	m.pending = Order{}
 	if o.Target != model {
-		m.state.done(o)
+		m.state.recordDone(o)
 		return
 	}
-	fate := pick(w, "done", "lost", "late")
-	if o.Kind == UnloadModel && fate != "done" {
-		m.state.failed(w.now, o, fmt.Errorf("lost"), 0, 0)
-		m.late = fate == "late"
-		if fate == "lost" {
+	result := choose(w, "done", "lost", "late")
+	if o.Kind == UnloadModel && result != "done" {
+		m.state.recordFailed(w.now, o, fmt.Errorf("lost"), 0, 0)
+		m.lateUnload = result == "late"
+		if result == "lost" {
 			w.unload(m)
 		}
 		return
 	}
-	m.late = m.late && o.Kind != LoadModel // a fenced engine drops it
+	m.lateUnload = m.lateUnload && o.Kind != LoadModel // a fenced engine drops it
 	if o.Kind == UnloadModel {
 		w.unload(m)
 	} else {
 		m.holds = true
 	}
-	m.state.done(o)
+	m.state.recordDone(o)
 }
 
-func (w *world) arrive(m *member) {
-	if m.late {
-		m.late = false
+func (w *simCluster) deliverLateUnload(m *simAgent) {
+	if m.lateUnload {
+		m.lateUnload = false
 		w.unload(m)
 	}
 }
 
-func (w *world) unload(m *member) {
+func (w *simCluster) unload(m *simAgent) {
 	m.holds = false
-	if !slices.ContainsFunc(w.members, func(m *member) bool { return m.holds }) {
+	if !slices.ContainsFunc(w.agents, func(m *simAgent) bool { return m.holds }) {
 		w.Fatalf("%s unloaded the last ready replica", m.name)
 	}
 }
 
-func (w *world) run(crashes bool) {
-	for range worldSteps {
-		m := pick(w, w.members...)
-		switch pick(w, "ask", "ask", "ask", "ask", "decide", "decide", "deliver", "deliver", "arrive", "tick", "crash", "adopt") {
+func (w *simCluster) run(crashes bool) {
+	for range simSteps {
+		m := choose(w, w.agents...)
+		switch choose(w, "ask", "ask", "ask", "ask", "decide", "decide", "deliver", "deliver", "arrive", "tick", "crash", "adopt") {
 		case "ask":
-			w.ask(m)
+			w.queryPeer(m)
 		case "decide":
 			w.decide(m)
 			if crashes {
-				w.deliver(m) // a crash after the decision can't be known
+				w.deliver(m) // a crash after the decision can't be detected
 			}
 		case "deliver":
 			w.deliver(m)
 		case "arrive":
-			w.arrive(m)
+			w.deliverLateUnload(m)
 		case "adopt":
 			if w.rng.IntN(5) > 0 {
-				continue // so that there is time to act by each bundle
+				continue // leaves time to act on each bundle
 			}
 			m.version = min(m.version+1, len(w.plans)-1)
 		case "tick":
@@ -187,27 +188,28 @@
 	}
 }
 
-// crash has an engine lose all, once in so long that one crash at most falls
-// in the ages of the reports of a chain of unloads.
-func (w *world) crash(m *member, crashes bool) {
-	if crashes && w.now.Sub(w.crashed) > 4*w.bound {
-		w.crashed, m.holds, m.late = w.now, false, false
+// crash makes an engine lose everything. Crashes are far enough apart that at
+// most one falls within the ages of the reports used in a chain of unloads.
+func (w *simCluster) crash(m *simAgent, crashes bool) {
+	if crashes && w.now.Sub(w.lastCrash) > 4*w.maxReportAge {
+		w.lastCrash, m.holds, m.lateUnload = w.now, false, false
 	}
 }
 
-// play draws many worlds, since few meet a dangerous order of events.
-func play(t *testing.T, minReady int, bound time.Duration, crashes bool) {
+// checkSimulation runs many clusters per seed, since few reach a dangerous order of
+// events.
+func checkSimulation(t *testing.T, minReady int, maxReportAge time.Duration, crashes bool) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		for range worldsEach {
-			newWorld(t, rng, minReady, bound).run(crashes)
+		for range clustersPerSeed {
+			newSimCluster(t, rng, minReady, maxReportAge).run(crashes)
 		}
 	})
 }
 
 // Without crashes the age of reports doesn't matter.
-func TestTheLastReadyReplicaIsNeverUnloaded(t *testing.T) { play(t, 1, time.Hour, false) }
+func TestLastReadyReplicaIsNeverUnloaded(t *testing.T) { checkSimulation(t, 1, time.Hour, false) }
 
-// With one replica to spare it holds too where an engine crashes after its
-// agent reported, since reports are used for a bounded time.
-func TestTheLastReadyReplicaSurvivesACrash(t *testing.T) { play(t, 2, 3*time.Second, true) }
+// With one spare replica the guarantee also holds if an engine crashes after
+// its agent's report, since reports are used for a limited time.
+func TestLastReadyReplicaSurvivesACrash(t *testing.T) { checkSimulation(t, 2, 3*time.Second, true) }
