--- a/internal/placement/report.go
+++ b/internal/placement/report.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// PathReport serves the Report of an agent to other agents.
+// PathReport is the path at which an agent serves its Report to other agents.
 const PathReport = "/v1/placement"
 
 // Report is an agent's report on its endpoint to other agents.
--- a/internal/placement/runner_test.go
+++ b/internal/placement/runner_test.go
@@ -116,8 +116,8 @@
 			}
 		}
 		s.Expect(refused).To(gomega.Equal(1))
-		_, reports := older.report()
-		s.Expect(reports).To(gomega.BeFalse())
+		_, hasReport := older.report()
+		s.Expect(hasReport).To(gomega.BeFalse())
 	})
 }
 
@@ -126,9 +126,9 @@
 		start := time.UnixMilli(rapid.Int64Range(1_700_000_000_000, 4_000_000_000_000).Draw(t, "start"))
 		var last uint64
 		for range rapid.IntRange(1, 5).Draw(t, "incarnations") {
-			fence := NewTokenSource(start)
+			tokens := NewTokenSource(start)
 			for range rapid.IntRange(1, 1000).Draw(t, "orders") {
-				n := fence.Next()
+				n := tokens.Next()
 				if n <= last || n >= 1<<53 {
 					t.Fatalf("%d after %d", n, last)
 				}
--- a/internal/placement/status.go
+++ b/internal/placement/status.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// PathStatus serves the Status of an agent.
+// PathStatus is the path at which an agent serves its Status.
 const PathStatus = "/v1/placement/status"
 
 // Status describes a runner to operators.
--- a/internal/rollout/message.go
+++ b/internal/rollout/message.go
@@ -220,7 +220,7 @@
 			WithTimeout(fetchTimeout)
 	methodSections = control.NewMethod[SectionsRequest, SectionsReply]("bundle.sections", identity.RoleRouter, identity.RoleAgent).
 			WithTimeout(fetchTimeout)
-	// MethodStatus serves operators.
+	// MethodStatus is the method that operators call.
 	MethodStatus = control.NewMethod[StatusRequest, Status]("bundle.status", identity.RoleOperator, identity.RoleRouter, identity.RoleAgent)
 )
 
--- a/internal/rollout/partners.go
+++ b/internal/rollout/partners.go
@@ -36,7 +36,7 @@
 // choose returns the current partners. The first one in another failure domain
 // is of the same region, if there is one, and the second is in a different
 // failure domain than the first. Where too few members are local or remote, the
-// other kind fills up.
+// other kind fills in.
 func (p *partners) choose(now time.Time, r *membership, t Tuning) []Member {
 	total := t.LocalPartners + t.RemotePartners
 	chosen := make([]Member, 0, total)
--- a/internal/rollout/spread_test.go
+++ b/internal/rollout/spread_test.go
@@ -170,8 +170,8 @@
 	})
 }
 
-// runPair runs a fleet of two processes, which a test lets reach each other or
-// the service in one direction only.
+// runPair runs a fleet of two processes. The tests cut the second one off from
+// the service, so that it gets versions only from the first.
 func runPair(t *testing.T, run func(w *fleetTest, first, second *lab.Process)) {
 	t.Helper()
 	runFleet(t, lab.Config{Nodes: 2, Domains: 1, Services: 1, InitialVersion: 1}, func(w *fleetTest) {
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -232,7 +232,7 @@
 	}
 	signed := h.signed.manifest
 	out := Update{Summary: h.Summary, Manifest: &ManifestText{Text: signed.Manifest, Signature: signed.Signature}}
-	known, ok := s.historyLocked(base.Digest)
+	known, ok := s.findRecordLocked(base.Digest)
 	switch {
 	case ok:
 		out.Sections = s.selectSections(subtract(h.sections, known.sections))
@@ -254,7 +254,7 @@
 	return slices.DeleteFunc(slices.Clone(digests), func(d bundle.Digest) bool { return slices.Contains(known, d) })
 }
 
-func (s *Store) historyLocked(digest bundle.Digest) (manifestRecord, bool) {
+func (s *Store) findRecordLocked(digest bundle.Digest) (manifestRecord, bool) {
 	for _, k := range s.history {
 		if k.digest == digest {
 			return k, true
@@ -270,7 +270,7 @@
 		return out, nil
 	}
 	s.mu.Lock()
-	base, ok := s.historyLocked(m.Base)
+	base, ok := s.findRecordLocked(m.Base)
 	s.mu.Unlock()
 	if !ok || base.text == "" {
 		return out, errUnknownBase
--- a/internal/rollout/survey.go
+++ b/internal/rollout/survey.go
@@ -14,7 +14,8 @@
 	"coveferry/internal/identity"
 )
 
-// maxConcurrentQueries limits concurrent queries.
+// maxConcurrentQueries limits the failure domains that are queried at the same
+// time.
 const maxConcurrentQueries = 16
 
 // FleetStatus is the status of the fleet, collected from a few processes: one
--- a/internal/rollout/survey_test.go
+++ b/internal/rollout/survey_test.go
@@ -31,9 +31,9 @@
 func TestFleetStatusFromOneRouterShowsLaggingProcesses(t *testing.T) {
 	runFleet(t, defaultFleet(), func(w *fleetTest) {
 		w.startConfirmed(1)
-		slow, gone, router := w.Processes[5], w.Processes[7], w.Processes[0]
-		w.partition(func(p *lab.Process) bool { return p == slow }, w.net.Cut)
-		w.net.Cut(slow.Peer.Name, "service-0")
+		stopped, gone, router := w.Processes[5], w.Processes[7], w.Processes[0]
+		w.partition(func(p *lab.Process) bool { return p == stopped }, w.net.Cut)
+		w.net.Cut(stopped.Peer.Name, "service-0")
 		gone.Stop()
 		w.publish(2)
 		time.Sleep(15 * time.Second)
@@ -47,8 +47,8 @@
 			lagging = append(lagging, p.ID)
 			w.Expect(p.AgeMillis).To(gomega.BeNumerically(">", 10_000), "its report is old")
 		}
-		w.Expect(lagging).To(gomega.ConsistOf(slow.ID(), gone.ID()))
-		_, err = w.fleetStatus(identity.RoleOperator, slow.Address+"0")
+		w.Expect(lagging).To(gomega.ConsistOf(stopped.ID(), gone.ID()))
+		_, err = w.fleetStatus(identity.RoleOperator, stopped.Address+"0")
 		w.Expect(err).To(gomega.MatchError(control.ErrUnreachable))
 	})
 }
@@ -63,7 +63,7 @@
 	accept := func(s *rollout.Store, version uint64, key bundle.PrivateKey) error {
 		p := lab.SignWith(fleet.Bundle(version), key)
 		signed, _ := bundle.DecodeSignedManifest(p.SignedManifest)
-		opened, err := s.Verify(now, signed)
+		verified, err := s.Verify(now, signed)
 		if err != nil {
 			return err
 		}
@@ -71,7 +71,7 @@
 		for _, text := range p.Sections {
 			sections = append(sections, text)
 		}
-		return s.Accept(now, opened, sections)
+		return s.Accept(now, verified, sections)
 	}
 	before := rollout.NewStore([]bundle.PublicKey{oldPub}, func(*rollout.Held) {})
 	during := rollout.NewStore([]bundle.PublicKey{oldPub, newPub}, func(*rollout.Held) {})
@@ -89,28 +89,28 @@
 	g := gomega.NewWithT(t)
 	fleet, err := lab.New(lab.Config{Network: lab.NewMemory(), Nodes: 40, Domains: 1})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	puts := 0
-	s := rollout.NewStore([]bundle.PublicKey{fleet.Public()}, func(*rollout.Held) { puts++ })
+	activations := 0
+	s := rollout.NewStore([]bundle.PublicKey{fleet.Public()}, func(*rollout.Held) { activations++ })
 	p := fleet.Sign(fleet.Bundle(1))
 	signed, _ := bundle.DecodeSignedManifest(p.SignedManifest)
-	opened, err := s.Verify(time.Now(), signed)
+	verified, err := s.Verify(time.Now(), signed)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(opened.Missing).To(gomega.HaveLen(len(p.Sections)))
+	g.Expect(verified.Missing).To(gomega.HaveLen(len(p.Sections)))
 	var given [][]byte
-	for _, d := range opened.Missing {
-		g.Expect(s.Accept(time.Now(), opened, given)).To(gomega.MatchError(bundle.ErrMissingSection))
+	for _, d := range verified.Missing {
+		g.Expect(s.Accept(time.Now(), verified, given)).To(gomega.MatchError(bundle.ErrMissingSection))
 		g.Expect(s.Held()).To(gomega.BeNil())
 		given = append(given, p.Sections[d])
 	}
-	g.Expect(s.Accept(time.Now(), opened, given)).To(gomega.Succeed())
-	g.Expect(s.Accept(time.Now(), opened, nil)).To(gomega.Succeed(), "accepting a version twice succeeds")
-	g.Expect(puts).To(gomega.Equal(1))
+	g.Expect(s.Accept(time.Now(), verified, given)).To(gomega.Succeed())
+	g.Expect(s.Accept(time.Now(), verified, nil)).To(gomega.Succeed(), "accepting a version twice succeeds")
+	g.Expect(activations).To(gomega.Equal(1))
 
 	later := fleet.Sign(fleet.Bundle(2))
 	next, _ := bundle.DecodeSignedManifest(later.SignedManifest)
-	opened, err = s.Verify(time.Now(), next)
+	verified, err = s.Verify(time.Now(), next)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(opened.Missing).To(gomega.HaveLen(1), "only the changed section is missing")
+	g.Expect(verified.Missing).To(gomega.HaveLen(1), "only the changed section is missing")
 }
 
 func TestUpdatesContainOnlyChanges(t *testing.T) {
@@ -125,9 +125,9 @@
 	}
 	accept := func(version uint64) rollout.Summary {
 		signed, sections := published(version)
-		opened, err := s.Verify(time.Now(), signed)
+		verified, err := s.Verify(time.Now(), signed)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		g.Expect(s.Accept(time.Now(), opened, sections)).To(gomega.Succeed())
+		g.Expect(s.Accept(time.Now(), verified, sections)).To(gomega.Succeed())
 		return s.Summary()
 	}
 	first := accept(1)
--- a/internal/rollout/take.go
+++ b/internal/rollout/take.go
@@ -29,7 +29,7 @@
 }
 
 func (n *Node) applyManifest(signed bundle.SignedManifest, sections []string, fetch sectionFetcher) error {
-	opened, err := n.store.Verify(time.Now(), signed)
+	verified, err := n.store.Verify(time.Now(), signed)
 	if err != nil {
 		return err
 	}
@@ -37,11 +37,11 @@
 	for i, text := range sections {
 		given[i] = []byte(text)
 	}
-	given, err = fetchMissing(opened.Missing, given, fetch)
+	given, err = fetchMissing(verified.Missing, given, fetch)
 	if err != nil {
 		return err
 	}
-	return n.store.Accept(time.Now(), opened, given)
+	return n.store.Accept(time.Now(), verified, given)
 }
 
 // fetchMissing requests sections until none is missing. Each round must return
