--- a/internal/placement/errors.go
+++ b/internal/placement/errors.go
@@ -35,8 +35,8 @@
 }
 
 // hadNoEffect says whether an order that ended with the error had no effect and
-// never will. This holds for 4xx, 503 and 507. Other 5xx statuses and broken
-// connections leave it open.
+// never will. This holds for 4xx, 503 (not now) and 507 (out of memory). Other
+// 5xx statuses and broken connections leave it open.
 func hadNoEffect(err error) bool {
 	status := statusOf(err)
 	known := status == http.StatusServiceUnavailable || status == http.StatusInsufficientStorage
--- a/internal/placement/fence.go
+++ b/internal/placement/fence.go
@@ -12,13 +12,14 @@
 // higher ones, unless the VM's clock was set back in between.
 type TokenSource struct{ last uint64 }
 
-// NewTokenSource returns the tokens of an agent that started at the given time.
+// NewTokenSource returns the token source of an agent that started at the given
+// time.
 func NewTokenSource(start time.Time) TokenSource {
 	return TokenSource{last: uint64(start.UnixMilli()) << counterBits}
 }
 
 // Next returns a token higher than all previous ones.
-func (f *TokenSource) Next() uint64 {
-	f.last++
-	return f.last
+func (s *TokenSource) Next() uint64 {
+	s.last++
+	return s.last
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -13,7 +13,8 @@
 // Parameters of time slots.
 const (
 	// storeUtilization is the fraction of the weight store's rate that the
-	// slots use, so that small clock differences don't exceed the rate.
+	// slots use, so that small clock differences don't push the agents above
+	// it.
 	storeUtilization = 0.9
 	// unloadSlotInterval is the interval between the unload slots of two
 	// agents. It is shorter for large fleets, so that every agent has a slot
--- a/internal/placement/runner.go
+++ b/internal/placement/runner.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// Leave ends the orders. From then on the agent reports nothing, so others
-// don't count on this endpoint.
+// Leave makes the runner send no more orders. From then on the agent reports
+// nothing, so others don't count on this endpoint.
 func (r *Runner) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,14 +128,14 @@
 		return r.cfg.Poll
 	}
 	if err := r.observe(ctx); err != nil {
-		r.recordStep(Step{Reason: ReasonUnknown})
+		r.recordStep(Step{Reason: ReasonUnreachable})
 		return r.cfg.Poll
 	}
 	reports := r.queryPeers(ctx, plan)
 	step := r.decide(plan, reports)
 	wait := time.Until(step.At)
 	if step.Order.Kind == "" {
-		return r.pollDelay(wait) // wakes up at that time, so that randomized delays stay apart
+		return r.pollDelay(wait) // not rounded up to a poll, so that the agents' random backoffs stay apart
 	}
 	if wait > r.decisionLead() {
 		return r.pollDelay(wait - r.decisionLead()/2)
@@ -156,12 +156,14 @@
 	return min(wait, r.cfg.Poll)
 }
 
-// decisionLead is how long before its slot an order may be decided on. Querying
-// peers first could otherwise take longer than a slot.
+// decisionLead is how long before its slot an order may be decided on. The
+// peers are queried before the decision, which can take longer than a slot, so
+// it can't wait for the slot.
 func (r *Runner) decisionLead() time.Duration { return min(r.cfg.Poll, r.cfg.MaxReportAge/2) }
 
-// waitUntil waits until the given time. It returns false if the process was
-// paused past it, as its information may be out of date then.
+// waitUntil waits until the given time. It returns false if ctx ends, or if the
+// process was paused and the time is more than decisionLead past: its
+// information may be out of date then.
 func (r *Runner) waitUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -28,8 +28,8 @@
 	s.Loaded = names
 }
 
-// reset drops all that is known of the engine, except unloads that may still
-// take effect.
+// reset drops what is known of the engine's contents. MaybeUnloaded stays, as
+// those unloads may still take effect, and so does NotBefore.
 func (s *State) reset() {
 	s.Loaded, s.Version, s.Role, s.OutOfMemory = nil, "", "", false
 }
--- a/internal/placement/step.go
+++ b/internal/placement/step.go
@@ -27,14 +27,14 @@
 type Reason string
 
 const (
-	ReasonPlaced  Reason = "placed"      // the engine is as the bundle specifies
-	ReasonSet     Reason = "set"         // a version or role is to be set
-	ReasonMissing Reason = "missing"     // something specified isn't loaded
-	ReasonSurplus Reason = "surplus"     // something loaded isn't specified, and enough others keep it
-	ReasonNeeded  Reason = "needed"      // too few others are known to keep a surplus model
-	ReasonBackoff Reason = "backoff"     // the engine refused recently
-	ReasonUnknown Reason = "unreachable" // the engine doesn't list what it holds
-	ReasonFenced  Reason = "fenced"      // a newer agent sends the orders
+	ReasonPlaced      Reason = "placed"      // the engine is as the bundle specifies
+	ReasonSet         Reason = "set"         // a version or role is to be set
+	ReasonMissing     Reason = "missing"     // something specified isn't loaded
+	ReasonSurplus     Reason = "surplus"     // something loaded isn't specified, and enough others keep it
+	ReasonNeeded      Reason = "needed"      // too few others are known to keep a surplus model
+	ReasonBackoff     Reason = "backoff"     // the engine refused recently
+	ReasonUnreachable Reason = "unreachable" // the engine doesn't list what it holds
+	ReasonFenced      Reason = "fenced"      // a newer agent sends the orders
 )
 
 // Step is the next order and when to send it; the zero Order means to wait.
@@ -47,8 +47,9 @@
 // State is the known state of the engine.
 type State struct {
 	Loaded []string // models and adapters, as the engine lists them
-	// MaybeUnloaded lists models that an order to unload may still remove,
-	// since its response never arrived.
+	// MaybeUnloaded lists models whose unload was decided on and isn't known to
+	// be done or dropped; it may still take effect, even if its response never
+	// arrived.
 	MaybeUnloaded []string
 	// Version and Role are the ones set since the engine last started; engines
 	// don't list them.
--- a/internal/placement/turns.go
+++ b/internal/placement/turns.go
@@ -13,7 +13,7 @@
 	Count    int           // number of agents, at least 1
 }
 
-// Next returns the agent's first slot that is not before now.
+// Next returns the middle of the agent's next slot, not before now.
 func (t TimeSlots) Next(now time.Time) time.Time {
 	round := t.Interval * time.Duration(t.Count)
 	at := now.Truncate(round).Add(t.Interval*time.Duration(t.Rank) + t.Interval/2)
--- a/internal/placement/world_test.go
+++ b/internal/placement/world_test.go
@@ -137,7 +137,7 @@
 		}
 		return
 	}
-	m.lateUnload = m.lateUnload && o.Kind != LoadModel // a fenced engine drops it
+	m.lateUnload = m.lateUnload && o.Kind != LoadModel // the load has a higher token, so a fenced engine refuses the late unload
 	if o.Kind == UnloadModel {
 		w.unload(m)
 	} else {
@@ -196,8 +196,8 @@
 	}
 }
 
-// checkSimulation runs many clusters per seed, since few reach a dangerous order of
-// events.
+// checkSimulation runs many clusters per seed, since few reach a dangerous
+// order of events.
 func checkSimulation(t *testing.T, minReady int, maxReportAge time.Duration, crashes bool) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
--- a/internal/rollout/back_test.go
+++ b/internal/rollout/back_test.go
@@ -27,7 +27,7 @@
 			gomega.HaveField("Message", gomega.ContainSubstring("version 6 is older than version 7")))))
 		b := w.Bundle(6)
 		b.Version = 8 // old content under a new version
-		w.Expect(w.Servers[0].Put(w.Sign(b))).To(gomega.Succeed())
+		w.Expect(w.Servers[0].PublishVersion(w.Sign(b))).To(gomega.Succeed())
 		time.Sleep(2 * time.Second)
 		w.expectVersion(8)
 	})
@@ -64,7 +64,7 @@
 		w.Expect(w.Servers[0].Pin(rollout.KeyManifest, 1)).To(gomega.Succeed())
 		p := w.Processes[3]
 		alone := func(q *lab.Process) bool { return q == p }
-		w.partition(alone, w.net.Cut)
+		w.forEachPairAcross(alone, w.net.Cut)
 		w.restart(p)
 		began := time.Now()
 		time.Sleep(10 * time.Second)
@@ -73,7 +73,7 @@
 		w.Expect(ready.At.Sub(began)).To(gomega.BeNumerically("~", 5*time.Second, time.Second))
 		w.Expect(ready.Confirmed).To(gomega.BeFalse())
 		w.Expect(p.Version()).To(gomega.BeEquivalentTo(1), "no peer was reachable")
-		w.partition(alone, w.net.Heal)
+		w.forEachPairAcross(alone, w.net.Heal)
 		time.Sleep(7 * time.Second)
 		w.expectVersion(5)
 		w.Expect(p.Node().Readiness().Confirmed).To(gomega.BeTrue())
@@ -91,7 +91,7 @@
 		isolated := func(p *lab.Process) bool {
 			return p == w.Processes[0] || p == w.Processes[1] || p == w.Processes[2] || p == w.Processes[4]
 		}
-		w.partition(isolated, w.net.Cut)
+		w.forEachPairAcross(isolated, w.net.Cut)
 		for _, p := range w.Processes {
 			if isolated(p) {
 				w.restart(p)
@@ -103,7 +103,7 @@
 				w.Expect(p.Node().Readiness()).To(gomega.And(gomega.HaveField("Ready", true), gomega.HaveField("Confirmed", false)))
 			}
 		}
-		w.partition(isolated, w.net.Heal)
+		w.forEachPairAcross(isolated, w.net.Heal)
 		time.Sleep(8 * time.Second)
 		w.expectVersion(5)
 	})
@@ -150,7 +150,7 @@
 		t.Run(name, func(t *testing.T) {
 			runFleet(t, lab.Config{Nodes: 6, Domains: 3, Services: 1, InitialVersion: 1}, func(w *fleetTest) {
 				w.startConfirmed(1)
-				w.Expect(w.Servers[0].Put(c.value(w))).To(gomega.Succeed())
+				w.Expect(w.Servers[0].PublishVersion(c.value(w))).To(gomega.Succeed())
 				time.Sleep(5 * time.Second)
 				w.expectVersion(1)
 				w.Expect(hasRefusal(w.readers()["domain-0"][0], c.reason)).To(gomega.BeTrue())
--- a/internal/rollout/core.go
+++ b/internal/rollout/core.go
@@ -17,7 +17,7 @@
 	startup    startup
 
 	lastReportsSent     map[ID]time.Time // when peer reports were last sent, by peer
-	noService           bool
+	serviceUnusable     bool
 	noServiceConfigured bool
 	lastTick            time.Time
 	runningSince        time.Time // since the start or the last pause
@@ -47,11 +47,11 @@
 	maps.DeleteFunc(c.partners.failed, func(id ID, _ failure) bool { return !listed(id) })
 }
 
-// SetHeld sets the active version.
-func (c *Core) SetHeld(s Summary) { c.transfers.held = s }
+// SetActive sets the active version.
+func (c *Core) SetActive(s Summary) { c.transfers.active = s }
 
-// Held returns the active version.
-func (c *Core) Held() Summary { return c.transfers.held }
+// ActiveSummary returns the active version.
+func (c *Core) ActiveSummary() Summary { return c.transfers.active }
 
 // Tick must be called at least twice a second. A longer gap means that the
 // process was paused and its view of its peers is out of date.
@@ -62,17 +62,17 @@
 	c.lastTick = now
 }
 
-// Self returns the report of this process about itself.
-func (c *Core) Self(now time.Time) PeerReport {
+// SelfReport returns the report of this process about itself.
+func (c *Core) SelfReport(now time.Time) PeerReport {
 	state := StateStarting
 	switch r := c.Readiness(now); {
 	case r.Confirmed:
-		state = StateSettled
+		state = StateConfirmed
 	case r.Ready:
 		state = StateUnconfirmed
 	}
-	held := c.transfers.held
-	return PeerReport{ID: c.membership.self.ID(), Version: held.Version, DigestPrefix: held.DigestPrefix(), State: state, NoService: c.noService, NoServiceConfigured: c.noServiceConfigured}
+	active := c.transfers.active
+	return PeerReport{ID: c.membership.self.ID(), Version: active.Version, DigestPrefix: active.DigestPrefix(), State: state, ServiceUnusable: c.serviceUnusable, NoServiceConfigured: c.noServiceConfigured}
 }
 
 // RecordReports records a peer's report about itself, under the ID in its
@@ -109,8 +109,8 @@
 }
 
 // ReportsFor returns the peer reports to send along with a message to a peer.
-// Peers in other failure domains get none, and a peer gets them at most once in
-// half a heartbeat.
+// Peers in other failure domains don't need them and get none. A peer gets them
+// at most once in half a heartbeat, as messages can be far more frequent.
 func (c *Core) ReportsFor(now time.Time, peer ID) []PeerReport {
 	if m, ok := c.membership.byID[peer]; !ok || m.FailureDomain != c.membership.self.FailureDomain {
 		return nil
@@ -140,7 +140,7 @@
 
 // SetServiceUsable records whether the last read of the service gave a usable
 // answer.
-func (c *Core) SetServiceUsable(ok bool) { c.noService = !ok }
+func (c *Core) SetServiceUsable(ok bool) { c.serviceUnusable = !ok }
 
 // SetNoServiceConfigured records that the settings name no configuration
 // service.
@@ -151,7 +151,7 @@
 	if c.noServiceConfigured {
 		return false
 	}
-	if c.tuning.AllProcessesRead || c.transfers.held.Version == 0 {
+	if c.tuning.AllProcessesRead || c.transfers.active.Version == 0 {
 		return true // without an active version no other process is known
 	}
 	if !c.viewIsCurrent(now) {
@@ -167,7 +167,7 @@
 			continue
 		}
 		alive++
-		if !known.report.NoService {
+		if !known.report.ServiceUnusable {
 			useful++
 		}
 	}
@@ -193,5 +193,5 @@
 
 // Readiness says whether the process may serve with the active version.
 func (c *Core) Readiness(now time.Time) Readiness {
-	return c.startup.evaluate(now, c.transfers.held, c.membership, c.tuning)
+	return c.startup.evaluate(now, c.transfers.active, c.membership, c.tuning)
 }
--- a/internal/rollout/core_test.go
+++ b/internal/rollout/core_test.go
@@ -34,15 +34,15 @@
 	return Summary{Version: version, Digest: bundle.Digest{byte(version), byte(version >> 8)}}
 }
 
-func settledReport(id ID, version uint64) PeerReport {
-	return PeerReport{ID: id, Version: version, DigestPrefix: summaryOf(version).DigestPrefix(), State: StateSettled}
+func confirmedReport(id ID, version uint64) PeerReport {
+	return PeerReport{ID: id, Version: version, DigestPrefix: summaryOf(version).DigestPrefix(), State: StateConfirmed}
 }
 
 // coreOf returns the core of one member with an active version.
 func coreOf(members []Member, self int, version uint64) *Core {
 	c := NewCore(members[self], Tuning{}, t0)
 	c.SetMembers(members)
-	c.SetHeld(summaryOf(version))
+	c.SetActive(summaryOf(version))
 	return c
 }
 
@@ -151,11 +151,11 @@
 	self := last.membership.readerRanking[len(members)-1]
 	c := NewCore(self, Tuning{}, t0)
 	c.SetMembers(members)
-	c.SetHeld(summaryOf(3))
+	c.SetActive(summaryOf(3))
 	recordAll := func(now time.Time) {
 		for _, m := range members {
 			if m != self {
-				c.RecordReports(now, m.ID(), settledReport(m.ID(), 3), nil)
+				c.RecordReports(now, m.ID(), confirmedReport(m.ID(), 3), nil)
 			}
 		}
 	}
@@ -184,18 +184,18 @@
 	g := gomega.NewWithT(t)
 	members := fleetOf(6, 1, 1)
 	c := coreOf(members, 0, 1)
-	forwarded := settledReport(members[1].ID(), 2)
+	forwarded := confirmedReport(members[1].ID(), 2)
 	forwarded.AgeMillis = 8000
-	c.RecordReports(t0, members[2].ID(), settledReport(members[2].ID(), 2), []PeerReport{forwarded})
+	c.RecordReports(t0, members[2].ID(), confirmedReport(members[2].ID(), 2), []PeerReport{forwarded})
 	forwarded.AgeMillis = 9000
 	forwarded.Version = 9
-	c.RecordReports(t0, members[3].ID(), settledReport(members[3].ID(), 2), []PeerReport{forwarded})
+	c.RecordReports(t0, members[3].ID(), confirmedReport(members[3].ID(), 2), []PeerReport{forwarded})
 	known, _ := c.reports.withAge(t0.Add(time.Second), members[1].ID())
 	g.Expect(known.AgeMillis).To(gomega.BeEquivalentTo(9000))
 	g.Expect(known.Version).To(gomega.BeEquivalentTo(2), "the older report is dropped")
-	ownReport := settledReport(members[0].ID(), 9)
-	unlisted := settledReport("agent/unknown", 9)
-	c.RecordReports(t0, members[2].ID(), settledReport("agent/forged", 2), []PeerReport{ownReport, unlisted})
+	ownReport := confirmedReport(members[0].ID(), 9)
+	unlisted := confirmedReport("agent/unknown", 9)
+	c.RecordReports(t0, members[2].ID(), confirmedReport("agent/forged", 2), []PeerReport{ownReport, unlisted})
 	g.Expect(c.reports.byID).To(gomega.HaveLen(3))
 	g.Expect(c.reports.byID).NotTo(gomega.HaveKey(ID("agent/forged")), "the certificate names the sender")
 }
@@ -205,7 +205,7 @@
 	c := coreOf(fleetOf(6, 1, 1), 0, 5)
 	other := summaryOf(5)
 	other.Digest[9] = 1
-	g.Expect(c.EvaluateOffer(t0, "a", summaryOf(4)).Action).To(gomega.Equal(Push))
+	g.Expect(c.EvaluateOffer(t0, "a", summaryOf(4)).Action).To(gomega.Equal(PeerBehind))
 	g.Expect(c.EvaluateOffer(t0, "a", summaryOf(5)).Action).To(gomega.Equal(NoAction))
 	g.Expect(c.EvaluateOffer(t0, "a", other).Action).To(gomega.Equal(Conflict))
 	g.Expect(c.EvaluateOffer(t0, "a", summaryOf(6)).Action).To(gomega.Equal(Pull))
@@ -225,22 +225,22 @@
 	c := coreOf(members, 0, 5)
 	record := func(i int, s PeerReport) { c.RecordReports(t0, members[i].ID(), s, nil) }
 	for _, i := range []int{3, 6, 9} {
-		record(i, settledReport(members[i].ID(), 5))
+		record(i, confirmedReport(members[i].ID(), 5))
 	}
 	g.Expect(c.Readiness(t0).Ready).To(gomega.BeFalse(), "all are of its own failure domain")
 	record(1, PeerReport{Version: 5, State: StateStarting})
 	record(2, PeerReport{Version: 5, State: StateUnconfirmed})
 	g.Expect(c.Readiness(t0).Ready).To(gomega.BeFalse(), "unconfirmed peers do not count")
-	record(1, settledReport(members[1].ID(), 6))
+	record(1, confirmedReport(members[1].ID(), 6))
 	g.Expect(c.Readiness(t0).Ready).To(gomega.BeFalse(), "the peer may have a higher version")
-	c.SetHeld(summaryOf(6))
+	c.SetActive(summaryOf(6))
 	g.Expect(c.Readiness(t0)).To(gomega.Equal(Readiness{Ready: true, Confirmed: true, Peers: 4, Domains: 2, WantPeers: 3, WantDomains: 2}))
-	g.Expect(c.Self(t0).State).To(gomega.Equal(StateSettled))
+	g.Expect(c.SelfReport(t0).State).To(gomega.Equal(StateConfirmed))
 
 	alone := coreOf(members[:1], 0, 5)
 	g.Expect(alone.Readiness(t0.Add(5*time.Second - 1)).Ready).To(gomega.BeFalse())
 	g.Expect(alone.Readiness(t0.Add(5 * time.Second))).To(gomega.Equal(Readiness{Ready: true}))
-	alone.SetHeld(Summary{})
+	alone.SetActive(Summary{})
 	g.Expect(alone.Readiness(t0.Add(time.Hour)).Ready).To(gomega.BeFalse(), "there is no version to serve")
 }
 
@@ -260,7 +260,7 @@
 		n := &Node{core: coreOf(members, 0, 3), announcedVersions: make(map[ID]uint64), changed: make(chan struct{})}
 		ask := func() time.Duration {
 			began := time.Now()
-			_, err := n.serveExchange(t.Context(), members[1].Peer, Exchange{Held: summaryOf(2), From: settledReport(members[1].ID(), 2), WaitMillis: 1000})
+			_, err := n.serveExchange(t.Context(), members[1].Peer, Exchange{Held: summaryOf(2), From: confirmedReport(members[1].ID(), 2), WaitMillis: 1000})
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			return time.Since(began)
 		}
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -13,4 +13,7 @@
 // Core makes the decisions: it is given the time and the peers' reports, and
 // does no I/O. Store verifies versions and keeps the active one. Node carries
 // out the decisions.
+//
+// Metrics and messages say "in force" for active; fields of messages that name
+// the active version are called Held.
 package rollout
--- a/internal/rollout/fleet_test.go
+++ b/internal/rollout/fleet_test.go
@@ -67,7 +67,7 @@
 // publishAt publishes a version at one server only.
 func (w *fleetTest) publishAt(server int, version uint64) {
 	w.t.Helper()
-	w.Expect(w.Servers[server].Put(w.Sign(w.Bundle(version)))).To(gomega.Succeed())
+	w.Expect(w.Servers[server].PublishVersion(w.Sign(w.Bundle(version)))).To(gomega.Succeed())
 }
 
 // startConfirmed starts all processes with a version and waits until they are
@@ -113,9 +113,9 @@
 	w.Expect(p.Start()).To(gomega.Succeed())
 }
 
-// partition calls act, such as Cut or Heal, for each process on the given side
-// and each process on the other side.
-func (w *fleetTest) partition(side func(p *lab.Process) bool, act func(a, b string)) {
+// forEachPairAcross calls act, such as Cut or Heal, for each pair of a process
+// on the given side and one on the other side.
+func (w *fleetTest) forEachPairAcross(side func(p *lab.Process) bool, act func(a, b string)) {
 	for _, a := range w.Processes {
 		for _, b := range w.Processes {
 			if side(a) && !side(b) {
--- a/internal/rollout/fuzz_test.go
+++ b/internal/rollout/fuzz_test.go
@@ -45,18 +45,18 @@
 	fuzzMessage(f, func(e Exchange) {
 		c.RecordReports(t0, members[2].ID(), e.From, e.Others)
 		c.EvaluateOffer(t0, members[2].ID(), e.Held)
-		if c.Held() != summaryOf(1) || len(c.reports.byID) > len(members) {
+		if c.ActiveSummary() != summaryOf(1) || len(c.reports.byID) > len(members) {
 			panic("reports must only change what is known of listed processes")
 		}
-	}, Exchange{Held: summaryOf(3), From: settledReport(members[2].ID(), 3), Others: []PeerReport{settledReport(members[4].ID(), 2)}, WaitMillis: 2000})
+	}, Exchange{Held: summaryOf(3), From: confirmedReport(members[2].ID(), 3), Others: []PeerReport{confirmedReport(members[4].ID(), 2)}, WaitMillis: 2000})
 }
 
-func FuzzNews(f *testing.F) {
-	fuzzMessage(f, func(ExchangeReply) {}, ExchangeReply{Held: summaryOf(3), From: settledReport("agent/n1", 3)})
+func FuzzExchangeReply(f *testing.F) {
+	fuzzMessage(f, func(ExchangeReply) {}, ExchangeReply{Held: summaryOf(3), From: confirmedReport("agent/n1", 3)})
 }
 
 func FuzzSectionsRequest(f *testing.F) {
-	s := NewStore(nil, func(*Held) {})
+	s := NewStore(nil, func(*ActiveVersion) {})
 	fuzzMessage(f, func(r SectionsRequest) { s.Sections(r.Digests) }, SectionsRequest{Digests: []bundle.Digest{{1}}})
 }
 
@@ -66,7 +66,7 @@
 		f.Fatal(err)
 	}
 	text, sig := bundle.SignManifest(&bundle.Manifest{Format: bundle.Format, Version: 3, Issued: t0, Expires: t0.Add(time.Hour), Sections: []bundle.Digest{}}, key)
-	s := NewStore([]bundle.PublicKey{pub}, func(*Held) { panic("a random update must not verify") })
+	s := NewStore([]bundle.PublicKey{pub}, func(*ActiveVersion) { panic("a random update must not verify") })
 	n := &Node{store: s}
 	none := func(digests []digest) ([]string, error) {
 		return nil, &bundle.MissingSectionError{Digests: digests}
--- a/internal/rollout/intake.go
+++ b/internal/rollout/intake.go
@@ -13,8 +13,9 @@
 	// Wait evaluates the offer again after Decision.Wait, as a transfer is in
 	// progress.
 	Wait
-	// Push sends the active version to the peer, which is behind.
-	Push
+	// PeerBehind: the peer has a lower version. Its link offers it the active
+	// one; the caller does nothing.
+	PeerBehind
 	// Conflict: the peer has different content under the same version.
 	Conflict
 )
@@ -28,7 +29,7 @@
 
 // transferState decides which offers to accept.
 type transferState struct {
-	held Summary
+	active Summary
 	// inProgress is the version that is being transferred, started at
 	// startedAt.
 	inProgress uint64
@@ -37,34 +38,34 @@
 	ignoredUntil map[ID]time.Time
 }
 
-func (i *transferState) evaluate(now time.Time, from ID, offered Summary, t Tuning) Decision {
+func (s *transferState) evaluate(now time.Time, from ID, offered Summary, t Tuning) Decision {
 	switch {
-	case offered.Version < i.held.Version:
-		return Decision{Action: Push}
-	case offered == i.held:
+	case offered.Version < s.active.Version:
+		return Decision{Action: PeerBehind}
+	case offered == s.active:
 		return Decision{}
-	case offered.Version == i.held.Version:
+	case offered.Version == s.active.Version:
 		return Decision{Action: Conflict}
-	case now.Before(i.ignoredUntil[from]):
+	case now.Before(s.ignoredUntil[from]):
 		return Decision{}
 	}
-	if left := i.startedAt.Add(t.TransferWait).Sub(now); i.inProgress >= offered.Version && left > 0 {
+	if left := s.startedAt.Add(t.TransferWait).Sub(now); s.inProgress >= offered.Version && left > 0 {
 		return Decision{Action: Wait, Wait: left}
 	}
 	return Decision{Action: Pull}
 }
 
-func (i *transferState) begin(now time.Time, version uint64) {
-	i.inProgress, i.startedAt = version, now
+func (s *transferState) begin(now time.Time, version uint64) {
+	s.inProgress, s.startedAt = version, now
 }
 
 // end records the end of a transfer. Offers of a peer that didn't prove its
 // claim are ignored for a while.
-func (i *transferState) end(now time.Time, from ID, version uint64, proved bool, t Tuning) {
-	if i.inProgress == version {
-		i.inProgress = 0
+func (s *transferState) end(now time.Time, from ID, version uint64, proved bool, t Tuning) {
+	if s.inProgress == version {
+		s.inProgress = 0
 	}
 	if !proved {
-		i.ignoredUntil[from] = now.Add(t.IgnorePeerFor)
+		s.ignoredUntil[from] = now.Add(t.IgnorePeerFor)
 	}
 }
--- a/internal/rollout/lab/lab.go
+++ b/internal/rollout/lab/lab.go
@@ -345,7 +345,7 @@
 
 // Version returns the active version, 0 for none.
 func (p *Process) Version() uint64 {
-	if h := p.Node().Held(); h != nil {
+	if h := p.Node().Active(); h != nil {
 		return h.Summary.Version
 	}
 	return 0
--- a/internal/rollout/lab/publish.go
+++ b/internal/rollout/lab/publish.go
@@ -78,15 +78,16 @@
 func (f *Fleet) Publish(version uint64) error {
 	p := f.Sign(f.Bundle(version))
 	for _, s := range f.Servers {
-		if err := s.Put(p); err != nil {
+		if err := s.PublishVersion(p); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Put publishes a version at this server: its new sections, then the manifest.
-func (s *Server) Put(p SignedVersion) error {
+// PublishVersion publishes a version at this server: its new sections, then the
+// manifest.
+func (s *Server) PublishVersion(p SignedVersion) error {
 	for d, text := range p.Sections {
 		if s.published[d] {
 			continue
--- a/internal/rollout/liar_test.go
+++ b/internal/rollout/liar_test.go
@@ -26,7 +26,7 @@
 	peerExchange = control.NewMethod[rollout.Exchange, rollout.ExchangeReply]("bundle.exchange", identity.Roles()...)
 	peerOffer    = control.NewMethod[rollout.Offer, rollout.OfferReply]("bundle.offer", identity.Roles()...)
 	peerDeliver  = control.NewMethod[rollout.Update, rollout.DeliverReply]("bundle.deliver", identity.Roles()...)
-	peerFetch    = control.NewMethod[rollout.Fetch, rollout.Update]("bundle.fetch", identity.Roles()...)
+	peerFetch    = control.NewMethod[rollout.FetchRequest, rollout.Update]("bundle.fetch", identity.Roles()...)
 	peerSections = control.NewMethod[rollout.SectionsRequest, rollout.SectionsReply]("bundle.sections", identity.Roles()...)
 )
 
@@ -37,9 +37,9 @@
 	w.Expect(err).NotTo(gomega.HaveOccurred())
 	srv := control.NewServer(control.ServerConfig{Listener: l, Identity: p.Identity(), Roles: identity.Roles()})
 	control.Register(srv, peerExchange, func(context.Context, identity.Peer, rollout.Exchange) (rollout.ExchangeReply, error) {
-		return rollout.ExchangeReply{Held: answers.claim, From: rollout.PeerReport{ID: p.ID(), Version: answers.claim.Version, State: rollout.StateSettled}}, nil
+		return rollout.ExchangeReply{Held: answers.claim, From: rollout.PeerReport{ID: p.ID(), Version: answers.claim.Version, State: rollout.StateConfirmed}}, nil
 	})
-	control.Register(srv, peerFetch, func(context.Context, identity.Peer, rollout.Fetch) (rollout.Update, error) {
+	control.Register(srv, peerFetch, func(context.Context, identity.Peer, rollout.FetchRequest) (rollout.Update, error) {
 		return answers.update, nil
 	})
 	control.Register(srv, peerSections, func(context.Context, identity.Peer, rollout.SectionsRequest) (rollout.SectionsReply, error) {
--- a/internal/rollout/link.go
+++ b/internal/rollout/link.go
@@ -26,8 +26,8 @@
 	// version.
 	partnerBehind chan struct{}
 
-	mu          sync.Mutex
-	partnerHeld Summary // active at the partner
+	mu             sync.Mutex
+	partnerVersion Summary // active at the partner
 }
 
 func newLink(n *Node, m Member) *link {
@@ -77,7 +77,7 @@
 		return err
 	}
 	l.node.recordReports(l.id, reply.From, reply.Others)
-	l.recordPartnerHeld(reply.Held)
+	l.recordPartnerVersion(reply.Held)
 	offered := reply.Held
 	if l.node.pull(ctx, l.member, offered) {
 		return nil
@@ -88,11 +88,11 @@
 	return nil
 }
 
-// recordPartnerHeld records the partner's active version, and wakes
+// recordPartnerVersion records the partner's active version, and wakes
 // offerVersions if it is behind.
-func (l *link) recordPartnerHeld(s Summary) {
+func (l *link) recordPartnerVersion(s Summary) {
 	l.mu.Lock()
-	l.partnerHeld = s
+	l.partnerVersion = s
 	l.mu.Unlock()
 	if s.Version < l.node.store.Summary().Version {
 		select {
@@ -105,16 +105,16 @@
 func (l *link) lacks(s Summary) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.partnerHeld.Version < s.Version
+	return l.partnerVersion.Version < s.Version
 }
 
 // offerVersions offers each new version to the partner, unless the partner has
 // it.
 func (l *link) offerVersions(ctx context.Context) {
 	for {
-		held, changed := l.node.watchHeld()
-		if l.lacks(held) {
-			l.offer(ctx, held)
+		active, changed := l.node.watchActive()
+		if l.lacks(active) {
+			l.offer(ctx, active)
 		}
 		select {
 		case <-changed:
@@ -127,8 +127,8 @@
 
 // offer ignores failures: the next exchange detects that the partner is
 // unreachable or still lacks the version.
-func (l *link) offer(ctx context.Context, held Summary) {
-	reply, err := control.Call(ctx, l.client, methodOffer, Offer{Summary: held})
+func (l *link) offer(ctx context.Context, active Summary) {
+	reply, err := control.Call(ctx, l.client, methodOffer, Offer{Summary: active})
 	if err != nil || !reply.Want {
 		return
 	}
@@ -139,7 +139,7 @@
 	delivered, err := control.Call(ctx, l.client, methodDeliver, update)
 	if err == nil {
 		l.mu.Lock()
-		l.partnerHeld = delivered.Held
+		l.partnerVersion = delivered.Held
 		l.mu.Unlock()
 	}
 }
@@ -149,7 +149,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	return Exchange{Held: n.core.Held(), From: n.core.Self(now), Others: n.core.ReportsFor(now, to)}
+	return Exchange{Held: n.core.ActiveSummary(), From: n.core.SelfReport(now), Others: n.core.ReportsFor(now, to)}
 }
 
 func (n *Node) recordReports(peer ID, from PeerReport, others []PeerReport) {
@@ -221,7 +221,7 @@
 		reply, err := control.Call(ctx, client, methodSections, SectionsRequest{Digests: digests})
 		return reply.Sections, err
 	}
-	update, err := control.Call(ctx, client, methodFetch, Fetch{Held: n.store.Summary()})
+	update, err := control.Call(ctx, client, methodFetch, FetchRequest{Held: n.store.Summary()})
 	if err != nil {
 		return err
 	}
@@ -231,7 +231,7 @@
 	}
 	// No peer has a manifest of the zero digest, so the reply holds the
 	// manifest in full.
-	update, err = control.Call(ctx, client, methodFetch, Fetch{Held: Summary{Version: n.store.Summary().Version}})
+	update, err = control.Call(ctx, client, methodFetch, FetchRequest{Held: Summary{Version: n.store.Summary().Version}})
 	if err != nil {
 		return err
 	}
--- a/internal/rollout/measure/measure.go
+++ b/internal/rollout/measure/measure.go
@@ -32,8 +32,8 @@
 const (
 	// FaultNone: one server, which is up.
 	TroubleNone Trouble = "none"
-	// FaultStale: each failure domain has one of three servers; one of them is
-	// stuck at an old version, one is down.
+	// FaultStaleAndDown: each failure domain has one of three servers; one of
+	// them is stuck at an old version, one is down.
 	TroubleStale Trouble = "a third stale, a third dead"
 )
 
@@ -80,8 +80,8 @@
 	// Ready is the time from a node's restart until it is ready.
 	Ready Quantiles `json:"ready_seconds"`
 	// ReadyBelow is the number of restarted nodes that became ready with a
-	// lower version than before the restart; SureBelow is how many of them were
-	// confirmed.
+	// lower version than before the restart; ConfirmedBelow is how many of them
+	// were confirmed.
 	ReadyBelow int `json:"ready_below"`
 	SureBelow  int `json:"sure_below"`
 	// Backwards counts how often a version was followed by the same or a lower
@@ -107,9 +107,9 @@
 }
 
 const (
-	serversWhenStale = 3
-	// warmUp and maxWarmUp are the shortest and the longest time to wait until
-	// a fleet is ready for the measurement.
+	serversWhenFaulty = 3
+	// warmUp is the shortest time to wait until a fleet is ready; maxWarmUp is
+	// how much longer to wait at most.
 	warmUp    = 8 * time.Second
 	maxWarmUp = 60 * time.Second
 	// drainTime is how long to wait for the last version to become active.
@@ -140,7 +140,7 @@
 	cfg.Tuning.AcceptUnconfirmedAfter = time.Second // the whole fleet starts at once here
 	cfg.Tuning.AllProcessesRead = sc.Mode == ModeWatch
 	if sc.Trouble == TroubleStale {
-		cfg.Services, cfg.ServerPerDomain = serversWhenStale, true
+		cfg.Services, cfg.ServerPerDomain = serversWhenFaulty, true
 	}
 	return lab.New(cfg)
 }
--- a/internal/rollout/message.go
+++ b/internal/rollout/message.go
@@ -44,7 +44,8 @@
 	return s.Digest.String()[:digestPrefixLength]
 }
 
-// State says how far a process has confirmed its version.
+// State says whether a process is ready and whether peers have confirmed its
+// version.
 type State string
 
 const (
@@ -53,12 +54,12 @@
 	// StateUnconfirmed: the process serves, but too few peers have confirmed
 	// that there is no higher version.
 	StateUnconfirmed State = "unconfirmed"
-	// StateSettled: enough peers have confirmed it.
-	StateSettled State = "settled"
+	// StateConfirmed: enough peers have confirmed it. It is sent as "settled".
+	StateConfirmed State = "settled"
 )
 
 func (s State) valid() bool {
-	return s == StateStarting || s == StateUnconfirmed || s == StateSettled
+	return s == StateStarting || s == StateUnconfirmed || s == StateConfirmed
 }
 
 // PeerReport is the last known report of a process about itself.
@@ -69,9 +70,9 @@
 	// contents apart.
 	DigestPrefix string `json:"m,omitempty"`
 	State        State  `json:"st"`
-	// NoService says that the process reads the configuration service and gets
-	// no answer or an outdated one.
-	NoService bool `json:"ns,omitempty"`
+	// ServiceUnusable says that the process reads the configuration service and
+	// gets no answer or an outdated one.
+	ServiceUnusable bool `json:"ns,omitempty"`
 	// NoServiceConfigured says that the process never reads the service, as its
 	// settings name none.
 	NoServiceConfigured bool `json:"b,omitempty"`
@@ -80,8 +81,8 @@
 	AgeMillis int64 `json:"age,omitempty"`
 }
 
-func (s PeerReport) check() error {
-	if s.ID == "" || len(s.ID) > maxIDLength || len(s.DigestPrefix) > digestPrefixLength || !s.State.valid() || s.AgeMillis < 0 {
+func (r PeerReport) check() error {
+	if r.ID == "" || len(r.ID) > maxIDLength || len(r.DigestPrefix) > digestPrefixLength || !r.State.valid() || r.AgeMillis < 0 {
 		return errors.Wrap(ErrBadMessage, "sighting")
 	}
 	return nil
@@ -110,8 +111,8 @@
 	if len(others) > maxPeerReports {
 		return errors.Wrapf(ErrBadMessage, "%d sightings", len(others))
 	}
-	for _, s := range others {
-		if err := s.check(); err != nil {
+	for _, r := range others {
+		if err := r.check(); err != nil {
 			return err
 		}
 	}
@@ -126,7 +127,7 @@
 }
 
 // Check says whether the reply is valid.
-func (n ExchangeReply) Check() error { return checkReports(n.From, n.Others) }
+func (r ExchangeReply) Check() error { return checkReports(r.From, r.Others) }
 
 // Offer announces a newly activated version to a partner.
 type Offer struct {
@@ -139,8 +140,8 @@
 	Held Summary `json:"held"`
 }
 
-// Fetch asks for the active version.
-type Fetch struct {
+// FetchRequest asks for the active version.
+type FetchRequest struct {
 	Held Summary `json:"held"` // active at the caller
 }
 
@@ -216,7 +217,7 @@
 	methodOffer   = control.NewMethod[Offer, OfferReply]("bundle.offer", identity.RoleRouter, identity.RoleAgent)
 	methodDeliver = control.NewMethod[Update, DeliverReply]("bundle.deliver", identity.RoleRouter, identity.RoleAgent).
 			WithTimeout(fetchTimeout)
-	methodFetch = control.NewMethod[Fetch, Update]("bundle.fetch", identity.RoleRouter, identity.RoleAgent).
+	methodFetch = control.NewMethod[FetchRequest, Update]("bundle.fetch", identity.RoleRouter, identity.RoleAgent).
 			WithTimeout(fetchTimeout)
 	methodSections = control.NewMethod[SectionsRequest, SectionsReply]("bundle.sections", identity.RoleRouter, identity.RoleAgent).
 			WithTimeout(fetchTimeout)
@@ -224,5 +225,5 @@
 	MethodStatus = control.NewMethod[StatusRequest, Status]("bundle.status", identity.RoleOperator, identity.RoleRouter, identity.RoleAgent)
 )
 
-// exchangeTimeout covers the wait of an exchange and its transfer.
+// exchangeTimeout covers the wait of an exchange and sending both messages.
 const exchangeTimeout = 5 * time.Second
--- a/internal/rollout/metrics.go
+++ b/internal/rollout/metrics.go
@@ -42,17 +42,17 @@
 	}
 	gauge(MetricVersion, "Version of the bundle in force; 0 for none.", func() float64 { return float64(n.store.Summary().Version) })
 	gauge(MetricAccepted, "When the bundle in force was accepted, as a Unix time in seconds; 0 for none.", func() float64 {
-		return unixOf(n.store.Held(), func(h *Held) time.Time { return h.AcceptedAt })
+		return unixOf(n.store.Active(), func(h *ActiveVersion) time.Time { return h.AcceptedAt })
 	})
 	gauge(MetricExpires, "Until when the bundle in force may be accepted as new, as a Unix time in seconds; 0 for none.", func() float64 {
-		return unixOf(n.store.Held(), func(h *Held) time.Time { return h.Snapshot.Bundle().Expires })
+		return unixOf(n.store.Active(), func(h *ActiveVersion) time.Time { return h.Snapshot.Bundle().Expires })
 	})
 	gauge(MetricConfirmed, "1 if enough other processes said that there is no higher version, else 0.", func() float64 { return boolToFloat(n.Readiness().Confirmed) })
 	gauge(MetricReader, "1 if this process reads the configuration service now, else 0.", func() float64 { return boolToFloat(n.Reading()) })
 	return m
 }
 
-func unixOf(h *Held, of func(*Held) time.Time) float64 {
+func unixOf(h *ActiveVersion, of func(*ActiveVersion) time.Time) float64 {
 	if h == nil {
 		return 0
 	}
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -30,8 +30,8 @@
 	confirmed bool
 }
 
-// model is a fleet of cores that exchange messages in steps. Versions are plain
-// numbers, as Store verifies them.
+// model is a fleet of cores that exchange messages in steps. Versions are
+// unsigned numbers here, since verification is Store's job.
 type model struct {
 	t       *rapid.T
 	g       *gomega.WithT
@@ -60,7 +60,7 @@
 func (m *model) start(i int) {
 	c := NewCore(m.members[i], Tuning{}, m.now)
 	c.SetMembers(m.members)
-	c.SetHeld(summaryOf(1))
+	c.SetActive(summaryOf(1))
 	*m.nodes[i] = modelNode{core: c, up: true, partition: m.nodes[i].partition, startedAt: m.now}
 }
 
@@ -73,8 +73,8 @@
 		return
 	}
 	c.BeginTransfer(m.now, offered.Version)
-	m.g.Expect(offered.Version).To(gomega.BeNumerically(">", c.Held().Version), "the version must not go down")
-	c.SetHeld(offered)
+	m.g.Expect(offered.Version).To(gomega.BeNumerically(">", c.ActiveSummary().Version), "the version must not go down")
+	c.SetActive(offered)
 	c.EndTransfer(m.now, from, offered.Version, true)
 }
 
@@ -104,10 +104,10 @@
 		return
 	}
 	b, me := m.nodes[j].core, m.members[i].ID()
-	b.RecordReports(m.now, me, a.Self(m.now), a.ReportsFor(m.now, with.ID()))
-	a.RecordReports(m.now, with.ID(), b.Self(m.now), b.ReportsFor(m.now, me))
-	m.applyOffer(i, with.ID(), b.Held())
-	m.applyOffer(j, me, a.Held())
+	b.RecordReports(m.now, me, a.SelfReport(m.now), a.ReportsFor(m.now, with.ID()))
+	a.RecordReports(m.now, with.ID(), b.SelfReport(m.now), b.ReportsFor(m.now, me))
+	m.applyOffer(i, with.ID(), b.ActiveSummary())
+	m.applyOffer(j, me, a.ActiveSummary())
 }
 
 func (m *model) indexOf(id ID) int {
@@ -126,7 +126,7 @@
 		c.SetServiceUsable(false)
 		return
 	}
-	c.SetServiceUsable(m.service >= c.Held().Version)
+	c.SetServiceUsable(m.service >= c.ActiveSummary().Version)
 	m.applyOffer(i, "service", summaryOf(m.service))
 }
 
@@ -145,8 +145,8 @@
 
 func (m *model) drawNode(label string) int { return rapid.IntRange(0, modelNodes-1).Draw(m.t, label) }
 
-// recoverAndSettle ends all faults and runs until the fleet has converged.
-func (m *model) recoverAndSettle() {
+// recoverAndConverge ends all faults and runs until the fleet has converged.
+func (m *model) recoverAndConverge() {
 	m.serviceUp, m.service = true, m.newest
 	for i, n := range m.nodes {
 		n.partition, n.paused = 0, false
@@ -180,9 +180,9 @@
 				}
 			},
 		})
-		m.recoverAndSettle()
+		m.recoverAndConverge()
 		for i, n := range m.nodes {
-			m.g.Expect(n.core.Held().Version).To(gomega.Equal(m.newest), string(m.members[i].ID()))
+			m.g.Expect(n.core.ActiveSummary().Version).To(gomega.Equal(m.newest), string(m.members[i].ID()))
 		}
 		m.reads = 0
 		readers := make(map[string]int)
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -27,7 +27,8 @@
 	Keys []bundle.PublicKey
 	// Client connects to the other processes.
 	Client control.ClientConfig
-	// Services are the servers of the configuration service; there may be none.
+	// Services are clients of the servers of the configuration service; there
+	// may be none.
 	Services []*Service
 	// Apply activates a version. It is called in the order of versions and must
 	// not block.
@@ -54,8 +55,8 @@
 	changed   chan struct{} // closed and replaced on each new version
 	readiness Readiness
 	reading   bool
-	// announcedVersions is the highest version that each peer has announced, so
-	// that its waiting exchange isn't answered for a version that it has.
+	// announcedVersions is the version that each peer announced last, so that
+	// its waiting exchange isn't answered for a version that it has.
 	announcedVersions map[ID]uint64
 
 	wakeup chan struct{} // wakes the supervisor
@@ -82,9 +83,9 @@
 	return n
 }
 
-// LoadFile activates a bundle file as the first version. An expired bundle
-// isn't activated, but its list of processes is used; the error is then a
-// *bundle.ExpiredError. Other errors are those of bundle.Accept.
+// AcceptFile activates a signed bundle file as the first version. An expired
+// bundle isn't activated, but its list of processes is used; the error is then
+// a *bundle.ExpiredError. Other errors are those of bundle.Accept.
 func (n *Node) Begin(file WholeFile) error {
 	err := n.store.AcceptFile(time.Now(), file)
 	if !errors.Is(err, bundle.ErrExpired) {
@@ -103,8 +104,8 @@
 // Snapshot returns the active snapshot, or nil.
 func (n *Node) Snapshot() *bundle.Snapshot { return n.store.snapshot() }
 
-// Held returns the active version, or nil.
-func (n *Node) Held() *Held { return n.store.Held() }
+// Active returns the active version, or nil.
+func (n *Node) Active() *ActiveVersion { return n.store.Active() }
 
 // Readiness says whether the process may serve with the active version.
 func (n *Node) Readiness() Readiness {
@@ -121,11 +122,11 @@
 }
 
 // activate is the store's callback for a new version.
-func (n *Node) activate(h *Held) {
+func (n *Node) activate(h *ActiveVersion) {
 	members := MembersOf(h.Snapshot.Bundle())
 	n.cfg.Apply(h.Snapshot)
 	n.mu.Lock()
-	n.core.SetHeld(h.Summary)
+	n.core.SetActive(h.Summary)
 	n.core.SetMembers(members)
 	maps.DeleteFunc(n.announcedVersions, func(id ID, _ uint64) bool { _, listed := n.core.membership.byID[id]; return !listed })
 	close(n.changed)
@@ -142,12 +143,12 @@
 	}
 }
 
-// watchHeld returns the active version and a channel that is closed when it
+// watchActive returns the active version and a channel that is closed when it
 // changes.
-func (n *Node) watchHeld() (Summary, <-chan struct{}) {
+func (n *Node) watchActive() (Summary, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.core.Held(), n.changed
+	return n.core.ActiveSummary(), n.changed
 }
 
 // Run keeps links to partners and reads the service while this process is a
@@ -194,16 +195,16 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.core.Tick(now)
-	p := desiredState{partners: n.core.Partners(now), reads: n.core.ShouldRead(now), readiness: n.core.Readiness(now)}
-	p.readinessChanged = p.readiness != n.readiness
-	n.readiness, n.reading = p.readiness, p.reads
-	return p
+	d := desiredState{partners: n.core.Partners(now), reads: n.core.ShouldRead(now), readiness: n.core.Readiness(now)}
+	d.readinessChanged = d.readiness != n.readiness
+	n.readiness, n.reading = d.readiness, d.reads
+	return d
 }
 
 func (s *supervisor) reconcile(ctx context.Context) {
-	p := s.node.desiredState(time.Now())
-	wanted := make(map[Member]bool, len(p.partners))
-	for _, m := range p.partners {
+	d := s.node.desiredState(time.Now())
+	wanted := make(map[Member]bool, len(d.partners))
+	for _, m := range d.partners {
 		wanted[m] = true
 		if s.links[m] == nil {
 			s.startLink(ctx, m)
@@ -215,9 +216,9 @@
 			delete(s.links, m)
 		}
 	}
-	s.reconcileReader(ctx, p.reads)
-	if p.readinessChanged && s.node.cfg.OnReadiness != nil {
-		s.node.cfg.OnReadiness(p.readiness)
+	s.reconcileReader(ctx, d.reads)
+	if d.readinessChanged && s.node.cfg.OnReadiness != nil {
+		s.node.cfg.OnReadiness(d.readiness)
 	}
 }
 
--- a/internal/rollout/partners.go
+++ b/internal/rollout/partners.go
@@ -37,7 +37,7 @@
 // is of the same region, if there is one, and the second is in a different
 // failure domain than the first. Where too few members are local or remote, the
 // other kind fills in.
-func (p *partners) choose(now time.Time, r *membership, t Tuning) []Member {
+func (p *partners) choose(now time.Time, ms *membership, t Tuning) []Member {
 	total := t.LocalPartners + t.RemotePartners
 	chosen := make([]Member, 0, total)
 	add := func(from []Member, most int, match func(Member) bool) {
@@ -50,16 +50,16 @@
 			}
 		}
 	}
-	add(r.local, t.LocalPartners, anyMember)
+	add(ms.local, t.LocalPartners, anyMember)
 	inside := len(chosen)
-	add(r.remote, min(inside+1, total), func(m Member) bool { return m.Region == r.self.Region })
-	add(r.remote, min(inside+1, total), anyMember)
+	add(ms.remote, min(inside+1, total), func(m Member) bool { return m.Region == ms.self.Region })
+	add(ms.remote, min(inside+1, total), anyMember)
 	if len(chosen) > inside {
 		first := chosen[inside].FailureDomain
-		add(r.remote, min(inside+2, total), func(m Member) bool { return m.FailureDomain != first })
+		add(ms.remote, min(inside+2, total), func(m Member) bool { return m.FailureDomain != first })
 	}
-	add(r.remote, total, anyMember)
-	add(r.local, total, anyMember)
+	add(ms.remote, total, anyMember)
+	add(ms.local, total, anyMember)
 	return chosen
 }
 
--- a/internal/rollout/reader.go
+++ b/internal/rollout/reader.go
@@ -92,8 +92,8 @@
 // handleUnchanged handles a watch that ended without a new value. A server
 // whose revision went down has restarted or lost data; it is read from the
 // start.
-func (r *reader) handleUnchanged(mark Revision) time.Duration {
-	if mark < r.revision {
+func (r *reader) handleUnchanged(revision Revision) time.Duration {
+	if revision < r.revision {
 		r.revision = 0
 		return minReadInterval
 	}
--- a/internal/rollout/roster.go
+++ b/internal/rollout/roster.go
@@ -24,36 +24,36 @@
 
 // update sets the processes that a new bundle lists. A process that isn't
 // listed includes itself, as it may be the only one of its failure domain.
-func (r *membership) update(members []Member) {
-	if r.byID != nil && slices.Equal(r.members, members) {
+func (ms *membership) update(members []Member) {
+	if ms.byID != nil && slices.Equal(ms.members, members) {
 		return
 	}
-	r.members = members
-	r.byID = make(map[ID]Member, len(members))
-	local, remote := []Member{r.self}, []Member{}
-	self := r.self.ID()
+	ms.members = members
+	ms.byID = make(map[ID]Member, len(members))
+	local, remote := []Member{ms.self}, []Member{}
+	self := ms.self.ID()
 	for _, m := range members {
 		id := m.ID()
-		r.byID[id] = m
+		ms.byID[id] = m
 		switch {
 		case id == self:
-		case m.FailureDomain == r.self.FailureDomain:
+		case m.FailureDomain == ms.self.FailureDomain:
 			local = append(local, m)
 		default:
 			remote = append(remote, m)
 		}
 	}
-	r.readerRanking = rank(rankReaders, r.self.FailureDomain, local)
-	r.local = rank(rankPartners, string(r.self.ID()), local[1:])
-	r.remote = rank(rankPartners, string(r.self.ID()), remote)
+	ms.readerRanking = rank(rankReaders, ms.self.FailureDomain, local)
+	ms.local = rank(rankPartners, string(ms.self.ID()), local[1:])
+	ms.remote = rank(rankPartners, string(ms.self.ID()), remote)
 }
 
 // countOthers returns the number of other processes, and of their failure
 // domains.
-func (r *membership) countOthers() (processes, domains int) {
+func (ms *membership) countOthers() (processes, domains int) {
 	seen := make(map[string]bool)
-	for _, m := range r.members {
-		if m.ID() != r.self.ID() {
+	for _, m := range ms.members {
+		if m.ID() != ms.self.ID() {
 			processes++
 			seen[m.FailureDomain] = true
 		}
--- a/internal/rollout/serve.go
+++ b/internal/rollout/serve.go
@@ -29,8 +29,8 @@
 	timer := time.NewTimer(time.Duration(req.WaitMillis) * time.Millisecond)
 	defer timer.Stop()
 	for waiting := true; waiting; {
-		held, changed := n.watchHeld()
-		if held.Version > max(req.Held.Version, n.announcedVersion(id)) {
+		active, changed := n.watchActive()
+		if active.Version > max(req.Held.Version, n.announcedVersion(id)) {
 			break
 		}
 		select {
@@ -95,7 +95,7 @@
 	return m, ok
 }
 
-func (n *Node) serveFetch(_ context.Context, _ identity.Peer, req Fetch) (Update, error) {
+func (n *Node) serveFetch(_ context.Context, _ identity.Peer, req FetchRequest) (Update, error) {
 	u, ok := n.store.UpdateSince(req.Held)
 	if !ok {
 		return Update{}, &control.Error{Code: control.CodeUnavailable, Message: "no bundle in force yet"}
--- a/internal/rollout/sightings.go
+++ b/internal/rollout/sightings.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	// otherReportsPerMessage is how many reports of processes below the reader
-	// candidates go along with a message, in rotation. Reports of the readers
-	// and reader candidates are always sent.
+	// otherReportsPerMessage is how many reports of processes ranked below the
+	// reader candidates go along with a message, in rotation. The reports of
+	// the readers, spare readers and reader candidates always do.
 	otherReportsPerMessage = 8
-	// readerCandidates is how many processes after the readers are always
-	// reported, so that every process knows the next readers.
+	// readerCandidates is how many processes after the readers and spare
+	// readers are always reported, so that every process knows the next
+	// readers.
 	readerCandidates = 2
 )
 
@@ -29,27 +30,27 @@
 
 // record stores a report unless a newer one is known. A forwarded report only
 // grows older, so forwarding can't make an unresponsive process look alive.
-func (s *peerReports) record(now time.Time, report PeerReport) {
+func (p *peerReports) record(now time.Time, report PeerReport) {
 	at := now.Add(-time.Duration(report.AgeMillis) * time.Millisecond)
-	if old, ok := s.byID[report.ID]; ok && !at.After(old.reportedAt) {
+	if old, ok := p.byID[report.ID]; ok && !at.After(old.reportedAt) {
 		return
 	}
 	report.AgeMillis = 0
-	s.byID[report.ID] = timedReport{report: report, reportedAt: at}
+	p.byID[report.ID] = timedReport{report: report, reportedAt: at}
 }
 
 // retain removes processes that are no longer listed.
-func (s *peerReports) retain(listed func(ID) bool) {
-	for id := range s.byID {
+func (p *peerReports) retain(listed func(ID) bool) {
+	for id := range p.byID {
 		if !listed(id) {
-			delete(s.byID, id)
+			delete(p.byID, id)
 		}
 	}
 }
 
 // withAge returns a report with its age at the given time.
-func (s *peerReports) withAge(now time.Time, id ID) (PeerReport, bool) {
-	one, ok := s.byID[id]
+func (p *peerReports) withAge(now time.Time, id ID) (PeerReport, bool) {
+	one, ok := p.byID[id]
 	if !ok {
 		return PeerReport{}, false
 	}
@@ -61,17 +62,17 @@
 // selectFor returns the reports to send along with a message to a process of
 // the same failure domain: those of the first processes of the ranking, and
 // some of the others in rotation.
-func (s *peerReports) selectFor(now time.Time, ranking []Member, first int, except ID) []PeerReport {
+func (p *peerReports) selectFor(now time.Time, ranking []Member, first int, except ID) []PeerReport {
 	first = min(first, len(ranking))
 	picked := slices.Clone(ranking[:first])
 	rest := ranking[first:]
 	for range min(otherReportsPerMessage, len(rest)) {
-		s.cursor = (s.cursor + 1) % len(rest)
-		picked = append(picked, rest[s.cursor])
+		p.cursor = (p.cursor + 1) % len(rest)
+		picked = append(picked, rest[p.cursor])
 	}
 	var out []PeerReport
 	for _, m := range picked {
-		if one, ok := s.withAge(now, m.ID()); ok && m.ID() != except {
+		if one, ok := p.withAge(now, m.ID()); ok && m.ID() != except {
 			out = append(out, one)
 		}
 	}
--- a/internal/rollout/spread_test.go
+++ b/internal/rollout/spread_test.go
@@ -128,13 +128,13 @@
 		w.startConfirmed(1)
 		isolated := w.Processes[5]
 		alone := func(p *lab.Process) bool { return p == isolated }
-		w.partition(alone, w.net.Cut)
+		w.forEachPairAcross(alone, w.net.Cut)
 		w.net.Cut(isolated.Peer.Name, "service-0")
 		w.publish(2)
 		time.Sleep(20 * time.Second)
 		w.Expect(isolated.Version()).To(gomega.BeEquivalentTo(1))
 		w.publish(3)
-		w.partition(alone, w.net.Heal)
+		w.forEachPairAcross(alone, w.net.Heal)
 		time.Sleep(7 * time.Second) // a failed partner is retried at least every 5 s
 		w.expectVersion(3)
 	})
@@ -146,7 +146,7 @@
 	runFleet(t, cfg, func(w *fleetTest) {
 		w.startConfirmed(1)
 		left := func(p *lab.Process) bool { return p.FailureDomain == "domain-0" }
-		w.partition(left, w.net.Cut)
+		w.forEachPairAcross(left, w.net.Cut)
 		for _, p := range w.Processes {
 			if left(p) {
 				w.net.Cut(p.Peer.Name, "service-1")
@@ -164,7 +164,7 @@
 			}
 			w.Expect(p.Version()).To(gomega.Equal(want), p.Peer.Name)
 		}
-		w.partition(left, w.net.Heal)
+		w.forEachPairAcross(left, w.net.Heal)
 		time.Sleep(8 * time.Second)
 		w.expectVersion(6)
 	})
--- a/internal/rollout/start.go
+++ b/internal/rollout/start.go
@@ -40,34 +40,34 @@
 // evaluate counts the peers whose reports can be trusted. A peer that reports a
 // version higher than the active one doesn't count, but doesn't block the
 // process either, as its claim may be false.
-func (s *startup) evaluate(now time.Time, held Summary, r *membership, t Tuning) Readiness {
+func (s *startup) evaluate(now time.Time, active Summary, ms *membership, t Tuning) Readiness {
 	if s.confirmed {
 		out := s.confirmedReadiness
-		out.Ready = held.Version > 0
+		out.Ready = active.Version > 0
 		return out
 	}
-	processes, domains := r.countOthers()
+	processes, domains := ms.countOthers()
 	out := Readiness{
 		WantPeers:   min(t.ConfirmPeers, processes),
 		WantDomains: min(t.ConfirmDomains, domains),
 	}
-	out.Peers, out.Domains = s.countTrusted(now, held, t)
-	if processes > 0 && out.Peers >= out.WantPeers && out.Domains >= out.WantDomains && held.Version > 0 {
+	out.Peers, out.Domains = s.countTrusted(now, active, t)
+	if processes > 0 && out.Peers >= out.WantPeers && out.Domains >= out.WantDomains && active.Version > 0 {
 		out.Ready, out.Confirmed = true, true
 		s.confirmed, s.confirmedReadiness, s.reports = true, out, nil
 		return out
 	}
 	waited := !now.Before(s.startedAt.Add(t.StartWait))
-	out.Ready = held.Version > 0 && waited
+	out.Ready = active.Version > 0 && waited
 	return out
 }
 
-func (s *startup) countTrusted(now time.Time, held Summary, t Tuning) (peers, domains int) {
+func (s *startup) countTrusted(now time.Time, active Summary, t Tuning) (peers, domains int) {
 	acceptUnconfirmed := !now.Before(s.startedAt.Add(t.StartWait + t.AcceptUnconfirmedAfter))
 	seen := make(map[string]bool)
 	for _, rep := range s.reports {
-		trusted := rep.state == StateSettled || rep.state == StateUnconfirmed && acceptUnconfirmed
-		if trusted && rep.version <= held.Version {
+		trusted := rep.state == StateConfirmed || rep.state == StateUnconfirmed && acceptUnconfirmed
+		if trusted && rep.version <= active.Version {
 			peers++
 			seen[rep.domain] = true
 		}
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -21,8 +21,8 @@
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest,omitempty"`
 	State   State  `json:"state,omitempty"`
-	// NoService says that the process gets no usable answer from the
-	// configuration service.
+	// ServiceUnusable says that the process reads the configuration service and
+	// gets no answer or an outdated one.
 	NoService bool `json:"no_service,omitempty"`
 	// AgeMillis is the age of the process's report, or NeverReported.
 	AgeMillis int64 `json:"age_ms"`
@@ -71,7 +71,7 @@
 // ID.
 func (c *Core) DomainProcesses(now time.Time) []ProcessStatus {
 	domain := c.membership.self.FailureDomain
-	out := []ProcessStatus{statusOf(c.Self(now), domain)}
+	out := []ProcessStatus{statusOf(c.SelfReport(now), domain)}
 	for _, m := range c.membership.members {
 		if m.FailureDomain != domain || m.ID() == c.membership.self.ID() {
 			continue
@@ -86,8 +86,8 @@
 	return out
 }
 
-func statusOf(s PeerReport, domain string) ProcessStatus {
-	return ProcessStatus{ID: s.ID, FailureDomain: domain, Version: s.Version, Digest: s.DigestPrefix, State: s.State, NoService: s.NoService, AgeMillis: s.AgeMillis}
+func statusOf(r PeerReport, domain string) ProcessStatus {
+	return ProcessStatus{ID: r.ID, FailureDomain: domain, Version: r.Version, Digest: r.DigestPrefix, State: r.State, NoService: r.ServiceUnusable, AgeMillis: r.AgeMillis}
 }
 
 // Contacts lists some processes of each other failure domain, those that are
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -14,8 +14,8 @@
 // deltas.
 const maxManifestHistory = 8
 
-// Held is an active version. It is immutable.
-type Held struct {
+// ActiveVersion is an active version. It is immutable.
+type ActiveVersion struct {
 	Snapshot *bundle.Snapshot
 	Summary  Summary
 	// AcceptedAt is when this process accepted it.
@@ -45,10 +45,10 @@
 	keys []bundle.PublicKey
 	// onActivate is called for each activated version, in the order of
 	// versions.
-	onActivate func(*Held)
+	onActivate func(*ActiveVersion)
 
 	acceptMu sync.Mutex // serializes versions; held while one is decoded
-	held     atomic.Pointer[Held]
+	active   atomic.Pointer[ActiveVersion]
 
 	mu       sync.Mutex
 	sections map[bundle.Digest][]byte
@@ -59,15 +59,15 @@
 }
 
 // NewStore returns an empty store that trusts the keys.
-func NewStore(keys []bundle.PublicKey, put func(*Held)) *Store {
-	return &Store{keys: keys, onActivate: put, sections: make(map[bundle.Digest][]byte), updateCache: make(map[Summary]Update)}
+func NewStore(keys []bundle.PublicKey, onActivate func(*ActiveVersion)) *Store {
+	return &Store{keys: keys, onActivate: onActivate, sections: make(map[bundle.Digest][]byte), updateCache: make(map[Summary]Update)}
 }
 
-// Held returns the active version, or nil.
-func (s *Store) Held() *Held { return s.held.Load() }
+// Active returns the active version, or nil.
+func (s *Store) Active() *ActiveVersion { return s.active.Load() }
 
 func (s *Store) snapshot() *bundle.Snapshot {
-	if h := s.held.Load(); h != nil {
+	if h := s.active.Load(); h != nil {
 		return h.Snapshot
 	}
 	return nil
@@ -75,7 +75,7 @@
 
 // Summary identifies the active version.
 func (s *Store) Summary() Summary {
-	if h := s.held.Load(); h != nil {
+	if h := s.active.Load(); h != nil {
 		return h.Summary
 	}
 	return Summary{}
@@ -106,19 +106,19 @@
 
 // Accept activates a version whose sections are in the store or given. On an
 // error, which is one of bundle.AcceptSections, nothing changes.
-func (s *Store) Accept(now time.Time, o *VerifiedManifest, given [][]byte) error {
+func (s *Store) Accept(now time.Time, v *VerifiedManifest, given [][]byte) error {
 	s.acceptMu.Lock()
 	defer s.acceptMu.Unlock()
-	if s.Summary().Digest == o.manifest.Digest() {
+	if s.Summary().Digest == v.manifest.Digest() {
 		return nil
 	}
 	current := s.snapshot()
 	parts := s.withSections(given)
-	next, err := bundle.AcceptSections(now, current, []byte(o.signed.Manifest), []byte(o.signed.Signature), s.keys, parts)
+	next, err := bundle.AcceptSections(now, current, []byte(v.signed.Manifest), []byte(v.signed.Signature), s.keys, parts)
 	if err != nil || next == current {
 		return err
 	}
-	s.activate(now, next, o.manifest, signedForm{manifest: &o.signed}, parts)
+	s.activate(now, next, v.manifest, signedForm{manifest: &v.signed}, parts)
 	return nil
 }
 
@@ -153,22 +153,22 @@
 }
 
 // activate swaps the version in. The caller holds s.acceptMu.
-func (s *Store) activate(now time.Time, next *bundle.Snapshot, m *bundle.Manifest, p signedForm, parts map[bundle.Digest][]byte) {
-	h := &Held{
+func (s *Store) activate(now time.Time, next *bundle.Snapshot, m *bundle.Manifest, form signedForm, parts map[bundle.Digest][]byte) {
+	h := &ActiveVersion{
 		Snapshot:   next,
 		Summary:    Summary{Version: next.Version(), Digest: m.Digest()},
 		AcceptedAt: now,
-		signed:     p,
+		signed:     form,
 		sections:   m.Sections,
 	}
 	s.updateHistory(h, parts)
-	s.held.Store(h)
+	s.active.Store(h)
 	s.onActivate(h)
 }
 
 // updateHistory keeps the new manifest and its sections, and removes the
 // sections that no manifest of the history names.
-func (s *Store) updateHistory(h *Held, parts map[bundle.Digest][]byte) {
+func (s *Store) updateHistory(h *ActiveVersion, parts map[bundle.Digest][]byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := manifestRecord{digest: h.Summary.Digest, sections: h.sections}
@@ -220,7 +220,7 @@
 func (s *Store) UpdateSince(base Summary) (Update, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.held.Load()
+	h := s.active.Load()
 	if h == nil {
 		return Update{}, false
 	}
--- a/internal/rollout/survey_test.go
+++ b/internal/rollout/survey_test.go
@@ -31,10 +31,10 @@
 func TestFleetStatusFromOneRouterShowsLaggingProcesses(t *testing.T) {
 	runFleet(t, defaultFleet(), func(w *fleetTest) {
 		w.startConfirmed(1)
-		stopped, gone, router := w.Processes[5], w.Processes[7], w.Processes[0]
-		w.partition(func(p *lab.Process) bool { return p == stopped }, w.net.Cut)
-		w.net.Cut(stopped.Peer.Name, "service-0")
-		gone.Stop()
+		isolated, stopped, router := w.Processes[5], w.Processes[7], w.Processes[0]
+		w.forEachPairAcross(func(p *lab.Process) bool { return p == isolated }, w.net.Cut)
+		w.net.Cut(isolated.Peer.Name, "service-0")
+		stopped.Stop()
 		w.publish(2)
 		time.Sleep(15 * time.Second)
 		s, err := w.fleetStatus(identity.RoleOperator, router.Address)
@@ -47,8 +47,8 @@
 			lagging = append(lagging, p.ID)
 			w.Expect(p.AgeMillis).To(gomega.BeNumerically(">", 10_000), "its report is old")
 		}
-		w.Expect(lagging).To(gomega.ConsistOf(stopped.ID(), gone.ID()))
-		_, err = w.fleetStatus(identity.RoleOperator, stopped.Address+"0")
+		w.Expect(lagging).To(gomega.ConsistOf(isolated.ID(), stopped.ID()))
+		_, err = w.fleetStatus(identity.RoleOperator, isolated.Address+"0")
 		w.Expect(err).To(gomega.MatchError(control.ErrUnreachable))
 	})
 }
@@ -73,9 +73,9 @@
 		}
 		return s.Accept(now, verified, sections)
 	}
-	before := rollout.NewStore([]bundle.PublicKey{oldPub}, func(*rollout.Held) {})
-	during := rollout.NewStore([]bundle.PublicKey{oldPub, newPub}, func(*rollout.Held) {})
-	after := rollout.NewStore([]bundle.PublicKey{newPub}, func(*rollout.Held) {})
+	before := rollout.NewStore([]bundle.PublicKey{oldPub}, func(*rollout.ActiveVersion) {})
+	during := rollout.NewStore([]bundle.PublicKey{oldPub, newPub}, func(*rollout.ActiveVersion) {})
+	after := rollout.NewStore([]bundle.PublicKey{newPub}, func(*rollout.ActiveVersion) {})
 	g.Expect(accept(before, 1, oldKey)).To(gomega.Succeed())
 	g.Expect(accept(during, 1, oldKey)).To(gomega.Succeed())
 	g.Expect(accept(during, 2, newKey)).To(gomega.Succeed())
@@ -90,7 +90,7 @@
 	fleet, err := lab.New(lab.Config{Network: lab.NewMemory(), Nodes: 40, Domains: 1})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	activations := 0
-	s := rollout.NewStore([]bundle.PublicKey{fleet.Public()}, func(*rollout.Held) { activations++ })
+	s := rollout.NewStore([]bundle.PublicKey{fleet.Public()}, func(*rollout.ActiveVersion) { activations++ })
 	p := fleet.Sign(fleet.Bundle(1))
 	signed, _ := bundle.DecodeSignedManifest(p.SignedManifest)
 	verified, err := s.Verify(time.Now(), signed)
@@ -99,7 +99,7 @@
 	var given [][]byte
 	for _, d := range verified.Missing {
 		g.Expect(s.Accept(time.Now(), verified, given)).To(gomega.MatchError(bundle.ErrMissingSection))
-		g.Expect(s.Held()).To(gomega.BeNil())
+		g.Expect(s.Active()).To(gomega.BeNil())
 		given = append(given, p.Sections[d])
 	}
 	g.Expect(s.Accept(time.Now(), verified, given)).To(gomega.Succeed())
@@ -117,7 +117,7 @@
 	g := gomega.NewWithT(t)
 	fleet, err := lab.New(lab.Config{Network: lab.NewMemory(), Nodes: 200, Domains: 1})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	s := rollout.NewStore([]bundle.PublicKey{fleet.Public()}, func(*rollout.Held) {})
+	s := rollout.NewStore([]bundle.PublicKey{fleet.Public()}, func(*rollout.ActiveVersion) {})
 	published := func(version uint64) (bundle.SignedManifest, [][]byte) {
 		p := fleet.Sign(fleet.Bundle(version))
 		signed, _ := bundle.DecodeSignedManifest(p.SignedManifest)
