--- a/internal/filters/admit/admit.go
+++ b/internal/filters/admit/admit.go
@@ -84,10 +84,10 @@
 		return nil
 	}
 	team := r.Table.Team(r.Key)
-	stale := f.stale()
+	stale := f.checkFreshness()
 	if r.Route.Public {
 		if team != nil && stale == nil {
-			assign(r, team)
+			setTeam(r, team)
 		}
 		return nil
 	}
@@ -97,11 +97,11 @@
 	if team == nil {
 		return &KeyError{}
 	}
-	assign(r, team)
+	setTeam(r, team)
 	return nil
 }
 
-func (f *Filter) stale() error {
+func (f *Filter) checkFreshness() error {
 	age, limit := f.cfg.Age(), f.cfg.MaxAge()
 	if limit > 0 && age > limit {
 		return &StaleError{Age: age, Limit: limit}
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func assign(r *request.Request, team *route.Team) {
+func setTeam(r *request.Request, team *route.Team) {
 	r.TeamName, r.TeamResidency = team.Name, team.Residency
 	if team.Tier != nil {
 		r.Tier = max(0, *team.Tier) // no rank is above the highest
--- a/internal/filters/attempts/attempts.go
+++ b/internal/filters/attempts/attempts.go
@@ -20,19 +20,19 @@
 	"coveferry/internal/wire"
 )
 
-// deadlineGrace is how long the router waits past a deadline for the agent's
+// agentDeadlineGrace is how long the router waits past a deadline for the agent's
 // word, which says for certain whether the request ran.
-const deadlineGrace = 250 * time.Millisecond
+const agentDeadlineGrace = 250 * time.Millisecond
 
-// directGrace is the same where there is no agent: only the way back of the
+// directDeadlineGrace is the same where there is no agent: only the way back of the
 // endpoint's own answer at the deadline, since the caller is kept waiting.
-const directGrace = 100 * time.Millisecond
+const directDeadlineGrace = 100 * time.Millisecond
 
-func graceOf(r *request.Request) time.Duration {
+func deadlineGraceFor(r *request.Request) time.Duration {
 	if r.Kind == wire.KindRouted {
-		return directGrace
+		return directDeadlineGrace
 	}
-	return deadlineGrace
+	return agentDeadlineGrace
 }
 
 // DeadlineError is a request whose deadline passed without an agent's word.
@@ -57,8 +57,8 @@
 type Filter struct {
 	policy Policy
 	jitter func() float64
-	// takesWork says whether an endpoint takes new work.
-	takesWork func(endpoint string) bool
+	// acceptsWork says whether an endpoint takes new work.
+	acceptsWork func(endpoint string) bool
 }
 
 // Policy decides what follows an attempt. *retry.Policy is the product's.
@@ -66,21 +66,21 @@
 	// First counts the first attempt of a request at a target.
 	First(now time.Time, target string, tier int)
 	Decide(a retry.Attempt, now time.Time, jitter float64) retry.Decision
-	// Return says whether to come back to endpoints that were tried, after
+	// DecideRevisit says whether to come back to endpoints that were tried, after
 	// so many returns before.
-	Return(a retry.Attempt, returns int, now time.Time, jitter float64) retry.Decision
+	DecideRevisit(a retry.Attempt, returns int, now time.Time, jitter float64) retry.Decision
 }
 
 // New returns a filter that repeats by the policy. jitter returns random
 // numbers from [0, 1).
 func New(policy Policy, jitter func() float64) *Filter {
-	return &Filter{policy: policy, jitter: jitter, takesWork: func(string) bool { return true }}
+	return &Filter{policy: policy, jitter: jitter, acceptsWork: func(string) bool { return true }}
 }
 
 // CopiesAt has streams go on from copies only at endpoints that take new work: one that
 // leaves or is evacuated gets none. It must be called before the filter is used.
 func (f *Filter) CopiesAt(takesWork func(endpoint string) bool) *Filter {
-	f.takesWork = takesWork
+	f.acceptsWork = takesWork
 	return f
 }
 
@@ -90,7 +90,7 @@
 // Do returns nil once the caller has the whole answer, or else the error of
 // the attempt that says most.
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
-	ctx, cancel := context.WithDeadline(ctx, r.Deadline.Add(graceOf(r)))
+	ctx, cancel := context.WithDeadline(ctx, r.Deadline.Add(deadlineGraceFor(r)))
 	defer cancel()
 	err := f.repeat(ctx, r, next)
 	switch {
@@ -111,77 +111,77 @@
 	for r.Epoch = 1; ; r.Epoch++ {
 		r.RateLimit, r.LimitPart, r.Connections = upstream.RateLimit{}, "", 0
 		h.add(next(ctx, r))
-		if ended, err := h.endAtLimit(ctx, r); ended {
+		if ended, err := h.completeAtTokenLimit(ctx, r); ended {
 			return err
 		}
 		decision := f.decide(ctx, r, h)
-		note(r, h.latest, decision)
-		f.prepare(r, h.last, decision)
+		appendTrail(r, h.latestErr, decision)
+		f.setResumeEndpoint(r, h.lastSentErr, decision)
 		if decision.Action == retry.ActionGiveUp || !clock.Sleep(ctx, decision.Delay) {
 			return h.result()
 		}
-		restart(r)
+		discardUndelivered(r)
 	}
 }
 
 // decide says what follows the latest attempt.
 func (f *Filter) decide(ctx context.Context, r *request.Request, h *history) retry.Decision {
-	held := r.Delivered.Tokens > 0
-	what := judge(h.last, held)
-	stuck := r.Delivered.Unresumable && r.Delivered.Started && h.last != nil
-	if ctx.Err() != nil || what.final || stuck {
-		return retry.Decision{Reason: what.reason}
+	delivered := r.Delivered.Tokens > 0
+	result := classify(h.lastSentErr, delivered)
+	unresumable := r.Delivered.Unresumable && r.Delivered.Started && h.lastSentErr != nil
+	if ctx.Err() != nil || result.final || unresumable {
+		return retry.Decision{Reason: result.reason}
 	}
-	return f.follow(r, h, retry.Attempt{
-		Number:     h.made,
-		Target:     r.Service,
-		Tier:       r.Tier,
-		Outcome:    what.outcome,
-		Idempotent: !r.NonIdempotent,
-		Copied:     f.goesOnFromCopy(r, what.outcome),
-		Runs:       h.runs,
-		MaxRuns:    r.MaxRuns,
-		Delivered:  held,
-		Free:       what.free,
-		Overloaded: what.overloaded,
-		Deadline:   r.Deadline,
+	return f.consultPolicy(r, h, retry.Attempt{
+		Number:       h.attemptsInRound,
+		Target:       r.Service,
+		Tier:         r.Tier,
+		Outcome:      result.outcome,
+		Idempotent:   !r.NonIdempotent,
+		Copied:       f.canResumeFromCopy(r, result.outcome),
+		PossibleRuns: h.possibleRuns,
+		MaxRuns:      r.MaxRuns,
+		Delivered:    delivered,
+		BudgetExempt: result.budgetExempt,
+		Overloaded:   result.overloaded,
+		Deadline:     r.Deadline,
 	})
 }
 
-// follow asks for another endpoint, or for a return where none is left.
-func (f *Filter) follow(r *request.Request, h *history, a retry.Attempt) retry.Decision {
+// consultPolicy asks for another endpoint, or for a return where none is left.
+func (f *Filter) consultPolicy(r *request.Request, h *history, a retry.Attempt) retry.Decision {
 	if !h.exhausted {
 		decision := f.policy.Decide(a, time.Now(), f.jitter())
 		if decision.Reason != retry.ReasonAttempts {
 			return decision
 		}
 	}
-	decision := f.policy.Return(a, h.returns, time.Now(), f.jitter())
+	decision := f.policy.DecideRevisit(a, h.revisits, time.Now(), f.jitter())
 	if decision.Action != retry.ActionGiveUp {
-		h.returns++
-		h.made = 0
+		h.revisits++
+		h.attemptsInRound = 0
 		r.Round = len(r.Tried)
 	}
 	return decision
 }
 
-// goesOnFromCopy says whether a stream that broke can go on from the copy of its
+// canResumeFromCopy says whether a stream that broke can go on from the copy of its
 // memory at another endpoint, behind what the caller holds.
-func (f *Filter) goesOnFromCopy(r *request.Request, outcome retry.Outcome) bool {
-	return r.Copy != nil && r.Delivered.Tokens > 0 && outcome == retry.OutcomeRan && f.takesWork(r.Copy.Name)
+func (f *Filter) canResumeFromCopy(r *request.Request, outcome retry.Outcome) bool {
+	return r.Copy != nil && r.Delivered.Tokens > 0 && outcome == retry.OutcomeRan && f.acceptsWork(r.Copy.Name)
 }
 
-// prepare sets where the next attempt goes on.
-func (f *Filter) prepare(r *request.Request, last error, d retry.Decision) {
+// setResumeEndpoint sets where the next attempt goes on.
+func (f *Filter) setResumeEndpoint(r *request.Request, last error, d retry.Decision) {
 	r.Resume = nil
-	if d.Action == retry.ActionResume && f.goesOnFromCopy(r, judge(last, true).outcome) {
+	if d.Action == retry.ActionResume && f.canResumeFromCopy(r, classify(last, true).outcome) {
 		r.Resume = r.Copy
 	}
 }
 
-// restart forgets the part of an answer that no engine can go on from, where
+// discardUndelivered forgets the part of an answer that no engine can go on from, where
 // the caller hasn't been given any of it yet.
-func restart(r *request.Request) {
+func discardUndelivered(r *request.Request) {
 	if !r.Delivered.Unresumable || r.Delivered.Started {
 		return
 	}
@@ -189,8 +189,8 @@
 	r.Collected = nil
 }
 
-// note adds the attempt that just ended to the request's trail.
-func note(r *request.Request, err error, d retry.Decision) {
+// appendTrail adds the attempt that just ended to the request's trail.
+func appendTrail(r *request.Request, err error, d retry.Decision) {
 	step := request.Step{Epoch: r.Epoch, Outcome: "complete", Tokens: r.Delivered.Tokens, Next: string(d.Reason)}
 	step.Limit, step.Part, step.Connections = r.RateLimit.String(), r.LimitPart, r.Connections
 	if d.Budget != nil {
@@ -202,7 +202,7 @@
 	if d.Action != retry.ActionGiveUp {
 		step.Next = "repeat"
 	}
-	if r.Endpoint != nil && !errors.Is(err, choose.ErrNone) && d.Reason != reasonQuarantined {
+	if r.Endpoint != nil && !errors.Is(err, choose.ErrNoEndpoint) && d.Reason != reasonQuarantined {
 		step.Endpoint = r.Endpoint.Name
 	}
 	r.Trail = append(r.Trail, step)
--- a/internal/filters/attempts/attempts_test.go
+++ b/internal/filters/attempts/attempts_test.go
@@ -31,39 +31,39 @@
 	}
 }
 
-func none(*request.Request) error { return &choose.Error{Cause: errors.New("all tried")} }
+func noEndpointLeft(*request.Request) error { return &choose.Error{Cause: errors.New("all tried")} }
 
 func complete(*request.Request) error { return nil }
 
-// cut delivers a token and breaks.
-func cut(r *request.Request) error {
+// breakAfterToken delivers a token and breaks.
+func breakAfterToken(r *request.Request) error {
 	r.Delivered.Text = append(r.Delivered.Text, 'x')
 	r.Delivered.Tokens++
 	return &relay.BrokenError{}
 }
 
-// cutTool delivers a part of a tool call and breaks.
-func cutTool(r *request.Request) error {
+// breakInToolCall delivers a part of a tool call and breaks.
+func breakInToolCall(r *request.Request) error {
 	r.Delivered.Unresumable = true
-	return cut(r)
+	return breakAfterToken(r)
 }
 
 // run plays the attempts in turn and returns the result and how many were made.
-func run(r *request.Request, play ...attempt) (made int, took time.Duration, err error) {
-	return runBy(&retry.Policy{}, r, play...)
+func run(r *request.Request, script ...attempt) (made int, took time.Duration, err error) {
+	return runWithPolicy(&retry.Policy{}, r, script...)
 }
 
-func runBy(p *retry.Policy, r *request.Request, play ...attempt) (made int, took time.Duration, err error) {
+func runWithPolicy(p *retry.Policy, r *request.Request, script ...attempt) (made int, took time.Duration, err error) {
 	f := attempts.New(p, func() float64 { return 0 })
 	r.Deadline = time.Now().Add(time.Minute)
 	start := time.Now()
 	err = f.Do(context.Background(), r, func(_ context.Context, r *request.Request) error {
-		if made == len(play) {
+		if made == len(script) {
 			return errors.New("an attempt too many")
 		}
 		made++
-		err := play[made-1](r)
-		if !errors.Is(err, choose.ErrNone) {
+		err := script[made-1](r)
+		if !errors.Is(err, choose.ErrNoEndpoint) {
 			r.Endpoint = &bundle.Endpoint{Name: "e"}
 			r.Tried = append(r.Tried, "e")
 		}
@@ -72,16 +72,16 @@
 	return made, time.Since(start), err
 }
 
-func TestNotRunIsSaidOfAllAttempts(t *testing.T) {
+func TestNotRunIsReportedOnlyIfNoAttemptRan(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		play []attempt
 		run  wire.Run
 		code string
 	}{
-		{"never", []attempt{refused("queue_full", wire.RunNot), none}, wire.RunNot, "queue_full"},
-		{"may have", []attempt{refused(wire.ReasonEngineFailed, wire.RunUnknown), refused("queue_full", wire.RunNot), none}, wire.RunUnknown, "queue_full"},
-		{"did", []attempt{cut, refused(wire.ReasonEngineSaysNo, wire.RunNot), refused(wire.ReasonEngineSaysNo, wire.RunNot), none, none, none, none, none}, wire.RunYes, "answer_cut_off"},
+		{"never", []attempt{refused("queue_full", wire.RunNot), noEndpointLeft}, wire.RunNot, "queue_full"},
+		{"may have", []attempt{refused(wire.ReasonEngineFailed, wire.RunUnknown), refused("queue_full", wire.RunNot), noEndpointLeft}, wire.RunUnknown, "queue_full"},
+		{"did", []attempt{breakAfterToken, refused(wire.ReasonEngineSaysNo, wire.RunNot), refused(wire.ReasonEngineSaysNo, wire.RunNot), noEndpointLeft, noEndpointLeft, noEndpointLeft, noEndpointLeft, noEndpointLeft}, wire.RunYes, "answer_cut_off"},
 		{"refused at once", []attempt{refused(wire.ReasonEngineSaysNo, wire.RunNot)}, wire.RunNot, wire.ReasonEngineSaysNo},
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -95,12 +95,12 @@
 	}
 }
 
-func TestARequestComesBackOnceAllWereTried(t *testing.T) {
+func TestTriedEndpointsAreRevisitedWhenNoneIsLeft(t *testing.T) {
 	down := refused(wire.ReasonEngineDown, wire.RunNot)
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		r := &request.Request{NonIdempotent: true}
-		made, took, err := run(r, down, down, none, down, down, none, complete)
+		made, took, err := run(r, down, down, noEndpointLeft, down, down, noEndpointLeft, complete)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(made).To(Equal(7))
 		g.Expect(r.Round).To(Equal(4))
@@ -113,11 +113,11 @@
 }
 
 // A caller who has been given nothing yet gets a whole answer after all.
-func TestAToolCallIsStartedAnewWhereNothingWasGiven(t *testing.T) {
+func TestToolCallRestartsIfNothingWasDelivered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		r := &request.Request{}
-		_, _, err := run(r, cutTool, func(r *request.Request) error {
+		_, _, err := run(r, breakInToolCall, func(r *request.Request) error {
 			g.Expect(r.Delivered.Text).To(BeEmpty())
 			g.Expect(r.Delivered.Unresumable).To(BeFalse())
 			return nil
@@ -125,20 +125,20 @@
 		g.Expect(err).NotTo(HaveOccurred())
 
 		r = &request.Request{Delivered: request.Delivered{Started: true}}
-		made, _, err := run(r, cutTool)
+		made, _, err := run(r, breakInToolCall)
 		g.Expect(api.From(err).Code).To(Equal("answer_cut_off"))
 		g.Expect(made).To(Equal(1))
 	})
 }
 
 // An engine asked to go on would add a token to those that the caller wanted.
-func TestAnAnswerAtItsBoundAsksNoFurtherEngine(t *testing.T) {
+func TestAnswerAtTokenLimitIsCompletedWithoutRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		w := httptest.NewRecorder()
 		r := &request.Request{Kind: wire.KindChat, Stream: true, NonIdempotent: true, MaxTokens: 1, Writer: w}
 		r.Delivered.Last = `{"id":"a","choices":[{"delta":{"content":"x"}}]}`
-		made, _, err := run(r, cut)
+		made, _, err := run(r, breakAfterToken)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(made).To(Equal(1))
 		g.Expect(w.Body.String()).To(ContainSubstring(`"finish_reason":"length"`))
@@ -146,18 +146,18 @@
 }
 
 // An agent that leaves, or hears an attempt too late, is no sign of overload.
-func TestAnAttemptThatIsSentElsewhereIsNotCharged(t *testing.T) {
+func TestBudgetExemptRefusalsAreNotCharged(t *testing.T) {
 	empty := retry.NewBudget(retry.BudgetConfig{Ratio: 1e-9, Floor: 1e-9})
 	for reason, want := range map[string]int{wire.ReasonStale: 2, wire.ReasonLeaving: 2, wire.ReasonEngineFailed: 1} {
 		synctest.Test(t, func(t *testing.T) {
-			made, _, _ := runBy(&retry.Policy{Budget: empty}, &request.Request{}, refused(reason, wire.RunNot), complete)
+			made, _, _ := runWithPolicy(&retry.Policy{Budget: empty}, &request.Request{}, refused(reason, wire.RunNot), complete)
 			NewWithT(t).Expect(made).To(Equal(want), reason)
 		})
 	}
 }
 
 // An attempt that waits at two endpoints is one.
-func TestAttemptsAreCountedAndNotEndpoints(t *testing.T) {
+func TestPairCountsAsOneAttempt(t *testing.T) {
 	pair := func(r *request.Request) error {
 		r.Tried = append(r.Tried, "second")
 		return refused(wire.ReasonEngineFailed, wire.RunUnknown)(r)
--- /dev/null
+++ b/internal/filters/attempts/classify.go
@@ -0,0 +1,106 @@
+package attempts
+
+import (
+	"github.com/cockroachdb/errors"
+
+	"coveferry/internal/filters/choose"
+	"coveferry/internal/filters/dispatch"
+	"coveferry/internal/filters/quarantine"
+	"coveferry/internal/filters/relay"
+	"coveferry/internal/retry"
+	"coveferry/internal/sched"
+	"coveferry/internal/wire"
+)
+
+// reasonFinal is noted where no other endpoint could do better.
+const reasonFinal retry.Reason = "final"
+
+// reasonQuarantined is noted where endpoints ended under the request.
+const reasonQuarantined retry.Reason = "quarantined"
+
+// classification is what an attempt's error says of it.
+type classification struct {
+	outcome retry.Outcome
+	// final says that no other endpoint could do better.
+	final  bool
+	reason retry.Reason
+	// budgetExempt says that the load is not to blame.
+	budgetExempt bool
+	// overloaded says that the endpoint had no room.
+	overloaded bool
+}
+
+// classify turns the error that an attempt ended with. held says that the caller
+// holds a part of the answer.
+func classify(err error, delivered bool) classification {
+	var refused *dispatch.RefusedError
+	var noAnswer *dispatch.NoAnswerError
+	var broken *relay.BrokenError
+	var answer *relay.AnswerError
+	var expired *dispatch.ExpiredError
+	var pinned *choose.PinnedError
+	var late *choose.LateError
+	var quarantined *quarantine.HeldError
+	switch {
+	case err == nil:
+		return classification{outcome: retry.OutcomeCompleted}
+	case errors.As(err, &pinned):
+		return classification{outcome: outcomeForRun(pinned.Run()), final: true, reason: reasonFinal}
+	case errors.As(err, &late):
+		return classification{outcome: retry.OutcomeNotRun, final: true, reason: retry.ReasonOverload}
+	case errors.As(err, &quarantined):
+		return classification{outcome: retry.OutcomeNotRun, final: true, reason: reasonQuarantined}
+	case errors.As(err, &refused):
+		return classifyRefusal(refused, delivered)
+	case errors.As(err, &expired):
+		return classification{outcome: retry.OutcomeNotRun, final: true, reason: retry.ReasonDeadline}
+	case errors.As(err, &noAnswer):
+		return classification{outcome: outcomeForRun(noAnswer.Run()), budgetExempt: !noAnswer.Sent}
+	case errors.As(err, &answer):
+		return classification{outcome: retry.OutcomeRan}
+	case errors.As(err, &broken):
+		return classifyBroken(broken)
+	default:
+		return classification{outcome: retry.OutcomeUnknown, final: true, reason: reasonFinal}
+	}
+}
+
+func classifyRefusal(e *dispatch.RefusedError, delivered bool) classification {
+	c := classification{outcome: outcomeForRun(e.Run)}
+	switch e.Reason {
+	case wire.ReasonEngineSaysNo:
+		// What an engine says of a continuation doesn't hold for another one.
+		if !delivered {
+			c.final = true
+			c.reason = reasonFinal
+		}
+	case string(wire.EndingExpired):
+		c.final = true
+		c.reason = retry.ReasonDeadline
+	case wire.ReasonLeaving, wire.ReasonStale, wire.ReasonNotHere, wire.ReasonEngineDown:
+		c.budgetExempt = true
+	case string(sched.ReasonQueueFull), string(sched.ReasonTooLate), string(sched.ReasonDisplaced):
+		c.overloaded = true
+	}
+	return c
+}
+
+func classifyBroken(e *relay.BrokenError) classification {
+	c := classification{outcome: retry.OutcomeRan, budgetExempt: e.Ending == wire.EndingLeaving}
+	if e.Ending == wire.EndingExpired {
+		c.final = true
+		c.reason = retry.ReasonDeadline
+	}
+	return c
+}
+
+func outcomeForRun(run wire.Run) retry.Outcome {
+	switch run {
+	case wire.RunNot:
+		return retry.OutcomeNotRun
+	case wire.RunYes:
+		return retry.OutcomeRan
+	default:
+		return retry.OutcomeUnknown
+	}
+}
--- a/internal/filters/attempts/history.go
+++ b/internal/filters/attempts/history.go
@@ -16,59 +16,59 @@
 
 // history is what the attempts of one request came to so far.
 type history struct {
-	// latest is how the latest attempt ended; last is that of the latest one
+	// latestErr is how the latestErr attempt ended; lastSentErr is that of the latestErr one
 	// for which there was an endpoint, which says more.
-	latest, last error
-	// run is the most that any attempt did.
-	run wire.Run
+	latestErr, lastSentErr error
+	// mostRun is the most that any attempt did.
+	mostRun wire.Run
 	// exhausted says that no endpoint was left for the latest attempt.
 	exhausted bool
-	// made counts the attempts since the request last came back to endpoints
+	// attemptsInRound counts the attempts since the request last came back to endpoints
 	// that it had tried. One may ask two endpoints.
-	made int
-	// runs counts the attempts that ran or may have.
-	runs int
-	// returns counts how often endpoints were tried again.
-	returns int
+	attemptsInRound int
+	// possibleRuns counts the attempts that ran or may have.
+	possibleRuns int
+	// revisits counts how often endpoints were tried again.
+	revisits int
 }
 
-func newHistory() *history { return &history{run: wire.RunNot} }
+func newHistory() *history { return &history{mostRun: wire.RunNot} }
 
 // add notes how an attempt ended.
 func (h *history) add(err error) {
-	h.latest = err
-	h.exhausted = errors.Is(err, choose.ErrNone)
-	if h.exhausted && h.last != nil {
+	h.latestErr = err
+	h.exhausted = errors.Is(err, choose.ErrNoEndpoint)
+	if h.exhausted && h.lastSentErr != nil {
 		return
 	}
-	h.last = err
+	h.lastSentErr = err
 	if h.exhausted {
 		return // none was sent
 	}
-	h.made++
-	outcome := judge(err, false).outcome
+	h.attemptsInRound++
+	outcome := classify(err, false).outcome
 	if outcome != retry.OutcomeNotRun {
-		h.runs++
+		h.possibleRuns++
 	}
 	switch outcome {
 	case retry.OutcomeNotRun:
 	case retry.OutcomeUnknown:
-		if h.run == wire.RunNot {
-			h.run = wire.RunUnknown
+		if h.mostRun == wire.RunNot {
+			h.mostRun = wire.RunUnknown
 		}
 	default:
-		h.run = wire.RunYes
+		h.mostRun = wire.RunYes
 	}
 }
 
-// endAtLimit ends an answer of which only the end is missing.
-func (h *history) endAtLimit(ctx context.Context, r *request.Request) (bool, error) {
-	if h.last == nil || ctx.Err() != nil {
+// completeAtTokenLimit ends an answer of which only the end is missing.
+func (h *history) completeAtTokenLimit(ctx context.Context, r *request.Request) (bool, error) {
+	if h.lastSentErr == nil || ctx.Err() != nil {
 		return false, nil
 	}
 	ended, err := relay.EndAtLimit(r)
 	if ended {
-		note(r, h.latest, retry.Decision{Reason: retry.ReasonCompleted})
+		appendTrail(r, h.latestErr, retry.Decision{Reason: retry.ReasonCompleted})
 	}
 	return ended, err
 }
@@ -76,10 +76,10 @@
 // result is the error that the caller is told: that of the last attempt, unless
 // it says "not run" only of itself.
 func (h *history) result() error {
-	if h.last == nil || h.run == wire.RunNot || api.From(h.last).Run != wire.RunNot {
-		return h.last
+	if h.lastSentErr == nil || h.mostRun == wire.RunNot || api.From(h.lastSentErr).Run != wire.RunNot {
+		return h.lastSentErr
 	}
-	return &RanBeforeError{Run: h.run, Cause: h.last}
+	return &RanBeforeError{Run: h.mostRun, Cause: h.lastSentErr}
 }
 
 // RanBeforeError is a request whose last attempt didn't run, while an earlier
--- a/internal/filters/choose/choose.go
+++ b/internal/filters/choose/choose.go
@@ -17,33 +17,33 @@
 	"coveferry/internal/wire"
 )
 
-// retryAfterNone is when to come back if no endpoint can be used at all, which
+// retryAfterNoEndpoint is when to come back if no endpoint can be used at all, which
 // takes a change of the bundle or the return of an endpoint.
-const retryAfterNone = 5 * time.Second
+const retryAfterNoEndpoint = 5 * time.Second
 
-// ErrNone means that no endpoint is left for another attempt.
-var ErrNone = errors.New("choose: no endpoint may take the request")
+// ErrNoEndpoint means that no endpoint is left for another attempt.
+var ErrNoEndpoint = errors.New("choose: no endpoint may take the request")
 
 // Error is a request for which there is no endpoint.
 type Error struct{ Cause error }
 
 // Error implements error.
-func (e *Error) Error() string { return ErrNone.Error() + ": " + e.Cause.Error() }
+func (e *Error) Error() string { return ErrNoEndpoint.Error() + ": " + e.Cause.Error() }
 
 // Is makes errors.Is(err, ErrNone) true.
-func (e *Error) Is(target error) bool { return target == ErrNone }
+func (e *Error) Is(target error) bool { return target == ErrNoEndpoint }
 
 // API implements api.Convertible.
 func (e *Error) API() *api.Error {
 	out := &api.Error{
 		Status: http.StatusServiceUnavailable, Type: api.TypeUnavailable,
 		Code: "no_endpoint", Message: "no endpoint can take the request now",
-		Run: wire.RunNot, RetryAfter: retryAfterNone,
+		Run: wire.RunNot, RetryAfter: retryAfterNoEndpoint,
 	}
-	if in, known := e.FreeIn(); known {
+	if delay, limited := e.FreeIn(); limited {
 		out.Type, out.Code = api.TypeOverloaded, "limited"
 		out.Message = "overloaded: all endpoints have had the requests that they take a second"
-		out.RetryAfter = max(minRetryAfter, in)
+		out.RetryAfter = max(minRetryAfter, delay)
 	}
 	return out
 }
@@ -51,21 +51,21 @@
 // FreeIn is when an endpoint takes the next request, where all would take it but for what
 // they take a second; false if there is another reason.
 func (e *Error) FreeIn() (time.Duration, bool) {
-	var none *balance.NoEndpointError
-	if !errors.As(e.Cause, &none) || none.Bounded == 0 || none.Bounded < none.Candidates-none.Leaving {
+	var noEndpoint *balance.NoEndpointError
+	if !errors.As(e.Cause, &noEndpoint) || noEndpoint.Bounded == 0 || noEndpoint.Bounded < noEndpoint.Candidates-noEndpoint.Leaving {
 		return 0, false
 	}
-	return none.FreeIn, true
+	return noEndpoint.FreeIn, true
 }
 
 // Filter implements pipeline.Filter.
 type Filter struct {
-	pool   *balance.Pool
-	latest Latest
-	homes  *homes // nil leaves keys out of account
-	late   bool
-	// refuseLate is Config.RefuseLate.
-	refuseLate float64
+	pool         *balance.Pool
+	latest       Latest
+	homeResolver *homeResolver // nil leaves keys out of account
+	lateBinding  bool
+	// refuseLateFactor is Config.RefuseLate.
+	refuseLateFactor float64
 }
 
 // Latest lists the endpoints that may serve a request by now.
@@ -91,9 +91,9 @@
 
 // New returns a filter that chooses from the pool.
 func New(cfg Config) *Filter {
-	f := &Filter{pool: cfg.Pool, latest: cfg.Latest, late: cfg.LateBinding, refuseLate: cfg.RefuseLate}
+	f := &Filter{pool: cfg.Pool, latest: cfg.Latest, lateBinding: cfg.LateBinding, refuseLateFactor: cfg.RefuseLate}
 	if !cfg.IgnoreKeys {
-		f.homes = &homes{}
+		f.homeResolver = &homeResolver{}
 	}
 	return f
 }
@@ -106,7 +106,7 @@
 	if r.Epoch > 1 {
 		f.refresh(r)
 	}
-	if f.homes != nil && !r.KeyIssued.IsZero() {
+	if f.homeResolver != nil && !r.KeyIssued.IsZero() {
 		return f.doPinned(ctx, r, next)
 	}
 	if err := f.choose(r); err != nil {
@@ -118,19 +118,19 @@
 // choose sets the request's endpoint, or two where it may wait at both.
 func (f *Filter) choose(r *request.Request) error {
 	if r.Resume != nil {
-		return f.goOn(r)
+		return f.resumeFromCopy(r)
 	}
-	ask := balance.Request{Service: r.Service, Tier: r.Tier, Prefix: r.Prefix, Prompt: r.Prompt, Once: r.NonIdempotent, Again: len(r.Tried) > 0}
+	query := balance.Request{Service: r.Service, Tier: r.Tier, Prefix: r.Prefix, Prompt: r.Prompt, Once: r.NonIdempotent, Again: len(r.Tried) > 0}
 	if r.Route != nil {
-		r.Stride = stride(r)
-		ask.MaxGap, ask.Stride, ask.Objective = r.Route.MaxGap, r.Stride, r.Route.Objective
-		ask.Tier = r.Table.Rank(r.Tier, r.Route.Tier)
-		ask.ColdRate = r.Table.Cold(r.Service).Rate
+		r.Stride = tokensPerEvent(r)
+		query.MaxGap, query.Stride, query.Objective = r.Route.MaxGap, r.Stride, r.Route.Objective
+		query.Tier = r.Table.Rank(r.Tier, r.Route.Tier)
+		query.ColdRate = r.Table.Cold(r.Service).Rate
 	}
 	if r.Class != nil {
-		ask.Class = r.Class.Name
+		query.Class = r.Class.Name
 	}
-	pair, err := f.pick(r, ask)
+	pair, err := f.pick(r, query)
 	if err != nil {
 		return &Error{Cause: err}
 	}
@@ -138,7 +138,7 @@
 		return err
 	}
 	r.Endpoint, r.Second = pair.First, pair.Second
-	f.noteLimit(r)
+	f.recordLimitPart(r)
 	r.Tried = append(r.Tried, r.Endpoint.Name)
 	if r.Second != nil {
 		r.Tried = append(r.Tried, r.Second.Name)
@@ -146,31 +146,31 @@
 	return nil
 }
 
-// errCopyBounded is a copy at an endpoint that takes no further request now.
-var errCopyBounded = errors.New("the endpoint that has the copy takes no further request now")
+// errCopyRateLimited is a copy at an endpoint that takes no further request now.
+var errCopyRateLimited = errors.New("the endpoint that has the copy takes no further request now")
 
-// goOn has the request go on from the copy of its memory. An endpoint that takes so many
+// resumeFromCopy has the request go on from the copy of its memory. An endpoint that takes so many
 // requests a second is sent no more, also of these.
-func (f *Filter) goOn(r *request.Request) error {
-	ask := balance.Request{Tier: r.Table.Rank(r.Tier, r.Route.Tier), ColdRate: r.Table.Cold(r.Service).Rate}
-	if !f.pool.Take(time.Now(), r.Resume, ask) {
-		return &Error{Cause: errCopyBounded}
+func (f *Filter) resumeFromCopy(r *request.Request) error {
+	query := balance.Request{Tier: r.Table.Rank(r.Tier, r.Route.Tier), ColdRate: r.Table.Cold(r.Service).Rate}
+	if !f.pool.Take(time.Now(), r.Resume, query) {
+		return &Error{Cause: errCopyRateLimited}
 	}
 	r.Endpoint, r.Source, r.Copy = r.Resume, nil, nil
-	f.noteLimit(r)
+	f.recordLimitPart(r)
 	r.Tried = append(r.Tried, r.Endpoint.Name)
 	return nil
 }
 
-// noteLimit notes by which limit of its endpoint the attempt is sent, for the log.
-func (f *Filter) noteLimit(r *request.Request) {
-	if use, limited := f.pool.LimitOf(time.Now(), r.Endpoint); limited {
-		r.LimitPart = use.String()
+// recordLimitPart notes by which limit of its endpoint the attempt is sent, for the log.
+func (f *Filter) recordLimitPart(r *request.Request) {
+	if part, limited := f.pool.LimitOf(time.Now(), r.Endpoint); limited {
+		r.LimitPart = part.String()
 	}
 }
 
-// canCopy says whether the service's engines copy the memory of runs.
-func canCopy(r *request.Request) bool {
+// backsUpRuns says whether the service's engines copy the memory of runs.
+func backsUpRuns(r *request.Request) bool {
 	if r.Route == nil {
 		return false
 	}
@@ -178,8 +178,8 @@
 	return s != nil && s.Engine != nil && s.Engine.Backups
 }
 
-// stride is how many tokens an event holds, as the table says of the service.
-func stride(r *request.Request) int {
+// tokensPerEvent is how many tokens an event holds, as the table says of the service.
+func tokensPerEvent(r *request.Request) int {
 	s := r.Table.Service(r.Service)
 	if s == nil || s.Engine == nil {
 		return 0
@@ -187,14 +187,14 @@
 	return s.Engine.Stride
 }
 
-func (f *Filter) pick(r *request.Request, ask balance.Request) (balance.Pair, error) {
-	if f.late && r.Kind != wire.KindService && r.Kind != wire.KindRouted {
-		return f.pool.ChoosePair(time.Now(), ask, r.Candidates, r.TriedEndpoint)
+func (f *Filter) pick(r *request.Request, query balance.Request) (balance.Pair, error) {
+	if f.lateBinding && r.Kind != wire.KindService && r.Kind != wire.KindRouted {
+		return f.pool.ChoosePair(time.Now(), query, r.Candidates, r.TriedEndpoint)
 	}
-	c, err := f.pool.ChooseExpecting(time.Now(), ask, r.Candidates, r.TriedEndpoint)
+	c, err := f.pool.ChooseExpecting(time.Now(), query, r.Candidates, r.TriedEndpoint)
 	r.Read, r.Wait, r.Source, r.Copy, r.Tight = c.Read, c.Wait, c.Source, nil, c.Tight
 	r.Kept = c.Kept
-	if canCopy(r) {
+	if backsUpRuns(r) {
 		r.Copy = c.Copy
 	}
 	return balance.Pair{First: c.Endpoint}, err
--- a/internal/filters/choose/home.go
+++ b/internal/filters/choose/home.go
@@ -18,20 +18,20 @@
 	"coveferry/internal/wire"
 )
 
-// homes keeps the lists of the snapshot in force, since making one costs more
+// homeResolver keeps the lists of the snapshot in force, since making one costs more
 // than looking a home up.
-type homes struct{ cache atomic.Pointer[homeCache] }
+type homeResolver struct{ cache atomic.Pointer[listCache] }
 
-type homeCache struct {
+type listCache struct {
 	snapshot *bundle.Snapshot
 	lists    sync.Map // target -> *once.List
 }
 
-// of returns the endpoint that alone may run the request's key. It may be one
+// resolve returns the endpoint that alone may run the request's key. It may be one
 // that this router doesn't choose for other requests.
-func (h *homes) of(s *bundle.Snapshot, r *request.Request) (*bundle.Endpoint, bool) {
+func (h *homeResolver) resolve(s *bundle.Snapshot, r *request.Request) (*bundle.Endpoint, bool) {
 	endpoints := r.EndpointsIn(s)
-	name := h.list(s, r.KeyTarget(), endpoints).Home(r.Team.Name, r.IdempotencyKey)
+	name := h.endpointList(s, r.KeyTarget(), endpoints).Home(r.Team.Name, r.IdempotencyKey)
 	for _, e := range endpoints {
 		if e.Name == name {
 			return e, true
@@ -40,10 +40,10 @@
 	return nil, false
 }
 
-func (h *homes) list(s *bundle.Snapshot, target string, endpoints []*bundle.Endpoint) *once.List {
+func (h *homeResolver) endpointList(s *bundle.Snapshot, target string, endpoints []*bundle.Endpoint) *once.List {
 	cache := h.cache.Load()
 	if cache == nil || cache.snapshot != s {
-		cache = &homeCache{snapshot: s}
+		cache = &listCache{snapshot: s}
 		h.cache.Store(cache) // another may be stored meanwhile; each is right
 	}
 	if list, known := cache.lists.Load(target); known {
@@ -57,17 +57,17 @@
 // doPinned sends the request to its key's home and nowhere else. There it is
 // tried again only after "not run".
 func (f *Filter) doPinned(ctx context.Context, r *request.Request, next pipeline.Next) error {
-	home, found := f.homes.of(inForce(r), r)
+	home, found := f.homeResolver.resolve(currentSnapshot(r), r)
 	if !found || r.TriedEndpoint(home.Name) {
 		return &Error{Cause: errHomeTried}
 	}
 	r.Endpoint, r.Second = home, nil
 	r.Tried = append(r.Tried, home.Name)
-	return turnPinned(next(ctx, r))
+	return wrapPinned(next(ctx, r))
 }
 
-// inForce is the snapshot whose endpoints the attempt may use.
-func inForce(r *request.Request) *bundle.Snapshot {
+// currentSnapshot is the snapshot whose endpoints the attempt may use.
+func currentSnapshot(r *request.Request) *bundle.Snapshot {
 	if r.Epoch > 1 && r.Latest != nil {
 		return r.Latest()
 	}
@@ -88,27 +88,27 @@
 // not, whatever an earlier request with the key did.
 func (e *PinnedError) Run() wire.Run {
 	var refused *dispatch.RefusedError
-	if errors.As(e.Cause, &refused) && known(refused) {
+	if errors.As(e.Cause, &refused) && isKeyRefusal(refused) {
 		return wire.RunNot
 	}
 	return api.From(e.Cause).Run
 }
 
-// turnPinned marks the errors after which the request may not be tried again.
-func turnPinned(err error) error {
+// wrapPinned marks the errors after which the request may not be tried again.
+func wrapPinned(err error) error {
 	var refused *dispatch.RefusedError
-	var lost *dispatch.LostError
-	var brk *relay.BrokenError
+	var lost *dispatch.NoAnswerError
+	var broken *relay.BrokenError
 	switch {
 	case errors.As(err, &refused):
-		if refused.Run == wire.RunNot && !known(refused) {
+		if refused.Run == wire.RunNot && !isKeyRefusal(refused) {
 			return err
 		}
 	case errors.As(err, &lost):
 		if !lost.Sent {
 			return err
 		}
-	case !errors.As(err, &brk):
+	case !errors.As(err, &broken):
 		return err
 	}
 	return &PinnedError{Cause: err}
@@ -156,7 +156,7 @@
 	},
 }
 
-func known(e *dispatch.RefusedError) bool {
+func isKeyRefusal(e *dispatch.RefusedError) bool {
 	_, ok := keyReplies[once.Reason(e.Reason)]
 	return ok
 }
@@ -165,7 +165,7 @@
 func (e *PinnedError) API() *api.Error {
 	out := api.From(e.Cause)
 	var refused *dispatch.RefusedError
-	if !errors.As(e.Cause, &refused) || !known(refused) {
+	if !errors.As(e.Cause, &refused) || !isKeyRefusal(refused) {
 		return out
 	}
 	reply := keyReplies[once.Reason(refused.Reason)]
--- a/internal/filters/choose/late.go
+++ b/internal/filters/choose/late.go
@@ -42,11 +42,11 @@
 // short objective would have requests refused while less urgent ones with a long
 // one are taken. One that an endpoint has had before isn't refused.
 func (f *Filter) checkWait(r *request.Request, wait time.Duration) error {
-	if f.refuseLate <= 0 || r.Route == nil || len(r.Tried) > 0 {
+	if f.refuseLateFactor <= 0 || r.Route == nil || len(r.Tried) > 0 {
 		return nil
 	}
 	objective := r.Table.LongestObjective(r.Service)
-	limit := time.Duration(f.refuseLate * float64(objective))
+	limit := time.Duration(f.refuseLateFactor * float64(objective))
 	if limit <= 0 || wait <= limit {
 		return nil
 	}
--- a/internal/filters/choose/late_test.go
+++ b/internal/filters/choose/late_test.go
@@ -19,7 +19,7 @@
 )
 
 // The second route's objective is longer, and so the limit of both.
-func lateTable(t *testing.T) *route.Table {
+func newRouteTable(t *testing.T) *route.Table {
 	s := []route.Target{{Service: "s", Weight: 1}}
 	tab, err := route.NewTable(route.Config{
 		Services: []route.Service{{Name: "s"}},
@@ -32,14 +32,14 @@
 	return tab
 }
 
-// ask chooses for a request after so many unread prompts of 10,000 tokens, which
+// chooseAfter chooses for a request after so many unread prompts of 10,000 tokens, which
 // take a fifth of a second each.
-func ask(t *testing.T, unread int, path string, tried ...string) error {
+func chooseAfter(t *testing.T, unread int, path string, tried ...string) error {
 	pool := balance.NewPool(balance.Config{Policy: balance.NewPromptAware()})
 	for range unread {
 		pool.SentWork(time.Now(), "e", balance.Work{Prompt: prompt.Prompt{Tokens: 10_000}})
 	}
-	tab := lateTable(t)
+	tab := newRouteTable(t)
 	r := &request.Request{
 		Kind: wire.KindRouted, Table: tab, Route: tab.Match("h", path), Service: "s", Tried: tried, Epoch: 1,
 		Prompt:     prompt.Prompt{Tokens: 500},
@@ -50,22 +50,22 @@
 	return f.Do(context.Background(), r, func(context.Context, *request.Request) error { return nil })
 }
 
-func TestWhatWouldBeginTooLateIsRefusedWithTheTimeToComeBack(t *testing.T) {
+func TestLateRequestIsRefusedWithRetryAfter(t *testing.T) {
 	g := NewWithT(t)
 	var late *choose.LateError
-	g.Expect(errors.As(ask(t, 10, "/b/"), &late)).To(BeTrue())
+	g.Expect(errors.As(chooseAfter(t, 10, "/b/"), &late)).To(BeTrue())
 	g.Expect(late.API().Run).To(Equal(wire.RunNot))
 	g.Expect(late.API().RetryAfter).To(BeNumerically("~", 800*time.Millisecond, 20*time.Millisecond))
 }
 
-func TestOneLimitHoldsForAllRoutesOfAService(t *testing.T) {
+func TestLongestObjectiveLimitsAllRoutesOfAService(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(ask(t, 5, "/b/")).To(Succeed())
-	g.Expect(ask(t, 5, "/a/")).To(Succeed(), "a short objective gives no right of way to a long one")
+	g.Expect(chooseAfter(t, 5, "/b/")).To(Succeed())
+	g.Expect(chooseAfter(t, 5, "/a/")).To(Succeed(), "a short objective gives no right of way to a long one")
 }
 
-func TestWhatWasSentBeforeIsNotRefused(t *testing.T) {
-	NewWithT(t).Expect(ask(t, 10, "/b/", "gone")).To(Succeed())
+func TestRetryIsNotRefusedAsLate(t *testing.T) {
+	NewWithT(t).Expect(chooseAfter(t, 10, "/b/", "gone")).To(Succeed())
 }
 
 // Endpoints admit requests by their rank, in which the route's own urgency counts among
@@ -73,7 +73,7 @@
 // read before those of a more urgent one, as the tier was the same: of the latter 30% to 45%
 // were refused for a wait of 1.6 s on average, while those that weren't refused had their
 // first event after .2 s, and less urgent ones went on to begin.
-func TestARequestDoesNotWaitForLessUrgentOnesOfItsTier(t *testing.T) {
+func TestExpectedWaitExcludesLessUrgentRoutesOfTheSameTier(t *testing.T) {
 	g := NewWithT(t)
 	s := []route.Target{{Service: "s", Weight: 1}}
 	tier := 1
@@ -88,19 +88,19 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	pool := balance.NewPool(balance.Config{Policy: balance.NewPromptAware()})
 	f := choose.New(choose.Config{Pool: pool, IgnoreKeys: true, RefuseLate: 1})
-	ask := func(path string) *request.Request {
+	newRequest := func(path string) *request.Request {
 		return &request.Request{
 			Kind: wire.KindRouted, Table: tab, Route: tab.Match("h", path), Service: "s", Epoch: 1, Tier: tier,
 			Prompt: prompt.Prompt{Tokens: 10_000}, Candidates: []*bundle.Endpoint{{Name: "e", Slots: 64}},
 		}
 	}
-	sent := func(_ context.Context, r *request.Request) error {
+	recordSent := func(_ context.Context, r *request.Request) error {
 		pool.SentWork(time.Now(), r.Endpoint.Name, dispatch.WorkOf(r))
 		return nil
 	}
 	for range 7 {
-		g.Expect(f.Do(context.Background(), ask("/b/"), sent)).To(Succeed())
+		g.Expect(f.Do(context.Background(), newRequest("/b/"), recordSent)).To(Succeed())
 	}
-	g.Expect(f.Do(context.Background(), ask("/b/"), sent)).NotTo(Succeed())
-	g.Expect(f.Do(context.Background(), ask("/a/"), sent)).To(Succeed())
+	g.Expect(f.Do(context.Background(), newRequest("/b/"), recordSent)).NotTo(Succeed())
+	g.Expect(f.Do(context.Background(), newRequest("/a/"), recordSent)).To(Succeed())
 }
--- a/internal/filters/classify/classify.go
+++ b/internal/filters/classify/classify.go
@@ -38,11 +38,11 @@
 	name := r.Header.Get(api.HeaderClass)
 	grant, granted := findGrant(r.Team, name)
 	if !granted {
-		return unknownClass(r, name)
+		return unknownClassError(r, name)
 	}
 	class, known := r.Snapshot.Class(grant.Class)
 	if !known { // the bundle's check rules this out
-		return unknownClass(r, grant.Class)
+		return unknownClassError(r, grant.Class)
 	}
 	r.Class = class
 	r.Tier, _ = r.Snapshot.TierRank(grant.Tier)
@@ -65,7 +65,7 @@
 	if text := r.Header.Get(api.HeaderDeadline); text != "" {
 		asked, err := time.ParseDuration(text)
 		if err != nil || asked <= 0 {
-			return badHeader(api.HeaderDeadline, `a positive duration such as "30s"`)
+			return headerError(api.HeaderDeadline, `a positive duration such as "30s"`)
 		}
 		wait = min(wait, asked)
 	}
@@ -78,7 +78,7 @@
 	if r.IdempotencyKey != "" {
 		key, err := once.ParseKey(r.IdempotencyKey, r.Header.Get(api.HeaderKeyTime))
 		if err != nil {
-			return badKey(err)
+			return keyError(err)
 		}
 		r.KeyIssued = key.Issued
 	}
@@ -88,7 +88,7 @@
 	case "true":
 		r.NonIdempotent = true
 	default:
-		return badHeader(api.HeaderNonIdempotent, `"true" or "false"`)
+		return headerError(api.HeaderNonIdempotent, `"true" or "false"`)
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 // of issue an agent that has just started can't know whether it ran before.
 func checkKey(r *request.Request) error {
 	if r.NonIdempotent && r.IdempotencyKey != "" && r.KeyIssued.IsZero() {
-		return &Error{Code: CodeKeyWithoutTime, Detail: keyWithoutTime}
+		return &Error{Code: CodeKeyWithoutTime, Detail: keyWithoutTimeDetail}
 	}
 	return nil
 }
--- a/internal/filters/classify/errors.go
+++ b/internal/filters/classify/errors.go
@@ -53,23 +53,23 @@
 	return out
 }
 
-// keyWithoutTime says what a key of a non-idempotent request needs.
-const keyWithoutTime = "the " + api.HeaderIdempotencyKey + " of a request that must not run twice has to tell when it was issued: " +
+// keyWithoutTimeDetail says what a key of a non-idempotent request needs.
+const keyWithoutTimeDetail = "the " + api.HeaderIdempotencyKey + " of a request that must not run twice has to tell when it was issued: " +
 	"use a UUID of version 7, or send " + api.HeaderKeyTime + " with the same time at each try"
 
-// badKey turns the error of an idempotency key.
-func badKey(err error) error {
+// keyError turns the error of an idempotency key.
+func keyError(err error) error {
 	if errors.Is(err, once.ErrKeyTooLong) {
-		return badHeader(api.HeaderIdempotencyKey, fmt.Sprintf("at most %d bytes", once.MaxKeyBytes))
+		return headerError(api.HeaderIdempotencyKey, fmt.Sprintf("at most %d bytes", once.MaxKeyBytes))
 	}
 	return &Error{Code: CodeBadKeyTime, Detail: api.HeaderKeyTime + ": " + err.Error()}
 }
 
-func badHeader(name, allowed string) error {
+func headerError(name, allowed string) error {
 	return &Error{Code: CodeBadHeader, Detail: name + " must be " + allowed}
 }
 
-func unknownClass(r *request.Request, name string) error {
+func unknownClassError(r *request.Request, name string) error {
 	granted := make([]string, len(r.Team.Grants))
 	for i, g := range r.Team.Grants {
 		granted[i] = g.Class
--- a/internal/filters/dispatch/direct.go
+++ b/internal/filters/dispatch/direct.go
@@ -43,10 +43,10 @@
 	err := f.exchangeDirect(ctx, r, sent, next)
 	r.Began, r.Heard, r.HeardEvent = nil, nil, nil
 	account.Ended()
-	if isFull(err) {
+	if isQueueFull(err) {
 		account.Refused(time.Now())
 	}
-	f.observe(ctx, r.Endpoint, err)
+	f.reportConnectionFailure(ctx, r.Endpoint, err)
 	account.Done(time.Now(), result(ctx, err))
 	return err
 }
@@ -57,7 +57,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	if r.Copy != nil {
-		defer f.copied.follow(r, cancel)()
+		defer f.copiedRuns.track(r, cancel)()
 	}
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { r.Connections++ }}
 	req, err := f.directRequest(httptrace.WithClientTrace(ctx, trace), r)
@@ -66,7 +66,7 @@
 	}
 	resp, err := f.direct.client.Do(req)
 	if err != nil {
-		return &LostError{Sent: server.MayHaveSent(err), Cause: err}
+		return &NoAnswerError{Sent: server.MayHaveSent(err), Cause: err}
 	}
 	defer resp.Body.Close()
 	r.Heard(time.Now())
@@ -75,43 +75,43 @@
 	if reply.ID != r.CallerID {
 		// An answer to an earlier request on the connection, which is closed
 		// with its body unread.
-		return &LostError{Sent: true, Cause: errors.Newf("the answer belongs to request %q", reply.ID)}
+		return &NoAnswerError{Sent: true, Cause: errors.Newf("the answer belongs to request %q", reply.ID)}
 	}
 	if reply.Moved {
 		f.observer.Failed(r.Endpoint.Name, r.Endpoint.Process(), false)
-		return refusedDirect(resp.StatusCode, reply)
+		return directRefusal(resp.StatusCode, reply)
 	}
-	f.learnDirect(r.Endpoint, sent, reply)
+	f.recordDirectAnswer(r.Endpoint, sent, reply)
 	if reply.NotRun {
-		return refusedDirect(resp.StatusCode, reply)
+		return directRefusal(resp.StatusCode, reply)
 	}
 	if !reply.Signed {
-		return &LostError{Sent: true, Cause: errors.Newf("an answer with status %d that the endpoint did not sign", resp.StatusCode)}
+		return &NoAnswerError{Sent: true, Cause: errors.Newf("an answer with status %d that the endpoint did not sign", resp.StatusCode)}
 	}
 	r.Answer = resp
 	defer func() { r.Answer = nil }()
 	err = next(ctx, r)
-	if err != nil && errors.Is(context.Cause(ctx), errSilent) {
-		return &relay.BrokenError{Cause: errSilent}
+	if err != nil && errors.Is(context.Cause(ctx), errEndpointSilent) {
+		return &relay.BrokenError{Cause: errEndpointSilent}
 	}
 	return err
 }
 
-// learnDirect takes in what the head of an answer to a request that was sent at a moment says
+// recordDirectAnswer takes in what the head of an answer to a request that was sent at a moment says
 // of its endpoint.
-func (f *Filter) learnDirect(e *bundle.Endpoint, sent time.Time, reply upstream.Reply) {
+func (f *Filter) recordDirectAnswer(e *bundle.Endpoint, sent time.Time, reply upstream.Reply) {
 	now := time.Now()
 	var report load.Report
 	if reply.Load != nil {
 		report = *reply.Load
 	}
 	// Answers carry no number of their own; they are read in their order.
-	report.Seq = uint64(f.answers.Add(1))
-	counts := f.observer.Answered(e.Name, wire.Clock{Incarnation: e.Process()}, sent, report)
-	if counts && reply.Load != nil {
+	report.Seq = uint64(f.answerSeq.Add(1))
+	current := f.observer.Answered(e.Name, wire.Clock{Incarnation: e.Process()}, sent, report)
+	if current && reply.Load != nil {
 		f.pool.Report(now, e.Name, report)
 	}
-	if counts && (reply.Signed || reply.RateLimit.Statement == upstream.LimitNamed) {
+	if current && (reply.Signed || reply.RateLimit.Statement == upstream.LimitNamed) {
 		// A refusal for want of room that names no limit ends none.
 		f.pool.HearLimit(now, sent, e.Name, reply.RateLimit)
 	}
@@ -127,13 +127,13 @@
 	return work
 }
 
-// isFull says whether an attempt ended for want of room at its endpoint.
-func isFull(err error) bool {
+// isQueueFull says whether an attempt ended for want of room at its endpoint.
+func isQueueFull(err error) bool {
 	var refused *RefusedError
 	return errors.As(err, &refused) && refused.Reason == string(sched.ReasonQueueFull)
 }
 
-func refusedDirect(status int, reply upstream.Reply) error {
+func directRefusal(status int, reply upstream.Reply) error {
 	refusal := wire.Refusal{Run: wire.RunNot}
 	switch {
 	case reply.Moved:
@@ -161,16 +161,16 @@
 	}
 	req.URL = target
 	req.Host = r.Host
-	req.Header = endToEnd(r.Header)
+	req.Header = endToEndHeaders(r.Header)
 	if req.Header.Get("User-Agent") == "" {
 		req.Header["User-Agent"] = nil // the library would add its own
 	}
-	f.direct.protocol.Encode(req.Header, f.attempt(r))
+	f.direct.protocol.Encode(req.Header, f.attemptFor(r))
 	return req, nil
 }
 
-// attempt is what the endpoint is told besides what the caller sent.
-func (f *Filter) attempt(r *request.Request) upstream.Attempt {
+// attemptFor is what the endpoint is told besides what the caller sent.
+func (f *Filter) attemptFor(r *request.Request) upstream.Attempt {
 	a := upstream.Attempt{
 		ID:        r.CallerID,
 		Endpoint:  r.Endpoint.Name,
@@ -190,18 +190,18 @@
 	return a
 }
 
-// hopByHop are the headers of a request that concern one connection only.
-var hopByHop = append([]string{"Proxy-Authenticate", "Proxy-Authorization", "Te"}, upstream.HopByHop...)
+// hopByHopHeaders are the headers of a request that concern one connection only.
+var hopByHopHeaders = append([]string{"Proxy-Authenticate", "Proxy-Authorization", "Te"}, upstream.HopByHop...)
 
-// endToEnd copies the headers that don't concern one connection only.
-func endToEnd(from http.Header) http.Header {
+// endToEndHeaders copies the headers that don't concern one connection only.
+func endToEndHeaders(from http.Header) http.Header {
 	h := from.Clone()
 	for _, list := range from["Connection"] {
 		for _, name := range strings.Split(list, ",") {
 			delete(h, textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		delete(h, name)
 	}
 	delete(h, "Expect")
--- a/internal/filters/dispatch/dispatch.go
+++ b/internal/filters/dispatch/dispatch.go
@@ -29,23 +29,23 @@
 
 // Filter implements pipeline.Filter.
 type Filter struct {
-	pool   *balance.Pool
-	client *http.Client
-	scheme string
-	clock  clock.Clock
-	heard  *readings
+	pool          *balance.Pool
+	client        *http.Client
+	scheme        string
+	clock         clock.Clock
+	clockReadings *clockReadings
 	// observer learns of endpoints' membership.
-	observer Observer
-	direct   direct
-	copied   copiedRuns
-	// answers numbers the answers of endpoints without an agent.
-	answers atomic.Int64
+	observer   Observer
+	direct     direct
+	copiedRuns copiedRuns
+	// answerSeq numbers the answerSeq of endpoints without an agent.
+	answerSeq atomic.Int64
 }
 
 // New returns a filter that reaches agents by the client, with the scheme
 // "https", or "http" where a test runs without certificates.
 func New(pool *balance.Pool, client *http.Client, scheme string, now clock.Clock) *Filter {
-	return &Filter{pool: pool, client: client, scheme: scheme, clock: now, heard: newReadings(), observer: unobserved{}}
+	return &Filter{pool: pool, client: client, scheme: scheme, clock: now, clockReadings: newClockReadings(), observer: nopObserver{}}
 }
 
 // Name implements pipeline.Filter.
@@ -77,7 +77,7 @@
 	}
 	f.pool.Sent(sent, r.Endpoint.Name)
 	err := f.exchange(ctx, r, body, next)
-	f.settle(ctx, r.Endpoint, err, firstToken(r, sent))
+	f.recordResult(ctx, r.Endpoint, err, firstToken(r, sent))
 	return err
 }
 
@@ -96,29 +96,29 @@
 	}
 	resp, err := f.client.Do(req)
 	if err != nil {
-		return &LostError{Sent: connected, Cause: err}
+		return &NoAnswerError{Sent: connected, Cause: err}
 	}
-	return f.answer(ctx, r, resp, next)
+	return f.handleAnswer(ctx, r, resp, next)
 }
 
-// answer hands an agent's answer on to the rest of the pipe, or reads its
+// handleAnswer hands an agent's handleAnswer on to the rest of the pipe, or reads its
 // refusal.
-func (f *Filter) answer(ctx context.Context, r *request.Request, resp *http.Response, next pipeline.Next) error {
+func (f *Filter) handleAnswer(ctx context.Context, r *request.Request, resp *http.Response, next pipeline.Next) error {
 	defer resp.Body.Close()
-	from := f.learn(r.Endpoint.Name, resp.Header)
+	agentClock := f.recordAnswerHeader(r.Endpoint.Name, resp.Header)
 	if resp.StatusCode != http.StatusOK {
 		return readRefusal(resp)
 	}
 	r.Answer = resp
 	err := next(ctx, r)
 	r.Answer = nil
-	f.learnEnd(r.Endpoint.Name, from, resp.Trailer)
+	f.recordAnswerTrailer(r.Endpoint.Name, agentClock, resp.Trailer)
 	return err
 }
 
-// settle tells the pool and the observer how an attempt ended.
-func (f *Filter) settle(ctx context.Context, e *bundle.Endpoint, err error, firstToken time.Duration) {
-	f.observe(ctx, e, err)
+// recordResult tells the pool and the observer how an attempt ended.
+func (f *Filter) recordResult(ctx context.Context, e *bundle.Endpoint, err error, firstToken time.Duration) {
+	f.reportConnectionFailure(ctx, e, err)
 	f.pool.Done(time.Now(), e.Name, result(ctx, err), firstToken)
 }
 
@@ -154,7 +154,7 @@
 // the time that it gives.
 func (f *Filter) envelope(r *request.Request, endpoint string) wire.Envelope {
 	now := time.Now()
-	heard, ago := f.heard.latest(endpoint, f.clock())
+	reading, age := f.clockReadings.latest(endpoint, f.clock())
 	env := wire.Envelope{
 		Request:          r.ID,
 		Endpoint:         endpoint,
@@ -167,8 +167,8 @@
 		Path:             r.Path,
 		FirstTokenMillis: r.FirstTokenBy.Sub(now).Milliseconds(),
 		DeadlineMillis:   max(1, r.Left(f.clock()).Milliseconds()),
-		Heard:            heard,
-		HeardAgoMillis:   ago.Milliseconds(),
+		Heard:            reading,
+		HeardAgoMillis:   age.Milliseconds(),
 		SentUnixMillis:   now.UnixMilli(),
 		IdempotencyKey:   r.IdempotencyKey,
 		NonIdempotent:    r.NonIdempotent,
@@ -182,30 +182,30 @@
 	return env
 }
 
-// learn takes what the head of an answer says of its agent, and returns the
+// recordAnswerHeader takes what the head of an answer says of its agent, and returns the
 // agent's clock, which also names its incarnation.
-func (f *Filter) learn(endpoint string, h http.Header) wire.Clock {
+func (f *Filter) recordAnswerHeader(endpoint string, h http.Header) wire.Clock {
 	var reading wire.Clock
 	if err := wire.Decode(h, wire.HeaderClock, &reading); err == nil {
-		f.heard.add(endpoint, f.clock(), reading)
+		f.clockReadings.add(endpoint, f.clock(), reading)
 	}
 	var report load.Report
 	if err := wire.Decode(h, wire.HeaderLoad, &report); err == nil {
-		f.learnLoad(endpoint, reading, report)
+		f.recordLoad(endpoint, reading, report)
 	} // an answer without a report is still an answer
 	return reading
 }
 
-func (f *Filter) learnEnd(endpoint string, from wire.Clock, trailer http.Header) {
+func (f *Filter) recordAnswerTrailer(endpoint string, agentClock wire.Clock, trailer http.Header) {
 	var end wire.End
 	if err := wire.Decode(trailer, wire.HeaderEnd, &end); err != nil {
 		return // relay has judged the missing end
 	}
-	f.learnLoad(endpoint, from, end.Load)
+	f.recordLoad(endpoint, agentClock, end.Load)
 }
 
-func (f *Filter) learnLoad(endpoint string, from wire.Clock, report load.Report) {
-	if f.observer.Answered(endpoint, from, time.Time{}, report) {
+func (f *Filter) recordLoad(endpoint string, agentClock wire.Clock, report load.Report) {
+	if f.observer.Answered(endpoint, agentClock, time.Time{}, report) {
 		f.pool.Report(time.Now(), endpoint, report)
 	}
 }
@@ -214,7 +214,7 @@
 	var refusal wire.Refusal
 	body := io.LimitReader(resp.Body, maxRefusalBytes)
 	if err := json.NewDecoder(body).Decode(&refusal); err != nil {
-		return &LostError{Sent: true, Cause: errors.Wrapf(err, "refusal with status %d", resp.StatusCode)}
+		return &NoAnswerError{Sent: true, Cause: errors.Wrapf(err, "refusal with status %d", resp.StatusCode)}
 	}
 	return &RefusedError{Refusal: refusal}
 }
--- a/internal/filters/dispatch/errors.go
+++ b/internal/filters/dispatch/errors.go
@@ -52,24 +52,24 @@
 	return out
 }
 
-// LostError is an attempt of which the agent gave no word.
-type LostError struct {
+// NoAnswerError is an attempt of which the agent gave no word.
+type NoAnswerError struct {
 	// Sent says that a connection was had, so that the attempt may have run.
 	Sent  bool
 	Cause error
 }
 
 // Error implements error.
-func (e *LostError) Error() string {
+func (e *NoAnswerError) Error() string {
 	return fmt.Sprintf("dispatch: no answer (sent: %t): %v", e.Sent, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error { return e.Cause }
+func (e *NoAnswerError) Unwrap() error { return e.Cause }
 
 // Run says whether the attempt ran: one for which no connection was had did
 // not; of any other nothing is known.
-func (e *LostError) Run() wire.Run {
+func (e *NoAnswerError) Run() wire.Run {
 	if e.Sent {
 		return wire.RunUnknown
 	}
@@ -77,7 +77,7 @@
 }
 
 // API implements api.Convertible.
-func (e *LostError) API() *api.Error {
+func (e *NoAnswerError) API() *api.Error {
 	out := &api.Error{
 		Status: http.StatusBadGateway, Type: api.TypeUpstream,
 		Code: "endpoint_lost", Message: "the connection to the endpoint broke; the request may have run",
--- a/internal/filters/dispatch/observe.go
+++ b/internal/filters/dispatch/observe.go
@@ -28,22 +28,22 @@
 // before the filter is used.
 func (f *Filter) Observe(o Observer) { f.observer = o }
 
-// unobserved is the Observer that a filter begins with.
-type unobserved struct{}
+// nopObserver is the Observer that a filter begins with.
+type nopObserver struct{}
 
-func (unobserved) Answered(string, wire.Clock, time.Time, load.Report) bool { return true }
-func (unobserved) Failed(string, string, bool)                              {}
+func (nopObserver) Answered(string, wire.Clock, time.Time, load.Report) bool { return true }
+func (nopObserver) Failed(string, string, bool)                              {}
 
-// observe tells of an attempt whose connection failed. One that the caller or
+// reportConnectionFailure tells of an attempt whose connection failed. One that the caller or
 // the deadline ended says nothing of the connection.
-func (f *Filter) observe(ctx context.Context, e *bundle.Endpoint, err error) {
-	var lost *LostError
-	var cut *relay.BrokenError
+func (f *Filter) reportConnectionFailure(ctx context.Context, e *bundle.Endpoint, err error) {
+	var noAnswer *NoAnswerError
+	var broken *relay.BrokenError
 	switch {
 	case err == nil || ctx.Err() != nil:
-	case errors.As(err, &lost):
-		f.observer.Failed(e.Name, e.Process(), lost.Sent)
-	case errors.As(err, &cut) && cut.Ending == "":
+	case errors.As(err, &noAnswer):
+		f.observer.Failed(e.Name, e.Process(), noAnswer.Sent)
+	case errors.As(err, &broken) && broken.Ending == "":
 		f.observer.Failed(e.Name, e.Process(), true)
 	}
 }
--- a/internal/filters/dispatch/observe_test.go
+++ b/internal/filters/dispatch/observe_test.go
@@ -13,14 +13,14 @@
 	"coveferry/internal/wire"
 )
 
-// notes is an observer that keeps what it is told.
-type notes struct{ failed []bool }
+// recordingObserver is an observer that keeps what it is told.
+type recordingObserver struct{ failed []bool }
 
-func (*notes) Answered(string, wire.Clock, time.Time, load.Report) bool { return true }
-func (n *notes) Failed(_, _ string, sent bool)                          { n.failed = append(n.failed, sent) }
+func (*recordingObserver) Answered(string, wire.Clock, time.Time, load.Report) bool { return true }
+func (n *recordingObserver) Failed(_, _ string, sent bool)                          { n.failed = append(n.failed, sent) }
 
-func TestObserverIsToldOfConnectionsOnly(t *testing.T) {
-	gone, cancel := context.WithCancel(t.Context())
+func TestObserverReceivesConnectionFailuresOnly(t *testing.T) {
+	canceledCtx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for _, c := range []struct {
 		ctx  context.Context
@@ -28,17 +28,17 @@
 		want []bool
 	}{
 		{t.Context(), nil, nil},
-		{t.Context(), &LostError{Sent: false}, []bool{false}},
-		{t.Context(), &LostError{Sent: true}, []bool{true}},
+		{t.Context(), &NoAnswerError{Sent: false}, []bool{false}},
+		{t.Context(), &NoAnswerError{Sent: true}, []bool{true}},
 		{t.Context(), &relay.BrokenError{}, []bool{true}},
 		{t.Context(), &relay.BrokenError{Ending: wire.EndingEngineFailed}, nil},
 		{t.Context(), &RefusedError{}, nil},
-		{gone, &LostError{Sent: true}, nil},
+		{canceledCtx, &NoAnswerError{Sent: true}, nil},
 	} {
-		n := &notes{}
+		n := &recordingObserver{}
 		f := &Filter{}
 		f.Observe(n)
-		f.observe(c.ctx, &bundle.Endpoint{Name: "e0"}, c.err)
+		f.reportConnectionFailure(c.ctx, &bundle.Endpoint{Name: "e0"}, c.err)
 		NewWithT(t).Expect(n.failed).To(Equal(c.want), "%v", c.err)
 	}
 }
--- a/internal/filters/dispatch/pair.go
+++ b/internal/filters/dispatch/pair.go
@@ -19,8 +19,8 @@
 // for it, which it does when the attempt is about to run.
 const expectContinue = "100-continue"
 
-// errOther is the end of a reservation whose body went to the other endpoint.
-var errOther = errors.New("dispatch: the other endpoint was first")
+// errOtherClaimed is the end of a reservation whose body went to the other endpoint.
+var errOtherClaimed = errors.New("dispatch: the other endpoint was first")
 
 // binding decides which of two reservations gets the body: the one that asks
 // first. The other is ended at once, so that it frees its place in the queue.
@@ -39,7 +39,7 @@
 	defer b.mu.Unlock()
 	if b.winner == noWinner {
 		b.winner = i
-		b.cancel[1-i](errOther)
+		b.cancel[1-i](errOtherClaimed)
 	}
 	return b.winner == i
 }
@@ -51,26 +51,26 @@
 	return b.winner == i
 }
 
-// gate is the body as one reservation sees it.
-type gate struct {
-	b      *binding
-	i      int
-	reader io.Reader // nil before the claim
+// bodyGate is the body as one reservation sees it.
+type bodyGate struct {
+	binding *binding
+	index   int
+	reader  io.Reader // nil before the claim
 }
 
 // Read implements io.Reader.
-func (g *gate) Read(p []byte) (int, error) {
+func (g *bodyGate) Read(p []byte) (int, error) {
 	if g.reader == nil {
-		if !g.b.claim(g.i) {
-			return 0, errOther
+		if !g.binding.claim(g.index) {
+			return 0, errOtherClaimed
 		}
-		g.reader = bytes.NewReader(g.b.body)
+		g.reader = bytes.NewReader(g.binding.body)
 	}
 	return g.reader.Read(p)
 }
 
 // Close implements io.Closer.
-func (g *gate) Close() error { return nil }
+func (g *bodyGate) Close() error { return nil }
 
 // reservation is a request for a place at one endpoint of a pair.
 type reservation struct {
@@ -94,10 +94,10 @@
 	b := &binding{winner: noWinner, body: body}
 	var pair [2]*reservation
 	for i, e := range endpoints {
-		var own context.Context
-		own, b.cancel[i] = context.WithCancelCause(ctx)
+		var reservationCtx context.Context
+		reservationCtx, b.cancel[i] = context.WithCancelCause(ctx)
 		defer b.cancel[i](nil)
-		req, err := f.request(own, r, e, &gate{b: b, i: i}, len(body))
+		req, err := f.request(reservationCtx, r, e, &bodyGate{binding: b, index: i}, len(body))
 		if err != nil {
 			return err
 		}
@@ -123,12 +123,12 @@
 	}
 	if err != nil {
 		// Without the body the agent can't have run anything.
-		err = &LostError{Sent: res.claimed(), Cause: err}
+		err = &NoAnswerError{Sent: res.claimed(), Cause: err}
 	} else {
-		f.learn(res.endpoint.Name, resp.Header)
+		f.recordAnswerHeader(res.endpoint.Name, resp.Header)
 		err = errors.CombineErrors(readRefusal(resp), resp.Body.Close())
 	}
-	f.settle(res.req.Context(), res.endpoint, err, 0)
+	f.recordResult(res.req.Context(), res.endpoint, err, 0)
 	return reply{reservation: res, err: err}
 }
 
@@ -136,19 +136,19 @@
 // did, its error is that of the endpoint that had the body, or else of the
 // first.
 func (f *Filter) awaitPair(r *request.Request, endpoints [2]*bundle.Endpoint, replies <-chan reply, next pipeline.Next) error {
-	var told reply
+	var failed reply
 	for range endpoints {
 		p := <-replies
 		if p.resp != nil {
 			r.Endpoint = p.endpoint
-			err := f.answer(p.req.Context(), r, p.resp, next)
-			f.settle(p.req.Context(), p.endpoint, err, firstToken(r, p.sent))
+			err := f.handleAnswer(p.req.Context(), r, p.resp, next)
+			f.recordResult(p.req.Context(), p.endpoint, err, firstToken(r, p.sent))
 			return err
 		}
-		if told.reservation == nil || p.claimed() || p.endpoint == endpoints[0] && !told.claimed() {
-			told = p
+		if failed.reservation == nil || p.claimed() || p.endpoint == endpoints[0] && !failed.claimed() {
+			failed = p
 		}
 	}
-	r.Endpoint = told.endpoint
-	return told.err
+	r.Endpoint = failed.endpoint
+	return failed.err
 }
--- a/internal/filters/dispatch/readings_test.go
+++ b/internal/filters/dispatch/readings_test.go
@@ -10,7 +10,7 @@
 )
 
 // What a router hears late would make its next attempt look older than it is.
-func TestTheReadingThatCameFastestIsKept(t *testing.T) {
+func TestFastestClockReadingIsKept(t *testing.T) {
 	start := time.Unix(1000, 0)
 	after := func(d time.Duration) time.Time { return start.Add(d) }
 	for _, c := range []struct {
@@ -27,7 +27,7 @@
 		{"another agent", "j", 0, time.Minute, false},
 	} {
 		g := NewWithT(t)
-		rs := newReadings()
+		rs := newClockReadings()
 		rs.add("e", start, wire.Clock{Incarnation: "i"})
 		next := wire.Clock{Incarnation: c.incarnation, Millis: c.millis}
 		rs.add("e", after(c.at), next)
--- a/internal/filters/limit/limit.go
+++ b/internal/filters/limit/limit.go
@@ -70,22 +70,22 @@
 	}
 	ticket, err := f.limits.Admit(time.Now(), r.Team, r.Tier)
 	if err != nil {
-		return refusal(r.Team, err)
+		return newError(r.Team, err)
 	}
 	defer func() { ticket.End(time.Now(), r.Delivered.Tokens) }()
 	return next(ctx, r)
 }
 
-// refusal turns the error of the limiter.
-func refusal(t *bundle.Team, err error) error {
+// newError turns the error of the limiter.
+func newError(t *bundle.Team, err error) error {
 	var reached *limits.Reached
 	if !errors.As(err, &reached) {
 		return err
 	}
-	return &Error{Code: codeOf(reached.Kind), Team: t.Name, RetryAfter: reached.RetryAfter}
+	return &Error{Code: codeForKind(reached.Kind), Team: t.Name, RetryAfter: reached.RetryAfter}
 }
 
-func codeOf(k credit.Kind) Code {
+func codeForKind(k credit.Kind) Code {
 	switch k {
 	case credit.KindTokens:
 		return CodeTokens
--- a/internal/filters/limit/limit_test.go
+++ b/internal/filters/limit/limit_test.go
@@ -14,9 +14,9 @@
 	"coveferry/internal/request"
 )
 
-func served(context.Context, *request.Request) error { return nil }
+func succeed(context.Context, *request.Request) error { return nil }
 
-func TestRefusalsNameTheLimitAndWhenToComeBack(t *testing.T) {
+func TestRefusalNamesLimitAndRetryAfter(t *testing.T) {
 	for code, limits := range map[limit.Code]bundle.TeamLimits{
 		limit.CodeRequests: {RequestsPerSecond: 0.01},
 		limit.CodeTokens:   {TokensPerSecond: 0.01},
@@ -29,24 +29,24 @@
 			return nil
 		})).To(gomega.Succeed())
 		var refused *limit.Error
-		g.Expect(errors.As(f.Do(t.Context(), r, served), &refused)).To(gomega.BeTrue())
+		g.Expect(errors.As(f.Do(t.Context(), r, succeed), &refused)).To(gomega.BeTrue())
 		g.Expect(refused.Code).To(gomega.Equal(code))
 		g.Expect(refused.RetryAfter).To(gomega.BeNumerically(">", 90*time.Second))
 		g.Expect(refused.API().Status).To(gomega.Equal(http.StatusTooManyRequests))
 	}
 }
 
-func TestAPlaceIsFreeAgainWhenItsRequestEnds(t *testing.T) {
+func TestConcurrencySlotIsReleasedWhenRequestEnds(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := limit.New()
 	r := &request.Request{Team: &bundle.Team{Name: "registry", Limits: bundle.TeamLimits{Concurrency: 1}}}
 	g.Expect(f.Do(t.Context(), r, func(ctx context.Context, r *request.Request) error {
 		var refused *limit.Error
-		g.Expect(errors.As(f.Do(ctx, r, served), &refused)).To(gomega.BeTrue())
+		g.Expect(errors.As(f.Do(ctx, r, succeed), &refused)).To(gomega.BeTrue())
 		g.Expect(refused.Code).To(gomega.Equal(limit.CodeConcurrency))
 		return nil
 	})).To(gomega.Succeed())
-	g.Expect(f.Do(t.Context(), r, served)).To(gomega.Succeed())
+	g.Expect(f.Do(t.Context(), r, succeed)).To(gomega.Succeed())
 }
 
 func benchmark(b *testing.B, limits bundle.TeamLimits) {
@@ -54,7 +54,7 @@
 	r := &request.Request{Team: &bundle.Team{Name: "registry", Limits: limits}}
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := f.Do(b.Context(), r, served); err != nil {
+		if err := f.Do(b.Context(), r, succeed); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/filters/match/match.go
+++ b/internal/filters/match/match.go
@@ -67,35 +67,35 @@
 	r.Service = found.Pick(f.random())
 	r.Stream = found.Stream
 	r.Tier = max(0, found.Tier) // no rank is above the highest
-	r.NonIdempotent = !mayRunAgain(r)
+	r.NonIdempotent = !isIdempotent(r)
 	r.MaxRuns = found.MaxRuns
-	r.Deadline = r.Arrived.Add(patience(found.Timeout, in.Patience))
+	r.Deadline = r.Arrived.Add(routeTimeout(found.Timeout, in.Patience))
 	r.Candidates = f.endpoints(r.Service)
 	return next(ctx, r)
 }
 
-// mayRunAgain: a stream runs again only where it can be resumed, since the
+// isIdempotent: a stream runs again only where it can be resumed, since the
 // caller may hold a part of it.
-func mayRunAgain(r *request.Request) bool {
+func isIdempotent(r *request.Request) bool {
 	if r.Route.Stream {
 		return r.Route.Resumable
 	}
 	return r.Route.Repeat == route.Idempotent
 }
 
-// patience is how long the request may take: what the operator and the caller
+// routeTimeout is how long the request may take: what the operator and the caller
 // both allow. A route without a timeout, asked without a deadline, gets the
 // default.
-func patience(timeout, caller time.Duration) time.Duration {
+func routeTimeout(callerTimeout, caller time.Duration) time.Duration {
 	switch {
-	case timeout <= 0 && caller <= 0:
+	case callerTimeout <= 0 && caller <= 0:
 		return defaultTimeout
-	case timeout <= 0:
+	case callerTimeout <= 0:
 		return caller
 	case caller <= 0:
-		return timeout
+		return callerTimeout
 	}
-	return min(timeout, caller)
+	return min(callerTimeout, caller)
 }
 
 // defaultTimeout bounds requests for which nobody states a time; it is far
--- a/internal/filters/quarantine/lost.go
+++ b/internal/filters/quarantine/loss.go
@@ -18,26 +18,26 @@
 // off. An answer, also one that says that it failed, shows that the endpoint lives.
 func endpointLost(err error) bool {
 	var refused *dispatch.RefusedError
-	var lost *dispatch.LostError
-	var cut *relay.BrokenError
+	var noAnswer *dispatch.NoAnswerError
+	var broken *relay.BrokenError
 	switch {
 	case errors.As(err, &refused):
 		// With a status the engine has answered.
 		return refused.Reason == wire.ReasonEngineFailed && refused.EngineStatus == 0
-	case errors.As(err, &lost):
-		return lost.Sent && connectionBroke(lost.Cause)
-	case errors.As(err, &cut):
-		return cut.Ending == wire.EndingEngineFailed || cut.Ending == "" && connectionBroke(cut.Cause)
+	case errors.As(err, &noAnswer):
+		return noAnswer.Sent && isConnectionLoss(noAnswer.Cause)
+	case errors.As(err, &broken):
+		return broken.Ending == wire.EndingEngineFailed || broken.Ending == "" && isConnectionLoss(broken.Cause)
 	}
 	return false
 }
 
-// connectionBroke says whether the other side or the way there ended a connection, rather
+// isConnectionLoss says whether the other side or the way there ended a connection, rather
 // than that what came on it was no answer. A VM that went dark shows by a timeout of the
 // connection.
-func connectionBroke(err error) bool {
-	for _, broke := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT} {
-		if errors.Is(err, broke) {
+func isConnectionLoss(err error) bool {
+	for _, lossErr := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT} {
+		if errors.Is(err, lossErr) {
 			return true
 		}
 	}
--- a/internal/filters/quarantine/quarantine.go
+++ b/internal/filters/quarantine/quarantine.go
@@ -20,14 +20,14 @@
 // HeldError is a request that isn't sent, since endpoints ended while they ran it.
 type HeldError struct {
 	Identity poison.Identity
-	// Lost is how many endpoints ended under it lately, and After when it may be tried again.
-	Lost  int
-	After time.Duration
+	// LossCount is how many endpoints ended under it lately, and After when it may be tried again.
+	LossCount  int
+	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *HeldError) Error() string {
-	return fmt.Sprintf("quarantine: %d endpoints ended under this request; it is held back for %s", e.Lost, e.After)
+	return fmt.Sprintf("quarantine: %d endpoints ended under this request; it is held back for %s", e.LossCount, e.RetryAfter)
 }
 
 // API implements api.Convertible. The status lets callers count on it that the request
@@ -36,7 +36,7 @@
 	return &api.Error{
 		Status: http.StatusServiceUnavailable, Type: api.TypeUnavailable, Code: "quarantined",
 		Message: "endpoints ended while they ran this same request; it is held back for a while",
-		Run:     wire.RunNot, RetryAfter: e.After,
+		Run:     wire.RunNot, RetryAfter: e.RetryAfter,
 	}
 }
 
@@ -66,7 +66,7 @@
 	sent := f.clock()
 	err := next(ctx, r)
 	if answered(err) && r.Endpoint != nil {
-		f.table.Survived(processOf(r), sent)
+		f.table.Survived(processName(r), sent)
 	}
 	switch {
 	case err == nil && !f.table.Empty():
@@ -74,15 +74,15 @@
 	case ctx.Err() == nil && endpointLost(err):
 		r.Lost++
 		f.table.Lost(r.Identity(), poison.Loss{
-			Endpoint: processOf(r), Sent: sent, At: f.clock(), Early: r.Delivered.Tokens == 0,
+			Endpoint: processName(r), Sent: sent, At: f.clock(), Early: r.Delivered.Tokens == 0,
 		})
 	}
 	return err
 }
 
-// processOf names what ended: the endpoint's process, or behind an agent, which outlives its
+// processName names what ended: the endpoint's process, or behind an agent, which outlives its
 // engine and names none, the one that ran just this attempt.
-func processOf(r *request.Request) string {
+func processName(r *request.Request) string {
 	if r.Kind == wire.KindRouted {
 		return r.Endpoint.Name + "/" + r.Endpoint.Process()
 	}
@@ -95,10 +95,10 @@
 	}
 	verdict := f.table.Ask(r.Identity())
 	if verdict.Held {
-		return &HeldError{Identity: r.Identity(), Lost: verdict.Lost, After: verdict.After}
+		return &HeldError{Identity: r.Identity(), LossCount: verdict.LossCount, RetryAfter: verdict.RetryAfter}
 	}
 	if verdict.Trial {
-		f.log.Warn().Stringer(logging.FieldIdentity, r.Identity()).Int("lost", verdict.Lost).
+		f.log.Warn().Stringer(logging.FieldIdentity, r.Identity()).Int("lost", verdict.LossCount).
 			Msg("request that was held back is tried again")
 	}
 	return nil
--- a/internal/filters/quarantine/quarantine_test.go
+++ b/internal/filters/quarantine/quarantine_test.go
@@ -19,9 +19,9 @@
 	"coveferry/internal/wire"
 )
 
-// attempts sends a request so often to one endpoint, each time from another caller's try, and
+// repeatAttempt sends a request so often to one endpoint, each time from another caller's try, and
 // says whether it was held back in the end. Each attempt ends with err.
-func attempts(kind wire.Kind, times int, err error) (held bool) {
+func repeatAttempt(kind wire.Kind, times int, err error) (held bool) {
 	f := quarantine.New(poison.NewTable(poison.Config{}), clock.Boot, zerolog.Nop())
 	for i := range times {
 		r := &request.Request{Kind: kind, ID: string(rune('a' + i)), Epoch: 1, Body: []byte("same"), Endpoint: &bundle.Endpoint{Name: "e", Address: "a"}}
@@ -34,25 +34,25 @@
 
 // An agent outlives its engine: three times that it says that the engine broke off are three
 // engines that ended, also where there is but one endpoint.
-func TestWhatAnAgentSaysOfItsEngineCountsEachTime(t *testing.T) {
+func TestEachEngineFailureReportedByAnAgentCounts(t *testing.T) {
 	g := NewWithT(t)
 	failed := &dispatch.RefusedError{Refusal: wire.Refusal{Reason: wire.ReasonEngineFailed, Run: wire.RunUnknown}}
-	g.Expect(attempts(wire.KindChat, 3, failed)).To(BeFalse())
-	g.Expect(attempts(wire.KindChat, 4, failed)).To(BeTrue())
-	g.Expect(attempts(wire.KindChat, 4, &relay.BrokenError{Ending: wire.EndingEngineFailed})).To(BeTrue())
+	g.Expect(repeatAttempt(wire.KindChat, 3, failed)).To(BeFalse())
+	g.Expect(repeatAttempt(wire.KindChat, 4, failed)).To(BeTrue())
+	g.Expect(repeatAttempt(wire.KindChat, 4, &relay.BrokenError{Ending: wire.EndingEngineFailed})).To(BeTrue())
 	answered := &dispatch.RefusedError{Refusal: wire.Refusal{Reason: wire.ReasonEngineFailed, Run: wire.RunUnknown, EngineStatus: 500}}
-	g.Expect(attempts(wire.KindChat, 9, answered)).To(BeFalse(), "an engine that answers lives")
+	g.Expect(repeatAttempt(wire.KindChat, 9, answered)).To(BeFalse(), "an engine that answers lives")
 }
 
 // Without an agent the same process can't end twice: its connections break, for whatever reason.
-func TestAnEndpointWithoutAnAgentCountsOnce(t *testing.T) {
-	broke := &dispatch.LostError{Sent: true, Cause: io.EOF}
-	NewWithT(t).Expect(attempts(wire.KindRouted, 9, broke)).To(BeFalse())
+func TestEndpointProcessWithoutAgentCountsOnce(t *testing.T) {
+	broke := &dispatch.NoAnswerError{Sent: true, Cause: io.EOF}
+	NewWithT(t).Expect(repeatAttempt(wire.KindRouted, 9, broke)).To(BeFalse())
 }
 
 // Whatever an endpoint answers after a loss shows that it has lived on; the answer of another
 // instance at its address does not.
-func TestWhatAnEndpointAnswersShowsThatItLivesOn(t *testing.T) {
+func TestAnswerAfterLossClearsTheLoss(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer error
 		lives  bool
@@ -61,7 +61,7 @@
 		"a failure of its own": {&relay.AnswerError{}, true},
 		"a refusal":            {&dispatch.RefusedError{Refusal: wire.Refusal{Reason: "queue_full"}}, true},
 		"another instance":     {&dispatch.RefusedError{Refusal: wire.Refusal{Reason: wire.ReasonNotHere}}, false},
-		"a broken connection":  {&dispatch.LostError{Sent: true, Cause: io.EOF}, false},
+		"a broken connection":  {&dispatch.NoAnswerError{Sent: true, Cause: io.EOF}, false},
 		"silence":              {context.DeadlineExceeded, false},
 	} {
 		f := quarantine.New(poison.NewTable(poison.Config{}), clock.Boot, zerolog.Nop())
@@ -70,7 +70,7 @@
 			return f.Do(context.Background(), r, func(context.Context, *request.Request) error { return outcome })
 		}
 		for _, e := range []string{"e0", "e1", "e2"} {
-			_ = send(e, "popular", &dispatch.LostError{Sent: true, Cause: io.EOF})
+			_ = send(e, "popular", &dispatch.NoAnswerError{Sent: true, Cause: io.EOF})
 		}
 		_ = send("e2", "another", c.answer)
 		var held *quarantine.HeldError
--- a/internal/filters/relay/errors.go
+++ b/internal/filters/relay/errors.go
@@ -38,8 +38,8 @@
 	}
 }
 
-func broken(r *request.Request, cause error) error {
-	return &BrokenError{Ending: ending(r.Answer), Cause: cause}
+func newBrokenError(r *request.Request, cause error) error {
+	return &BrokenError{Ending: readEnding(r.Answer), Cause: cause}
 }
 
 // CallerError is a caller that left or doesn't read.
--- a/internal/filters/relay/relay.go
+++ b/internal/filters/relay/relay.go
@@ -34,10 +34,10 @@
 	if r.Kind == wire.KindService {
 		return relayService(r)
 	}
-	return relayStream(r, sinkOf(r))
+	return relayStream(r, newSink(r))
 }
 
-func sinkOf(r *request.Request) sink {
+func newSink(r *request.Request) sink {
 	if r.Stream {
 		return newStreamSink(r)
 	}
@@ -59,8 +59,8 @@
 // go on from there would add to it.
 func relayStream(r *request.Request, to sink) error {
 	err := relayEvents(r, to)
-	if flushed := to.flush(); flushed != nil {
-		return &CallerError{Cause: flushed}
+	if flushErr := to.flush(); flushErr != nil {
+		return &CallerError{Cause: flushErr}
 	}
 	if err != nil {
 		return err
@@ -89,7 +89,7 @@
 		if finished && !chunk.Usage {
 			continue // nothing belongs behind the end
 		}
-		if err := take(r, to, event.Data, chunk); err != nil {
+		if err := deliverChunk(r, to, event.Data, chunk); err != nil {
 			return err
 		}
 		finished = finished || chunk.Whole()
@@ -97,7 +97,7 @@
 	if finished {
 		return nil
 	}
-	return broken(r, cause)
+	return newBrokenError(r, cause)
 }
 
 // readChunk reads an event that must carry the answer on or end it.
@@ -124,7 +124,7 @@
 	if err != nil {
 		return false, err
 	}
-	to := sinkOf(r)
+	to := newSink(r)
 	err = to.chunk(end, completion.Chunk{})
 	if err == nil {
 		err = to.finish()
@@ -135,8 +135,8 @@
 	return true, err
 }
 
-// take hands one chunk to the sink and notes what the caller holds then.
-func take(r *request.Request, to sink, data string, c completion.Chunk) error {
+// deliverChunk hands one chunk to the sink and notes what the caller holds then.
+func deliverChunk(r *request.Request, to sink, data string, c completion.Chunk) error {
 	d := &r.Delivered
 	resumed := d.ID != "" && d.ID != c.ID
 	if resumed && c.Text == "" && c.Finish == "" && !c.Opaque && !c.Usage {
@@ -145,13 +145,13 @@
 	if d.ID == "" {
 		d.ID = c.ID
 	}
-	data, err := adapt(d, data, c, resumed)
+	data, err := rewriteResumedChunk(d, data, c, resumed)
 	if err != nil {
-		return broken(r, err)
+		return newBrokenError(r, err)
 	}
 	d.Unresumable = d.Unresumable || c.Opaque
 	if c.Text != "" || c.Opaque {
-		noteToken(r, c.Text)
+		recordToken(r, c.Text)
 		d.Last = data
 	}
 	if err := to.chunk(data, c); err != nil {
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// adapt makes the chunks of several attempts one answer.
-func adapt(d *request.Delivered, data string, c completion.Chunk, resumed bool) (string, error) {
+// rewriteResumedChunk makes the chunks of several attempts one answer.
+func rewriteResumedChunk(d *request.Delivered, data string, c completion.Chunk, resumed bool) (string, error) {
 	if !resumed {
 		return data, nil
 	}
@@ -172,25 +172,25 @@
 	return completion.CorrectUsage(data, d.Tokens)
 }
 
-func noteToken(r *request.Request, text string) {
+func recordToken(r *request.Request, text string) {
 	d := &r.Delivered
 	if d.Tokens == 0 {
-		begin(r)
+		recordFirstToken(r)
 	}
 	d.Text = append(d.Text, text...)
 	d.Tokens++
 }
 
-// begin notes the first token, or the first byte of a service's answer.
-func begin(r *request.Request) {
+// recordFirstToken notes the first token, or the first byte of a service's answer.
+func recordFirstToken(r *request.Request) {
 	r.Delivered.FirstToken = time.Now()
 	if r.Began != nil {
 		r.Began()
 	}
 }
 
-// ending reads the agent's word on how the answer ended; empty without one.
-func ending(resp *http.Response) wire.Ending {
+// readEnding reads the agent's word on how the answer ended; empty without one.
+func readEnding(resp *http.Response) wire.Ending {
 	var end wire.End
 	if err := wire.Decode(resp.Trailer, wire.HeaderEnd, &end); err != nil {
 		return ""
@@ -203,20 +203,20 @@
 func relayService(r *request.Request) error {
 	var status int
 	if err := wire.Decode(r.Answer.Header, wire.HeaderStatus, &status); err != nil {
-		return broken(r, err)
+		return newBrokenError(r, err)
 	}
 	h := r.Writer.Header()
 	h.Set("Content-Type", r.Answer.Header.Get("Content-Type"))
 	h.Set(api.HeaderRequestID, r.ID)
 	r.Delivered.Started = true
 	r.Delivered.Unresumable = true
-	begin(r)
+	recordFirstToken(r)
 	r.Writer.WriteHeader(status)
 	if _, err := io.Copy(api.PieceWriter{W: r.Writer}, r.Answer.Body); err != nil {
-		return broken(r, err)
+		return newBrokenError(r, err)
 	}
-	if ending(r.Answer) != wire.EndingComplete {
-		return broken(r, nil)
+	if readEnding(r.Answer) != wire.EndingComplete {
+		return newBrokenError(r, nil)
 	}
 	return nil
 }
--- a/internal/filters/relay/relay_test.go
+++ b/internal/filters/relay/relay_test.go
@@ -23,9 +23,9 @@
 	done  = "data: [DONE]\n\n"
 )
 
-// pass relays what an engine and its agent sent, and returns what the caller
+// relayStream relays what an engine and its agent sent, and returns what the caller
 // got.
-func pass(r *request.Request, stream string, ending wire.Ending) (string, error) {
+func relayStream(r *request.Request, stream string, ending wire.Ending) (string, error) {
 	trailer := http.Header{}
 	if ending != "" {
 		_ = wire.Encode(trailer, wire.HeaderEnd, wire.End{Ending: ending})
@@ -37,11 +37,11 @@
 	return w.Body.String(), err
 }
 
-func streamed() *request.Request { return &request.Request{Kind: wire.KindChat, Stream: true} }
+func newStreamRequest() *request.Request { return &request.Request{Kind: wire.KindChat, Stream: true} }
 
 // Each of these stops before the engine's own end, whatever it looks like: the
 // caller must hold only its beginning, so that it can be resumed.
-func TestAnAnswerWithoutItsEndIsNotWhole(t *testing.T) {
+func TestAnswerWithoutFinishReasonIsIncomplete(t *testing.T) {
 	for name, stream := range map[string]string{
 		"nothing":            "",
 		"cut off":            token,
@@ -54,8 +54,8 @@
 		"error as an event":  token + "event: error\ndata: {}\n\n" + done,
 	} {
 		g := NewWithT(t)
-		r := streamed()
-		got, err := pass(r, stream, wire.EndingComplete)
+		r := newStreamRequest()
+		got, err := relayStream(r, stream, wire.EndingComplete)
 		var broken *relay.BrokenError
 		g.Expect(err).To(BeAssignableToTypeOf(broken), name)
 		g.Expect(got).To(Equal(strings.Repeat(token, r.Delivered.Tokens)), name)
@@ -65,26 +65,26 @@
 
 // The engine's end came, so an engine that was asked to go on could only add to
 // the answer.
-func TestWhatBreaksBehindTheEndTakesNothingAway(t *testing.T) {
+func TestFailureAfterFinishReasonIsIgnored(t *testing.T) {
 	for _, stream := range []string{token + end, token + end + done, token + end + token, token + end + "data: {\n\n"} {
 		for _, ending := range []wire.Ending{"", wire.EndingComplete, wire.EndingEngineFailed, wire.EndingLeaving} {
 			g := NewWithT(t)
-			got, err := pass(streamed(), stream, ending)
+			got, err := relayStream(newStreamRequest(), stream, ending)
 			g.Expect(err).NotTo(HaveOccurred(), "%q %q", stream, ending)
 			g.Expect(got).To(Equal(token+end+done), "%q %q", stream, ending)
 		}
 	}
 }
 
-func TestAnAnswerAtItsBoundEndsWithoutAnEngine(t *testing.T) {
+func TestAnswerAtTokenLimitIsCompletedWithoutEngine(t *testing.T) {
 	g := NewWithT(t)
-	r := streamed()
+	r := newStreamRequest()
 	r.MaxTokens = 2
-	_, err := pass(r, token, "")
+	_, err := relayStream(r, token, "")
 	g.Expect(err).To(HaveOccurred())
 	ended, err := relay.EndAtLimit(r)
 	g.Expect(ended, err).To(BeFalse(), "one token is missing")
-	_, err = pass(r, token, "")
+	_, err = relayStream(r, token, "")
 	g.Expect(err).To(HaveOccurred())
 	w := httptest.NewRecorder()
 	r.Writer = w
@@ -93,7 +93,7 @@
 	g.Expect(w.Body.String()).To(Equal(strings.Replace(end, "stop", "length", 1) + done))
 
 	r = &request.Request{Kind: wire.KindCompletion, MaxTokens: 1}
-	_, err = pass(r, `data: {"id":"a","choices":[{"index":0,"text":"x"}]}`+"\n\n", "")
+	_, err = relayStream(r, `data: {"id":"a","choices":[{"index":0,"text":"x"}]}`+"\n\n", "")
 	g.Expect(err).To(HaveOccurred())
 	w = httptest.NewRecorder()
 	r.Writer = w
@@ -113,7 +113,7 @@
 		if chat {
 			r.Kind = wire.KindChat
 		}
-		got, err := pass(r, stream, wire.Ending(ending))
+		got, err := relayStream(r, stream, wire.Ending(ending))
 		whole := strings.HasSuffix(got, done)
 		switch {
 		case streams && whole != (err == nil):
--- a/internal/filters/relay/routed.go
+++ b/internal/filters/relay/routed.go
@@ -19,14 +19,14 @@
 
 // Bounds of what is held of a routed answer.
 const (
-	// maxWholeBytes is the size up to which a plain answer is held back until
+	// maxBufferedBytes is the size up to which a plain answer is held back until
 	// it is whole, so that one that breaks off can still be replaced by
 	// another or by an honest error.
-	maxWholeBytes = 256 << 10
+	maxBufferedBytes = 256 << 10
 	// maxEventBytes bounds one event of a stream.
 	maxEventBytes = 1 << 20
-	// readBytes is what is read at once.
-	readBytes = 4 << 10
+	// readBufferBytes is what is read at once.
+	readBufferBytes = 4 << 10
 )
 
 // AnswerError is an endpoint's own answer that says that it failed. The request
@@ -66,16 +66,16 @@
 	if r.Stream && r.Answer.StatusCode == http.StatusOK {
 		return relayRoutedStream(r)
 	}
-	return relayWhole(r)
+	return relayBuffered(r)
 }
 
-// relayWhole holds a plain answer back until it is whole.
-func relayWhole(r *request.Request) error {
-	body, err := io.ReadAll(io.LimitReader(r.Answer.Body, maxWholeBytes))
+// relayBuffered holds a plain answer back until it is whole.
+func relayBuffered(r *request.Request) error {
+	body, err := io.ReadAll(io.LimitReader(r.Answer.Body, maxBufferedBytes))
 	if err != nil {
 		return &BrokenError{Cause: err}
 	}
-	if len(body) == maxWholeBytes {
+	if len(body) == maxBufferedBytes {
 		return relayLarge(r, body)
 	}
 	answer := &AnswerError{Status: r.Answer.StatusCode, Header: r.Answer.Header, Body: body}
@@ -83,7 +83,7 @@
 		return answer
 	}
 	r.Delivered.Started = true
-	begin(r)
+	recordFirstToken(r)
 	if err := answer.Write(r.Writer); err != nil {
 		return &CallerError{Cause: err}
 	}
@@ -92,7 +92,7 @@
 
 // relayLarge passes on an answer that is too large to be held back.
 func relayLarge(r *request.Request, head []byte) error {
-	start(r)
+	writeResponseHeader(r)
 	r.Delivered.Unresumable = true
 	out := api.PieceWriter{W: r.Writer}
 	if _, err := out.Write(head); err != nil {
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// start sends the head of the answer, once.
-func start(r *request.Request) {
+// writeResponseHeader sends the head of the answer, once.
+func writeResponseHeader(r *request.Request) {
 	if r.Delivered.Started {
 		return
 	}
@@ -114,38 +114,38 @@
 	if r.Answer.ContentLength >= 0 && !r.Stream {
 		r.Writer.Header().Set("Content-Length", strconv.FormatInt(r.Answer.ContentLength, 10))
 	}
-	begin(r)
+	recordFirstToken(r)
 	r.Writer.WriteHeader(r.Answer.StatusCode)
 }
 
 // relayRoutedStream passes events on as they come, each whole: what follows a
 // break goes on behind the last event that the caller has.
 func relayRoutedStream(r *request.Request) error {
-	var held []byte
-	piece := make([]byte, readBytes)
+	var buffered []byte
+	buf := make([]byte, readBufferBytes)
 	rc := http.NewResponseController(r.Writer)
 	for {
-		n, err := r.Answer.Body.Read(piece)
-		held = append(held, piece[:n]...)
+		n, err := r.Answer.Body.Read(buf)
+		buffered = append(buffered, buf[:n]...)
 		if n > 0 && r.Heard != nil {
 			r.Heard(time.Now())
 		}
-		end := endOfEvents(held)
+		end := completeEventsLen(buffered)
 		if end > 0 {
 			if r.HeardEvent != nil {
 				r.HeardEvent(time.Now())
 			}
-			if err := deliver(r, rc, held[:end]); err != nil {
+			if err := deliverEvents(r, rc, buffered[:end]); err != nil {
 				return err
 			}
-			held = append(held[:0], held[end:]...)
+			buffered = append(buffered[:0], buffered[end:]...)
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			return endStream(r, held)
+			return endStream(r, buffered)
 		case err != nil:
 			return &BrokenError{Cause: err}
-		case len(held) > maxEventBytes:
+		case len(buffered) > maxEventBytes:
 			return &BrokenError{Cause: errors.Newf("an event is longer than %d bytes", maxEventBytes)}
 		}
 	}
@@ -153,16 +153,16 @@
 
 // endStream ends a stream that the endpoint ended, in the middle of an event or
 // behind a whole one.
-func endStream(r *request.Request, held []byte) error {
-	if len(held) > 0 {
+func endStream(r *request.Request, buffered []byte) error {
+	if len(buffered) > 0 {
 		return &BrokenError{Cause: errors.New("the stream ended in the middle of an event")}
 	}
-	start(r)
+	writeResponseHeader(r)
 	return nil
 }
 
-func deliver(r *request.Request, rc *http.ResponseController, events []byte) error {
-	start(r)
+func deliverEvents(r *request.Request, rc *http.ResponseController, events []byte) error {
+	writeResponseHeader(r)
 	api.GiveTime(r.Writer)
 	if _, err := r.Writer.Write(events); err != nil {
 		return &CallerError{Cause: err}
@@ -170,17 +170,17 @@
 	if err := rc.Flush(); err != nil {
 		return &CallerError{Cause: err}
 	}
-	notePause(r)
+	recordGap(r)
 	// Every event counts, as the tokens in it aren't known.
-	r.Delivered.Tokens += bytes.Count(events, eventEnd)
+	r.Delivered.Tokens += bytes.Count(events, eventDelimiter)
 	if id := lastEventID(events); id != "" {
 		r.Delivered.LastEvent = id
 	}
 	return nil
 }
 
-// notePause keeps the longest pause of the stream, by which it may be late.
-func notePause(r *request.Request) {
+// recordGap keeps the longest pause of the stream, by which it may be late.
+func recordGap(r *request.Request) {
 	d := &r.Delivered
 	now := time.Now()
 	if !d.LastAt.IsZero() {
@@ -190,16 +190,16 @@
 }
 
 var (
-	eventEnd = []byte("\n\n")
-	idField  = []byte("id:")
+	eventDelimiter = []byte("\n\n")
+	idField        = []byte("id:")
 )
 
-// endOfEvents is the length of the whole events at the start of b. Events end
+// completeEventsLen is the length of the whole events at the start of b. Events end
 // with an empty line, of either of the two usual line ends.
-func endOfEvents(b []byte) int {
-	end := bytes.LastIndex(b, eventEnd)
+func completeEventsLen(b []byte) int {
+	end := bytes.LastIndex(b, eventDelimiter)
 	if end >= 0 {
-		end += len(eventEnd)
+		end += len(eventDelimiter)
 	}
 	if crlf := bytes.LastIndex(b, []byte("\r\n\r\n")); crlf >= 0 {
 		end = max(end, crlf+4)
--- a/internal/filters/relay/sink.go
+++ b/internal/filters/relay/sink.go
@@ -13,10 +13,10 @@
 type streamSink struct {
 	r  *request.Request
 	rc *http.ResponseController
-	// unsent says that something was written that hasn't been flushed.
-	unsent bool
-	// failed is why a flush failed.
-	failed error
+	// unflushed says that something was written that hasn't been flushed.
+	unflushed bool
+	// flushErr is why a flush flushErr.
+	flushErr error
 }
 
 func newStreamSink(r *request.Request) *streamSink {
@@ -27,19 +27,19 @@
 	if c.Usage && !s.r.IncludeUsage {
 		return nil // asked of the engine by the agent, not by the caller
 	}
-	s.begin()
-	return s.send(data)
+	s.writeHeader()
+	return s.writeEvent(data)
 }
 
 func (s *streamSink) finish() error {
-	s.begin()
-	if err := s.send(sse.Done); err != nil {
+	s.writeHeader()
+	if err := s.writeEvent(sse.Done); err != nil {
 		return err
 	}
 	return s.flush()
 }
 
-func (s *streamSink) begin() {
+func (s *streamSink) writeHeader() {
 	if s.r.Delivered.Started {
 		return
 	}
@@ -51,22 +51,22 @@
 	s.r.Writer.WriteHeader(http.StatusOK)
 }
 
-// send writes an event. The first since a flush gets a deadline, which holds
+// writeEvent writes an event. The first since a flush gets a deadline, which holds
 // for what follows, too: no read lies between them.
-func (s *streamSink) send(data string) error {
-	if !s.unsent {
-		s.unsent = true
+func (s *streamSink) writeEvent(data string) error {
+	if !s.unflushed {
+		s.unflushed = true
 		api.GiveTime(s.r.Writer)
 	}
 	return sse.WriteData(s.r.Writer, data)
 }
 
 func (s *streamSink) flush() error {
-	if s.unsent && s.failed == nil {
-		s.unsent = false
-		s.failed = s.rc.Flush()
+	if s.unflushed && s.flushErr == nil {
+		s.unflushed = false
+		s.flushErr = s.rc.Flush()
 	}
-	return s.failed
+	return s.flushErr
 }
 
 // collectSink puts the answer together for a caller who wants it in one piece.
--- a/internal/filters/reside/reside.go
+++ b/internal/filters/reside/reside.go
@@ -46,7 +46,7 @@
 
 // Do leaves the request those of its candidates that may serve it. Its error is an *Error.
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
-	if !bound(r) {
+	if !isRestricted(r) {
 		return next(ctx, r)
 	}
 	r.Candidates = f.Within(r, r.Candidates)
@@ -58,7 +58,7 @@
 
 // Within are those of the endpoints that may serve the request.
 func (f *Filter) Within(r *request.Request, endpoints []*bundle.Endpoint) []*bundle.Endpoint {
-	if !bound(r) {
+	if !isRestricted(r) {
 		return endpoints
 	}
 	return slices.DeleteFunc(slices.Clone(endpoints), func(e *bundle.Endpoint) bool {
@@ -67,4 +67,4 @@
 	})
 }
 
-func bound(r *request.Request) bool { return r.Route.Residency != nil || r.TeamResidency != nil }
+func isRestricted(r *request.Request) bool { return r.Route.Residency != nil || r.TeamResidency != nil }
--- a/internal/filters/shed/shed.go
+++ b/internal/filters/shed/shed.go
@@ -51,22 +51,22 @@
 type Filter struct {
 	cfg    throttle.Config
 	pool   *balance.Pool
-	draw   func() float64
+	random func() float64
 	shards [shardCount]shard
 }
 
 // shard holds the throttles of some models and services.
 type shard struct {
-	mu     sync.Mutex
-	groups map[string]*throttle.Throttle
+	mu        sync.Mutex
+	throttles map[string]*throttle.Throttle
 }
 
 // New returns a filter that has seen nothing. draw returns random numbers from
 // [0, 1).
-func New(cfg throttle.Config, pool *balance.Pool, draw func() float64) *Filter {
-	f := &Filter{cfg: cfg, pool: pool, draw: draw}
+func New(cfg throttle.Config, pool *balance.Pool, random func() float64) *Filter {
+	f := &Filter{cfg: cfg, pool: pool, random: random}
 	for i := range f.shards {
-		f.shards[i].groups = make(map[string]*throttle.Throttle)
+		f.shards[i].throttles = make(map[string]*throttle.Throttle)
 	}
 	return f
 }
@@ -77,9 +77,9 @@
 // Do refuses the request with an *Error, or hands it on and notes whether an
 // endpoint took it.
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
-	t := f.group(r)
+	t := f.throttleFor(r)
 	now := time.Now()
-	if !t.Allow(now, r.Tier, f.draw()) && f.pool.MayRefuse(now, r.Tier, r.Candidates) {
+	if !t.Allow(now, r.Tier, f.random()) && f.pool.MayRefuse(now, r.Tier, r.Candidates) {
 		t.Refused(now, r.Tier)
 		return &Error{Tier: r.Tier, RetryAfter: f.retryAfter(now, r)}
 	}
@@ -91,16 +91,16 @@
 	return err
 }
 
-// group is the throttle of the endpoints that serve the request.
-func (f *Filter) group(r *request.Request) *throttle.Throttle {
+// throttleFor is the throttle of the endpoints that serve the request.
+func (f *Filter) throttleFor(r *request.Request) *throttle.Throttle {
 	name := r.Model + "/" + r.Service
 	sh := &f.shards[xxhash.Sum64String(name)%shardCount]
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	t, known := sh.groups[name]
+	t, known := sh.throttles[name]
 	if !known {
 		t = throttle.New(f.cfg)
-		sh.groups[name] = t
+		sh.throttles[name] = t
 	}
 	return t
 }
@@ -108,13 +108,13 @@
 // retryAfter is when the least loaded endpoint will have worked off what is
 // ahead of the request, by the rate it reported.
 func (f *Filter) retryAfter(now time.Time, r *request.Request) time.Duration {
-	least := maxRetryAfter
+	shortest := maxRetryAfter
 	for _, v := range f.pool.Views(now, r.Candidates) {
 		if v.Load.DrainPerSecond <= 0 {
 			continue
 		}
 		wait := float64(v.Load.QueuedAhead(r.Tier)+1) / v.Load.DrainPerSecond
-		least = min(least, time.Duration(wait*float64(time.Second)))
+		shortest = min(shortest, time.Duration(wait*float64(time.Second)))
 	}
-	return max(least, minRetryAfter)
+	return max(shortest, minRetryAfter)
 }
--- a/internal/filters/shed/shed_test.go
+++ b/internal/filters/shed/shed_test.go
@@ -19,31 +19,31 @@
 
 const endpoint = "e"
 
-// overloaded is a filter behind which endpoints have refused all of the lowest
+// newOverloadedFilter is a filter behind which endpoints have refused all of the lowest
 // tier for a while; the last report of the only endpoint is the given one.
-func overloaded(g *WithT, report load.Report) (*shed.Filter, func(tier int) error) {
+func newOverloadedFilter(g *WithT, report load.Report) (*shed.Filter, func(tier int) error) {
 	pool := balance.NewPool(balance.Config{})
 	f := shed.New(throttle.Config{MinRequests: 10}, pool, func() float64 { return 0.5 })
 	candidates := []*bundle.Endpoint{{Name: endpoint, Slots: 1}}
 	refuse := func(context.Context, *request.Request) error { return errRefused }
-	ask := func(tier int) error {
+	send := func(tier int) error {
 		r := &request.Request{Model: "m", Tier: tier, Candidates: candidates}
 		return f.Do(context.Background(), r, refuse)
 	}
 	for range 50 {
-		g.Expect(ask(1)).To(MatchError(errRefused), "nothing is known of the endpoint yet")
+		g.Expect(send(1)).To(MatchError(errRefused), "nothing is known of the endpoint yet")
 	}
 	pool.Report(time.Now(), endpoint, report)
-	return f, ask
+	return f, send
 }
 
 var errRefused = errors.New("refused by the endpoint")
 
-func TestShedsWhatEndpointsRefuse(t *testing.T) {
+func TestShedsTierThatEndpointsRefuse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		full := load.Report{Seq: 1, Slots: 1, Running: [load.MaxTiers]int{1}, Queued: [load.MaxTiers]int{0, 3}, DrainPerSecond: 2}
-		_, ask := overloaded(g, full)
+		_, ask := newOverloadedFilter(g, full)
 		var shedErr *shed.Error
 		g.Expect(errors.As(ask(1), &shedErr)).To(BeTrue())
 		g.Expect(shedErr.RetryAfter).To(Equal(2*time.Second), "four requests at two a second")
@@ -54,22 +54,22 @@
 }
 
 // A tier isn't refused at the router while an endpoint runs lower work.
-func TestShedsNothingAboveLowerWork(t *testing.T) {
+func TestDoesNotShedWhileLowerTierRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		lower := load.Report{Seq: 1, Slots: 1, Running: [load.MaxTiers]int{0, 0, 1}, DrainPerSecond: 2}
-		_, ask := overloaded(g, lower)
+		_, ask := newOverloadedFilter(g, lower)
 		for range 20 {
 			g.Expect(ask(1)).To(MatchError(errRefused))
 		}
 	})
 }
 
-func TestAcceptedRequestsEndTheShedding(t *testing.T) {
+func TestAcceptedRequestsEndShedding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		full := load.Report{Seq: 1, Slots: 1, Running: [load.MaxTiers]int{1}, DrainPerSecond: 2}
-		f, ask := overloaded(g, full)
+		f, ask := newOverloadedFilter(g, full)
 		begin := func(_ context.Context, r *request.Request) error {
 			r.Delivered.FirstToken = time.Now()
 			r.Began()
--- a/internal/poison/identity_test.go
+++ b/internal/poison/identity_test.go
@@ -7,12 +7,12 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestARequestIsKnownAgainByAllOfItsContent(t *testing.T) {
+func TestIdentityCoversAllContent(t *testing.T) {
 	g := NewWithT(t)
-	asked := Content{Team: "acme", Method: "POST", Host: "h", Target: "/a/?x=1", Body: []byte("body")}
-	again := asked
-	again.Body = bytes.Clone(asked.Body)
-	g.Expect(Identify(again)).To(Equal(Identify(asked)))
+	original := Content{Team: "acme", Method: "POST", Host: "h", Target: "/a/?x=1", Body: []byte("body")}
+	same := original
+	same.Body = bytes.Clone(original.Body)
+	g.Expect(Identify(same)).To(Equal(Identify(original)))
 	for _, other := range []Content{
 		{Team: "acm", Method: "ePOST", Host: "h", Target: "/a/?x=1", Body: []byte("body")},
 		{Team: "acme", Method: "PUT", Host: "h", Target: "/a/?x=1", Body: []byte("body")},
@@ -21,7 +21,7 @@
 		{Team: "acme", Method: "POST", Host: "h", Target: "/a/?x=1", Body: []byte("bodx")},
 		{Team: "acme", Method: "POST", Host: "h", Target: "/a/?x=1"},
 	} {
-		g.Expect(Identify(other)).NotTo(Equal(Identify(asked)), "%v", other)
+		g.Expect(Identify(other)).NotTo(Equal(Identify(original)), "%v", other)
 	}
 }
 
--- a/internal/poison/survivor_test.go
+++ b/internal/poison/survivor_test.go
@@ -14,12 +14,12 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestEndpointsThatLiveOnTellNothingOfARequest(t *testing.T) {
+func TestLossesAtSurvivorsDoNotCount(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld()
+	w := newTestFleet()
 	table := w.table("a")
-	for i := range maxLost {
-		w.run(table, fmt.Sprint("e", i), takes)
+	for i := range lossThreshold {
+		w.lose(table, fmt.Sprint("e", i), timeToLoss)
 	}
 	g.Expect(table.Ask(id).Held).To(BeTrue())
 	w.now = w.now.Add(10 * time.Millisecond)
@@ -27,24 +27,24 @@
 	g.Expect(table.Ask(id).Held).To(BeFalse(), "two are left")
 	g.Expect(w.events).To(HaveLen(2))
 	for range 5 {
-		w.run(table, "e2", takes)
+		w.lose(table, "e2", timeToLoss)
 	}
 	g.Expect(table.Ask(id).Held).To(BeFalse(), "what a survivor breaks off doesn't count")
-	w.run(table, "e3", takes)
+	w.lose(table, "e3", timeToLoss)
 	g.Expect(table.Ask(id).Held).To(BeTrue(), "another one does")
 }
 
-func TestWhatIsNoProofThatAnEndpointLivesOn(t *testing.T) {
+func TestAnswersThatDoNotProveSurvival(t *testing.T) {
 	for name, sent := range map[string]time.Duration{
 		"an answer to what was sent before":                   -10 * time.Millisecond,
-		"an answer so late that it may have started again":    restartTakes,
+		"an answer so late that it may have started again":    minRestartTime,
 		"an answer after all that, of another of its process": time.Hour,
 	} {
 		g := NewWithT(t)
-		w := newWorld()
+		w := newTestFleet()
 		table := w.table("a")
-		for i := range maxLost {
-			w.run(table, fmt.Sprint("e", i), takes)
+		for i := range lossThreshold {
+			w.lose(table, fmt.Sprint("e", i), timeToLoss)
 		}
 		table.Survived("e2", w.now.Add(sent))
 		g.Expect(table.Ask(id).Held).To(BeTrue(), name)
@@ -53,15 +53,15 @@
 
 // What a router is told may have happened up to a call's time later than it was told: only
 // what it sends after hearing it was sent after the loss.
-func TestALossThatWasToldIsDisprovedOnlyByWhatIsSentAfterHearingIt(t *testing.T) {
+func TestReceivedLossIsDisprovedOnlyByLaterRequests(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld()
+	w := newTestFleet()
 	first, second := w.table("a"), w.table("b")
-	for i := range maxLost {
-		w.run(first, fmt.Sprint("e", i), takes)
+	for i := range lossThreshold {
+		w.lose(first, fmt.Sprint("e", i), timeToLoss)
 	}
 	w.now = w.now.Add(200 * time.Millisecond)
-	second.Hear(w.now, first.Tell(0, spread))
+	second.Hear(w.now, first.Tell(0, newsAge))
 	g.Expect(second.Ask(id).Held).To(BeTrue())
 	second.Survived("e2", w.now.Add(-time.Millisecond))
 	g.Expect(second.Ask(id).Held).To(BeTrue())
@@ -71,7 +71,7 @@
 	g.Expect(digestOf(first)).NotTo(Equal(digestOf(second)))
 	first.Hear(w.now, second.Tell(digestOf(first), 0))
 	g.Expect(first.Ask(id).Held).To(BeFalse(), "survivors are told")
-	second.Hear(w.now, first.Tell(0, spread))
+	second.Hear(w.now, first.Tell(0, newsAge))
 	g.Expect(second.Ask(id).Held).To(BeFalse(), "and stay")
 	g.Expect(digestOf(first)).To(Equal(digestOf(second)))
 }
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -22,10 +22,10 @@
 // Verdict says what to do with a request.
 type Verdict struct {
 	// Held says that it must not be sent to an endpoint, After that time at the earliest.
-	Held  bool
-	After time.Duration
-	// Lost is how many endpoints ended under it lately, as far as is kept.
-	Lost int
+	Held       bool
+	RetryAfter time.Duration
+	// LossCount is how many endpoints ended under it lately, as far as is kept.
+	LossCount int
 	// Trial says that it is let through to see whether it is harmless now.
 	Trial bool
 }
@@ -78,24 +78,24 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Clock()
-	r := t.known(id, now)
+	r := t.lookup(id, now)
 	if r == nil || !r.poisonous() {
 		return Verdict{}
 	}
-	until := r.heldUntil(t.share(id))
+	until := r.heldUntil(t.staggerFraction(id))
 	if now.Before(until) {
-		return Verdict{Held: true, After: until.Sub(now), Lost: len(r.losses)}
+		return Verdict{Held: true, RetryAfter: until.Sub(now), LossCount: len(r.losses)}
 	}
-	r.try(now)
-	r.changed = now
-	return Verdict{Lost: len(r.losses), Trial: true}
+	r.addTrial(now)
+	r.changedAt = now
+	return Verdict{LossCount: len(r.losses), Trial: true}
 }
 
-// known is the record of a request; nil if there is none, or one that counts no longer.
+// lookup is the record of a request; nil if there is none, or one that counts no longer.
 // t.mu is held.
-func (t *Table) known(id Identity, now time.Time) *record {
+func (t *Table) lookup(id Identity, now time.Time) *record {
 	r := t.records[id]
-	if r == nil || !r.outdated(now) {
+	if r == nil || !r.expired(now) {
 		return r
 	}
 	delete(t.records, id)
@@ -103,15 +103,15 @@
 	return nil
 }
 
-// share is where in the stagger this router lets a request through, from [0, 1).
-func (t *Table) share(id Identity) float64 {
+// staggerFraction is where in the stagger this router lets a request through, from [0, 1).
+func (t *Table) staggerFraction(id Identity) float64 {
 	return float64(xxhash.Sum64String(t.cfg.Router+id.String())) / math.MaxUint64
 }
 
 // Lost notes that an endpoint ended while it ran a request.
 func (t *Table) Lost(id Identity, l Loss) {
-	l.known = t.cfg.Clock()
-	t.change(id, true, true, func(r *record) bool { return r.lose(l) })
+	l.learnedAt = t.cfg.Clock()
+	t.update(id, true, true, func(r *record) bool { return r.addLoss(l) })
 }
 
 // Survived notes that an endpoint answered what was sent to it at a moment. Endpoints that
@@ -120,18 +120,18 @@
 	if t.Empty() {
 		return
 	}
-	for _, id := range t.lostAt(endpoint) {
-		t.change(id, false, true, func(r *record) bool { return r.survive(endpoint, sent, t.cfg.Clock()) })
+	for _, id := range t.requestsLostAt(endpoint) {
+		t.update(id, false, true, func(r *record) bool { return r.confirmSurvivor(endpoint, sent, t.cfg.Clock()) })
 	}
 }
 
-// lostAt lists the requests that an endpoint broke off.
-func (t *Table) lostAt(endpoint string) []Identity {
+// requestsLostAt lists the requests that an endpoint broke off.
+func (t *Table) requestsLostAt(endpoint string) []Identity {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var ids []Identity
 	for id, r := range t.records {
-		if r.knows(endpoint) {
+		if r.hasLossAt(endpoint) {
 			ids = append(ids, id)
 		}
 	}
@@ -141,25 +141,25 @@
 // Completed notes that a request was answered just now.
 func (t *Table) Completed(id Identity) {
 	now := t.cfg.Clock()
-	t.change(id, false, true, func(r *record) bool { return r.complete(now) })
+	t.update(id, false, true, func(r *record) bool { return r.addCompletion(now) })
 }
 
-// change has do change the record of a request, and tells of what that changes. A request
+// update has do update the record of a request, and tells of what that changes. A request
 // of which nothing is known gets a record if create is set. own says that this router has seen
 // it itself.
-func (t *Table) change(id Identity, create, own bool, do func(*record) (news bool)) {
-	event, changed := t.apply(id, create, do)
-	event.Own = own
+func (t *Table) update(id Identity, create, local bool, mutate func(*record) (changed bool)) {
+	event, changed := t.apply(id, create, mutate)
+	event.Own = local
 	if changed && t.cfg.OnEvent != nil {
 		t.cfg.OnEvent(event)
 	}
 }
 
-func (t *Table) apply(id Identity, create bool, do func(*record) (news bool)) (e Event, changed bool) {
+func (t *Table) apply(id Identity, create bool, mutate func(*record) (changed bool)) (e Event, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Clock()
-	r := t.known(id, now)
+	r := t.lookup(id, now)
 	if r == nil && !create {
 		return Event{}, false
 	}
@@ -167,18 +167,18 @@
 		r = &record{}
 		t.add(id, r, now)
 	}
-	wasHeld, ended := r.poisonous(), endpointsOf(r.losses)
-	if do(r) {
-		r.changed = now
+	wasHeld, endpoints := r.poisonous(), endpointNames(r.losses)
+	if mutate(r) {
+		r.changedAt = now
 	}
 	held := r.poisonous()
 	if held {
-		ended = endpointsOf(r.losses)
+		endpoints = endpointNames(r.losses)
 	}
-	return Event{Identity: id, Held: held, Endpoints: ended}, held != wasHeld
+	return Event{Identity: id, Held: held, Endpoints: endpoints}, held != wasHeld
 }
 
-func endpointsOf(losses []Loss) []string {
+func endpointNames(losses []Loss) []string {
 	names := make([]string, len(losses))
 	for i, l := range losses {
 		names[i] = l.Endpoint
@@ -188,25 +188,25 @@
 
 // add adds a record, in the place of one that is outdated or matters least. t.mu is held.
 func (t *Table) add(id Identity, r *record, now time.Time) {
-	for old, o := range t.records {
-		if o.outdated(now) {
-			delete(t.records, old)
+	for oldID, oldRecord := range t.records {
+		if oldRecord.expired(now) {
+			delete(t.records, oldID)
 		}
 	}
 	if len(t.records) >= maxRecords {
-		t.dropLeast()
+		t.evictLeast()
 	}
 	t.records[id] = r
 	t.size.Store(int64(len(t.records)))
 }
 
-// dropLeast drops the record with the fewest losses, of these the oldest. t.mu is held.
-func (t *Table) dropLeast() {
+// evictLeast drops the record with the fewest losses, of these the oldest. t.mu is held.
+func (t *Table) evictLeast() {
 	var least Identity
-	var of *record
+	var leastRecord *record
 	for id, r := range t.records {
-		if of == nil || cmp.Or(cmp.Compare(len(r.losses), len(of.losses)), r.latest().Compare(of.latest())) < 0 {
-			least, of = id, r
+		if leastRecord == nil || cmp.Or(cmp.Compare(len(r.losses), len(leastRecord.losses)), r.latestActivity().Compare(leastRecord.latestActivity())) < 0 {
+			least, leastRecord = id, r
 		}
 	}
 	delete(t.records, least)
@@ -225,21 +225,21 @@
 	return n
 }
 
-// sorted lists the identities whose records fit, those that matter most first: by losses,
+// sortedByPriority lists the identities whose records fit, those that matter most first: by losses,
 // then those lost before an answer began, as a request that crashes engines mostly is, and
 // of these the latest news. t.mu is held.
-func (t *Table) sorted(fits func(*record) bool) []Identity {
+func (t *Table) sortedByPriority(include func(*record) bool) []Identity {
 	var ids []Identity
 	for id, r := range t.records {
-		if fits(r) {
+		if include(r) {
 			ids = append(ids, id)
 		}
 	}
 	slices.SortFunc(ids, func(a, b Identity) int {
 		x, y := t.records[a], t.records[b]
 		return cmp.Or(
-			cmp.Compare(len(y.losses), len(x.losses)), cmp.Compare(y.early(), x.early()),
-			y.changed.Compare(x.changed), cmp.Compare(a, b),
+			cmp.Compare(len(y.losses), len(x.losses)), cmp.Compare(y.earlyLosses(), x.earlyLosses()),
+			y.changedAt.Compare(x.changedAt), cmp.Compare(a, b),
 		)
 	})
 	return ids
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -10,25 +10,25 @@
 	"pgregory.net/rapid"
 )
 
-// world is some routers' tables by one clock.
-type world struct {
+// testFleet is some routers' tables by one clock.
+type testFleet struct {
 	now    time.Time
 	events []Event
 }
 
-func newWorld() *world { return &world{now: time.Unix(1000, 0)} }
+func newTestFleet() *testFleet { return &testFleet{now: time.Unix(1000, 0)} }
 
-func (w *world) table(router string) *Table {
+func (w *testFleet) table(router string) *Table {
 	return NewTable(Config{
 		Router: router, Clock: func() time.Time { return w.now },
 		OnEvent: func(e Event) { w.events = append(w.events, e) },
 	})
 }
 
-// run sends a request that takes its endpoint down after a while.
-func (w *world) run(t *Table, endpoint string, takes time.Duration) {
+// lose sends a request that takes its endpoint down after a while.
+func (w *testFleet) lose(t *Table, endpoint string, after time.Duration) {
 	sent := w.now
-	w.now = w.now.Add(takes)
+	w.now = w.now.Add(after)
 	t.Lost(id, Loss{Endpoint: endpoint, Sent: sent, At: w.now, Early: true})
 }
 
@@ -37,45 +37,45 @@
 
 const (
 	id = Identity(7)
-	// spread is how long news are told.
-	spread = time.Second
-	takes  = 300 * time.Millisecond
+	// newsAge is how long news are told.
+	newsAge    = time.Second
+	timeToLoss = 300 * time.Millisecond
 )
 
-func TestARequestIsHeldBackOnceThreeEndpointsEndedUnderIt(t *testing.T) {
+func TestRequestIsQuarantinedAfterThreeLosses(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld()
+	w := newTestFleet()
 	table := w.table("a")
 	for i, held := range []bool{false, false, true} {
-		w.run(table, fmt.Sprint("e", i), takes)
+		w.lose(table, fmt.Sprint("e", i), timeToLoss)
 		g.Expect(table.Ask(id).Held).To(Equal(held), "after %d", i+1)
 	}
 	g.Expect(table.Ask(8).Held).To(BeFalse())
-	g.Expect(table.Ask(id).After).To(BeNumerically(">=", 3*time.Minute))
+	g.Expect(table.Ask(id).RetryAfter).To(BeNumerically(">=", 3*time.Minute))
 	g.Expect(w.events).To(Equal([]Event{{Identity: id, Held: true, Endpoints: []string{"e0", "e1", "e2"}, Own: true}}))
 	g.Expect(table.Held()).To(Equal(1))
 }
 
 // A connection that breaks again and again at an endpoint that lives is no sign of a request
 // that ends endpoints.
-func TestAnEndpointCountsOnce(t *testing.T) {
+func TestRepeatedLossesOfOneEndpointCountOnce(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld()
+	w := newTestFleet()
 	table := w.table("a")
 	for range 5 {
-		w.run(table, "e", takes)
+		w.lose(table, "e", timeToLoss)
 	}
 	g.Expect(table.Ask(id).Held).To(BeFalse())
 }
 
 // Endpoints crash at random and a caller's same request meets three of them over time: it
 // is answered in between and stays in use.
-func TestAnAnswerClearsARequest(t *testing.T) {
+func TestCompletionClearsEarlierLosses(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld()
+	w := newTestFleet()
 	table := w.table("a")
 	for i := range 6 {
-		w.run(table, fmt.Sprint("e", i), takes)
+		w.lose(table, fmt.Sprint("e", i), timeToLoss)
 		if i%2 == 1 {
 			w.now = w.now.Add(time.Second)
 			table.Completed(id)
@@ -86,17 +86,17 @@
 
 // All endpoints of a service lose power while a status request that a caller always sends
 // alike runs at each: that one is tried again after five seconds, when they are back.
-func TestEndpointsThatEndAtTheSameMomentHoldARequestBackForAWhileOnly(t *testing.T) {
+func TestSimultaneousLossesCauseOnlyTheInitialHold(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld()
+	w := newTestFleet()
 	table := w.table("a")
 	for i := range 6 {
-		table.Lost(id, Loss{Endpoint: fmt.Sprint("e", i), Sent: w.now, At: w.now.Add(takes)})
+		table.Lost(id, Loss{Endpoint: fmt.Sprint("e", i), Sent: w.now, At: w.now.Add(timeToLoss)})
 	}
-	w.now = w.now.Add(takes)
+	w.now = w.now.Add(timeToLoss)
 	g.Expect(table.Ask(id).Held).To(BeTrue())
-	w.now = w.now.Add(firstHold + firstHold/staggerShare)
-	g.Expect(table.Ask(id)).To(Equal(Verdict{Lost: 6, Trial: true}))
+	w.now = w.now.Add(initialHold + initialHold/staggerDivisor)
+	g.Expect(table.Ask(id)).To(Equal(Verdict{LossCount: 6, Trial: true}))
 	g.Expect(table.Ask(id).Held).To(BeTrue(), "one at a time")
 	table.Completed(id)
 	g.Expect(table.Ask(id)).To(Equal(Verdict{}))
@@ -106,15 +106,15 @@
 // A request that ends every endpoint comes twice a second for a day: the endpoints that it
 // costs. Without a trial one that is harmless by now would never be served again; with one
 // a minute it would cost 1,440.
-func TestWhatARequestThatNeverStopsCosts(t *testing.T) {
+func TestEndpointsLostToAPersistentRequestPerDay(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld()
+	w := newTestFleet()
 	table := w.table("a")
 	lost := 0
 	for end := w.now.Add(24 * time.Hour); w.now.Before(end); w.now = w.now.Add(500 * time.Millisecond) {
 		if !table.Ask(id).Held {
 			lost++
-			w.run(table, fmt.Sprint("e", lost), takes)
+			w.lose(table, fmt.Sprint("e", lost), timeToLoss)
 		}
 	}
 	g.Expect(lost).To(BeNumerically("<=", 30))
@@ -122,24 +122,24 @@
 
 // 880 routers let the same request through after the same time, and hear of each other
 // within two seconds.
-func TestRoutersDontTryARequestAllAtOnce(t *testing.T) {
+func TestRoutersStaggerTrials(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld()
+	w := newTestFleet()
 	first := w.table("a")
-	for i := range maxLost {
-		w.run(first, fmt.Sprint("e", i), takes)
+	for i := range lossThreshold {
+		w.lose(first, fmt.Sprint("e", i), timeToLoss)
 	}
-	const routers, hears = 880, 2 * time.Second
+	const routers, propagation = 880, 2 * time.Second
 	var tables []*Table
 	for i := range routers {
 		table := w.table(fmt.Sprint("r", i))
-		table.Hear(w.now, first.Tell(0, spread))
+		table.Hear(w.now, first.Tell(0, newsAge))
 		tables = append(tables, table)
 	}
 	tried := 0
 	var triedAt time.Time
 	for end := w.now.Add(10 * time.Minute); w.now.Before(end); w.now = w.now.Add(250 * time.Millisecond) {
-		if tried > 0 && w.now.Sub(triedAt) > hears {
+		if tried > 0 && w.now.Sub(triedAt) > propagation {
 			break
 		}
 		for _, table := range tables {
@@ -156,34 +156,34 @@
 	g.Expect(tried).To(BeNumerically(">", 0))
 }
 
-func TestWhatIsOutdatedIsForgotten(t *testing.T) {
+func TestExpiredRecordsAreForgotten(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld()
+	w := newTestFleet()
 	table := w.table("a")
 	for i := range 2 {
-		w.run(table, fmt.Sprint("e", i), takes)
+		w.lose(table, fmt.Sprint("e", i), timeToLoss)
 	}
-	w.now = w.now.Add(forgetAfter + time.Minute)
-	w.run(table, "e2", takes)
+	w.now = w.now.Add(lossRetention + time.Minute)
+	w.lose(table, "e2", timeToLoss)
 	g.Expect(table.Ask(id).Held).To(BeFalse())
-	for i := range maxLost {
-		w.run(table, fmt.Sprint("f", i), takes)
+	for i := range lossThreshold {
+		w.lose(table, fmt.Sprint("f", i), timeToLoss)
 	}
 	g.Expect(table.Ask(id).Held).To(BeTrue())
-	w.now = w.now.Add(longestHold + heldMemory + time.Minute)
+	w.now = w.now.Add(maxHold + quarantineRetention + time.Minute)
 	g.Expect(table.Ask(id)).To(Equal(Verdict{}))
 	g.Expect(table.Empty()).To(BeTrue())
 }
 
 // An endpoint with hundreds of requests ends again and again: what ends it stays known
 // beside all that only ran there.
-func TestATableThatIsFullKeepsWhatMattersMost(t *testing.T) {
+func TestFullTableKeepsRecordsWithMostLosses(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld()
+	w := newTestFleet()
 	table := w.table("a")
-	for crash := range maxLost {
+	for crash := range lossThreshold {
 		endpoint := fmt.Sprint("e", crash)
-		w.run(table, endpoint, takes)
+		w.lose(table, endpoint, timeToLoss)
 		for other := range maxRecords {
 			table.Lost(Identity(100+crash*maxRecords+other), Loss{Endpoint: endpoint, Sent: w.now, At: w.now})
 		}
@@ -191,35 +191,35 @@
 	g.Expect(len(table.records)).To(Equal(maxRecords))
 	g.Expect(table.Ask(id).Held).To(BeTrue())
 	// It is the first of what others are told, and at once beside its bystanders.
-	words := table.Tell(0, spread).Words
-	g.Expect(words).To(HaveLen(maxWords))
+	words := table.Tell(0, newsAge).Words
+	g.Expect(words).To(HaveLen(maxEntries))
 	g.Expect(words[0].Identity).To(Equal(id))
 }
 
-func TestWhatEndedAnEndpointBeforeItAnsweredIsToldFirst(t *testing.T) {
+func TestEarlyLossesAreSentFirst(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld()
+	w := newTestFleet()
 	table := w.table("a")
-	w.run(table, "e", takes)
+	w.lose(table, "e", timeToLoss)
 	for other := range 200 {
 		table.Lost(Identity(100+other), Loss{Endpoint: "e", Sent: w.now, At: w.now})
 	}
-	g.Expect(table.Tell(0, spread).Words[0].Identity).To(Equal(id))
+	g.Expect(table.Tell(0, newsAge).Words[0].Identity).To(Equal(id))
 }
 
 // Words may be lost, late, twice and in any order: tables that heard of each other at last
 // hold back the same requests.
-func TestTablesThatTellEachOtherAgree(t *testing.T) {
+func TestExchangedTablesConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld()
+		w := newTestFleet()
 		tables := []*Table{w.table("a"), w.table("b"), w.table("c")}
 		pick := rapid.SampledFrom(tables)
 		ids := rapid.SampledFrom([]Identity{1, 2})
 		rt.Repeat(map[string]func(*rapid.T){
 			"lose": func(rt *rapid.T) {
-				w.now = w.now.Add(takes)
+				w.now = w.now.Add(timeToLoss)
 				e := fmt.Sprint("e", rapid.IntRange(0, 20).Draw(rt, "endpoint"))
-				pick.Draw(rt, "table").Lost(ids.Draw(rt, "id"), Loss{Endpoint: e, Sent: w.now.Add(-takes), At: w.now})
+				pick.Draw(rt, "table").Lost(ids.Draw(rt, "id"), Loss{Endpoint: e, Sent: w.now.Add(-timeToLoss), At: w.now})
 			},
 			"complete": func(rt *rapid.T) {
 				w.now = w.now.Add(time.Second)
@@ -227,14 +227,14 @@
 			},
 			"tell": func(rt *rapid.T) {
 				from, to := pick.Draw(rt, "from"), pick.Draw(rt, "to")
-				to.Hear(w.now, from.Tell(digestOf(to), spread))
+				to.Hear(w.now, from.Tell(digestOf(to), newsAge))
 			},
-			"wait": func(*rapid.T) { w.now = w.now.Add(spread) },
+			"wait": func(*rapid.T) { w.now = w.now.Add(newsAge) },
 		})
 		for range 3 {
 			for _, from := range tables {
 				for _, to := range tables {
-					to.Hear(w.now, from.Tell(digestOf(to), spread))
+					to.Hear(w.now, from.Tell(digestOf(to), newsAge))
 				}
 			}
 		}
@@ -248,8 +248,8 @@
 
 // What routers tell each other after an endpoint with 220 streams has ended, and what every
 // word costs while nothing is known: the largest word, and none at all.
-func BenchmarkWord(b *testing.B) {
-	w := newWorld()
+func BenchmarkMessage(b *testing.B) {
+	w := newTestFleet()
 	table := w.table("a")
 	for other := range 220 {
 		table.Lost(Identity(1<<62+other), Loss{Endpoint: "i-0123456789/1796262279150", Sent: w.now, At: w.now})
@@ -258,7 +258,7 @@
 	var text []byte
 	for b.Loop() {
 		var err error
-		if text, err = json.Marshal(table.Tell(0, spread)); err != nil {
+		if text, err = json.Marshal(table.Tell(0, newsAge)); err != nil {
 			b.Fatal(err)
 		}
 		var words Words
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -55,9 +55,9 @@
 // up another's. It is safe for concurrent use.
 type Budget struct {
 	cfg     BudgetConfig
-	allows  atomic.Pointer[allowance]
+	limits  atomic.Pointer[limits]
 	mu      sync.Mutex
-	began   time.Time
+	started time.Time
 	targets map[string]*target
 }
 
@@ -70,102 +70,102 @@
 // NewBudget returns a budget that has seen no attempt.
 func NewBudget(cfg BudgetConfig) *Budget {
 	cfg.Window = cmp.Or(cfg.Window, defaultWindow)
-	b := &Budget{cfg: cfg, began: cfg.Began, targets: make(map[string]*target)}
+	b := &Budget{cfg: cfg, started: cfg.Began, targets: make(map[string]*target)}
 	b.Allow(cfg.Ratio, cfg.Floor)
 	return b
 }
 
-// allowance is what a budget allows: a ratio, and a floor a second.
-type allowance struct{ ratio, floor float64 }
+// limits is what a budget allows: a ratio, and a floor a second.
+type limits struct{ ratio, floor float64 }
 
 // Allow changes the ratio and the floor, which are as in a BudgetConfig. What was used of the
 // window counts on.
 func (b *Budget) Allow(ratio, floor float64) {
-	b.allows.Store(&allowance{
+	b.limits.Store(&limits{
 		ratio: max(0, cmp.Or(ratio, defaultRatio)),
 		floor: max(0, cmp.Or(floor, defaultFloor)),
 	})
 }
 
 // First counts the first attempt of a request.
-func (b *Budget) First(now time.Time, at string, tier int) {
-	t := b.of(at)
+func (b *Budget) First(now time.Time, targetName string, tier int) {
+	t := b.targetFor(targetName)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.tiers[ringOf(tier)].Add(now, window.Counts{Total: 1})
+	t.tiers[tierIndex(tier)].Add(now, window.Counts{Total: 1})
 }
 
 // TryRetry counts a retry and returns true if the budget allows it.
-func (b *Budget) TryRetry(now time.Time, at string, tier int) bool {
-	t := b.of(at)
+func (b *Budget) TryRetry(now time.Time, targetName string, tier int) bool {
+	t := b.targetFor(targetName)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	tier = ringOf(tier)
-	if !b.allowsOne(now, at, t.sums(now), tier) {
+	tier = tierIndex(tier)
+	if !b.allowsRetry(now, targetName, t.countsInWindow(now), tier) {
 		return false
 	}
 	t.tiers[tier].Add(now, window.Counts{Part: 1})
 	return true
 }
 
-// allowsOne says whether a tier may make one more retry than the sums hold. Where tiers follow
+// allowsRetry says whether a tier may make one more retry than the sums hold. Where tiers follow
 // each other, each of them was the only one for a while and may have used the whole floor:
 // where others share it, all tiers together keep to it as well.
-func (b *Budget) allowsOne(now time.Time, at string, sums sums, tier int) bool {
-	own, drawn := b.share(now), b.draw(now, at)
-	before := 0.0
+func (b *Budget) allowsRetry(now time.Time, at string, sums tierCounts, tier int) bool {
+	quota, threshold := b.currentQuota(now), b.retryThreshold(now, at)
+	higherTiers := 0.0
 	for i := range tier {
-		before += own.ofTier(sums, i)
+		higherTiers += quota.forTier(sums, i)
 	}
-	// Of the retries that all tiers may make, one for each whole step behind the draw, a tier
+	// Of the retries that all tiers allowed make, one for each whole step behind the draw, a tier
 	// has those that fall into its part.
-	may := steps(before+own.ofTier(sums, tier), drawn) - steps(before, drawn)
-	if sums[tier].Part >= may {
+	allowed := wholeRetries(higherTiers+quota.forTier(sums, tier), threshold) - wholeRetries(higherTiers, threshold)
+	if sums[tier].Part >= allowed {
 		return false
 	}
-	all := sums.all()
-	return b.cfg.Routers == nil || all.Part < steps(own.ofAll(all), drawn)
+	all := sums.total()
+	return b.cfg.Routers == nil || all.Part < wholeRetries(quota.forAllTiers(all), threshold)
 }
 
-// steps is how many of drawn, drawn+1, drawn+2 and so on are within a bound.
-func steps(bound, drawn float64) int {
+// wholeRetries is how many of drawn, drawn+1, drawn+2 and so on are within a bound.
+func wholeRetries(bound, threshold float64) int {
 	const rounding = 1e-9 // of sums of parts
-	return max(0, int(math.Floor(bound-drawn+rounding))+1)
+	return max(0, int(math.Floor(bound-threshold+rounding))+1)
 }
 
-// share is what this router may make of the retries in a window: a ratio of its first
+// quota is what this router may make of the retries in a window: a ratio of its first
 // attempts, and its part of the floor.
-type share struct{ ratio, floor float64 }
+type quota struct{ ratio, floor float64 }
 
-// ofTier is how many of them are a tier's.
-func (s share) ofTier(sums sums, tier int) float64 {
-	own := sums[tier].Total
-	return s.ratio*float64(own) + s.floor*part(own, sums.all().Total)
+// forTier is how many of them are a tier's.
+func (s quota) forTier(sums tierCounts, tier int) float64 {
+	tierTotal := sums[tier].Total
+	return s.ratio*float64(tierTotal) + s.floor*fraction(tierTotal, sums.total().Total)
 }
 
-// ofAll is how many all tiers may make together.
-func (s share) ofAll(all window.Counts) float64 { return s.ratio*float64(all.Total) + s.floor }
+// forAllTiers is how many all tiers may make together.
+func (s quota) forAllTiers(all window.Counts) float64 { return s.ratio*float64(all.Total) + s.floor }
 
-// share is this router's now. A router that has just started has no part of a floor that is
+// currentQuota is this router's now. A router that has just started has no part of a floor that is
 // shared: it doesn't know what the process before it used of this window, and routers that
 // start again one after the other would each have the whole of their part anew.
-func (b *Budget) share(now time.Time) share {
-	allows := b.allows.Load()
-	s := share{ratio: allows.ratio, floor: allows.floor * b.cfg.Window.Seconds() / float64(b.routers())}
+func (b *Budget) currentQuota(now time.Time) quota {
+	allows := b.limits.Load()
+	s := quota{ratio: allows.ratio, floor: allows.floor * b.cfg.Window.Seconds() / float64(b.routerCount())}
 	if b.cfg.Routers != nil && b.age(now) < b.cfg.Window {
 		s.floor = 0
 	}
 	return s
 }
 
-// draw is the part of a retry that must be allowed for it to be made: 1, or with a seed a
+// retryThreshold is the part of a retry that must be allowed for it to be made: 1, or with a seed a
 // number from [0, 1) that is drawn for each window.
-func (b *Budget) draw(now time.Time, at string) float64 {
+func (b *Budget) retryThreshold(now time.Time, targetName string) float64 {
 	if b.cfg.Seed == 0 {
 		return 1
 	}
-	windows := uint64(b.age(now) / b.cfg.Window)
-	return rand.New(rand.NewPCG(b.cfg.Seed^xxhash.Sum64String(at), windows)).Float64()
+	windowIndex := uint64(b.age(now) / b.cfg.Window)
+	return rand.New(rand.NewPCG(b.cfg.Seed^xxhash.Sum64String(targetName), windowIndex)).Float64()
 }
 
 // age is how long ago this router started, by the clock that keeps running: the time of day
@@ -173,59 +173,59 @@
 func (b *Budget) age(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.began.IsZero() {
-		b.began = now
+	if b.started.IsZero() {
+		b.started = now
 	}
-	return max(0, now.Sub(b.began))
+	return max(0, now.Sub(b.started))
 }
 
-// routers is how many routers share the floor.
-func (b *Budget) routers() int {
+// routerCount is how many routerCount share the floor.
+func (b *Budget) routerCount() int {
 	if b.cfg.Routers == nil {
 		return 1
 	}
 	return max(1, b.cfg.Routers())
 }
 
-// part of a whole; all of it where there is nothing yet.
-func part(of, all int) float64 {
-	if all == 0 {
+// fraction of a whole; all of it where there is nothing yet.
+func fraction(portion, whole int) float64 {
+	if whole == 0 {
 		return 1
 	}
-	return float64(of) / float64(all)
+	return float64(portion) / float64(whole)
 }
 
-func (b *Budget) of(at string) *target {
+func (b *Budget) targetFor(targetName string) *target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t, known := b.targets[at]
+	t, known := b.targets[targetName]
 	if !known && len(b.targets) >= maxTargets {
-		at = ""
-		t, known = b.targets[at]
+		targetName = ""
+		t, known = b.targets[targetName]
 	}
 	if !known {
 		t = &target{}
 		for i := range t.tiers {
 			t.tiers[i] = window.New(b.cfg.Window)
 		}
-		b.targets[at] = t
+		b.targets[targetName] = t
 	}
 	return t
 }
 
-// sums are the counts of a window by tier.
-type sums [load.MaxTiers]window.Counts
+// tierCounts are the counts of a window by tier.
+type tierCounts [load.MaxTiers]window.Counts
 
-// sums returns those of the window that ends now. t.mu is held.
-func (t *target) sums(now time.Time) sums {
-	var s sums
+// countsInWindow returns those of the window that ends now. t.mu is held.
+func (t *target) countsInWindow(now time.Time) tierCounts {
+	var s tierCounts
 	for i := range t.tiers {
 		s[i] = t.tiers[i].Sum(now)
 	}
 	return s
 }
 
-func (s sums) all() window.Counts {
+func (s tierCounts) total() window.Counts {
 	var all window.Counts
 	for _, c := range s {
 		all.Total += c.Total
@@ -234,6 +234,6 @@
 	return all
 }
 
-// ringOf is where a tier is counted. Configurations from outside may know more tiers, and
+// tierIndex is where a tier is counted. Configurations from outside may know more tiers, and
 // those beyond the last count as the last.
-func ringOf(tier int) int { return min(max(tier, 0), load.MaxTiers-1) }
+func tierIndex(tier int) int { return min(max(tier, 0), load.MaxTiers-1) }
--- a/internal/retry/fleet_test.go
+++ b/internal/retry/fleet_test.go
@@ -14,12 +14,12 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestRetriesOfAFleetStayWithinWhatTheOperatorAllows(t *testing.T) {
+func TestFleetRetriesPerServiceStayWithinTheLimit(t *testing.T) {
 	const (
-		ratio, slack = 0.2, 246.0
-		window       = 10 * time.Second
-		perSecond    = 1080 // requests for the plain service, at all routers
-		more         = 2    // times as many for the models
+		ratio, slack          = 0.2, 246.0
+		window                = 10 * time.Second
+		perSecond             = 1080 // requests for the plain service, at all routers
+		modelRequestsPerPlain = 2    // times as many for the models
 	)
 	for _, routers := range []int{1, 10, 103, 880} {
 		budgets := make([]*Budget, routers)
@@ -34,7 +34,7 @@
 			now := epoch.Add(time.Duration(n) * window / time.Duration(10*perSecond))
 			b := budgets[(n*7919)%routers]
 			tier := n % 3
-			for range more {
+			for range modelRequestsPerPlain {
 				b.First(now, "models", tier)
 			}
 			b.First(now, "plain", tier)
@@ -52,11 +52,11 @@
 }
 
 // A return to endpoints that were tried is an arrival like any other.
-func TestAReturnIsChargedWhereAllAttemptsAre(t *testing.T) {
+func TestRevisitIsChargedWithChargeAll(t *testing.T) {
 	g := NewWithT(t)
 	p := &Policy{ChargeAll: true, Budget: NewBudget(BudgetConfig{Ratio: 1e-9, Floor: 1e-9})}
-	held := Attempt{Number: 1, Outcome: OutcomeNotRun, Idempotent: true, Delivered: true}
-	g.Expect(p.Return(held, 0, epoch, 0).Reason).To(Equal(ReasonBudget))
+	delivered := Attempt{Number: 1, Outcome: OutcomeNotRun, Idempotent: true, Delivered: true}
+	g.Expect(p.DecideRevisit(delivered, 0, epoch, 0).Reason).To(Equal(ReasonBudget))
 	p.ChargeAll = false
-	g.Expect(p.Return(held, 0, epoch, 0).Action).To(Equal(ActionResume))
+	g.Expect(p.DecideRevisit(delivered, 0, epoch, 0).Action).To(Equal(ActionResume))
 }
--- a/internal/retry/naive.go
+++ b/internal/retry/naive.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// Return gives up: the baseline doesn't come back to an endpoint.
-func (Naive) Return(Attempt, int, time.Time, float64) Decision {
+// DecideRevisit gives up: the baseline doesn't come back to an endpoint.
+func (Naive) DecideRevisit(Attempt, int, time.Time, float64) Decision {
 	return Decision{Reason: ReasonAttempts}
 }
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -12,11 +12,11 @@
 	defaultMaxAttempts = 3
 	defaultFirstDelay  = 25 * time.Millisecond
 	defaultMaxDelay    = time.Second
-	delayGrowth        = 2
+	delayMultiplier    = 2
 
-	defaultMaxReturns       = 5
-	defaultFirstReturnDelay = 250 * time.Millisecond
-	defaultMaxReturnDelay   = 2 * time.Second
+	defaultMaxRevisits       = 5
+	defaultFirstRevisitDelay = 250 * time.Millisecond
+	defaultMaxRevisitDelay   = 2 * time.Second
 )
 
 // Attempt describes an attempt that ended.
@@ -32,14 +32,14 @@
 	// Copied says that another endpoint has a copy of the run's memory: to go
 	// on there is the same run and not another.
 	Copied bool
-	// Runs is how many attempts ran or may have, and MaxRuns the most that
+	// PossibleRuns is how many attempts ran or may have, and MaxRuns the most that
 	// may; 0 is no bound of the request's own.
-	Runs, MaxRuns int
+	PossibleRuns, MaxRuns int
 	// Delivered says that a part of the answer has reached the caller.
 	Delivered bool
-	// Free says that the attempt ended by no fault of the load, such as at an
+	// BudgetExempt says that the attempt ended by no fault of the load, such as at an
 	// endpoint that is leaving: the next one isn't charged to the budget.
-	Free bool
+	BudgetExempt bool
 	// Overloaded says that the endpoint refused the attempt for want of room.
 	Overloaded bool
 	// Deadline is when the answer loses its worth; zero is never.
@@ -65,13 +65,13 @@
 	// one doubles it, up to MaxDelay.
 	FirstDelay time.Duration
 	MaxDelay   time.Duration
-	// MaxReturns bounds how often a request comes back to endpoints that it
+	// MaxRevisits bounds how often a request comes back to endpoints that it
 	// has tried, once no other is left or MaxAttempts were made.
-	MaxReturns int
-	// FirstReturnDelay bounds the delay before the first return; each
+	MaxRevisits int
+	// FirstRevisitDelay bounds the delay before the first return; each
 	// further one doubles it, up to MaxReturnDelay.
-	FirstReturnDelay time.Duration
-	MaxReturnDelay   time.Duration
+	FirstRevisitDelay time.Duration
+	MaxRevisitDelay   time.Duration
 	// ChargeAll charges the budget for every further attempt, where a bound
 	// from outside counts what endpoints receive, whatever the reason.
 	ChargeAll bool
@@ -91,36 +91,36 @@
 // (full jitter). An idempotent request is retried until its deadline, whatever
 // the outcome; any other one only after OutcomeNotRun.
 func (p *Policy) Decide(a Attempt, now time.Time, jitter float64) Decision {
-	reason := p.refusal(a)
+	reason := p.giveUpReason(a)
 	if reason != ReasonNone {
 		return Decision{Reason: reason}
 	}
-	delay := time.Duration(jitter * float64(p.bound(a.Number)))
-	return p.allow(a, now, delay, p.charged(a))
+	delay := time.Duration(jitter * float64(p.delayBound(a.Number)))
+	return p.checkDeadlineAndBudget(a, now, delay, p.charged(a))
 }
 
-// Return says whether a request that found no further endpoint, or used up its
+// DecideRevisit says whether a request that found no further endpoint, or used up its
 // attempts, may come back to those it has tried, and charges the budget for it.
 // returns counts those before. The delay is at least half its bound: what is
 // waited for is an endpoint's return. A request that found no room comes back
 // only if its caller holds a part of the answer.
-func (p *Policy) Return(a Attempt, returns int, now time.Time, jitter float64) Decision {
-	reason := p.refusal(a)
+func (p *Policy) DecideRevisit(a Attempt, revisits int, now time.Time, jitter float64) Decision {
+	reason := p.giveUpReason(a)
 	switch {
 	case reason != ReasonNone && reason != ReasonAttempts:
 		return Decision{Reason: reason}
-	case returns >= cmp.Or(p.MaxReturns, defaultMaxReturns):
+	case revisits >= cmp.Or(p.MaxRevisits, defaultMaxRevisits):
 		return Decision{Reason: ReasonAttempts}
 	case a.Overloaded && !a.Delivered:
 		return Decision{Reason: ReasonOverload}
 	}
-	half := p.returnBound(returns+1) / 2
+	half := p.revisitDelayBound(revisits+1) / 2
 	delay := half + time.Duration(jitter*float64(half))
-	return p.allow(a, now, delay, p.Budget != nil && (p.ChargeAll || !a.Delivered))
+	return p.checkDeadlineAndBudget(a, now, delay, p.Budget != nil && (p.ChargeAll || !a.Delivered))
 }
 
-// allow decides by what may change from one moment to the next.
-func (p *Policy) allow(a Attempt, now time.Time, delay time.Duration, charged bool) Decision {
+// checkDeadlineAndBudget decides by what may change from one moment to the next.
+func (p *Policy) checkDeadlineAndBudget(a Attempt, now time.Time, delay time.Duration, charged bool) Decision {
 	if !a.Deadline.IsZero() && !now.Add(delay).Before(a.Deadline) {
 		return Decision{Reason: ReasonDeadline}
 	}
@@ -145,11 +145,11 @@
 	if p.Budget == nil {
 		return false
 	}
-	return p.ChargeAll || !a.Free && !a.Delivered
+	return p.ChargeAll || !a.BudgetExempt && !a.Delivered
 }
 
-// refusal says why the attempt can't be followed by another at any time.
-func (p *Policy) refusal(a Attempt) Reason {
+// giveUpReason says why the attempt can't be followed by another at any time.
+func (p *Policy) giveUpReason(a Attempt) Reason {
 	if a.Outcome == OutcomeCompleted {
 		return ReasonCompleted
 	}
@@ -158,7 +158,7 @@
 	if mayHaveRun && !a.Idempotent {
 		return ReasonNotIdempotent
 	}
-	if mayHaveRun && a.MaxRuns > 0 && a.Runs >= a.MaxRuns {
+	if mayHaveRun && a.MaxRuns > 0 && a.PossibleRuns >= a.MaxRuns {
 		return ReasonRuns
 	}
 	if a.Number >= cmp.Or(p.MaxAttempts, defaultMaxAttempts) {
@@ -167,21 +167,21 @@
 	return ReasonNone
 }
 
-// bound is the longest delay after the attempt of the given number.
-func (p *Policy) bound(number int) time.Duration {
-	return grown(cmp.Or(p.FirstDelay, defaultFirstDelay), cmp.Or(p.MaxDelay, defaultMaxDelay), number)
+// delayBound is the longest delay after the attempt of the given number.
+func (p *Policy) delayBound(number int) time.Duration {
+	return backoffDelay(cmp.Or(p.FirstDelay, defaultFirstDelay), cmp.Or(p.MaxDelay, defaultMaxDelay), number)
 }
 
-// returnBound is the longest delay before the return of the given number.
-func (p *Policy) returnBound(number int) time.Duration {
-	first := cmp.Or(p.FirstReturnDelay, defaultFirstReturnDelay)
-	return grown(first, cmp.Or(p.MaxReturnDelay, defaultMaxReturnDelay), number)
+// revisitDelayBound is the longest delay before the return of the given number.
+func (p *Policy) revisitDelayBound(number int) time.Duration {
+	first := cmp.Or(p.FirstRevisitDelay, defaultFirstRevisitDelay)
+	return backoffDelay(first, cmp.Or(p.MaxRevisitDelay, defaultMaxRevisitDelay), number)
 }
 
-// grown is the delay of the given number, from 1. The library's own jitter is
+// backoffDelay is the delay of the given number, from 1. The library's own jitter is
 // off, because it draws from the global source.
-func grown(first, longest time.Duration, number int) time.Duration {
-	b := backoff.ExponentialBackOff{InitialInterval: first, Multiplier: delayGrowth, MaxInterval: longest}
+func backoffDelay(first, longest time.Duration, number int) time.Duration {
+	b := backoff.ExponentialBackOff{InitialInterval: first, Multiplier: delayMultiplier, MaxInterval: longest}
 	d := b.NextBackOff()
 	for range number - 1 {
 		d = b.NextBackOff()
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -34,14 +34,14 @@
 	}
 }
 
-func TestReturn(t *testing.T) {
-	p := &Policy{MaxReturns: 2}
-	down := Attempt{Number: 3, Outcome: OutcomeNotRun, Free: true}
+func TestDecideRevisit(t *testing.T) {
+	p := &Policy{MaxRevisits: 2}
+	down := Attempt{Number: 3, Outcome: OutcomeNotRun, BudgetExempt: true}
 	for _, c := range []struct {
-		name    string
-		change  func(*Attempt)
-		returns int
-		want    Decision
+		name     string
+		change   func(*Attempt)
+		revisits int
+		want     Decision
 	}{
 		{"endpoint down", func(*Attempt) {}, 0, Decision{Action: ActionRetry, Delay: 187500 * time.Microsecond}},
 		{"again", func(*Attempt) {}, 1, Decision{Action: ActionRetry, Delay: 375 * time.Millisecond}},
@@ -54,15 +54,15 @@
 	} {
 		a := down
 		c.change(&a)
-		gomega.NewWithT(t).Expect(p.Return(a, c.returns, epoch, 0.5)).To(gomega.Equal(c.want), c.name)
+		gomega.NewWithT(t).Expect(p.DecideRevisit(a, c.revisits, epoch, 0.5)).To(gomega.Equal(c.want), c.name)
 	}
 	p.Budget = NewBudget(BudgetConfig{Floor: 0.1, Window: 10 * time.Second})
 	g := gomega.NewWithT(t)
-	g.Expect(p.Return(down, 0, epoch, 0).Action).To(gomega.Equal(ActionRetry))
-	g.Expect(p.Return(down, 0, epoch, 0).Reason).To(gomega.Equal(ReasonBudget), "a return is a retry, also where the load is not to blame")
+	g.Expect(p.DecideRevisit(down, 0, epoch, 0).Action).To(gomega.Equal(ActionRetry))
+	g.Expect(p.DecideRevisit(down, 0, epoch, 0).Reason).To(gomega.Equal(ReasonBudget), "a return is a retry, also where the load is not to blame")
 }
 
-func TestBudgetBoundsRetriesToAShare(t *testing.T) {
+func TestBudgetLimitsRetriesToRatioAndFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(BudgetConfig{Ratio: 0.2, Floor: 0.5})
 		firsts := rapid.IntRange(0, 300).Draw(t, "first attempts")
@@ -85,7 +85,7 @@
 	})
 }
 
-func TestBudgetOfATierIsItsOwnAndComesBack(t *testing.T) {
+func TestBudgetIsPerTierAndRefillsAfterTheWindow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b := NewBudget(BudgetConfig{})
 	for range 100 {
@@ -96,28 +96,28 @@
 	g.Expect(b.TryRetry(epoch.Add(defaultWindow), "s", 5)).To(gomega.BeTrue())
 }
 
-func TestARequestRunsAtNoMoreEndpointsThanItMay(t *testing.T) {
+func TestMaxRunsLimitsRetries(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := &Policy{MaxAttempts: 5}
-	a := Attempt{Number: 2, Outcome: OutcomeRan, Idempotent: true, Runs: 2, MaxRuns: 2}
+	a := Attempt{Number: 2, Outcome: OutcomeRan, Idempotent: true, PossibleRuns: 2, MaxRuns: 2}
 	g.Expect(p.Decide(a, time.Now(), 0)).To(gomega.Equal(Decision{Reason: ReasonRuns}))
-	g.Expect(p.Return(a, 0, time.Now(), 0)).To(gomega.Equal(Decision{Reason: ReasonRuns}))
-	a.Runs = 1
+	g.Expect(p.DecideRevisit(a, 0, time.Now(), 0)).To(gomega.Equal(Decision{Reason: ReasonRuns}))
+	a.PossibleRuns = 1
 	g.Expect(p.Decide(a, time.Now(), 0).Action).To(gomega.Equal(ActionRetry))
-	a = Attempt{Number: 2, Outcome: OutcomeNotRun, Runs: 1, MaxRuns: 1} // the latest didn't run
+	a = Attempt{Number: 2, Outcome: OutcomeNotRun, PossibleRuns: 1, MaxRuns: 1} // the latest didn't run
 	g.Expect(p.Decide(a, time.Now(), 0).Action).To(gomega.Equal(ActionRetry))
 }
 
-func TestEveryFurtherAttemptIsChargedWhereTheBoundIsFromOutside(t *testing.T) {
+func TestChargeAllChargesExemptAndResumedAttempts(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, a := range []Attempt{
-		{Number: 1, Outcome: OutcomeNotRun, Free: true},
+		{Number: 1, Outcome: OutcomeNotRun, BudgetExempt: true},
 		{Number: 1, Outcome: OutcomeRan, Idempotent: true, Delivered: true},
 	} {
-		used := func() *Budget { return NewBudget(BudgetConfig{Ratio: 1e-9, Floor: 1e-9}) }
-		p := &Policy{Budget: used()}
+		exhaustedBudget := func() *Budget { return NewBudget(BudgetConfig{Ratio: 1e-9, Floor: 1e-9}) }
+		p := &Policy{Budget: exhaustedBudget()}
 		g.Expect(p.Decide(a, time.Now(), 0).Action).NotTo(gomega.Equal(ActionGiveUp))
-		p = &Policy{Budget: used(), ChargeAll: true}
+		p = &Policy{Budget: exhaustedBudget(), ChargeAll: true}
 		g.Expect(p.Decide(a, time.Now(), 0).Reason).To(gomega.Equal(ReasonBudget))
 	}
 }
