--- a/internal/filters/admit/admit.go
+++ b/internal/filters/admit/admit.go
@@ -1,6 +1,5 @@
-// Package admit decides whether the holder of a key may use a route. A key may
-// have been revoked since the router last heard, so keys count only while what
-// the router knows of them is fresh.
+// Package admit decides whether the holder of an API key may use a route. Keys may be
+// revoked at any time, so they are accepted only while the router's key data is fresh.
 package admit
 
 import (
@@ -15,11 +14,11 @@
 	"coveferry/internal/wire"
 )
 
-// retryAfterStale is when a caller may come back, to this router or another,
-// where keys can't be trusted: about the time that one further reading takes.
+// retryAfterStale is the Retry-After sent while key data is stale: about the time until
+// the next read. Another router may accept the key before that.
 const retryAfterStale = 100 * time.Millisecond
 
-// KeyError is a key that no team holds.
+// KeyError is a key that belongs to no team.
 type KeyError struct{}
 
 // Error implements error.
@@ -33,8 +32,7 @@
 	}
 }
 
-// StaleError is a key that can't be trusted, since the router has not heard of
-// revoked keys for too long.
+// StaleError is a key that can't be verified because the router's key data is too old.
 type StaleError struct {
 	Age, Limit time.Duration
 }
@@ -54,18 +52,17 @@
 	}
 }
 
-// Config is what a filter needs.
+// Config configures a Filter.
 type Config struct {
-	// Age is how old the knowledge of keys is.
+	// Age returns the age of the key data.
 	Age func() time.Duration
-	// MaxAge is the age up to which keys are trusted; 0 trusts them always.
+	// MaxAge returns the age up to which keys are accepted; 0 means always.
 	MaxAge func() time.Duration
 }
 
 // Filter implements pipeline.Filter.
 type Filter struct{ cfg Config }
 
-// New returns a filter.
 func New(cfg Config) *Filter { return &Filter{cfg: cfg} }
 
 // Name implements pipeline.Filter.
@@ -112,6 +109,6 @@
 func setTeam(r *request.Request, team *route.Team) {
 	r.TeamName, r.TeamResidency = team.Name, team.Residency
 	if team.Tier != nil {
-		r.Tier = max(0, *team.Tier) // no rank is above the highest
+		r.Tier = max(0, *team.Tier) // clamped: 0 is the highest rank
 	}
 }
--- a/internal/filters/attempts/attempts.go
+++ b/internal/filters/attempts/attempts.go
@@ -1,5 +1,5 @@
-// Package attempts repeats the rest of the pipe until the caller has the whole
-// answer or another attempt isn't allowed. It stands before choose.
+// Package attempts implements retries: it calls the next filter until the caller has the
+// complete response or no further attempt is allowed. Put it before choose.
 package attempts
 
 import (
@@ -20,12 +20,13 @@
 	"coveferry/internal/wire"
 )
 
-// agentDeadlineGrace is how long the router waits past a deadline for the agent's
-// word, which says for certain whether the request ran.
+// agentDeadlineGrace is how long the router waits past the deadline for the agent's final
+// status, which tells reliably whether the request ran.
 const agentDeadlineGrace = 250 * time.Millisecond
 
-// directDeadlineGrace is the same where there is no agent: only the way back of the
-// endpoint's own answer at the deadline, since the caller is kept waiting.
+// directDeadlineGrace is the grace for endpoints without an agent. The caller waits
+// meanwhile, so it covers only the transfer of the endpoint's own response at the
+// deadline.
 const directDeadlineGrace = 100 * time.Millisecond
 
 func deadlineGraceFor(r *request.Request) time.Duration {
@@ -35,7 +36,7 @@
 	return agentDeadlineGrace
 }
 
-// DeadlineError is a request whose deadline passed without an agent's word.
+// DeadlineError is a request whose deadline and grace period passed without a result.
 type DeadlineError struct{ Cause error }
 
 // Error implements error.
@@ -57,42 +58,43 @@
 type Filter struct {
 	policy Policy
 	jitter func() float64
-	// acceptsWork says whether an endpoint takes new work.
+	// acceptsWork reports whether an endpoint accepts new work.
 	acceptsWork func(endpoint string) bool
 }
 
-// Policy decides what follows an attempt. *retry.Policy is the product's.
+// Policy decides whether and how to retry after an attempt. Production uses *retry.Policy.
 type Policy interface {
 	// First counts the first attempt of a request at a target.
 	First(now time.Time, target string, tier int)
 	Decide(a retry.Attempt, now time.Time, jitter float64) retry.Decision
-	// DecideRevisit says whether to come back to endpoints that were tried, after
-	// so many returns before.
-	DecideRevisit(a retry.Attempt, returns int, now time.Time, jitter float64) retry.Decision
+	// DecideRevisit decides whether to retry at endpoints that were already tried.
+	// revisits is how often the request has done so.
+	DecideRevisit(a retry.Attempt, revisits int, now time.Time, jitter float64) retry.Decision
 }
 
-// New returns a filter that repeats by the policy. jitter returns random
-// numbers from [0, 1).
+// New returns a filter that retries according to the policy. jitter returns random numbers
+// from [0, 1).
 func New(policy Policy, jitter func() float64) *Filter {
 	return &Filter{policy: policy, jitter: jitter, acceptsWork: func(string) bool { return true }}
 }
 
-// CopiesAt has streams go on from copies only at endpoints that take new work: one that
-// leaves or is evacuated gets none. It must be called before the filter is used.
-func (f *Filter) CopiesAt(takesWork func(endpoint string) bool) *Filter {
-	f.acceptsWork = takesWork
+// LimitCopiesTo restricts resuming from KV cache copies to endpoints for which acceptsWork
+// returns true. Endpoints that are draining or evacuated get no resumed streams. It must
+// be called before the filter is used.
+func (f *Filter) CopiesAt(acceptsWork func(endpoint string) bool) *Filter {
+	f.acceptsWork = acceptsWork
 	return f
 }
 
 // Name implements pipeline.Filter.
 func (*Filter) Name() string { return "attempts" }
 
-// Do returns nil once the caller has the whole answer, or else the error of
-// the attempt that says most.
+// Do returns nil once the caller has the complete response, or else the most informative
+// error of the attempts.
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline.Add(deadlineGraceFor(r)))
 	defer cancel()
-	err := f.repeat(ctx, r, next)
+	err := f.retryLoop(ctx, r, next)
 	switch {
 	case err == nil:
 		return nil
@@ -105,7 +107,7 @@
 	}
 }
 
-func (f *Filter) repeat(ctx context.Context, r *request.Request, next pipeline.Next) error {
+func (f *Filter) retryLoop(ctx context.Context, r *request.Request, next pipeline.Next) error {
 	f.policy.First(time.Now(), r.Service, r.Tier)
 	h := newHistory()
 	for r.Epoch = 1; ; r.Epoch++ {
@@ -124,7 +126,7 @@
 	}
 }
 
-// decide says what follows the latest attempt.
+// decide returns what to do after the latest attempt.
 func (f *Filter) decide(ctx context.Context, r *request.Request, h *history) retry.Decision {
 	delivered := r.Delivered.Tokens > 0
 	result := classify(h.lastSentErr, delivered)
@@ -148,7 +150,8 @@
 	})
 }
 
-// consultPolicy asks for another endpoint, or for a return where none is left.
+// consultPolicy asks the policy for a retry at another endpoint, or for a revisit if none
+// is left.
 func (f *Filter) consultPolicy(r *request.Request, h *history, a retry.Attempt) retry.Decision {
 	if !h.exhausted {
 		decision := f.policy.Decide(a, time.Now(), f.jitter())
@@ -165,13 +168,14 @@
 	return decision
 }
 
-// canResumeFromCopy says whether a stream that broke can go on from the copy of its
-// memory at another endpoint, behind what the caller holds.
+// canResumeFromCopy reports whether a broken stream can resume from the KV cache copy at
+// another endpoint, after the last event delivered to the caller.
 func (f *Filter) canResumeFromCopy(r *request.Request, outcome retry.Outcome) bool {
 	return r.Copy != nil && r.Delivered.Tokens > 0 && outcome == retry.OutcomeRan && f.acceptsWork(r.Copy.Name)
 }
 
-// setResumeEndpoint sets where the next attempt goes on.
+// setResumeEndpoint sets the endpoint at which the next attempt resumes from a KV cache
+// copy, if any.
 func (f *Filter) setResumeEndpoint(r *request.Request, last error, d retry.Decision) {
 	r.Resume = nil
 	if d.Action == retry.ActionResume && f.canResumeFromCopy(r, classify(last, true).outcome) {
@@ -179,8 +183,8 @@
 	}
 }
 
-// discardUndelivered forgets the part of an answer that no engine can go on from, where
-// the caller hasn't been given any of it yet.
+// discardUndelivered drops a partial response that no engine can continue, if nothing of
+// it has been sent to the caller.
 func discardUndelivered(r *request.Request) {
 	if !r.Delivered.Unresumable || r.Delivered.Started {
 		return
--- a/internal/filters/attempts/attempts_test.go
+++ b/internal/filters/attempts/attempts_test.go
@@ -22,7 +22,8 @@
 	"coveferry/internal/wire"
 )
 
-// attempt is what one attempt does to the request, and its error.
+// attempt stands in for the filters after attempts. It changes the request and returns the
+// attempt's error.
 type attempt func(r *request.Request) error
 
 func refused(reason string, run wire.Run) attempt {
@@ -35,20 +36,21 @@
 
 func complete(*request.Request) error { return nil }
 
-// breakAfterToken delivers a token and breaks.
+// breakAfterToken delivers a token, then the connection breaks.
 func breakAfterToken(r *request.Request) error {
 	r.Delivered.Text = append(r.Delivered.Text, 'x')
 	r.Delivered.Tokens++
 	return &relay.BrokenError{}
 }
 
-// breakInToolCall delivers a part of a tool call and breaks.
+// breakInToolCall delivers part of a tool call, then the connection breaks.
 func breakInToolCall(r *request.Request) error {
 	r.Delivered.Unresumable = true
 	return breakAfterToken(r)
 }
 
-// run plays the attempts in turn and returns the result and how many were made.
+// run executes the scripted attempts. It returns how many were made, the time they took
+// and the filter's error.
 func run(r *request.Request, script ...attempt) (made int, took time.Duration, err error) {
 	return runWithPolicy(&retry.Policy{}, r, script...)
 }
@@ -59,7 +61,7 @@
 	start := time.Now()
 	err = f.Do(context.Background(), r, func(_ context.Context, r *request.Request) error {
 		if made == len(script) {
-			return errors.New("an attempt too many")
+			return errors.New("more attempts than scripted")
 		}
 		made++
 		err := script[made-1](r)
@@ -74,23 +76,23 @@
 
 func TestNotRunIsReportedOnlyIfNoAttemptRan(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		play []attempt
-		run  wire.Run
-		code string
+		name   string
+		script []attempt
+		run    wire.Run
+		code   string
 	}{
-		{"never", []attempt{refused("queue_full", wire.RunNot), noEndpointLeft}, wire.RunNot, "queue_full"},
-		{"may have", []attempt{refused(wire.ReasonEngineFailed, wire.RunUnknown), refused("queue_full", wire.RunNot), noEndpointLeft}, wire.RunUnknown, "queue_full"},
-		{"did", []attempt{breakAfterToken, refused(wire.ReasonEngineSaysNo, wire.RunNot), refused(wire.ReasonEngineSaysNo, wire.RunNot), noEndpointLeft, noEndpointLeft, noEndpointLeft, noEndpointLeft, noEndpointLeft}, wire.RunYes, "answer_cut_off"},
-		{"refused at once", []attempt{refused(wire.ReasonEngineSaysNo, wire.RunNot)}, wire.RunNot, wire.ReasonEngineSaysNo},
+		{"no attempt ran", []attempt{refused("queue_full", wire.RunNot), noEndpointLeft}, wire.RunNot, "queue_full"},
+		{"one attempt may have run", []attempt{refused(wire.ReasonEngineFailed, wire.RunUnknown), refused("queue_full", wire.RunNot), noEndpointLeft}, wire.RunUnknown, "queue_full"},
+		{"one attempt ran", []attempt{breakAfterToken, refused(wire.ReasonEngineSaysNo, wire.RunNot), refused(wire.ReasonEngineSaysNo, wire.RunNot), noEndpointLeft, noEndpointLeft, noEndpointLeft, noEndpointLeft, noEndpointLeft}, wire.RunYes, "answer_cut_off"},
+		{"final refusal", []attempt{refused(wire.ReasonEngineSaysNo, wire.RunNot)}, wire.RunNot, wire.ReasonEngineSaysNo},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			made, _, err := run(&request.Request{}, c.play...)
+			made, _, err := run(&request.Request{}, c.script...)
 			got := api.From(err)
 			g.Expect(got.Run).To(Equal(c.run), c.name)
 			g.Expect(got.Code).To(Equal(c.code), c.name)
-			g.Expect(made).To(Equal(len(c.play)), c.name)
+			g.Expect(made).To(Equal(len(c.script)), c.name)
 		})
 	}
 }
@@ -106,13 +108,14 @@
 		g.Expect(r.Round).To(Equal(4))
 		g.Expect(took).To(Equal(125*time.Millisecond + 250*time.Millisecond))
 	})
-	synctest.Test(t, func(t *testing.T) { // as many endpoints as attempts
+	synctest.Test(t, func(t *testing.T) { // the attempt limit is reached before the endpoints run out
 		_, _, err := run(&request.Request{}, down, down, down, complete)
 		NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	})
 }
 
-// A caller who has been given nothing yet gets a whole answer after all.
+// A broken tool call can't be resumed. As long as the caller has received nothing, the
+// request must restart from the beginning instead of failing.
 func TestToolCallRestartsIfNothingWasDelivered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -131,7 +134,8 @@
 	})
 }
 
-// An engine asked to go on would add a token to those that the caller wanted.
+// Guards against resuming a response that already has max_tokens tokens: the engine would
+// have to add another one.
 func TestAnswerAtTokenLimitIsCompletedWithoutRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -145,7 +149,8 @@
 	})
 }
 
-// An agent that leaves, or hears an attempt too late, is no sign of overload.
+// Refusals by agents that are draining or that received the attempt too late are no sign
+// of overload, so the retry isn't charged to the budget.
 func TestBudgetExemptRefusalsAreNotCharged(t *testing.T) {
 	empty := retry.NewBudget(retry.BudgetConfig{Ratio: 1e-9, Floor: 1e-9})
 	for reason, want := range map[string]int{wire.ReasonStale: 2, wire.ReasonLeaving: 2, wire.ReasonEngineFailed: 1} {
@@ -156,7 +161,7 @@
 	}
 }
 
-// An attempt that waits at two endpoints is one.
+// With late binding an attempt is queued at two endpoints but counts as one.
 func TestPairCountsAsOneAttempt(t *testing.T) {
 	pair := func(r *request.Request) error {
 		r.Tried = append(r.Tried, "second")
@@ -166,6 +171,6 @@
 		_, took, err := run(&request.Request{}, pair, pair, complete)
 		g := NewWithT(t)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(took).To(BeZero(), "no return to an endpoint was waited for")
+		g.Expect(took).To(BeZero(), "the pair must not cause a revisit")
 	})
 }
--- a/internal/filters/attempts/classify.go
+++ b/internal/filters/attempts/classify.go
@@ -12,26 +12,27 @@
 	"coveferry/internal/wire"
 )
 
-// reasonFinal is noted where no other endpoint could do better.
+// reasonFinal is recorded if no other endpoint could do better.
 const reasonFinal retry.Reason = "final"
 
-// reasonQuarantined is noted where endpoints ended under the request.
+// reasonQuarantined is recorded if endpoints were lost while running the request.
 const reasonQuarantined retry.Reason = "quarantined"
 
-// classification is what an attempt's error says of it.
+// classification is what an attempt's error implies for a retry.
 type classification struct {
 	outcome retry.Outcome
-	// final says that no other endpoint could do better.
+	// final reports that no other endpoint could do better.
 	final  bool
 	reason retry.Reason
-	// budgetExempt says that the load is not to blame.
+	// budgetExempt reports that the failure is no sign of overload, so a retry isn't
+	// charged to the budget.
 	budgetExempt bool
-	// overloaded says that the endpoint had no room.
+	// overloaded reports that the endpoint refused the attempt for lack of capacity.
 	overloaded bool
 }
 
-// classify turns the error that an attempt ended with. held says that the caller
-// holds a part of the answer.
+// classify classifies the error of an attempt. delivered reports whether the caller has
+// received part of the response.
 func classify(err error, delivered bool) classification {
 	var refused *dispatch.RefusedError
 	var noAnswer *dispatch.NoAnswerError
@@ -69,7 +70,7 @@
 	c := classification{outcome: outcomeForRun(e.Run)}
 	switch e.Reason {
 	case wire.ReasonEngineSaysNo:
-		// What an engine says of a continuation doesn't hold for another one.
+		// A refused continuation may still be accepted by another engine.
 		if !delivered {
 			c.final = true
 			c.reason = reasonFinal
--- a/internal/filters/attempts/history.go
+++ b/internal/filters/attempts/history.go
@@ -14,27 +14,27 @@
 	"coveferry/internal/wire"
 )
 
-// history is what the attempts of one request came to so far.
+// history summarizes the attempts of one request so far.
 type history struct {
-	// latestErr is how the latestErr attempt ended; lastSentErr is that of the latestErr one
-	// for which there was an endpoint, which says more.
+	// latestErr is the error of the latest attempt. lastSentErr is that of the latest
+	// attempt that had an endpoint, which is more informative.
 	latestErr, lastSentErr error
-	// mostRun is the most that any attempt did.
+	// mostRun is the strongest statement of all attempts on whether the request ran.
 	mostRun wire.Run
-	// exhausted says that no endpoint was left for the latest attempt.
+	// exhausted reports that no endpoint was left for the latest attempt.
 	exhausted bool
-	// attemptsInRound counts the attempts since the request last came back to endpoints
-	// that it had tried. One may ask two endpoints.
+	// attemptsInRound counts the attempts since the latest revisit. An attempt at a pair
+	// of endpoints counts once.
 	attemptsInRound int
-	// possibleRuns counts the attempts that ran or may have.
+	// possibleRuns counts the attempts that ran or may have run.
 	possibleRuns int
-	// revisits counts how often endpoints were tried again.
+	// revisits counts the rounds of retries at endpoints already tried.
 	revisits int
 }
 
 func newHistory() *history { return &history{mostRun: wire.RunNot} }
 
-// add notes how an attempt ended.
+// add records the result of an attempt.
 func (h *history) add(err error) {
 	h.latestErr = err
 	h.exhausted = errors.Is(err, choose.ErrNoEndpoint)
@@ -43,7 +43,7 @@
 	}
 	h.lastSentErr = err
 	if h.exhausted {
-		return // none was sent
+		return // nothing was sent
 	}
 	h.attemptsInRound++
 	outcome := classify(err, false).outcome
@@ -61,7 +61,8 @@
 	}
 }
 
-// completeAtTokenLimit ends an answer of which only the end is missing.
+// completeAtTokenLimit completes a response that has all its tokens and lacks only the end
+// marker.
 func (h *history) completeAtTokenLimit(ctx context.Context, r *request.Request) (bool, error) {
 	if h.lastSentErr == nil || ctx.Err() != nil {
 		return false, nil
@@ -73,8 +74,8 @@
 	return ended, err
 }
 
-// result is the error that the caller is told: that of the last attempt, unless
-// it says "not run" only of itself.
+// result returns the error for the caller: that of the last attempt, with its run status
+// corrected if only the last attempt didn't run.
 func (h *history) result() error {
 	if h.lastSentErr == nil || h.mostRun == wire.RunNot || api.From(h.lastSentErr).Run != wire.RunNot {
 		return h.lastSentErr
@@ -82,8 +83,8 @@
 	return &RanBeforeError{Run: h.mostRun, Cause: h.lastSentErr}
 }
 
-// RanBeforeError is a request whose last attempt didn't run, while an earlier
-// one did, or may have.
+// RanBeforeError is the error of a request whose last attempt didn't run while an earlier
+// one did or may have.
 type RanBeforeError struct {
 	Run   wire.Run
 	Cause error
@@ -101,7 +102,7 @@
 func (e *RanBeforeError) API() *api.Error {
 	out := api.From(e.Cause)
 	out.Run = e.Run
-	if out.Type == api.TypeInvalid { // what was wrong is the router's continuation, not the call
+	if out.Type == api.TypeInvalid { // the engine rejected the router's continuation, not the caller's request
 		out.Status, out.Type, out.Code = http.StatusBadGateway, api.TypeUpstream, "answer_cut_off"
 		out.Message = "the endpoint failed before the answer was whole, and no other could go on"
 	}
--- a/internal/filters/authenticate/authenticate.go
+++ b/internal/filters/authenticate/authenticate.go
@@ -1,5 +1,5 @@
-// Package authenticate finds the team that a caller belongs to by its key. Put
-// it first: nothing is done for strangers.
+// Package authenticate identifies the caller's team by its API key. Put it first, so that
+// no work is done for unauthenticated requests.
 package authenticate
 
 import (
@@ -15,16 +15,16 @@
 
 const bearer = "Bearer "
 
-// Code says why a caller was turned away.
+// Code says why authentication failed.
 type Code string
 
-// The reasons to turn a caller away.
+// Codes of an Error.
 const (
 	CodeMissing Code = "missing_key"
 	CodeWrong   Code = "wrong_key"
 )
 
-// Error is a caller that was not recognised.
+// Error is a request without a valid key.
 type Error struct{ Code Code }
 
 // Error implements error.
--- a/internal/filters/choose/choose.go
+++ b/internal/filters/choose/choose.go
@@ -1,5 +1,5 @@
-// Package choose picks the endpoint of each attempt. It stands inside the
-// filter attempts, so that a retry chooses anew and leaves out what was tried.
+// Package choose selects the endpoint of each attempt by load balancing. It runs inside
+// the attempts filter, so each retry selects again and skips endpoints already tried.
 package choose
 
 import (
@@ -17,20 +17,20 @@
 	"coveferry/internal/wire"
 )
 
-// retryAfterNoEndpoint is when to come back if no endpoint can be used at all, which
-// takes a change of the bundle or the return of an endpoint.
+// retryAfterNoEndpoint is the Retry-After sent if no endpoint is usable at all. That
+// changes only with a new bundle or when an endpoint returns to service.
 const retryAfterNoEndpoint = 5 * time.Second
 
 // ErrNoEndpoint means that no endpoint is left for another attempt.
 var ErrNoEndpoint = errors.New("choose: no endpoint may take the request")
 
-// Error is a request for which there is no endpoint.
+// Error reports that no endpoint can serve the request.
 type Error struct{ Cause error }
 
 // Error implements error.
 func (e *Error) Error() string { return ErrNoEndpoint.Error() + ": " + e.Cause.Error() }
 
-// Is makes errors.Is(err, ErrNone) true.
+// Is makes errors.Is(err, ErrNoEndpoint) true.
 func (e *Error) Is(target error) bool { return target == ErrNoEndpoint }
 
 // API implements api.Convertible.
@@ -48,8 +48,8 @@
 	return out
 }
 
-// FreeIn is when an endpoint takes the next request, where all would take it but for what
-// they take a second; false if there is another reason.
+// AvailableIn returns the time until an endpoint accepts the next request, if rate limits
+// of the endpoints are the only reason for the error. Otherwise it returns false.
 func (e *Error) FreeIn() (time.Duration, bool) {
 	var noEndpoint *balance.NoEndpointError
 	if !errors.As(e.Cause, &noEndpoint) || noEndpoint.Bounded == 0 || noEndpoint.Bounded < noEndpoint.Candidates-noEndpoint.Leaving {
@@ -62,34 +62,35 @@
 type Filter struct {
 	pool         *balance.Pool
 	latest       Latest
-	homeResolver *homeResolver // nil leaves keys out of account
+	homeResolver *homeResolver // nil ignores idempotency keys
 	lateBinding  bool
-	// refuseLateFactor is Config.RefuseLate.
+	// refuseLateFactor is Config.RefuseLateFactor.
 	refuseLateFactor float64
 }
 
-// Latest lists the endpoints that may serve a request by now.
+// Latest lists the endpoints that may serve a request at the time of the call.
 type Latest func(r *request.Request) []*bundle.Endpoint
 
-// Config says how a Filter chooses.
+// Config configures a Filter.
 type Config struct {
 	Pool *balance.Pool
-	// Latest lists the endpoints to choose among after a failed attempt; nil
-	// leaves the request those that it began with.
+	// Latest lists the candidates after a failed attempt. If nil, the request keeps its
+	// initial candidates.
 	Latest Latest
-	// IgnoreKeys sends requests with an idempotency key anywhere rather than
-	// to the key's home, to compare.
+	// IgnoreKeys routes requests with an idempotency key to any endpoint instead of the
+	// key's home. It serves as the baseline in comparisons.
 	IgnoreKeys bool
-	// LateBinding has a request wait at two endpoints where none is known to
-	// have room, and run at the one that has room first.
+	// LateBinding queues a request at two endpoints if no endpoint is known to have free
+	// capacity. The endpoint that is free first runs it.
 	LateBinding bool
-	// RefuseLate refuses a request whose answer would probably begin later
-	// than its route's objective, times this factor; 0 refuses none. Where all
-	// wait, all are late; refusing some at once lets the others be on time.
+	// RefuseLateFactor refuses a request whose response is expected to begin later than
+	// the longest objective of its service times this factor; 0 refuses none. If all
+	// requests wait in an overload, all of them miss the objective. Refusing some early
+	// keeps the others on time.
 	RefuseLate float64
 }
 
-// New returns a filter that chooses from the pool.
+// New returns a filter that selects endpoints from the pool.
 func New(cfg Config) *Filter {
 	f := &Filter{pool: cfg.Pool, latest: cfg.Latest, lateBinding: cfg.LateBinding, refuseLateFactor: cfg.RefuseLate}
 	if !cfg.IgnoreKeys {
@@ -115,7 +116,7 @@
 	return next(ctx, r)
 }
 
-// choose sets the request's endpoint, or two where it may wait at both.
+// choose sets the request's endpoint, or both endpoints with late binding.
 func (f *Filter) choose(r *request.Request) error {
 	if r.Resume != nil {
 		return f.resumeFromCopy(r)
@@ -146,11 +147,11 @@
 	return nil
 }
 
-// errCopyRateLimited is a copy at an endpoint that takes no further request now.
+// errCopyRateLimited means that the endpoint with the KV cache copy is at its rate limit.
 var errCopyRateLimited = errors.New("the endpoint that has the copy takes no further request now")
 
-// resumeFromCopy has the request go on from the copy of its memory. An endpoint that takes so many
-// requests a second is sent no more, also of these.
+// resumeFromCopy sends the request to the endpoint that holds a copy of its KV cache. The
+// endpoint's rate limit applies to these attempts as well.
 func (f *Filter) resumeFromCopy(r *request.Request) error {
 	query := balance.Request{Tier: r.Table.Rank(r.Tier, r.Route.Tier), ColdRate: r.Table.Cold(r.Service).Rate}
 	if !f.pool.Take(time.Now(), r.Resume, query) {
@@ -162,14 +163,15 @@
 	return nil
 }
 
-// recordLimitPart notes by which limit of its endpoint the attempt is sent, for the log.
+// recordLimitPart records for the log which rate limit of the endpoint the attempt counts
+// against.
 func (f *Filter) recordLimitPart(r *request.Request) {
 	if part, limited := f.pool.LimitOf(time.Now(), r.Endpoint); limited {
 		r.LimitPart = part.String()
 	}
 }
 
-// backsUpRuns says whether the service's engines copy the memory of runs.
+// backsUpRuns reports whether the service's engines copy the KV cache of running requests.
 func backsUpRuns(r *request.Request) bool {
 	if r.Route == nil {
 		return false
@@ -178,7 +180,8 @@
 	return s != nil && s.Engine != nil && s.Engine.Backups
 }
 
-// tokensPerEvent is how many tokens an event holds, as the table says of the service.
+// tokensPerEvent returns the number of tokens per event that the route table states for
+// the service, or 0 if unknown.
 func tokensPerEvent(r *request.Request) int {
 	s := r.Table.Service(r.Service)
 	if s == nil || s.Engine == nil {
@@ -200,9 +203,10 @@
 	return balance.Pair{First: c.Endpoint}, err
 }
 
-// refresh takes the endpoints of the bundle in force, since those that were
-// there when the request arrived may have been replaced. All else stays by the
-// bundle that the request began with. One that names no endpoint is passed over.
+// refresh replaces the candidates by the endpoints of the current bundle, since the
+// initial ones may have been replaced. All other settings stay those of the bundle that
+// the request began with. If the current bundle has no endpoint for the request, the
+// candidates are kept.
 func (f *Filter) refresh(r *request.Request) {
 	if f.latest == nil {
 		return
--- a/internal/filters/choose/home.go
+++ b/internal/filters/choose/home.go
@@ -18,8 +18,9 @@
 	"coveferry/internal/wire"
 )
 
-// homeResolver keeps the lists of the snapshot in force, since making one costs more
-// than looking a home up.
+// homeResolver finds the home of an idempotency key: the one endpoint that may run
+// requests with it. It caches the endpoint lists of the current snapshot, since building a
+// list costs more than a lookup.
 type homeResolver struct{ cache atomic.Pointer[listCache] }
 
 type listCache struct {
@@ -27,8 +28,8 @@
 	lists    sync.Map // target -> *once.List
 }
 
-// resolve returns the endpoint that alone may run the request's key. It may be one
-// that this router doesn't choose for other requests.
+// resolve returns the home of the request's key. The home may be outside the endpoint
+// subset that this router uses for other requests.
 func (h *homeResolver) resolve(s *bundle.Snapshot, r *request.Request) (*bundle.Endpoint, bool) {
 	endpoints := r.EndpointsIn(s)
 	name := h.endpointList(s, r.KeyTarget(), endpoints).Home(r.Team.Name, r.IdempotencyKey)
@@ -44,7 +45,7 @@
 	cache := h.cache.Load()
 	if cache == nil || cache.snapshot != s {
 		cache = &listCache{snapshot: s}
-		h.cache.Store(cache) // another may be stored meanwhile; each is right
+		h.cache.Store(cache) // concurrent stores are harmless: each cache is valid
 	}
 	if list, known := cache.lists.Load(target); known {
 		return list.(*once.List)
@@ -54,8 +55,8 @@
 	return list
 }
 
-// doPinned sends the request to its key's home and nowhere else. There it is
-// tried again only after "not run".
+// doPinned sends the request to the home of its key only. It is retried there only after
+// an attempt that did not run.
 func (f *Filter) doPinned(ctx context.Context, r *request.Request, next pipeline.Next) error {
 	home, found := f.homeResolver.resolve(currentSnapshot(r), r)
 	if !found || r.TriedEndpoint(home.Name) {
@@ -66,7 +67,7 @@
 	return wrapPinned(next(ctx, r))
 }
 
-// currentSnapshot is the snapshot whose endpoints the attempt may use.
+// currentSnapshot returns the snapshot whose endpoints the attempt may use.
 func currentSnapshot(r *request.Request) *bundle.Snapshot {
 	if r.Epoch > 1 && r.Latest != nil {
 		return r.Latest()
@@ -74,18 +75,17 @@
 	return r.Snapshot
 }
 
-// errHomeTried: only one endpoint may run the request, and it has been asked.
+// errHomeTried means that the only endpoint that may run the request was already tried.
 var errHomeTried = errors.New("the home of the idempotency key has been tried")
 
-// PinnedError is an attempt at a key's home after which no other attempt is
-// allowed.
+// PinnedError is the error of an attempt at the key's home that rules out a retry.
 type PinnedError struct{ Cause error }
 
 // Error implements error.
 func (e *PinnedError) Error() string { return "choose: at the key's home: " + e.Cause.Error() }
 
-// Run says whether the attempt ran. One that is refused for the key's sake did
-// not, whatever an earlier request with the key did.
+// Run reports whether the attempt ran. An attempt that was refused because of its key did
+// not run, even if an earlier request with the same key did.
 func (e *PinnedError) Run() wire.Run {
 	var refused *dispatch.RefusedError
 	if errors.As(e.Cause, &refused) && isKeyRefusal(refused) {
@@ -94,7 +94,7 @@
 	return api.From(e.Cause).Run
 }
 
-// wrapPinned marks the errors after which the request may not be tried again.
+// wrapPinned wraps the errors that rule out a retry in a PinnedError.
 func wrapPinned(err error) error {
 	var refused *dispatch.RefusedError
 	var lost *dispatch.NoAnswerError
@@ -114,14 +114,14 @@
 	return &PinnedError{Cause: err}
 }
 
-// keyReply is how a refusal for the key's sake is put to the caller.
+// keyReply is the response to a refusal because of the idempotency key.
 type keyReply struct {
 	status  int
 	kind    api.Type
 	message string
 }
 
-// keyReplies are the refusals of package once.
+// keyReplies maps the refusal reasons of package once to responses.
 var keyReplies = map[once.Reason]keyReply{
 	once.ReasonDuplicate: {
 		http.StatusConflict, api.TypeConflict,
--- a/internal/filters/choose/late.go
+++ b/internal/filters/choose/late.go
@@ -9,15 +9,14 @@
 	"coveferry/internal/wire"
 )
 
-// minRetryAfter is the least time after which to come back to endpoints that
-// have too much to read: that of a few prompts.
+// minRetryAfter is the minimum Retry-After if all endpoints have a backlog of prompts:
+// about the time to prefill a few prompts.
 const minRetryAfter = 100 * time.Millisecond
 
-// LateError is a request whose answer would begin too late at any endpoint. It
+// LateError reports that the response would begin too late at any endpoint. The request
 // was not sent.
 type LateError struct {
-	// Wait is how long it would probably have waited, and Objective how long
-	// it may.
+	// Wait is the expected wait. Objective is the latency objective that it exceeds.
 	Wait, Objective time.Duration
 }
 
@@ -35,12 +34,13 @@
 	}
 }
 
-// checkWait refuses a routed request that waits so long for others that all are late.
-// A prompt that takes long to read by itself is no reason: refusing it would leave its
-// caller nothing and bring others little. The
-// same limit holds for all routes of a service, its longest objective: else a
-// short objective would have requests refused while less urgent ones with a long
-// one are taken. One that an endpoint has had before isn't refused.
+// checkWait refuses a routed request if its expected wait for other requests exceeds the
+// limit. The time to prefill its own prompt doesn't count: refusing long prompts would
+// starve their callers and help others little.
+//
+// All routes of a service share one limit, derived from its longest objective. Otherwise
+// requests with a short objective would be refused while less urgent ones with a long
+// objective are admitted. A request that was already sent to an endpoint is not refused.
 func (f *Filter) checkWait(r *request.Request, wait time.Duration) error {
 	if f.refuseLateFactor <= 0 || r.Route == nil || len(r.Tried) > 0 {
 		return nil
--- a/internal/filters/choose/late_test.go
+++ b/internal/filters/choose/late_test.go
@@ -18,7 +18,8 @@
 	"coveferry/internal/wire"
 )
 
-// The second route's objective is longer, and so the limit of both.
+// newRouteTable returns two routes of one service. The longer objective of the second sets
+// the limit of both.
 func newRouteTable(t *testing.T) *route.Table {
 	s := []route.Target{{Service: "s", Weight: 1}}
 	tab, err := route.NewTable(route.Config{
@@ -32,8 +33,8 @@
 	return tab
 }
 
-// chooseAfter chooses for a request after so many unread prompts of 10,000 tokens, which
-// take a fifth of a second each.
+// chooseAfter selects an endpoint for a request while the given number of prompts of
+// 10,000 tokens is waiting for prefill. Each of them takes 200 ms.
 func chooseAfter(t *testing.T, unread int, path string, tried ...string) error {
 	pool := balance.NewPool(balance.Config{Policy: balance.NewPromptAware()})
 	for range unread {
@@ -61,18 +62,18 @@
 func TestLongestObjectiveLimitsAllRoutesOfAService(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(chooseAfter(t, 5, "/b/")).To(Succeed())
-	g.Expect(chooseAfter(t, 5, "/a/")).To(Succeed(), "a short objective gives no right of way to a long one")
+	g.Expect(chooseAfter(t, 5, "/a/")).To(Succeed(), "the longest objective applies to both routes")
 }
 
 func TestRetryIsNotRefusedAsLate(t *testing.T) {
 	NewWithT(t).Expect(chooseAfter(t, 10, "/b/", "gone")).To(Succeed())
 }
 
-// Endpoints admit requests by their rank, in which the route's own urgency counts among
-// those of one tier. In a long overload the prompts of a less urgent route were taken to be
-// read before those of a more urgent one, as the tier was the same: of the latter 30% to 45%
-// were refused for a wait of 1.6 s on average, while those that weren't refused had their
-// first event after .2 s, and less urgent ones went on to begin.
+// Guards against counting prompts of less urgent routes of the same tier as ahead of the
+// request. Endpoints admit by rank, which includes the route's own tier. In a long
+// overload, 30% to 45% of the requests of the more urgent route were refused for an
+// expected wait of 1.6 s on average, while those sent had their first event after 0.2 s
+// and less urgent requests were still admitted.
 func TestExpectedWaitExcludesLessUrgentRoutesOfTheSameTier(t *testing.T) {
 	g := NewWithT(t)
 	s := []route.Target{{Service: "s", Weight: 1}}
--- a/internal/filters/classify/classify.go
+++ b/internal/filters/classify/classify.go
@@ -1,6 +1,6 @@
-// Package classify works out what a request asks for and what its team has paid
-// for: class, tier, targets, deadline and the endpoints that could serve it.
-// It needs the team, so put it behind authenticate.
+// Package classify determines what a request asks for and what its team is entitled to:
+// class, tier, targets, deadline and candidate endpoints. It needs the team, so put it
+// behind authenticate.
 package classify
 
 import (
@@ -22,7 +22,7 @@
 // Name implements pipeline.Filter.
 func (Filter) Name() string { return "classify" }
 
-// Do fills in what the request asks for. Its errors are *Error.
+// Do sets the request's class, deadline, idempotency and target. Its errors are *Error.
 func (Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
 	steps := []func(*request.Request) error{setClass, setDeadline, setIdempotency, setTarget, checkKey}
 	for _, step := range steps {
@@ -33,7 +33,7 @@
 	return next(ctx, r)
 }
 
-// setClass finds the grant that the request uses.
+// setClass sets the class, tier and first-token deadline from the team's grant.
 func setClass(r *request.Request) error {
 	name := r.Header.Get(api.HeaderClass)
 	grant, granted := findGrant(r.Team, name)
@@ -41,7 +41,7 @@
 		return unknownClassError(r, name)
 	}
 	class, known := r.Snapshot.Class(grant.Class)
-	if !known { // the bundle's check rules this out
+	if !known { // ruled out by the validation of the bundle
 		return unknownClassError(r, grant.Class)
 	}
 	r.Class = class
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// findGrant returns the grant for a class, the team's first for none.
+// findGrant returns the team's grant for a class, or its first grant if class is empty.
 func findGrant(t *bundle.Team, class string) (bundle.Grant, bool) {
 	for _, g := range t.Grants {
 		if class == "" || g.Class == class {
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// checkKey refuses a key that promises more than it can keep: without its time
-// of issue an agent that has just started can't know whether it ran before.
+// checkKey refuses the key of a non-idempotent request that has no time of issue: an agent
+// that has just started can't tell whether the request already ran.
 func checkKey(r *request.Request) error {
 	if r.NonIdempotent && r.IdempotencyKey != "" && r.KeyIssued.IsZero() {
 		return &Error{Code: CodeKeyWithoutTime, Detail: keyWithoutTimeDetail}
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// setTarget finds the endpoints that could serve the request.
+// setTarget sets the model or service and the candidate endpoints.
 func setTarget(r *request.Request) error {
 	if r.Kind == wire.KindService {
 		return setService(r)
--- a/internal/filters/classify/errors.go
+++ b/internal/filters/classify/errors.go
@@ -13,10 +13,10 @@
 	"coveferry/internal/wire"
 )
 
-// Code says what is wrong with a request.
+// Code identifies what is wrong with a request.
 type Code string
 
-// What can be wrong with a request.
+// Codes of an Error.
 const (
 	CodeMalformed      Code = "malformed_body"
 	CodeBadHeader      Code = "bad_header"
@@ -27,7 +27,7 @@
 	CodeBadKeyTime     Code = "bad_key_time"
 )
 
-// Error is a request that can't be served as it stands.
+// Error is an invalid request.
 type Error struct {
 	Code   Code
 	Detail string
@@ -53,11 +53,11 @@
 	return out
 }
 
-// keyWithoutTimeDetail says what a key of a non-idempotent request needs.
+// keyWithoutTimeDetail explains what the key of a non-idempotent request needs.
 const keyWithoutTimeDetail = "the " + api.HeaderIdempotencyKey + " of a request that must not run twice has to tell when it was issued: " +
 	"use a UUID of version 7, or send " + api.HeaderKeyTime + " with the same time at each try"
 
-// keyError turns the error of an idempotency key.
+// keyError converts the error of parsing an idempotency key.
 func keyError(err error) error {
 	if errors.Is(err, once.ErrKeyTooLong) {
 		return headerError(api.HeaderIdempotencyKey, fmt.Sprintf("at most %d bytes", once.MaxKeyBytes))
--- a/internal/filters/dispatch/direct.go
+++ b/internal/filters/dispatch/direct.go
@@ -24,19 +24,20 @@
 	"coveferry/internal/wire"
 )
 
-// direct is how endpoints without an agent are reached.
+// direct sends attempts to endpoints without an agent.
 type direct struct {
 	protocol upstream.Protocol
 	client   *http.Client
 }
 
-// Direct has requests of kind KindRouted sent to their endpoints themselves, by
-// the protocol and the client. It must be called before the filter is used.
+// EnableDirect makes the filter send requests of kind KindRouted straight to their
+// endpoints, by the given protocol and client. It must be called before the filter is
+// used.
 func (f *Filter) Direct(p upstream.Protocol, client *http.Client) {
 	f.direct = direct{protocol: p, client: client}
 }
 
-// sendDirect sends an attempt and keeps the pool's account of it.
+// sendDirect sends an attempt and updates the pool's outstanding work for the endpoint.
 func (f *Filter) sendDirect(ctx context.Context, r *request.Request, sent time.Time, next pipeline.Next) error {
 	account := f.pool.SentWork(sent, r.Endpoint.Name, WorkOf(r))
 	r.Began, r.Heard, r.HeardEvent = account.Read, account.Heard, account.Event
@@ -51,8 +52,8 @@
 	return err
 }
 
-// exchangeDirect sends an attempt to an endpoint that has no agent, and judges
-// by the endpoint's own mark whether it ran.
+// exchangeDirect sends an attempt to an endpoint that has no agent. Whether the attempt
+// ran is decided by the marker in the endpoint's own response.
 func (f *Filter) exchangeDirect(ctx context.Context, r *request.Request, sent time.Time, next pipeline.Next) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -73,8 +74,8 @@
 	reply := f.direct.protocol.Decode(resp)
 	r.RateLimit = reply.RateLimit
 	if reply.ID != r.CallerID {
-		// An answer to an earlier request on the connection, which is closed
-		// with its body unread.
+		// The response answers an earlier request on this connection. Its body stays
+		// unread, so the connection is closed.
 		return &NoAnswerError{Sent: true, Cause: errors.Newf("the answer belongs to request %q", reply.ID)}
 	}
 	if reply.Moved {
@@ -97,27 +98,27 @@
 	return err
 }
 
-// recordDirectAnswer takes in what the head of an answer to a request that was sent at a moment says
-// of its endpoint.
+// recordDirectAnswer updates the load, rate limit and membership of an endpoint from the
+// response header. sent is when the request was sent.
 func (f *Filter) recordDirectAnswer(e *bundle.Endpoint, sent time.Time, reply upstream.Reply) {
 	now := time.Now()
 	var report load.Report
 	if reply.Load != nil {
 		report = *reply.Load
 	}
-	// Answers carry no number of their own; they are read in their order.
+	// Responses carry no sequence number; they are numbered in the order of arrival.
 	report.Seq = uint64(f.answerSeq.Add(1))
 	current := f.observer.Answered(e.Name, wire.Clock{Incarnation: e.Process()}, sent, report)
 	if current && reply.Load != nil {
 		f.pool.Report(now, e.Name, report)
 	}
 	if current && (reply.Signed || reply.RateLimit.Statement == upstream.LimitNamed) {
-		// A refusal for want of room that names no limit ends none.
+		// A queue-full refusal that names no limit doesn't clear a known limit.
 		f.pool.HearLimit(now, sent, e.Name, reply.RateLimit)
 	}
 }
 
-// WorkOf is what a routed request asks of its endpoint.
+// WorkOf returns the work that a routed request causes at its endpoint.
 func WorkOf(r *request.Request) balance.Work {
 	work := balance.Work{Service: r.Service, Tier: r.Tier, Prompt: r.Prompt, Tight: r.Tight, Stride: r.Stride}
 	if r.Route != nil {
@@ -127,7 +128,7 @@
 	return work
 }
 
-// isQueueFull says whether an attempt ended for want of room at its endpoint.
+// isQueueFull reports whether the endpoint refused the attempt for lack of capacity.
 func isQueueFull(err error) bool {
 	var refused *RefusedError
 	return errors.As(err, &refused) && refused.Reason == string(sched.ReasonQueueFull)
@@ -146,12 +147,12 @@
 	return &RefusedError{Refusal: refusal}
 }
 
-// directRequest is the caller's request with what the protocol adds.
+// directRequest returns the caller's request with the headers of the protocol added.
 func (f *Filter) directRequest(ctx context.Context, r *request.Request) (*http.Request, error) {
 	path, query, _ := strings.Cut(r.Target, "?")
 	target := &url.URL{Scheme: "http", Host: r.Endpoint.Address, Opaque: path, RawQuery: query}
 	if strings.HasPrefix(path, "//") {
-		// The library would take what follows for a host.
+		// net/http would parse the rest of the path as a host.
 		target.Opaque = ""
 		target.Path = path
 	}
@@ -163,13 +164,14 @@
 	req.Host = r.Host
 	req.Header = endToEndHeaders(r.Header)
 	if req.Header.Get("User-Agent") == "" {
-		req.Header["User-Agent"] = nil // the library would add its own
+		req.Header["User-Agent"] = nil // keeps net/http from adding its own
 	}
 	f.direct.protocol.Encode(req.Header, f.attemptFor(r))
 	return req, nil
 }
 
-// attemptFor is what the endpoint is told besides what the caller sent.
+// attemptFor returns the metadata that is sent to the endpoint in addition to the caller's
+// request.
 func (f *Filter) attemptFor(r *request.Request) upstream.Attempt {
 	a := upstream.Attempt{
 		ID:        r.CallerID,
@@ -190,10 +192,10 @@
 	return a
 }
 
-// hopByHopHeaders are the headers of a request that concern one connection only.
+// hopByHopHeaders are the request headers that are not forwarded.
 var hopByHopHeaders = append([]string{"Proxy-Authenticate", "Proxy-Authorization", "Te"}, upstream.HopByHop...)
 
-// endToEndHeaders copies the headers that don't concern one connection only.
+// endToEndHeaders returns a copy of the headers without the hop-by-hop ones.
 func endToEndHeaders(from http.Header) http.Header {
 	h := from.Clone()
 	for _, list := range from["Connection"] {
--- a/internal/filters/dispatch/dispatch.go
+++ b/internal/filters/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch sends one attempt to the agent of the chosen endpoint and
-// hands on its answer. It learns the endpoint's load from what comes back.
+// Package dispatch sends one attempt to the agent of the selected endpoint and passes the
+// response to the next filter. It updates the endpoint's load from the response.
 package dispatch
 
 import (
@@ -24,7 +24,7 @@
 	"coveferry/internal/wire"
 )
 
-// maxRefusalBytes bounds what is read of a refusal.
+// maxRefusalBytes limits how much of a refusal's body is read.
 const maxRefusalBytes = 16 << 10
 
 // Filter implements pipeline.Filter.
@@ -34,16 +34,16 @@
 	scheme        string
 	clock         clock.Clock
 	clockReadings *clockReadings
-	// observer learns of endpoints' membership.
+	// observer receives evidence of the endpoints' membership.
 	observer   Observer
 	direct     direct
 	copiedRuns copiedRuns
-	// answerSeq numbers the answerSeq of endpoints without an agent.
+	// answerSeq numbers the responses of endpoints without an agent.
 	answerSeq atomic.Int64
 }
 
-// New returns a filter that reaches agents by the client, with the scheme
-// "https", or "http" where a test runs without certificates.
+// New returns a filter that reaches agents by the client. The scheme is "https", or "http"
+// in tests without certificates.
 func New(pool *balance.Pool, client *http.Client, scheme string, now clock.Clock) *Filter {
 	return &Filter{pool: pool, client: client, scheme: scheme, clock: now, clockReadings: newClockReadings(), observer: nopObserver{}}
 }
@@ -51,10 +51,10 @@
 // Name implements pipeline.Filter.
 func (*Filter) Name() string { return "dispatch" }
 
-// Do sends the attempt, to one endpoint or, with late binding, to a pair of
-// them of which one runs it. Its error is an *ExpiredError, a *RefusedError, a
-// *LostError, or that of the rest of the pipe. When it returns, nothing of this
-// attempt can reach the caller any more: its answer has been closed.
+// Do sends the attempt to one endpoint or, with late binding, to a pair of endpoints of
+// which one runs it. Its error is an *ExpiredError, a *RefusedError, a *NoAnswerError, or
+// an error of the next filter. When Do returns, the response is closed, so nothing of this
+// attempt can reach the caller any more.
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
 	if r.Left(f.clock()) <= 0 {
 		return &ExpiredError{}
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	// A request without a body can't be kept back from one of two.
+	// Late binding withholds the body from one of the two endpoints, so it needs a body.
 	if r.Second != nil && len(body) > 0 {
 		return f.sendPair(ctx, r, body, next)
 	}
@@ -82,14 +82,14 @@
 }
 
 func (f *Filter) exchange(ctx context.Context, r *request.Request, body []byte, next pipeline.Next) error {
-	// Ending the context ends the attempt at the agent, however this returns.
+	// Canceling the context stops the attempt at the agent on every return path.
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
-	// The transport may send the attempt again by itself only where HTTP/2
-	// says that the agent hasn't seen it, as when the agent is stopping: the
-	// attempt carries no idempotency key that would let it do more.
+	// The transport may resend the attempt on its own only if HTTP/2 signals that the
+	// agent has not processed it, for example because the agent is stopping. Any further
+	// automatic resend would need an idempotency key, which the attempt doesn't carry.
 	req, err := f.request(httptrace.WithClientTrace(ctx, trace), r, r.Endpoint, bytes.NewReader(body), len(body))
 	if err != nil {
 		return err
@@ -101,8 +101,8 @@
 	return f.handleAnswer(ctx, r, resp, next)
 }
 
-// handleAnswer hands an agent's handleAnswer on to the rest of the pipe, or reads its
-// refusal.
+// handleAnswer passes an agent's response to the next filter, or returns its refusal as an
+// error.
 func (f *Filter) handleAnswer(ctx context.Context, r *request.Request, resp *http.Response, next pipeline.Next) error {
 	defer resp.Body.Close()
 	agentClock := f.recordAnswerHeader(r.Endpoint.Name, resp.Header)
@@ -116,13 +116,13 @@
 	return err
 }
 
-// recordResult tells the pool and the observer how an attempt ended.
+// recordResult reports the result of an attempt to the pool and the observer.
 func (f *Filter) recordResult(ctx context.Context, e *bundle.Endpoint, err error, firstToken time.Duration) {
 	f.reportConnectionFailure(ctx, e, err)
 	f.pool.Done(time.Now(), e.Name, result(ctx, err), firstToken)
 }
 
-// request makes the attempt's request to an endpoint's agent.
+// request returns the HTTP request of the attempt to an endpoint's agent.
 func (f *Filter) request(ctx context.Context, r *request.Request, e *bundle.Endpoint, body io.Reader, size int) (*http.Request, error) {
 	url := f.scheme + "://" + e.Address + wire.PathAttempts
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, body)
@@ -134,7 +134,8 @@
 	return req, wire.Encode(req.Header, wire.HeaderEnvelope, f.envelope(r, e.Name))
 }
 
-// attemptBody is the caller's body, changed to go on from what was delivered.
+// attemptBody returns the caller's body, changed to continue after the tokens already
+// delivered.
 func attemptBody(r *request.Request) ([]byte, error) {
 	if r.Kind == wire.KindService || r.Kind == wire.KindRouted {
 		return r.Body, nil
@@ -150,8 +151,8 @@
 	return "application/json"
 }
 
-// envelope is made as late as can be; what passes before the agent has it shortens
-// the time that it gives.
+// envelope must be called just before the attempt is sent: the timeouts in it are relative
+// to that moment, and any delay before the agent receives it shortens them.
 func (f *Filter) envelope(r *request.Request, endpoint string) wire.Envelope {
 	now := time.Now()
 	reading, age := f.clockReadings.latest(endpoint, f.clock())
@@ -182,8 +183,8 @@
 	return env
 }
 
-// recordAnswerHeader takes what the head of an answer says of its agent, and returns the
-// agent's clock, which also names its incarnation.
+// recordAnswerHeader updates the clock and load of an agent from the response header. It
+// returns the agent's clock, which also names its incarnation.
 func (f *Filter) recordAnswerHeader(endpoint string, h http.Header) wire.Clock {
 	var reading wire.Clock
 	if err := wire.Decode(h, wire.HeaderClock, &reading); err == nil {
@@ -192,14 +193,14 @@
 	var report load.Report
 	if err := wire.Decode(h, wire.HeaderLoad, &report); err == nil {
 		f.recordLoad(endpoint, reading, report)
-	} // an answer without a report is still an answer
+	} // the load report is optional
 	return reading
 }
 
 func (f *Filter) recordAnswerTrailer(endpoint string, agentClock wire.Clock, trailer http.Header) {
 	var end wire.End
 	if err := wire.Decode(trailer, wire.HeaderEnd, &end); err != nil {
-		return // relay has judged the missing end
+		return // relay has already handled the missing trailer
 	}
 	f.recordLoad(endpoint, agentClock, end.Load)
 }
@@ -219,7 +220,7 @@
 	return &RefusedError{Refusal: refusal}
 }
 
-// result is what the attempt says of the endpoint's health.
+// result classifies the attempt's error for outlier detection of the endpoint.
 func result(ctx context.Context, err error) balance.Result {
 	var refused *RefusedError
 	switch {
@@ -234,8 +235,8 @@
 	}
 }
 
-// firstToken is the time from sending to the first token, if this attempt
-// brought it.
+// firstToken returns the time from sending to the first token, or 0 if an earlier attempt
+// delivered the first token.
 func firstToken(r *request.Request, sent time.Time) time.Duration {
 	at := r.Delivered.FirstToken
 	if at.Before(sent) {
--- a/internal/filters/dispatch/errors.go
+++ b/internal/filters/dispatch/errors.go
@@ -10,7 +10,8 @@
 	"coveferry/internal/wire"
 )
 
-// retryAfterDown is when to come back after an endpoint's failure.
+// retryAfterDown is the minimum Retry-After after an endpoint failed or refused an
+// attempt.
 const retryAfterDown = time.Second
 
 // RefusedError is an agent's refusal of an attempt.
@@ -52,9 +53,9 @@
 	return out
 }
 
-// NoAnswerError is an attempt of which the agent gave no word.
+// NoAnswerError is an attempt that ended without a valid response of its endpoint.
 type NoAnswerError struct {
-	// Sent says that a connection was had, so that the attempt may have run.
+	// Sent reports whether a connection was established, so the attempt may have run.
 	Sent  bool
 	Cause error
 }
@@ -67,8 +68,8 @@
 // Unwrap returns the cause.
 func (e *NoAnswerError) Unwrap() error { return e.Cause }
 
-// Run says whether the attempt ran: one for which no connection was had did
-// not; of any other nothing is known.
+// Run reports whether the attempt ran: not if no connection was established, otherwise
+// unknown.
 func (e *NoAnswerError) Run() wire.Run {
 	if e.Sent {
 		return wire.RunUnknown
@@ -91,7 +92,7 @@
 	return out
 }
 
-// ExpiredError is an attempt that wasn't sent, because the deadline had passed.
+// ExpiredError is an attempt that was not sent because the deadline had passed.
 type ExpiredError struct{}
 
 // Error implements error.
--- a/internal/filters/dispatch/observe.go
+++ b/internal/filters/dispatch/observe.go
@@ -12,30 +12,31 @@
 	"coveferry/internal/wire"
 )
 
-// Observer is told what attempts show of their endpoints. It is called by many
-// goroutines at once and must not wait.
+// Observer receives evidence about the health of endpoints from attempts. Its methods are
+// called concurrently and must not block.
 type Observer interface {
-	// Answered takes the report of an answer to a request that was sent at a moment, zero
-	// if that isn't known. False means that it is of an earlier incarnation of the agent
-	// and must not count.
+	// Answered receives the load report of a response. sent is when the request was sent,
+	// or zero if unknown. It returns false if the report is from an earlier incarnation of
+	// the agent and must be ignored.
 	Answered(endpoint string, clock wire.Clock, sent time.Time, report load.Report) bool
-	// Failed takes a connection that was refused, so that nothing was sent, or
-	// that broke later. incarnation is that of the process it led to, empty if unknown.
+	// Failed receives a connection failure. sent is false if the connection was refused,
+	// so nothing was sent, and true if it broke later. incarnation is that of the process
+	// that the attempt was addressed to, or empty if unknown.
 	Failed(endpoint, incarnation string, sent bool)
 }
 
-// Observe has an observer told of each attempt from now on. It must be called
-// before the filter is used.
+// SetObserver sets the observer of all further attempts. It must be called before the
+// filter is used.
 func (f *Filter) Observe(o Observer) { f.observer = o }
 
-// nopObserver is the Observer that a filter begins with.
+// nopObserver is the default Observer.
 type nopObserver struct{}
 
 func (nopObserver) Answered(string, wire.Clock, time.Time, load.Report) bool { return true }
 func (nopObserver) Failed(string, string, bool)                              {}
 
-// reportConnectionFailure tells of an attempt whose connection failed. One that the caller or
-// the deadline ended says nothing of the connection.
+// reportConnectionFailure reports an attempt whose connection failed. Attempts ended by
+// the caller or the deadline are no evidence about the connection.
 func (f *Filter) reportConnectionFailure(ctx context.Context, e *bundle.Endpoint, err error) {
 	var noAnswer *NoAnswerError
 	var broken *relay.BrokenError
--- a/internal/filters/dispatch/observe_test.go
+++ b/internal/filters/dispatch/observe_test.go
@@ -13,11 +13,11 @@
 	"coveferry/internal/wire"
 )
 
-// recordingObserver is an observer that keeps what it is told.
+// recordingObserver records the failures that it receives.
 type recordingObserver struct{ failed []bool }
 
 func (*recordingObserver) Answered(string, wire.Clock, time.Time, load.Report) bool { return true }
-func (n *recordingObserver) Failed(_, _ string, sent bool)                          { n.failed = append(n.failed, sent) }
+func (o *recordingObserver) Failed(_, _ string, sent bool)                          { o.failed = append(o.failed, sent) }
 
 func TestObserverReceivesConnectionFailuresOnly(t *testing.T) {
 	canceledCtx, cancel := context.WithCancel(t.Context())
@@ -35,10 +35,10 @@
 		{t.Context(), &RefusedError{}, nil},
 		{canceledCtx, &NoAnswerError{Sent: true}, nil},
 	} {
-		n := &recordingObserver{}
+		observer := &recordingObserver{}
 		f := &Filter{}
-		f.Observe(n)
+		f.Observe(observer)
 		f.reportConnectionFailure(c.ctx, &bundle.Endpoint{Name: "e0"}, c.err)
-		NewWithT(t).Expect(n.failed).To(Equal(c.want), "%v", c.err)
+		NewWithT(t).Expect(observer.failed).To(Equal(c.want), "%v", c.err)
 	}
 }
--- a/internal/filters/dispatch/pair.go
+++ b/internal/filters/dispatch/pair.go
@@ -15,25 +15,25 @@
 	"coveferry/internal/request"
 )
 
-// expectContinue makes the transport keep the body back until the agent asks
-// for it, which it does when the attempt is about to run.
+// expectContinue makes the transport withhold the body until the agent asks for it, which
+// it does right before it runs the attempt.
 const expectContinue = "100-continue"
 
-// errOtherClaimed is the end of a reservation whose body went to the other endpoint.
+// errOtherClaimed ends a reservation after the other endpoint got the body.
 var errOtherClaimed = errors.New("dispatch: the other endpoint was first")
 
-// binding decides which of two reservations gets the body: the one that asks
-// first. The other is ended at once, so that it frees its place in the queue.
+// binding gives the body to the first of two reservations that asks for it. The other one
+// is canceled at once to release its place in the queue.
 type binding struct {
 	mu     sync.Mutex
-	winner int // noWinner until an agent asked
+	winner int // noWinner until an agent asks for the body
 	body   []byte
 	cancel [2]context.CancelCauseFunc
 }
 
 const noWinner = -1
 
-// claim gives the body to a reservation, unless the other has it.
+// claim gives the body to reservation i unless the other one has it.
 func (b *binding) claim(i int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,14 +44,14 @@
 	return b.winner == i
 }
 
-// claimed says whether a reservation has the body.
+// claimed reports whether reservation i has the body.
 func (b *binding) claimed(i int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.winner == i
 }
 
-// bodyGate is the body as one reservation sees it.
+// bodyGate is the request body of one reservation. Its first Read claims the body.
 type bodyGate struct {
 	binding *binding
 	index   int
@@ -72,7 +72,7 @@
 // Close implements io.Closer.
 func (g *bodyGate) Close() error { return nil }
 
-// reservation is a request for a place at one endpoint of a pair.
+// reservation is a queued request at one endpoint of a pair.
 type reservation struct {
 	endpoint *bundle.Endpoint
 	req      *http.Request
@@ -80,15 +80,15 @@
 	claimed  func() bool
 }
 
-// reply is what became of a reservation: an answer to relay, or an error.
+// reply is the result of a reservation: a response to relay, or an error.
 type reply struct {
 	*reservation
 	resp *http.Response
 	err  error
 }
 
-// sendPair reserves at both endpoints of the request and runs it at the one
-// that asks for the body first.
+// sendPair queues the request at both endpoints and runs it at the one that asks for the
+// body first.
 func (f *Filter) sendPair(ctx context.Context, r *request.Request, body []byte, next pipeline.Next) error {
 	endpoints := [2]*bundle.Endpoint{r.Endpoint, r.Second}
 	b := &binding{winner: noWinner, body: body}
@@ -113,16 +113,15 @@
 	return f.awaitPair(r, endpoints, replies, next)
 }
 
-// reserve waits for the endpoint's reply. One that isn't an answer is settled
-// here and now, so that the endpoint doesn't count as busy while the other
-// answers.
+// reserve waits for the endpoint's reply. A refusal or error is recorded immediately, so
+// that the endpoint doesn't count as busy while the other one responds.
 func (f *Filter) reserve(res *reservation) reply {
 	resp, err := f.client.Do(res.req)
 	if err == nil && resp.StatusCode == http.StatusOK {
 		return reply{reservation: res, resp: resp}
 	}
 	if err != nil {
-		// Without the body the agent can't have run anything.
+		// Without the body the agent can't have run the request.
 		err = &NoAnswerError{Sent: res.claimed(), Cause: err}
 	} else {
 		f.recordAnswerHeader(res.endpoint.Name, resp.Header)
@@ -132,9 +131,8 @@
 	return reply{reservation: res, err: err}
 }
 
-// awaitPair relays the answer of the endpoint that ran the request. If neither
-// did, its error is that of the endpoint that had the body, or else of the
-// first.
+// awaitPair relays the response of the endpoint that ran the request. If neither did, it
+// returns the error of the endpoint that had the body, or else of the first one.
 func (f *Filter) awaitPair(r *request.Request, endpoints [2]*bundle.Endpoint, replies <-chan reply, next pipeline.Next) error {
 	var failed reply
 	for range endpoints {
--- a/internal/filters/dispatch/readings.go
+++ b/internal/filters/dispatch/readings.go
@@ -9,21 +9,22 @@
 	"coveferry/internal/wire"
 )
 
-// maxClockReadings bounds the endpoints whose clocks are known.
+// maxClockReadings limits the number of endpoints whose clocks are kept.
 const maxClockReadings = 8192
 
-// maxClockDrift is by how much the clocks of two VMs may drift apart: what was
-// heard loses that share of its age in worth, so that it is replaced in time.
+// maxClockDrift is the assumed drift between the clocks of two VMs, as a share of the
+// elapsed time. A kept reading loses accuracy at this rate, so newer readings eventually
+// replace it.
 const maxClockDrift = 0.0002
 
-// clockReadings keeps for each endpoint the reading of its agent's clock that came
-// fastest. It is safe for concurrent use.
+// clockReadings keeps the reading of each agent's clock that arrived with the least delay.
+// It is safe for concurrent use.
 type clockReadings struct {
 	mu         sync.Mutex
 	byEndpoint *simplelru.LRU[string, clockReading]
 }
 
-// clockReading is an agent's clock as it was heard at a moment of the router's.
+// clockReading is the value of an agent's clock and the router's time when it arrived.
 type clockReading struct {
 	clock      wire.Clock
 	receivedAt time.Time
@@ -37,9 +38,9 @@
 	return &clockReadings{byEndpoint: byID}
 }
 
-// add takes a reading that was just heard. One that came more slowly than the
-// one that is kept, as to a router that was paused, would make the next attempt
-// look older than it is.
+// add records a clock reading that arrived at now. A reading with a longer delay than the
+// kept one, for example after a pause of the router, is dropped: it would make the next
+// attempt look older than it is.
 func (rs *clockReadings) add(endpoint string, now time.Time, c wire.Clock) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -50,14 +51,15 @@
 	rs.byEndpoint.Add(endpoint, clockReading{clock: c, receivedAt: now})
 }
 
-// slower says whether c took longer than the reading that is kept, drift aside.
+// slower reports whether c had a longer delay than the kept reading, allowing for clock
+// drift.
 func slower(kept clockReading, now time.Time, c wire.Clock) bool {
 	elapsed := now.Sub(kept.receivedAt)
 	agentElapsed := time.Duration(c.Millis-kept.clock.Millis) * time.Millisecond
 	return agentElapsed < elapsed-time.Duration(maxClockDrift*float64(elapsed))
 }
 
-// latest returns what was heard and how long ago; the zero Clock if nothing.
+// latest returns the kept reading and its age, or the zero Clock if there is none.
 func (rs *clockReadings) latest(endpoint string, now time.Time) (wire.Clock, time.Duration) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
--- a/internal/filters/dispatch/silent.go
+++ b/internal/filters/dispatch/silent.go
@@ -10,24 +10,24 @@
 	"coveferry/internal/request"
 )
 
-// errEndpointSilent is the end of an attempt at an endpoint that is taken for lost, though no connection
-// broke: its run goes on from its copy.
+// errEndpointSilent ends an attempt at an endpoint that is considered lost although no
+// connection broke. The run resumes from its KV cache copy.
 var errEndpointSilent = errors.New("the endpoint has fallen silent; the run goes on from its copy")
 
-// copiedRuns are the attempts of which callers hold a part and whose runs have copies, by their
-// endpoints. It is safe for concurrent use.
+// copiedRuns holds, by endpoint, the attempts whose callers have received part of the
+// response and whose KV cache has a copy elsewhere. It is safe for concurrent use.
 type copiedRuns struct {
 	mu         sync.Mutex
 	byEndpoint map[string]map[*copiedRun]bool
 }
 
-// copiedRun is an attempt whose run has a copy at another endpoint.
+// copiedRun is an attempt with a KV cache copy at another endpoint.
 type copiedRun struct {
 	copyEndpoint string
 	cancel       context.CancelCauseFunc
 }
 
-// track notes the attempt from its first event on, until the function that it returns is called.
+// track adds the attempt at its first event. The returned function removes it.
 func (c *copiedRuns) track(r *request.Request, cancel context.CancelCauseFunc) (untrack func()) {
 	run := &copiedRun{copyEndpoint: r.Copy.Name, cancel: cancel}
 	endpoint, onEvent := r.Endpoint.Name, r.HeardEvent
@@ -63,10 +63,11 @@
 	}
 }
 
-// LeaveSilent ends the attempts at an endpoint that is taken for lost, so that their runs go on
-// from their copies, where those lie at endpoints that are in use. Other attempts wait on: the
-// endpoint may be back, and what may run only once can't be tried elsewhere. It returns how many
-// it ended.
+// CancelCopiedRuns cancels the attempts at an endpoint that is considered lost, so that
+// their runs resume from KV cache copies. It cancels only those whose copy is at an
+// endpoint in use. Other attempts keep waiting: the endpoint may recover, and a request
+// that may run only once can't be retried elsewhere. It returns the number of canceled
+// attempts.
 func (f *Filter) LeaveSilent(endpoint string, inUse func(endpoint string) bool) int {
 	f.copiedRuns.mu.Lock()
 	defer f.copiedRuns.mu.Unlock()
--- a/internal/filters/limit/limit.go
+++ b/internal/filters/limit/limit.go
@@ -1,6 +1,6 @@
-// Package limit refuses requests beyond the limits of their team, which package
-// limits keeps. It needs the team and the tier, so put it behind classify, and
-// before attempts, so that a retry doesn't count twice.
+// Package limit enforces the rate and concurrency limits of teams, which package limits
+// tracks. It needs the team and the tier, so put it behind classify. Put it before
+// attempts, so that a retry doesn't count twice.
 package limit
 
 import (
@@ -20,7 +20,7 @@
 	"coveferry/internal/wire"
 )
 
-// Code names the limit that was reached.
+// Code identifies the limit that was reached.
 type Code string
 
 // The limits of a team.
@@ -30,7 +30,7 @@
 	CodeConcurrency Code = "team_concurrency"
 )
 
-// Error is a request beyond its team's limit.
+// Error is a request that exceeds a limit of its team.
 type Error struct {
 	Code       Code
 	Team       string
@@ -53,17 +53,17 @@
 // Filter implements pipeline.Filter.
 type Filter struct{ limits *limits.Limiter }
 
-// New returns a filter that limits at this router alone.
+// New returns a filter whose limits apply to this router alone.
 func New() *Filter { return With(limits.New(limits.Config{})) }
 
-// With returns a filter that limits by l.
+// NewWithLimiter returns a filter that uses the limiter l.
 func With(l *limits.Limiter) *Filter { return &Filter{limits: l} }
 
 // Name implements pipeline.Filter.
 func (*Filter) Name() string { return "limit" }
 
-// Do refuses the request if its team is over a limit. The tokens of an answer,
-// whose number isn't known before, are charged when it has ended.
+// Do refuses the request if its team is over a limit. The tokens of a response are charged
+// at its end, since their number isn't known before.
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
 	if r.Team.Limits == (bundle.TeamLimits{}) {
 		return next(ctx, r)
@@ -76,7 +76,7 @@
 	return next(ctx, r)
 }
 
-// newError turns the error of the limiter.
+// newError converts the limiter's error.
 func newError(t *bundle.Team, err error) error {
 	var reached *limits.Reached
 	if !errors.As(err, &reached) {
--- a/internal/filters/match/match.go
+++ b/internal/filters/match/match.go
@@ -1,5 +1,5 @@
-// Package match finds the route of a request and fills in what the route says
-// of it. It is the first filter of routed requests.
+// Package match finds the route of a request and applies the route's settings to it. It is
+// the first filter of routed requests.
 package match
 
 import (
@@ -18,7 +18,7 @@
 	"coveferry/internal/wire"
 )
 
-// Error is a request that no route answers for.
+// Error is a request that matches no route.
 type Error struct{ Host, Path string }
 
 // Error implements error.
@@ -42,8 +42,8 @@
 	random    func() float64
 }
 
-// New returns a filter that reads requests by the protocol. random returns
-// numbers from [0, 1), by which a route's targets share its requests.
+// New returns a filter that reads request headers by the protocol. random returns numbers
+// from [0, 1), which select among a route's weighted targets.
 func New(p upstream.Protocol, endpoints Endpoints, random func() float64) *Filter {
 	return &Filter{protocol: p, endpoints: endpoints, random: random}
 }
@@ -51,7 +51,7 @@
 // Name implements pipeline.Filter.
 func (*Filter) Name() string { return "match" }
 
-// Do fills the request in.
+// Do sets the request's route and the fields that follow from it.
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
 	path, _, _ := strings.Cut(r.Target, "?")
 	found := r.Table.Match(r.Host, path)
@@ -66,16 +66,16 @@
 	r.Delivered.LastEvent = in.LastEvent
 	r.Service = found.Pick(f.random())
 	r.Stream = found.Stream
-	r.Tier = max(0, found.Tier) // no rank is above the highest
+	r.Tier = max(0, found.Tier) // clamped: 0 is the highest rank
 	r.NonIdempotent = !isIdempotent(r)
 	r.MaxRuns = found.MaxRuns
-	r.Deadline = r.Arrived.Add(routeTimeout(found.Timeout, in.Patience))
+	r.Deadline = r.Arrived.Add(requestTimeout(found.Timeout, in.Patience))
 	r.Candidates = f.endpoints(r.Service)
 	return next(ctx, r)
 }
 
-// isIdempotent: a stream runs again only where it can be resumed, since the
-// caller may hold a part of it.
+// isIdempotent reports whether the request may run more than once. A stream may only if it
+// is resumable, since the caller may have received part of it.
 func isIdempotent(r *request.Request) bool {
 	if r.Route.Stream {
 		return r.Route.Resumable
@@ -83,21 +83,20 @@
 	return r.Route.Repeat == route.Idempotent
 }
 
-// routeTimeout is how long the request may take: what the operator and the caller
-// both allow. A route without a timeout, asked without a deadline, gets the
-// default.
-func routeTimeout(callerTimeout, caller time.Duration) time.Duration {
+// requestTimeout returns the smaller of the route's and the caller's timeout, or the
+// default if neither is set.
+func requestTimeout(routeTimeout, callerTimeout time.Duration) time.Duration {
 	switch {
-	case callerTimeout <= 0 && caller <= 0:
+	case routeTimeout <= 0 && callerTimeout <= 0:
 		return defaultTimeout
-	case callerTimeout <= 0:
-		return caller
-	case caller <= 0:
+	case routeTimeout <= 0:
 		return callerTimeout
+	case callerTimeout <= 0:
+		return routeTimeout
 	}
-	return min(callerTimeout, caller)
+	return min(routeTimeout, callerTimeout)
 }
 
-// defaultTimeout bounds requests for which nobody states a time; it is far
-// beyond what callers of interactive services wait.
+// defaultTimeout applies if neither the route nor the caller sets a timeout. It is far
+// longer than callers of interactive services wait.
 const defaultTimeout = time.Minute
--- a/internal/filters/quarantine/loss.go
+++ b/internal/filters/quarantine/loss.go
@@ -1,4 +1,4 @@
-// Package quarantine knows requests under which endpoints end. It stands between
+// Package quarantine refuses requests that cause endpoints to crash. Put it between
 // attempts and choose.
 package quarantine
 
@@ -13,16 +13,16 @@
 	"coveferry/internal/wire"
 )
 
-// endpointLost says whether an attempt ended with the endpoint that it had reached, as
-// far as its error shows: the connection broke, or the agent says that its engine broke
-// off. An answer, also one that says that it failed, shows that the endpoint lives.
+// endpointLost reports whether the error suggests that the endpoint was lost during the
+// attempt: the connection broke, or the agent reports that its engine failed. Any
+// response, including an error response, shows that the endpoint is alive.
 func endpointLost(err error) bool {
 	var refused *dispatch.RefusedError
 	var noAnswer *dispatch.NoAnswerError
 	var broken *relay.BrokenError
 	switch {
 	case errors.As(err, &refused):
-		// With a status the engine has answered.
+		// A status means that the engine responded.
 		return refused.Reason == wire.ReasonEngineFailed && refused.EngineStatus == 0
 	case errors.As(err, &noAnswer):
 		return noAnswer.Sent && isConnectionLoss(noAnswer.Cause)
@@ -32,9 +32,8 @@
 	return false
 }
 
-// isConnectionLoss says whether the other side or the way there ended a connection, rather
-// than that what came on it was no answer. A VM that went dark shows by a timeout of the
-// connection.
+// isConnectionLoss reports whether the peer or the network ended the connection, as
+// opposed to an invalid response. A VM that fails silently causes a connection timeout.
 func isConnectionLoss(err error) bool {
 	for _, lossErr := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT} {
 		if errors.Is(err, lossErr) {
@@ -44,8 +43,8 @@
 	return false
 }
 
-// answered says whether an attempt ended with an answer of the endpoint's own process, also one
-// that says that it failed.
+// answered reports whether the attempt ended with a response of the endpoint's own
+// process, including error responses.
 func answered(err error) bool {
 	var answer *relay.AnswerError
 	var refused *dispatch.RefusedError
--- a/internal/filters/quarantine/quarantine.go
+++ b/internal/filters/quarantine/quarantine.go
@@ -17,10 +17,12 @@
 	"coveferry/internal/wire"
 )
 
-// HeldError is a request that isn't sent, since endpoints ended while they ran it.
+// QuarantinedError is a request that isn't sent because endpoints were lost while running
+// it.
 type HeldError struct {
 	Identity poison.Identity
-	// LossCount is how many endpoints ended under it lately, and After when it may be tried again.
+	// LossCount is how many endpoints were recently lost while running the request.
+	// RetryAfter is when it may be retried.
 	LossCount  int
 	RetryAfter time.Duration
 }
@@ -30,8 +32,8 @@
 	return fmt.Sprintf("quarantine: %d endpoints ended under this request; it is held back for %s", e.LossCount, e.RetryAfter)
 }
 
-// API implements api.Convertible. The status lets callers count on it that the request
-// didn't run, and the time keeps those that heed it from coming back in vain.
+// API implements api.Convertible. The status promises that the request didn't run.
+// Retry-After keeps callers from retrying while the request is quarantined.
 func (e *HeldError) API() *api.Error {
 	return &api.Error{
 		Status: http.StatusServiceUnavailable, Type: api.TypeUnavailable, Code: "quarantined",
@@ -47,7 +49,7 @@
 	log   zerolog.Logger
 }
 
-// New returns a filter that goes by the table, whose clock it shares.
+// New returns a filter that uses the table. now must be the table's clock.
 func New(table *poison.Table, now clock.Clock, log zerolog.Logger) *Filter {
 	return &Filter{table: table, clock: now, log: log}
 }
@@ -55,10 +57,10 @@
 // Name implements pipeline.Filter.
 func (*Filter) Name() string { return "quarantine" }
 
-// Do keeps a request from endpoints under which too many of them ended, whichever router
-// it came to and whoever sent it: without this 19 endpoints ended within 14 s under one
-// request that came twice a second, with 30 requests of others. Its error is a *HeldError
-// or that of the rest of the pipe.
+// Do refuses a request if too many endpoints were lost while running it, at any router and
+// for any caller. Without this filter, 19 endpoints were lost within 14 s to one request
+// sent twice a second, along with 30 requests of other callers. Its error is a
+// *QuarantinedError or an error of the next filter.
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
 	if err := f.check(r); err != nil {
 		return err
@@ -80,8 +82,9 @@
 	return err
 }
 
-// processName names what ended: the endpoint's process, or behind an agent, which outlives its
-// engine and names none, the one that ran just this attempt.
+// processName identifies the process that was lost: the endpoint's process, or the engine
+// that ran this attempt. An agent outlives its engine and doesn't name it, so each attempt
+// counts as a separate engine.
 func processName(r *request.Request) string {
 	if r.Kind == wire.KindRouted {
 		return r.Endpoint.Name + "/" + r.Endpoint.Process()
@@ -91,7 +94,7 @@
 
 func (f *Filter) check(r *request.Request) error {
 	if f.table.Empty() {
-		return nil // no request has to be identified
+		return nil // avoids computing the request's identity
 	}
 	verdict := f.table.Ask(r.Identity())
 	if verdict.Held {
@@ -99,7 +102,7 @@
 	}
 	if verdict.Trial {
 		f.log.Warn().Stringer(logging.FieldIdentity, r.Identity()).Int("lost", verdict.LossCount).
-			Msg("request that was held back is tried again")
+			Msg("quarantined request is tried again")
 	}
 	return nil
 }
--- a/internal/filters/quarantine/quarantine_test.go
+++ b/internal/filters/quarantine/quarantine_test.go
@@ -19,21 +19,22 @@
 	"coveferry/internal/wire"
 )
 
-// repeatAttempt sends a request so often to one endpoint, each time from another caller's try, and
-// says whether it was held back in the end. Each attempt ends with err.
-func repeatAttempt(kind wire.Kind, times int, err error) (held bool) {
+// repeatAttempt sends the same request to one endpoint the given number of times, each
+// time with a new request ID. Each attempt ends with err. It reports whether the last one
+// was quarantined.
+func repeatAttempt(kind wire.Kind, times int, err error) (refused bool) {
 	f := quarantine.New(poison.NewTable(poison.Config{}), clock.Boot, zerolog.Nop())
 	for i := range times {
 		r := &request.Request{Kind: kind, ID: string(rune('a' + i)), Epoch: 1, Body: []byte("same"), Endpoint: &bundle.Endpoint{Name: "e", Address: "a"}}
 		got := f.Do(context.Background(), r, func(context.Context, *request.Request) error { return err })
 		var quarantined *quarantine.HeldError
-		held = errors.As(got, &quarantined)
+		refused = errors.As(got, &quarantined)
 	}
-	return held
+	return refused
 }
 
-// An agent outlives its engine: three times that it says that the engine broke off are three
-// engines that ended, also where there is but one endpoint.
+// An agent outlives its engine, so three engine failures reported by one agent are three
+// lost engines, even with a single endpoint.
 func TestEachEngineFailureReportedByAnAgentCounts(t *testing.T) {
 	g := NewWithT(t)
 	failed := &dispatch.RefusedError{Refusal: wire.Refusal{Reason: wire.ReasonEngineFailed, Run: wire.RunUnknown}}
@@ -41,28 +42,29 @@
 	g.Expect(repeatAttempt(wire.KindChat, 4, failed)).To(BeTrue())
 	g.Expect(repeatAttempt(wire.KindChat, 4, &relay.BrokenError{Ending: wire.EndingEngineFailed})).To(BeTrue())
 	answered := &dispatch.RefusedError{Refusal: wire.Refusal{Reason: wire.ReasonEngineFailed, Run: wire.RunUnknown, EngineStatus: 500}}
-	g.Expect(repeatAttempt(wire.KindChat, 9, answered)).To(BeFalse(), "an engine that answers lives")
+	g.Expect(repeatAttempt(wire.KindChat, 9, answered)).To(BeFalse(), "an engine that responds is alive")
 }
 
-// Without an agent the same process can't end twice: its connections break, for whatever reason.
+// Without an agent, one process can't be lost twice. Repeated connection failures of the
+// same process have another cause.
 func TestEndpointProcessWithoutAgentCountsOnce(t *testing.T) {
 	broke := &dispatch.NoAnswerError{Sent: true, Cause: io.EOF}
 	NewWithT(t).Expect(repeatAttempt(wire.KindRouted, 9, broke)).To(BeFalse())
 }
 
-// Whatever an endpoint answers after a loss shows that it has lived on; the answer of another
+// Any response of the endpoint after a loss shows that it survived. A response of another
 // instance at its address does not.
 func TestAnswerAfterLossClearsTheLoss(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer error
-		lives  bool
+		alive  bool
 	}{
-		"a whole answer":       {nil, true},
-		"a failure of its own": {&relay.AnswerError{}, true},
-		"a refusal":            {&dispatch.RefusedError{Refusal: wire.Refusal{Reason: "queue_full"}}, true},
-		"another instance":     {&dispatch.RefusedError{Refusal: wire.Refusal{Reason: wire.ReasonNotHere}}, false},
-		"a broken connection":  {&dispatch.NoAnswerError{Sent: true, Cause: io.EOF}, false},
-		"silence":              {context.DeadlineExceeded, false},
+		"complete response": {nil, true},
+		"error response":    {&relay.AnswerError{}, true},
+		"refusal":           {&dispatch.RefusedError{Refusal: wire.Refusal{Reason: "queue_full"}}, true},
+		"another instance":  {&dispatch.RefusedError{Refusal: wire.Refusal{Reason: wire.ReasonNotHere}}, false},
+		"broken connection": {&dispatch.NoAnswerError{Sent: true, Cause: io.EOF}, false},
+		"timeout":           {context.DeadlineExceeded, false},
 	} {
 		f := quarantine.New(poison.NewTable(poison.Config{}), clock.Boot, zerolog.Nop())
 		send := func(endpoint, body string, outcome error) error {
@@ -74,6 +76,6 @@
 		}
 		_ = send("e2", "another", c.answer)
 		var held *quarantine.HeldError
-		NewWithT(t).Expect(errors.As(send("e3", "popular", nil), &held)).To(Equal(!c.lives), name)
+		NewWithT(t).Expect(errors.As(send("e3", "popular", nil), &held)).To(Equal(!c.alive), name)
 	}
 }
--- a/internal/filters/relay/batch_test.go
+++ b/internal/filters/relay/batch_test.go
@@ -12,12 +12,12 @@
 	"coveferry/internal/filters/relay"
 )
 
-// batchReader is an engine's answer that comes a batch a read. before is called
-// with what came so far, where the next read might wait.
+// batchReader is a response body that returns one batch per read. beforeRead is called
+// with the data read so far, before each read that might block.
 type batchReader struct {
 	remaining  []string
 	read       string
-	beforeRead func(came string)
+	beforeRead func(read string)
 }
 
 func (b *batchReader) Read(p []byte) (int, error) {
@@ -31,7 +31,8 @@
 	return n, nil
 }
 
-// recordingCaller notes what a caller was recordingCaller, and can have left.
+// recordingCaller records what is written and flushed, and can simulate a caller that
+// disconnected.
 type recordingCaller struct {
 	countingCaller
 	written, flushed string
@@ -53,15 +54,15 @@
 	g := NewWithT(t)
 	to := &recordingCaller{countingCaller: countingCaller{header: make(http.Header)}}
 	from := &batchReader{remaining: []string{token + token, token, token + end + done}}
-	from.beforeRead = func(came string) {
-		g.Expect(to.flushed+done).To(HavePrefix(came), "a read that may wait finds all passed on")
+	from.beforeRead = func(read string) {
+		g.Expect(to.flushed+done).To(HavePrefix(read), "all data must be flushed before a read that may block")
 	}
 	r := newStreamRequest()
 	r.Writer = to
 	r.Answer = &http.Response{Body: io.NopCloser(from)}
 	g.Expect(relay.Filter{}.Do(context.Background(), r, nil)).To(Succeed())
 	g.Expect(to.flushed).To(Equal(token + token + token + token + end + done))
-	g.Expect(to.flushes).To(Equal(4), "one for each batch, one for the end")
+	g.Expect(to.flushes).To(Equal(4), "one per batch, one at the end")
 }
 
 func TestDisconnectedCallerIsDetectedAtFlush(t *testing.T) {
--- a/internal/filters/relay/bench_test.go
+++ b/internal/filters/relay/bench_test.go
@@ -13,14 +13,14 @@
 	"coveferry/internal/wire"
 )
 
-// benchToken is one token as engines send it.
+// benchToken is the event of one token in the engines' format.
 const benchToken = `data: {"id":"chatcmpl-0123456789abcdef","object":"chat.completion.chunk","created":1767225600,` +
 	`"model":"model-00","choices":[{"index":0,"delta":{"content":" token"},"finish_reason":null}]}` + "\n\n"
 
 const benchEnd = `data: {"id":"chatcmpl-0123456789abcdef","object":"chat.completion.chunk","created":1767225600,` +
 	`"model":"model-00","choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}` + "\n\n" + done
 
-// tokenReader is an engine's answer, of which a read brings so many tokenReader.
+// tokenReader is a response body that returns the given number of tokens per read.
 type tokenReader struct {
 	remaining, perRead int
 	pending            []byte
@@ -45,7 +45,7 @@
 	return n, nil
 }
 
-// countingCaller takes an answer and counts how often it is sent on.
+// countingCaller is a response writer that counts flushes.
 type countingCaller struct {
 	header  http.Header
 	flushes int
@@ -57,8 +57,7 @@
 func (c *countingCaller) FlushError() error                { c.flushes++; return nil }
 func (c *countingCaller) SetWriteDeadline(time.Time) error { return nil }
 
-// BenchmarkRelay is the cost of one token in the router's relay, without the
-// network.
+// BenchmarkRelay measures the router's cost of relaying one token, without the network.
 func BenchmarkRelay(b *testing.B) {
 	for _, bench := range []struct {
 		name   string
--- a/internal/filters/relay/errors.go
+++ b/internal/filters/relay/errors.go
@@ -9,11 +9,11 @@
 	"coveferry/internal/wire"
 )
 
-// BrokenError is an answer that stopped before its end.
+// BrokenError is a response that stopped before its end.
 type BrokenError struct {
-	// Ending is the agent's word, empty if the connection broke before it.
+	// Ending is the final status from the agent, empty if the connection broke before it.
 	Ending wire.Ending
-	Cause  error // nil if the answer stopped without one
+	Cause  error // nil if the response stopped without an error
 }
 
 // Error implements error.
@@ -42,7 +42,7 @@
 	return &BrokenError{Ending: readEnding(r.Answer), Cause: cause}
 }
 
-// CallerError is a caller that left or doesn't read.
+// CallerError is a caller that disconnected or doesn't read.
 type CallerError struct{ Cause error }
 
 // Error implements error.
--- a/internal/filters/relay/relay.go
+++ b/internal/filters/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay passes the answer of an attempt on to the caller and keeps what
-// the caller holds of it, so that another attempt can go on from there. It is
-// the last filter and the only one that writes to the caller.
+// Package relay passes the response of an attempt to the caller and records what has been
+// delivered, so that another attempt can continue from there. It is the last filter and
+// the only one that writes to the caller.
 package relay
 
 import (
@@ -25,8 +25,8 @@
 // Name implements pipeline.Filter.
 func (Filter) Name() string { return "relay" }
 
-// Do relays the answer. nil means that the caller has the whole of it; the
-// other errors are *BrokenError and *CallerError.
+// Do relays the response. nil means that the caller has received all of it. Its errors are
+// *BrokenError, *CallerError and *AnswerError.
 func (Filter) Do(_ context.Context, r *request.Request, _ pipeline.Next) error {
 	if r.Kind == wire.KindRouted {
 		return relayRouted(r)
@@ -44,19 +44,19 @@
 	return newCollectSink(r)
 }
 
-// sink takes the chunks of an answer on behalf of the caller.
+// sink writes the chunks of a response to the caller.
 type sink interface {
-	// chunk takes the next chunk, which carries the answer on.
+	// chunk adds the next chunk.
 	chunk(data string, c completion.Chunk) error
-	// flush sends on what was taken; once it failed it keeps failing.
+	// flush sends all buffered chunks. After an error it keeps returning that error.
 	flush() error
-	// finish ends a whole answer.
+	// finish completes the response.
 	finish() error
 }
 
-// relayStream relays an answer. It is whole once the engine's own end came:
-// what may break after that takes nothing away from it, and an engine asked to
-// go on from there would add to it.
+// relayStream relays a response. The response is complete once the engine's finish reason
+// was received. Later failures are ignored: resuming at another engine could only add to a
+// complete response.
 func relayStream(r *request.Request, to sink) error {
 	err := relayEvents(r, to)
 	if flushErr := to.flush(); flushErr != nil {
@@ -65,7 +65,7 @@
 	if err != nil {
 		return err
 	}
-	// The agent's load report comes in a trailer, behind the last byte.
+	// Reading to EOF makes the trailer with the agent's load report available.
 	_, _ = io.Copy(io.Discard, r.Answer.Body)
 	if err := to.finish(); err != nil {
 		return &CallerError{Cause: err}
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// relayEvents passes the engine's events on, those that come together in one
-// flush. nil means that the engine's own end was among them.
+// relayEvents relays the engine's events, with one flush for the events that arrive
+// together. It returns nil if the engine's finish reason was among them.
 func relayEvents(r *request.Request, to sink) error {
 	finished := false
 	var cause error
@@ -87,7 +87,7 @@
 			break
 		}
 		if finished && !chunk.Usage {
-			continue // nothing belongs behind the end
+			continue // nothing but usage may follow the finish reason
 		}
 		if err := deliverChunk(r, to, event.Data, chunk); err != nil {
 			return err
@@ -100,7 +100,7 @@
 	return newBrokenError(r, cause)
 }
 
-// readChunk reads an event that must carry the answer on or end it.
+// readChunk parses an event, which must continue the response or finish it.
 func readChunk(r *request.Request, event sse.Event) (completion.Chunk, error) {
 	if event.Type == sse.EventError {
 		return completion.Chunk{}, errors.Newf("the engine reports an error: %s", event.Data)
@@ -112,9 +112,9 @@
 	return chunk, err
 }
 
-// EndAtLimit ends the answer of a caller who holds as many tokens as it asked
-// for, and returns false for any other. An engine asked for the rest of such an
-// answer would have to add a token.
+// EndAtLimit completes the response if the caller has received as many tokens as it
+// requested, and returns false otherwise. Resuming such a response is not an option, since
+// an engine would have to add a token.
 func EndAtLimit(r *request.Request) (bool, error) {
 	d := &r.Delivered
 	if r.Kind == wire.KindRouted || r.MaxTokens <= 0 || d.Tokens < r.MaxTokens || d.Unresumable {
@@ -135,12 +135,12 @@
 	return true, err
 }
 
-// deliverChunk hands one chunk to the sink and notes what the caller holds then.
+// deliverChunk passes one chunk to the sink and updates the request's delivered state.
 func deliverChunk(r *request.Request, to sink, data string, c completion.Chunk) error {
 	d := &r.Delivered
 	resumed := d.ID != "" && d.ID != c.ID
 	if resumed && c.Text == "" && c.Finish == "" && !c.Opaque && !c.Usage {
-		return nil // the head of a resumed answer: the caller has one already
+		return nil // first chunk of a resumed response: the caller already has one
 	}
 	if d.ID == "" {
 		d.ID = c.ID
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// rewriteResumedChunk makes the chunks of several attempts one answer.
+// rewriteResumedChunk makes the chunks of several attempts appear as one response.
 func rewriteResumedChunk(d *request.Delivered, data string, c completion.Chunk, resumed bool) (string, error) {
 	if !resumed {
 		return data, nil
@@ -181,7 +181,8 @@
 	d.Tokens++
 }
 
-// recordFirstToken notes the first token, or the first byte of a service's answer.
+// recordFirstToken records the time of the first token, or of the first byte of a
+// service's response.
 func recordFirstToken(r *request.Request) {
 	r.Delivered.FirstToken = time.Now()
 	if r.Began != nil {
@@ -189,7 +190,8 @@
 	}
 }
 
-// readEnding reads the agent's word on how the answer ended; empty without one.
+// readEnding returns the final status of the response from the agent's trailer, or ""
+// without one.
 func readEnding(resp *http.Response) wire.Ending {
 	var end wire.End
 	if err := wire.Decode(resp.Trailer, wire.HeaderEnd, &end); err != nil {
@@ -198,8 +200,8 @@
 	return end.Ending
 }
 
-// relayService copies a plain service's answer. Once its head went out it
-// can't be taken back, so a cut-off one aborts the caller's connection.
+// relayService copies the response of a plain service. Once its header was sent it can't
+// be retried, so a truncated response aborts the caller's connection.
 func relayService(r *request.Request) error {
 	var status int
 	if err := wire.Decode(r.Answer.Header, wire.HeaderStatus, &status); err != nil {
--- a/internal/filters/relay/relay_test.go
+++ b/internal/filters/relay/relay_test.go
@@ -23,8 +23,8 @@
 	done  = "data: [DONE]\n\n"
 )
 
-// relayStream relays what an engine and its agent sent, and returns what the caller
-// got.
+// relayStream relays the given body and final status, and returns what the caller
+// received.
 func relayStream(r *request.Request, stream string, ending wire.Ending) (string, error) {
 	trailer := http.Header{}
 	if ending != "" {
@@ -39,19 +39,19 @@
 
 func newStreamRequest() *request.Request { return &request.Request{Kind: wire.KindChat, Stream: true} }
 
-// Each of these stops before the engine's own end, whatever it looks like: the
-// caller must hold only its beginning, so that it can be resumed.
+// Each of these streams stops before the finish reason. The caller must receive only the
+// valid beginning, so that the response can be resumed.
 func TestAnswerWithoutFinishReasonIsIncomplete(t *testing.T) {
 	for name, stream := range map[string]string{
-		"nothing":            "",
-		"cut off":            token,
-		"cut with done":      token + done,
-		"aborted":            token + abort + done,
-		"cut within a chunk": token + `data: {"id":"a","choices":[{"index":0,"delta":{"content":"y` + "\n\n" + end + done,
-		"cut within an end":  token + strings.TrimSuffix(end, "\n\n"),
-		"cut within a rune":  token + `data: {"id":"a","choices":[{"index":0,"delta":{"content":"` + "\xc3" + `"}}]}` + "\n\n" + end + done,
-		"error as a chunk":   token + `data: {"error":{"message":"out of memory"}}` + "\n\n" + done,
-		"error as an event":  token + "event: error\ndata: {}\n\n" + done,
+		"empty":                       "",
+		"cut off":                     token,
+		"cut with done":               token + done,
+		"aborted":                     token + abort + done,
+		"cut within a chunk":          token + `data: {"id":"a","choices":[{"index":0,"delta":{"content":"y` + "\n\n" + end + done,
+		"cut within the finish chunk": token + strings.TrimSuffix(end, "\n\n"),
+		"cut within a rune":           token + `data: {"id":"a","choices":[{"index":0,"delta":{"content":"` + "\xc3" + `"}}]}` + "\n\n" + end + done,
+		"error as a chunk":            token + `data: {"error":{"message":"out of memory"}}` + "\n\n" + done,
+		"error as an event":           token + "event: error\ndata: {}\n\n" + done,
 	} {
 		g := NewWithT(t)
 		r := newStreamRequest()
@@ -63,8 +63,8 @@
 	}
 }
 
-// The engine's end came, so an engine that was asked to go on could only add to
-// the answer.
+// After the finish reason the response is complete, so a later failure must not cause a
+// retry: a resuming engine could only add to the response.
 func TestFailureAfterFinishReasonIsIgnored(t *testing.T) {
 	for _, stream := range []string{token + end, token + end + done, token + end + token, token + end + "data: {\n\n"} {
 		for _, ending := range []wire.Ending{"", wire.EndingComplete, wire.EndingEngineFailed, wire.EndingLeaving} {
@@ -102,8 +102,8 @@
 	g.Expect(w.Body.String()).To(ContainSubstring(`"completion_tokens":1`))
 }
 
-// Whatever an engine sends, the caller gets the sign of a whole answer only
-// behind an engine's end, once, and nothing after it.
+// FuzzRelay checks that for any input the end marker is sent at most once, only after the
+// engine's finish reason, and with nothing after it.
 func FuzzRelay(f *testing.F) {
 	for _, stream := range []string{token + end + done, token + abort + done, token + done, "event: error\ndata: x\n\n", end + end, "data: [DONE]"} {
 		f.Add(stream, true, true, "complete")
@@ -119,11 +119,11 @@
 		case streams && whole != (err == nil):
 			t.Fatalf("%v, but the caller got %q", err, got)
 		case streams && strings.Count(got, done) > 1:
-			t.Fatalf("more than one end: %q", got)
+			t.Fatalf("more than one end marker: %q", got)
 		case !streams && err != nil && got != "":
 			t.Fatalf("%v, but the caller got %q", err, got)
 		case err == nil && !strings.Contains(got, `"finish_reason"`):
-			t.Fatalf("whole without an engine's end: %q", got)
+			t.Fatalf("complete without a finish reason: %q", got)
 		case !utf8.ValidString(got):
 			t.Fatalf("not UTF-8: %q", got)
 		}
--- a/internal/filters/relay/routed.go
+++ b/internal/filters/relay/routed.go
@@ -17,21 +17,21 @@
 	"coveferry/internal/wire"
 )
 
-// Bounds of what is held of a routed answer.
+// Limits on the buffering of routed responses.
 const (
-	// maxBufferedBytes is the size up to which a plain answer is held back until
-	// it is whole, so that one that breaks off can still be replaced by
-	// another or by an honest error.
+	// maxBufferedBytes is the size up to which a plain response is buffered until it is
+	// complete. If the connection breaks before that, the request can be retried or
+	// answered with an accurate error.
 	maxBufferedBytes = 256 << 10
-	// maxEventBytes bounds one event of a stream.
+	// maxEventBytes limits one event of a stream.
 	maxEventBytes = 1 << 20
-	// readBufferBytes is what is read at once.
+	// readBufferBytes is the maximum size of one read.
 	readBufferBytes = 4 << 10
 )
 
-// AnswerError is an endpoint's own answer that says that it failed. The request
-// ran. Where it may run again another endpoint may do better; else the answer
-// goes to the caller as it is.
+// AnswerError is an endpoint's own error response. The request ran. If it is idempotent,
+// it may be retried at another endpoint; otherwise the response is passed to the caller
+// unchanged.
 type AnswerError struct {
 	Status int
 	Header http.Header
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("relay: the endpoint answered that it failed: status %d", e.Status)
 }
 
-// Write passes the answer on.
+// Write writes the response to the caller.
 func (e *AnswerError) Write(w http.ResponseWriter) error {
 	copyHeader(w.Header(), e.Header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(e.Body)))
@@ -53,7 +53,7 @@
 	return err
 }
 
-// API implements api.Convertible, for those who ask what ran.
+// API implements api.Convertible, which reports whether the request ran.
 func (e *AnswerError) API() *api.Error {
 	return &api.Error{
 		Status: e.Status, Type: api.TypeUpstream, Code: "endpoint_failed",
@@ -61,7 +61,7 @@
 	}
 }
 
-// relayRouted passes an endpoint's answer on byte for byte.
+// relayRouted passes an endpoint's response on unchanged.
 func relayRouted(r *request.Request) error {
 	if r.Stream && r.Answer.StatusCode == http.StatusOK {
 		return relayRoutedStream(r)
@@ -69,7 +69,7 @@
 	return relayBuffered(r)
 }
 
-// relayBuffered holds a plain answer back until it is whole.
+// relayBuffered buffers a plain response until it is complete.
 func relayBuffered(r *request.Request) error {
 	body, err := io.ReadAll(io.LimitReader(r.Answer.Body, maxBufferedBytes))
 	if err != nil {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// relayLarge passes on an answer that is too large to be held back.
+// relayLarge relays a response that is too large to buffer.
 func relayLarge(r *request.Request, head []byte) error {
 	writeResponseHeader(r)
 	r.Delivered.Unresumable = true
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// writeResponseHeader sends the head of the answer, once.
+// writeResponseHeader sends the response header unless it was sent before.
 func writeResponseHeader(r *request.Request) {
 	if r.Delivered.Started {
 		return
@@ -118,8 +118,8 @@
 	r.Writer.WriteHeader(r.Answer.StatusCode)
 }
 
-// relayRoutedStream passes events on as they come, each whole: what follows a
-// break goes on behind the last event that the caller has.
+// relayRoutedStream relays complete events only, so that a resumed stream can continue
+// after the last event that the caller received.
 func relayRoutedStream(r *request.Request) error {
 	var buffered []byte
 	buf := make([]byte, readBufferBytes)
@@ -151,8 +151,7 @@
 	}
 }
 
-// endStream ends a stream that the endpoint ended, in the middle of an event or
-// behind a whole one.
+// endStream handles EOF from the endpoint. It is an error in the middle of an event.
 func endStream(r *request.Request, buffered []byte) error {
 	if len(buffered) > 0 {
 		return &BrokenError{Cause: errors.New("the stream ended in the middle of an event")}
@@ -171,7 +170,7 @@
 		return &CallerError{Cause: err}
 	}
 	recordGap(r)
-	// Every event counts, as the tokens in it aren't known.
+	// The number of tokens in an event is unknown, so each event counts as one.
 	r.Delivered.Tokens += bytes.Count(events, eventDelimiter)
 	if id := lastEventID(events); id != "" {
 		r.Delivered.LastEvent = id
@@ -179,7 +178,8 @@
 	return nil
 }
 
-// recordGap keeps the longest pause of the stream, by which it may be late.
+// recordGap records the longest gap between deliveries of the stream, which shows whether
+// it was late.
 func recordGap(r *request.Request) {
 	d := &r.Delivered
 	now := time.Now()
@@ -194,8 +194,8 @@
 	idField        = []byte("id:")
 )
 
-// completeEventsLen is the length of the whole events at the start of b. Events end
-// with an empty line, of either of the two usual line ends.
+// completeEventsLen returns the length of the complete events at the start of b. An event
+// ends with an empty line, with LF or CRLF line endings.
 func completeEventsLen(b []byte) int {
 	end := bytes.LastIndex(b, eventDelimiter)
 	if end >= 0 {
@@ -207,7 +207,7 @@
 	return max(end, 0)
 }
 
-// lastEventID is the id of the last event that has one.
+// lastEventID returns the ID of the last event that has one.
 func lastEventID(events []byte) string {
 	rest := events
 	for {
@@ -223,11 +223,11 @@
 	}
 }
 
-// connectionHeaders concern one connection only, or are set anew.
+// connectionHeaders are hop-by-hop headers, and headers that the router sets itself.
 var connectionHeaders = append([]string{"Content-Length"}, upstream.HopByHop...)
 
-// copyHeader leaves alone what is set of the caller's connection, such as
-// "Connection: close" at a router that stops.
+// copyHeader copies response headers but leaves the caller's connection headers alone,
+// such as "Connection: close" set by a router that is stopping.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		if !slices.Contains(connectionHeaders, name) {
--- a/internal/filters/relay/sink.go
+++ b/internal/filters/relay/sink.go
@@ -9,13 +9,13 @@
 	"coveferry/internal/sse"
 )
 
-// streamSink passes chunks on as they come.
+// streamSink writes chunks to the caller as they arrive.
 type streamSink struct {
 	r  *request.Request
 	rc *http.ResponseController
-	// unflushed says that something was written that hasn't been flushed.
+	// unflushed reports that data was written but not flushed.
 	unflushed bool
-	// flushErr is why a flush flushErr.
+	// flushErr is the error of a failed flush.
 	flushErr error
 }
 
@@ -25,7 +25,7 @@
 
 func (s *streamSink) chunk(data string, c completion.Chunk) error {
 	if c.Usage && !s.r.IncludeUsage {
-		return nil // asked of the engine by the agent, not by the caller
+		return nil // requested by the agent, not by the caller
 	}
 	s.writeHeader()
 	return s.writeEvent(data)
@@ -51,8 +51,8 @@
 	s.r.Writer.WriteHeader(http.StatusOK)
 }
 
-// writeEvent writes an event. The first since a flush gets a deadline, which holds
-// for what follows, too: no read lies between them.
+// writeEvent writes an event. The first event after a flush sets a write deadline, which
+// also covers the following ones, since no read happens between them.
 func (s *streamSink) writeEvent(data string) error {
 	if !s.unflushed {
 		s.unflushed = true
@@ -69,8 +69,8 @@
 	return s.flushErr
 }
 
-// collectSink puts the answer together for a caller who wants it in one piece.
-// It is kept in the request, since several attempts may add to it.
+// collectSink assembles the response for a caller that doesn't stream. The collector is
+// kept in the request, since several attempts may add to it.
 type collectSink struct{ r *request.Request }
 
 func newCollectSink(r *request.Request) *collectSink {
@@ -84,7 +84,7 @@
 	return s.r.Collected.Add(s.r.Kind, data)
 }
 
-// flush sends nothing: the answer goes out in one piece.
+// flush does nothing: the response is sent as a whole by finish.
 func (s *collectSink) flush() error { return nil }
 
 func (s *collectSink) finish() error {
--- a/internal/filters/reside/reside.go
+++ b/internal/filters/reside/reside.go
@@ -1,5 +1,5 @@
-// Package reside keeps requests in the regions in which their route and their team allow them
-// to be served. It stands behind admit, which finds the team.
+// Package reside enforces data residency: it restricts requests to endpoints in the
+// regions that their route and team allow. It needs the team, so put it behind admit.
 package reside
 
 import (
@@ -14,7 +14,7 @@
 	"coveferry/internal/wire"
 )
 
-// Error is a request that no endpoint in an allowed region may serve.
+// Error is a request for which no endpoint is in an allowed region.
 type Error struct {
 	Route, Team string
 }
@@ -24,8 +24,8 @@
 	return "reside: no endpoint is in a region in which route " + e.Route + " and team " + e.Team + " may be served"
 }
 
-// API implements api.Convertible. No time to come back is known: it is the operator's list of
-// regions that would have to change, or the endpoints that are in them.
+// API implements api.Convertible. There is no Retry-After: the error persists until the
+// operator changes the allowed regions or the endpoints in them.
 func (e *Error) API() *api.Error {
 	return &api.Error{
 		Status: http.StatusServiceUnavailable, Type: api.TypeUnavailable, Code: "no_region",
@@ -38,13 +38,13 @@
 	region func(*bundle.Endpoint) string
 }
 
-// New returns a filter that goes by the region of each endpoint, empty if that isn't known.
+// New returns a filter. region returns the region of an endpoint, or "" if unknown.
 func New(region func(*bundle.Endpoint) string) *Filter { return &Filter{region: region} }
 
 // Name implements pipeline.Filter.
 func (*Filter) Name() string { return "reside" }
 
-// Do leaves the request those of its candidates that may serve it. Its error is an *Error.
+// Do restricts the candidates to those in allowed regions. Its error is an *Error.
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
 	if !isRestricted(r) {
 		return next(ctx, r)
@@ -56,7 +56,7 @@
 	return next(ctx, r)
 }
 
-// Within are those of the endpoints that may serve the request.
+// Eligible returns the endpoints that may serve the request.
 func (f *Filter) Within(r *request.Request, endpoints []*bundle.Endpoint) []*bundle.Endpoint {
 	if !isRestricted(r) {
 		return endpoints
--- a/internal/filters/shed/shed.go
+++ b/internal/filters/shed/shed.go
@@ -1,6 +1,6 @@
-// Package shed refuses requests that endpoints would refuse anyway, before they
-// are sent, so that an overload isn't fed by the work of refusing it. It never
-// refuses a tier while an endpoint has lower-tier work that could give way. Put
+// Package shed implements load shedding: it refuses requests that endpoints would refuse
+// anyway before they are sent, so that the cost of refusals doesn't add to an overload. It
+// never refuses a tier while an endpoint has lower-tier work that could be preempted. Put
 // it behind limit and before attempts.
 package shed
 
@@ -21,7 +21,7 @@
 	"coveferry/internal/wire"
 )
 
-// Bounds of the time after which a refused caller is told to come back.
+// Bounds of the Retry-After sent with refusals.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
@@ -29,7 +29,7 @@
 
 const shardCount = 16
 
-// Error is a request that was refused for overload.
+// Error is a request that was refused because of overload.
 type Error struct {
 	Tier       int
 	RetryAfter time.Duration
@@ -55,14 +55,13 @@
 	shards [shardCount]shard
 }
 
-// shard holds the throttles of some models and services.
+// shard holds the throttles of a subset of the models and services.
 type shard struct {
 	mu        sync.Mutex
 	throttles map[string]*throttle.Throttle
 }
 
-// New returns a filter that has seen nothing. draw returns random numbers from
-// [0, 1).
+// New returns a filter without history. random returns random numbers from [0, 1).
 func New(cfg throttle.Config, pool *balance.Pool, random func() float64) *Filter {
 	f := &Filter{cfg: cfg, pool: pool, random: random}
 	for i := range f.shards {
@@ -74,8 +73,8 @@
 // Name implements pipeline.Filter.
 func (*Filter) Name() string { return "shed" }
 
-// Do refuses the request with an *Error, or hands it on and notes whether an
-// endpoint took it.
+// Do refuses the request with an *Error, or passes it on and records whether an endpoint
+// accepted it.
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
 	t := f.throttleFor(r)
 	now := time.Now()
@@ -91,7 +90,7 @@
 	return err
 }
 
-// throttleFor is the throttle of the endpoints that serve the request.
+// throttleFor returns the throttle shared by requests for the same model or service.
 func (f *Filter) throttleFor(r *request.Request) *throttle.Throttle {
 	name := r.Model + "/" + r.Service
 	sh := &f.shards[xxhash.Sum64String(name)%shardCount]
@@ -105,8 +104,8 @@
 	return t
 }
 
-// retryAfter is when the least loaded endpoint will have worked off what is
-// ahead of the request, by the rate it reported.
+// retryAfter returns the shortest time in which an endpoint will have processed the work
+// queued ahead of the request, by the drain rate that it reported.
 func (f *Filter) retryAfter(now time.Time, r *request.Request) time.Duration {
 	shortest := maxRetryAfter
 	for _, v := range f.pool.Views(now, r.Candidates) {
--- a/internal/poison/identity.go
+++ b/internal/poison/identity.go
@@ -1,7 +1,6 @@
-// Package poison knows requests again under which endpoints end: a request that
-// crashes each endpoint that runs it is a poison message, and every further attempt
-// costs an endpoint and all else that runs there. State in, decision out; time is
-// handed in.
+// Package poison detects poison messages: requests that crash each endpoint that runs
+// them. Every further attempt at such a request costs an endpoint and all other requests
+// that run there. The package does no I/O, and the caller supplies the clock.
 package poison
 
 import (
@@ -12,26 +11,26 @@
 	"io"
 )
 
-// Identity names what a caller asks for, whenever and at whichever router it asks.
-// All routers work out the same. It is a part of a cryptographic hash, so that no
-// team can make a request that passes for another one.
+// Identity identifies a request by its content, across retries and routers. All routers
+// compute the same identity. It is part of a cryptographic hash, so that no team can
+// construct a request with the identity of another one.
 type Identity uint64
 
-// String is the identity as logs show it.
+// String returns the identity as it appears in logs.
 func (id Identity) String() string { return fmt.Sprintf("%016x", uint64(id)) }
 
-// Content is what makes two requests the same. An id that a caller gives each try is
-// no part of it.
+// Content is what identifies a request. Request IDs that callers generate for each attempt
+// are not part of it.
 type Content struct {
 	Team   string
 	Method string
 	Host   string
-	// Target is the path with the query, or what stands for it.
+	// Target is the path with the query, or its equivalent.
 	Target string
 	Body   []byte
 }
 
-// Identify returns the identity of a request: some 30 us for 50 KB.
+// Identify returns the identity of a request. It takes about 30 us for 50 KB.
 func Identify(c Content) Identity {
 	h := sha256.New()
 	for _, part := range []string{c.Team, c.Method, c.Host, c.Target} {
@@ -42,11 +41,12 @@
 	return Identity(binary.BigEndian.Uint64(h.Sum(sum[:0])))
 }
 
-// writePart adds a part behind its length, so that no two contents run together.
+// writePart adds a part preceded by its length, so that different contents can't produce
+// the same byte sequence.
 func writePart(h hash.Hash, part []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 	for _, b := range [][]byte{length[:], part} {
-		_, _ = io.Writer(h).Write(b) // a hash's Write never fails
+		_, _ = io.Writer(h).Write(b) // Write of a hash never fails
 	}
 }
--- a/internal/poison/message.go
+++ b/internal/poison/message.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// maxEntries bounds the requests in one word, some 120 bytes each. With 64, words took 7.6 KB
-// and 0.3 ms at both ends together: a reader that answers 33 routers four times a second
-// would send 1 MB a second while endpoints crash.
+// maxEntries limits the requests in one message, at about 120 bytes each. With 64,
+// messages took 7.6 KB and 0.3 ms of CPU at both ends together: a reader that answers 33
+// routers four times a second would send 1 MB/s while endpoints crash.
 const maxEntries = 32
 
-// Entry is what a router tells others of a request. Times are given as how long ago, in
-// milliseconds, as clocks differ.
+// Entry is what a router tells other routers about a request. Times are sent as ages in
+// milliseconds, since clocks differ.
 type Entry struct {
 	Identity Identity    `json:"identity"`
 	Losses   []LossEntry `json:"losses,omitempty"`
-	// Survivors are endpoints that broke it off and lived on.
+	// Survivors are endpoints that broke the connection but stayed alive.
 	Survivors []string `json:"survivors,omitempty"`
 	// CompletedAgo and TriedAgo are nil if that never happened.
 	CompletedAgo *int64 `json:"completed_ago_ms,omitempty"`
 	TriedAgo     *int64 `json:"tried_ago_ms,omitempty"`
 }
 
-// LossEntry is a Loss in a Word.
+// LossEntry is a Loss in an Entry.
 type LossEntry struct {
 	Endpoint string `json:"endpoint"`
 	SentAgo  int64  `json:"sent_ago_ms"`
@@ -30,19 +30,20 @@
 	Early    bool   `json:"early,omitempty"`
 }
 
-// Words is what a router tells another one of all requests.
+// Message is what a router tells another router about all requests.
 type Words struct {
-	// Sum is over the requests that are held back: where two routers differ in it they
-	// tell each other all of them.
+	// Sum is the digest of the quarantined requests. Two routers whose digests differ send
+	// each other all of them.
 	Sum   uint64  `json:"digest,omitempty"`
 	Words []Entry `json:"words,omitempty"`
 }
 
-// Digest is what a router says to be told no more than news.
-func (w Words) Digest() uint64 { return w.Sum }
+// Digest returns the digest, which a router sends to receive only changes.
+func (m Words) Digest() uint64 { return m.Sum }
 
-// Tell is what is to be told to a router that said this digest: what was news here within
-// a while, and all requests that are held back or no longer if it knows others.
+// Tell returns the message for a router that sent the given digest: all changes not older
+// than maxAge, and if the digests differ, all requests that are quarantined or were
+// cleared.
 func (t *Table) Tell(peerDigest uint64, maxAge time.Duration) Words {
 	if t.Empty() {
 		return Words{}
@@ -50,18 +51,18 @@
 	now := t.cfg.Clock()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	w := Words{Sum: t.digest()}
-	all := w.Sum != peerDigest
+	m := Words{Sum: t.digest()}
+	all := m.Sum != peerDigest
 	ids := t.sortedByPriority(func(r *record) bool {
 		return now.Sub(r.changedAt) < maxAge || all && (r.poisonous() || !r.completedAt.IsZero() || len(r.survivors) > 0)
 	})
 	for _, id := range ids[:min(len(ids), maxEntries)] {
-		w.Words = append(w.Words, t.records[id].entry(id, now))
+		m.Words = append(m.Words, t.records[id].entry(id, now))
 	}
-	return w
+	return m
 }
 
-// digest is over the requests that are held back. t.mu is held.
+// digest returns the digest of the quarantined requests. t.mu is held.
 func (t *Table) digest() uint64 {
 	var sum uint64
 	for id, r := range t.records {
@@ -73,13 +74,13 @@
 }
 
 func (r *record) entry(id Identity, now time.Time) Entry {
-	w := Entry{Identity: id, Survivors: slices.Clone(r.survivors), CompletedAgo: millisAgo(now, r.completedAt), TriedAgo: millisAgo(now, r.triedAt)}
+	e := Entry{Identity: id, Survivors: slices.Clone(r.survivors), CompletedAgo: millisAgo(now, r.completedAt), TriedAgo: millisAgo(now, r.triedAt)}
 	for _, l := range r.losses {
-		w.Losses = append(w.Losses, LossEntry{
+		e.Losses = append(e.Losses, LossEntry{
 			Endpoint: l.Endpoint, SentAgo: now.Sub(l.Sent).Milliseconds(), LostAgo: now.Sub(l.At).Milliseconds(), Early: l.Early,
 		})
 	}
-	return w
+	return e
 }
 
 func millisAgo(now, at time.Time) *int64 {
@@ -90,35 +91,39 @@
 	return &ago
 }
 
-// Hear takes in what another router told at a moment by this table's clock.
-func (t *Table) Hear(sentAt time.Time, words Words) {
+// Hear merges a message that another router sent. sentAt is the time by this table's
+// clock.
+func (t *Table) Hear(sentAt time.Time, m Words) {
 	now := t.cfg.Clock()
-	for _, w := range words.Words {
-		t.update(w.Identity, true, false, func(r *record) bool { return r.merge(sentAt, now, w) })
+	for _, e := range m.Words {
+		t.update(e.Identity, true, false, func(r *record) bool { return r.merge(sentAt, now, e) })
 	}
 }
 
-// merge takes in a word. What both knew may be some milliseconds off and is no news.
-func (r *record) merge(sentAt, now time.Time, w Entry) bool {
+// merge merges an entry and reports whether it changed the record. Times that both routers
+// know may differ by some milliseconds, which doesn't count as a change.
+func (r *record) merge(sentAt, now time.Time, e Entry) bool {
 	changed := false
 	ago := func(millis int64) time.Time { return sentAt.Add(-time.Duration(max(0, millis)) * time.Millisecond) }
-	if w.CompletedAgo != nil && isLater(ago(*w.CompletedAgo), r.completedAt) {
-		changed = r.addCompletion(ago(*w.CompletedAgo)) || changed
+	if e.CompletedAgo != nil && isLater(ago(*e.CompletedAgo), r.completedAt) {
+		changed = r.addCompletion(ago(*e.CompletedAgo)) || changed
 	}
-	if w.TriedAgo != nil && isLater(ago(*w.TriedAgo), r.triedAt) {
-		changed = r.addTrial(ago(*w.TriedAgo)) || changed
+	if e.TriedAgo != nil && isLater(ago(*e.TriedAgo), r.triedAt) {
+		changed = r.addTrial(ago(*e.TriedAgo)) || changed
 	}
-	for _, endpoint := range w.Survivors {
+	for _, endpoint := range e.Survivors {
 		changed = r.addSurvivor(endpoint, now) || changed
 	}
-	for _, l := range w.Losses {
+	for _, l := range e.Losses {
 		changed = r.addLoss(Loss{Endpoint: l.Endpoint, Sent: ago(l.SentAgo), At: ago(l.LostAgo), Early: l.Early, learnedAt: now}) || changed
 	}
 	return changed
 }
 
-// maxClockError is how far a time that went from router to router may be off: the time of a call.
+// maxClockError is the error of a time passed between routers, which is at most the
+// duration of a call.
 const maxClockError = 300 * time.Millisecond
 
-// isLater says whether a time that was told is another one than is known, and later.
+// isLater reports whether a received time is later than the recorded one by more than the
+// error.
 func isLater(received, recorded time.Time) bool { return received.Sub(recorded) > maxClockError }
--- a/internal/poison/record.go
+++ b/internal/poison/record.go
@@ -6,61 +6,67 @@
 )
 
 const (
-	// lossThreshold is how many endpoints may end under a request, with no answer in between,
-	// before it is held back. One ends by chance, a second where many do at once; by the
-	// third the request is the likely cause, and each further one costs all that runs there.
+	// lossThreshold is the number of endpoints lost while running a request, without a
+	// response in between, after which it is quarantined. One may be lost by chance, and a
+	// second one while many are lost at the same time. By the third, the request is the
+	// likely cause, and each further loss costs all requests that run there.
 	lossThreshold = 3
-	// maxLossesKept bounds what is kept of one request. The newest tell how long it is held.
+	// maxLossesKept limits the losses kept per request. The newest ones determine the hold
+	// time.
 	maxLossesKept = 8
-	// initialHold is how long a request is held back under which maxLost endpoints ended at
-	// once, as they do when a failure domain loses power: long enough for endpoints to be
-	// back. It grows by holdGrowth for each time that one ended after the one before, which
-	// only the request explains: three minutes after three in turn. Past longestHold one
-	// endpoint an hour is what it costs to find out that the request is harmless now.
+	// initialHold is the hold time after lossThreshold simultaneous losses, as when a
+	// failure domain loses power. It is long enough for the endpoints to be back. Each
+	// loss after the previous one, which only the request explains, multiplies the hold
+	// time by holdMultiplier: it is three minutes after three sequential losses. At
+	// maxHold, finding out whether the request is harmless by now costs at most one
+	// endpoint an hour.
 	initialHold    = 5 * time.Second
 	holdMultiplier = 6
 	maxHold        = time.Hour
-	// lossRetention is how long it counts that an endpoint ended under a request: one that
-	// comes back later is no storm. Of a request that was held back it is remembered for
-	// heldMemory beyond that, so that one that comes once an hour is known.
+	// lossRetention is how long losses count: a request repeated less often than that does
+	// limited damage. Quarantined requests are remembered for quarantineRetention after
+	// their hold time, so that one repeated every hour is still recognized.
 	lossRetention       = 10 * time.Minute
 	quarantineRetention = 2 * time.Hour
-	// minRestartTime is the least time that an endpoint takes to start again under its name. One
-	// that answers what was sent to it sooner after a connection to it broke has lived on.
+	// minRestartTime is the minimum time in which an endpoint restarts under its name. An
+	// endpoint that answers a request sent less than this after its connection broke has
+	// survived.
 	minRestartTime = time.Second
-	// staggerDivisor of the time for which a request is held back is how far routers let their
-	// trials begin apart, so that the first one's outcome is known to the others.
+	// staggerDivisor sets the stagger of trials: routers spread their start over the hold
+	// time divided by it, so that the others learn the outcome of the first trial.
 	staggerDivisor = 4
 )
 
-// Loss is an endpoint that ended while it ran a request.
+// Loss is the loss of an endpoint while it ran a request.
 type Loss struct {
-	// Endpoint names the endpoint and its process: one that starts again may end again.
+	// Endpoint names the endpoint and its process: an endpoint that restarts may be lost
+	// again.
 	Endpoint string
-	// Sent is when the attempt was sent, At when it ended with the endpoint.
+	// Sent is when the attempt was sent, At when the endpoint was lost.
 	Sent, At time.Time
-	// Early says that nothing of an answer had come.
+	// Early reports that no part of the response had arrived.
 	Early bool
-	// learnedAt is when this router learned of it: what it was told may have been a little later
-	// than the time that it was told.
+	// learnedAt is when this router learned of the loss. The actual time may be slightly
+	// later than a time received from another router.
 	learnedAt time.Time
 }
 
-// record is what is known of one request.
+// record holds what is known about one request.
 type record struct {
-	losses []Loss // the newest, by their time
-	// survivors are endpoints that broke off the request and lived on, and survived is when the
-	// latest of them was found to. What they break off tells nothing of the request.
+	losses []Loss // newest ones, sorted by time
+	// survivors are endpoints that broke the connection but stayed alive, and survivedAt
+	// is when the latest of them was found to be alive. Their broken connections say
+	// nothing about the request.
 	survivors  []string
 	survivedAt time.Time
-	// completedAt is when it was last answered; what was lost before doesn't count.
+	// completedAt is when the request last got a response. Losses before that don't count.
 	completedAt time.Time
-	// triedAt is when it was last let through though it was held back.
+	// triedAt is when the request was last let through as a trial while quarantined.
 	triedAt   time.Time
-	changedAt time.Time // when this was last news here
+	changedAt time.Time // when this router's record last changed
 }
 
-// addLoss adds a loss and says whether it is news.
+// addLoss adds a loss and reports whether the record changed.
 func (r *record) addLoss(l Loss) bool {
 	if !l.At.After(r.completedAt) || r.hasLossAt(l.Endpoint) || slices.Contains(r.survivors, l.Endpoint) {
 		return false
@@ -78,8 +84,8 @@
 	return slices.ContainsFunc(r.losses, func(l Loss) bool { return l.Endpoint == endpoint })
 }
 
-// confirmSurvivor notes that an endpoint answered what was sent to it at a moment, and says whether it
-// is thereby known to have lived on.
+// confirmSurvivor records that an endpoint answered a request sent at the given time, and
+// reports whether this proves that it survived a loss.
 func (r *record) confirmSurvivor(endpoint string, sent, now time.Time) bool {
 	disproved := func(l Loss) bool {
 		return l.Endpoint == endpoint && sent.After(l.learnedAt) && sent.Sub(l.At) < minRestartTime
@@ -87,8 +93,7 @@
 	return slices.ContainsFunc(r.losses, disproved) && r.addSurvivor(endpoint, now)
 }
 
-// addSurvivor notes that an endpoint broke off the request and lived on, and says whether it is
-// news.
+// addSurvivor records that an endpoint survived, and reports whether the record changed.
 func (r *record) addSurvivor(endpoint string, now time.Time) bool {
 	if slices.Contains(r.survivors, endpoint) {
 		return false
@@ -100,7 +105,7 @@
 	return true
 }
 
-// addCompletion notes an answer and says whether it is news.
+// addCompletion records a response and reports whether the record changed.
 func (r *record) addCompletion(at time.Time) bool {
 	if !at.After(r.completedAt) {
 		return false
@@ -110,7 +115,7 @@
 	return true
 }
 
-// addTrial notes a trial and says whether it is news.
+// addTrial records a trial and reports whether the record changed.
 func (r *record) addTrial(at time.Time) bool {
 	if !at.After(r.triedAt) {
 		return false
@@ -119,11 +124,11 @@
 	return true
 }
 
-// poisonous says that too many endpoints ended under the request.
+// poisonous reports whether too many endpoints were lost to the request.
 func (r *record) poisonous() bool { return len(r.losses) >= lossThreshold }
 
-// sequentialLosses is how often endpoints ended one after the other: attempts that were under way at
-// the same time count once, since what ended their endpoints may be something else.
+// sequentialLosses returns the number of losses in sequence. Losses of attempts that
+// overlapped in time count once, since they may have another common cause.
 func (r *record) sequentialLosses() int {
 	count := 0
 	var ended time.Time
@@ -136,7 +141,7 @@
 	return count
 }
 
-// holdDuration is how long the request is held back after the latest loss or trial.
+// holdDuration returns how long the request is held after the latest loss or trial.
 func (r *record) holdDuration() time.Duration {
 	duration := initialHold
 	for range r.sequentialLosses() - 1 {
@@ -145,14 +150,14 @@
 	return duration
 }
 
-// heldUntil is when a router may let it through again that begins its trials this share,
-// from [0, 1), of the stagger later.
+// heldUntil returns when a router may try the request again. staggerFraction, from [0, 1),
+// is the router's position in the stagger.
 func (r *record) heldUntil(staggerFraction float64) time.Time {
 	hold := r.holdDuration()
 	return r.latestActivity().Add(hold + time.Duration(staggerFraction*float64(hold)/staggerDivisor))
 }
 
-// latestActivity is when something last happened.
+// latestActivity returns the time of the latest event of the record.
 func (r *record) latestActivity() time.Time {
 	times := []time.Time{r.completedAt, r.triedAt, r.survivedAt}
 	if n := len(r.losses); n > 0 {
@@ -161,7 +166,7 @@
 	return slices.MaxFunc(times, time.Time.Compare)
 }
 
-// expired says that what is known counts no longer.
+// expired reports whether the record no longer counts.
 func (r *record) expired(now time.Time) bool {
 	retention := lossRetention
 	if r.poisonous() {
@@ -170,7 +175,7 @@
 	return now.Sub(r.latestActivity()) > retention
 }
 
-// earlyLosses counts the losses before an answer began.
+// earlyLosses returns the number of losses before any part of a response.
 func (r *record) earlyLosses() int {
 	n := 0
 	for _, l := range r.losses {
--- a/internal/poison/survivor_test.go
+++ b/internal/poison/survivor_test.go
@@ -1,10 +1,11 @@
 package poison
 
-// Endpoints reset three in ten of their requests and lived on. Requests that are all the same,
-// as those of a popular query are, were held back as one that crashes endpoints: it takes three
-// endpoints in a row, and at thirty resets a second these come about by chance. Of 1,000 such
-// requests 15 to 561 were held back. The cause: that an endpoint goes on answering was no
-// evidence. Evidence: a play over real connections, in which none is held back since it is.
+// Guards against quarantining popular requests because of resets by endpoints that stay
+// alive. Endpoints reset three in ten of their requests. Identical requests, such as a
+// popular query, were quarantined as if they crashed endpoints: at thirty resets a second,
+// three losses in a row occur by chance. Of 1,000 such requests, 15 to 561 were refused,
+// since later responses of the same endpoints were no evidence of survival. In a
+// simulation over real connections none is refused since they are.
 
 import (
 	"fmt"
@@ -24,21 +25,21 @@
 	g.Expect(table.Ask(id).Held).To(BeTrue())
 	w.now = w.now.Add(10 * time.Millisecond)
 	table.Survived("e2", w.now)
-	g.Expect(table.Ask(id).Held).To(BeFalse(), "two are left")
+	g.Expect(table.Ask(id).Held).To(BeFalse(), "two losses are left")
 	g.Expect(w.events).To(HaveLen(2))
 	for range 5 {
 		w.lose(table, "e2", timeToLoss)
 	}
-	g.Expect(table.Ask(id).Held).To(BeFalse(), "what a survivor breaks off doesn't count")
+	g.Expect(table.Ask(id).Held).To(BeFalse(), "losses at a survivor don't count")
 	w.lose(table, "e3", timeToLoss)
-	g.Expect(table.Ask(id).Held).To(BeTrue(), "another one does")
+	g.Expect(table.Ask(id).Held).To(BeTrue(), "a loss at another endpoint counts")
 }
 
 func TestAnswersThatDoNotProveSurvival(t *testing.T) {
 	for name, sent := range map[string]time.Duration{
-		"an answer to what was sent before":                   -10 * time.Millisecond,
-		"an answer so late that it may have started again":    minRestartTime,
-		"an answer after all that, of another of its process": time.Hour,
+		"response to an earlier request":    -10 * time.Millisecond,
+		"response after a possible restart": minRestartTime,
+		"response long after the loss":      time.Hour,
 	} {
 		g := NewWithT(t)
 		w := newTestFleet()
@@ -51,8 +52,8 @@
 	}
 }
 
-// What a router is told may have happened up to a call's time later than it was told: only
-// what it sends after hearing it was sent after the loss.
+// The time of a received loss may be off by the duration of a call. So only requests sent
+// after the message arrived are known to be sent after the loss.
 func TestReceivedLossIsDisprovedOnlyByLaterRequests(t *testing.T) {
 	g := NewWithT(t)
 	w := newTestFleet()
@@ -70,8 +71,8 @@
 
 	g.Expect(digestOf(first)).NotTo(Equal(digestOf(second)))
 	first.Hear(w.now, second.Tell(digestOf(first), 0))
-	g.Expect(first.Ask(id).Held).To(BeFalse(), "survivors are told")
+	g.Expect(first.Ask(id).Held).To(BeFalse(), "survivors are sent to other routers")
 	second.Hear(w.now, first.Tell(0, newsAge))
-	g.Expect(second.Ask(id).Held).To(BeFalse(), "and stay")
+	g.Expect(second.Ask(id).Held).To(BeFalse(), "and are kept")
 	g.Expect(digestOf(first)).To(Equal(digestOf(second)))
 }
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -14,47 +14,50 @@
 )
 
 const (
-	// maxRecords bounds the requests of which something is known: an endpoint that ends
-	// takes at most some hundred with it. Some 200 bytes each.
+	// maxRecords limits the number of records, at about 200 bytes each. Losing an endpoint
+	// adds some hundred at most.
 	maxRecords = 1024
 )
 
-// Verdict says what to do with a request.
+// Verdict says how to handle a request.
 type Verdict struct {
-	// Held says that it must not be sent to an endpoint, After that time at the earliest.
+	// Quarantined reports that the request must not be sent to an endpoint before
+	// RetryAfter has passed.
 	Held       bool
 	RetryAfter time.Duration
-	// LossCount is how many endpoints ended under it lately, as far as is kept.
+	// LossCount is the number of recent losses on record.
 	LossCount int
-	// Trial says that it is let through to see whether it is harmless now.
+	// Trial reports that the quarantined request is let through to find out whether it is
+	// harmless by now.
 	Trial bool
 }
 
-// Event is a change of what is done with a request.
+// Event is the start or end of a request's quarantine.
 type Event struct {
 	Identity Identity
-	// Held says that it is held back from now on, else that it is no longer.
+	// Quarantined reports whether the quarantine starts, as opposed to ends.
 	Held bool
-	// Endpoints are those that ended under it.
+	// Endpoints are those lost to the request.
 	Endpoints []string
-	// Own says that what this router itself has seen changed it.
+	// Local reports that an observation of this router caused the event.
 	Own bool
 }
 
-// Config is what a Table needs.
+// Config configures a Table.
 type Config struct {
-	// Router names this router, so that not all let a request through at once.
+	// Router names this router. Trials are staggered by it, so that not all routers let a
+	// request through at the same time.
 	Router string
-	// Clock tells times; nil is clock.Boot, so that what others are told is right after the
-	// VM was suspended.
+	// Clock returns the current time; nil means clock.Boot, whose times stay correct for
+	// other routers after the VM was suspended.
 	Clock clock.Clock
-	// OnEvent takes each change; nil for nobody. It must not wait.
+	// OnEvent receives each event; nil means nobody. It must not block.
 	OnEvent func(Event)
 }
 
-// Table knows requests under which endpoints ended, and holds back those under which too
-// many did. It is safe for concurrent use. It is one shard: it is empty but for the minutes
-// after an endpoint was lost.
+// Table records the endpoints lost to each request, and quarantines requests with too many
+// losses. It is safe for concurrent use. One mutex is enough, since the table is empty
+// except for the minutes after an endpoint was lost.
 type Table struct {
 	cfg     Config
 	size    atomic.Int64
@@ -62,7 +65,7 @@
 	records map[Identity]*record
 }
 
-// NewTable returns a table that knows nothing.
+// NewTable returns an empty table.
 func NewTable(cfg Config) *Table {
 	if cfg.Clock == nil {
 		cfg.Clock = clock.Boot
@@ -70,10 +73,11 @@
 	return &Table{cfg: cfg, records: make(map[Identity]*record)}
 }
 
-// Empty says that nothing is known of any request, so that none needs to be identified.
+// Empty reports whether the table has no records, in which case requests need not be
+// identified.
 func (t *Table) Empty() bool { return t.size.Load() == 0 }
 
-// Ask says what to do with a request that is about to be sent to an endpoint.
+// Check returns how to handle a request that is about to be sent to an endpoint.
 func (t *Table) Ask(id Identity) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,8 +95,8 @@
 	return Verdict{LossCount: len(r.losses), Trial: true}
 }
 
-// lookup is the record of a request; nil if there is none, or one that counts no longer.
-// t.mu is held.
+// lookup returns the record of a request, or nil if there is none or it has expired. t.mu
+// is held.
 func (t *Table) lookup(id Identity, now time.Time) *record {
 	r := t.records[id]
 	if r == nil || !r.expired(now) {
@@ -103,19 +107,20 @@
 	return nil
 }
 
-// staggerFraction is where in the stagger this router lets a request through, from [0, 1).
+// staggerFraction returns this router's position in the stagger of trials, from [0, 1).
 func (t *Table) staggerFraction(id Identity) float64 {
 	return float64(xxhash.Sum64String(t.cfg.Router+id.String())) / math.MaxUint64
 }
 
-// Lost notes that an endpoint ended while it ran a request.
+// RecordLoss records that an endpoint was lost while it ran a request.
 func (t *Table) Lost(id Identity, l Loss) {
 	l.learnedAt = t.cfg.Clock()
 	t.update(id, true, true, func(r *record) bool { return r.addLoss(l) })
 }
 
-// Survived notes that an endpoint answered what was sent to it at a moment. Endpoints that
-// reset connections and live on would have any request that comes often taken for the cause.
+// RecordSurvival records that an endpoint answered a request sent at the given time.
+// Without this, endpoints that reset connections but stay alive would get every frequent
+// request quarantined.
 func (t *Table) Survived(endpoint string, sent time.Time) {
 	if t.Empty() {
 		return
@@ -125,7 +130,7 @@
 	}
 }
 
-// requestsLostAt lists the requests that an endpoint broke off.
+// requestsLostAt returns the requests with a recorded loss of the endpoint.
 func (t *Table) requestsLostAt(endpoint string) []Identity {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,15 +143,15 @@
 	return ids
 }
 
-// Completed notes that a request was answered just now.
+// RecordCompletion records that a request just got a response.
 func (t *Table) Completed(id Identity) {
 	now := t.cfg.Clock()
 	t.update(id, false, true, func(r *record) bool { return r.addCompletion(now) })
 }
 
-// update has do update the record of a request, and tells of what that changes. A request
-// of which nothing is known gets a record if create is set. own says that this router has seen
-// it itself.
+// update applies mutate to the record of a request, and reports an event if that starts or
+// ends a quarantine. If there is no record, one is added if create is set. local is set
+// for this router's own observations.
 func (t *Table) update(id Identity, create, local bool, mutate func(*record) (changed bool)) {
 	event, changed := t.apply(id, create, mutate)
 	event.Own = local
@@ -167,15 +172,15 @@
 		r = &record{}
 		t.add(id, r, now)
 	}
-	wasHeld, endpoints := r.poisonous(), endpointNames(r.losses)
+	wasQuarantined, endpoints := r.poisonous(), endpointNames(r.losses)
 	if mutate(r) {
 		r.changedAt = now
 	}
-	held := r.poisonous()
-	if held {
+	quarantined := r.poisonous()
+	if quarantined {
 		endpoints = endpointNames(r.losses)
 	}
-	return Event{Identity: id, Held: held, Endpoints: endpoints}, held != wasHeld
+	return Event{Identity: id, Held: quarantined, Endpoints: endpoints}, quarantined != wasQuarantined
 }
 
 func endpointNames(losses []Loss) []string {
@@ -186,7 +191,8 @@
 	return names
 }
 
-// add adds a record, in the place of one that is outdated or matters least. t.mu is held.
+// add adds a record. It removes expired ones, and if the table is full also the least
+// important one. t.mu is held.
 func (t *Table) add(id Identity, r *record, now time.Time) {
 	for oldID, oldRecord := range t.records {
 		if oldRecord.expired(now) {
@@ -200,7 +206,8 @@
 	t.size.Store(int64(len(t.records)))
 }
 
-// evictLeast drops the record with the fewest losses, of these the oldest. t.mu is held.
+// evictLeast removes the record with the fewest losses, and the oldest of these. t.mu is
+// held.
 func (t *Table) evictLeast() {
 	var least Identity
 	var leastRecord *record
@@ -212,7 +219,7 @@
 	delete(t.records, least)
 }
 
-// Held is how many requests are held back.
+// QuarantinedCount returns the number of quarantined requests.
 func (t *Table) Held() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -225,9 +232,9 @@
 	return n
 }
 
-// sortedByPriority lists the identities whose records fit, those that matter most first: by losses,
-// then those lost before an answer began, as a request that crashes engines mostly is, and
-// of these the latest news. t.mu is held.
+// sortedByPriority returns the identities whose records are included, the most important
+// first: by number of losses, then by early losses, which a request that crashes engines
+// mostly causes, then by the latest change. t.mu is held.
 func (t *Table) sortedByPriority(include func(*record) bool) []Identity {
 	var ids []Identity
 	for id, r := range t.records {
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// testFleet is some routers' tables by one clock.
+// testFleet provides the tables of several routers with a common clock.
 type testFleet struct {
 	now    time.Time
 	events []Event
@@ -25,19 +25,19 @@
 	})
 }
 
-// lose sends a request that takes its endpoint down after a while.
+// lose advances the clock by the given time and then records the loss of the endpoint.
 func (w *testFleet) lose(t *Table, endpoint string, after time.Duration) {
 	sent := w.now
 	w.now = w.now.Add(after)
 	t.Lost(id, Loss{Endpoint: endpoint, Sent: sent, At: w.now, Early: true})
 }
 
-// digestOf is what a table says of the requests that it holds back.
+// digestOf returns the digest of the requests that a table quarantines.
 func digestOf(t *Table) uint64 { return t.Tell(0, 0).Digest() }
 
 const (
 	id = Identity(7)
-	// newsAge is how long news are told.
+	// newsAge is the age up to which changes are sent.
 	newsAge    = time.Second
 	timeToLoss = 300 * time.Millisecond
 )
@@ -56,8 +56,8 @@
 	g.Expect(table.Held()).To(Equal(1))
 }
 
-// A connection that breaks again and again at an endpoint that lives is no sign of a request
-// that ends endpoints.
+// Repeated connection failures at one endpoint that stays alive must not cause a
+// quarantine.
 func TestRepeatedLossesOfOneEndpointCountOnce(t *testing.T) {
 	g := NewWithT(t)
 	w := newTestFleet()
@@ -68,8 +68,8 @@
 	g.Expect(table.Ask(id).Held).To(BeFalse())
 }
 
-// Endpoints crash at random and a caller's same request meets three of them over time: it
-// is answered in between and stays in use.
+// Endpoints crash at random, and over time a repeated request is hit by three crashes.
+// Since it gets responses in between, it must not be quarantined.
 func TestCompletionClearsEarlierLosses(t *testing.T) {
 	g := NewWithT(t)
 	w := newTestFleet()
@@ -84,8 +84,8 @@
 	}
 }
 
-// All endpoints of a service lose power while a status request that a caller always sends
-// alike runs at each: that one is tried again after five seconds, when they are back.
+// All endpoints of a service lose power while each runs the same status request. The
+// request must be tried again after five seconds, when they are back.
 func TestSimultaneousLossesCauseOnlyTheInitialHold(t *testing.T) {
 	g := NewWithT(t)
 	w := newTestFleet()
@@ -97,15 +97,15 @@
 	g.Expect(table.Ask(id).Held).To(BeTrue())
 	w.now = w.now.Add(initialHold + initialHold/staggerDivisor)
 	g.Expect(table.Ask(id)).To(Equal(Verdict{LossCount: 6, Trial: true}))
-	g.Expect(table.Ask(id).Held).To(BeTrue(), "one at a time")
+	g.Expect(table.Ask(id).Held).To(BeTrue(), "one trial at a time")
 	table.Completed(id)
 	g.Expect(table.Ask(id)).To(Equal(Verdict{}))
 	g.Expect(w.events[1]).To(HaveField("Held", BeFalse()))
 }
 
-// A request that ends every endpoint comes twice a second for a day: the endpoints that it
-// costs. Without a trial one that is harmless by now would never be served again; with one
-// a minute it would cost 1,440.
+// Counts the endpoints lost in a day to a request that crashes every endpoint and is sent
+// twice a second. Without trials, a request that is harmless by now would never be served
+// again; with one trial a minute it would cost 1,440 endpoints.
 func TestEndpointsLostToAPersistentRequestPerDay(t *testing.T) {
 	g := NewWithT(t)
 	w := newTestFleet()
@@ -120,7 +120,7 @@
 	g.Expect(lost).To(BeNumerically("<=", 30))
 }
 
-// 880 routers let the same request through after the same time, and hear of each other
+// 880 routers hold the same request for the same time and learn of each other's trials
 // within two seconds.
 func TestRoutersStaggerTrials(t *testing.T) {
 	g := NewWithT(t)
@@ -151,7 +151,7 @@
 			}
 		}
 	}
-	// 880 in a stagger of 45 s are some 40 in the two seconds.
+	// 880 routers over a stagger of 45 s make about 40 trials in two seconds.
 	g.Expect(tried).To(BeNumerically("<", 60))
 	g.Expect(tried).To(BeNumerically(">", 0))
 }
@@ -175,8 +175,8 @@
 	g.Expect(table.Empty()).To(BeTrue())
 }
 
-// An endpoint with hundreds of requests ends again and again: what ends it stays known
-// beside all that only ran there.
+// An endpoint with hundreds of requests crashes repeatedly. The request that causes it
+// must be kept, rather than those that only ran there.
 func TestFullTableKeepsRecordsWithMostLosses(t *testing.T) {
 	g := NewWithT(t)
 	w := newTestFleet()
@@ -190,10 +190,10 @@
 	}
 	g.Expect(len(table.records)).To(Equal(maxRecords))
 	g.Expect(table.Ask(id).Held).To(BeTrue())
-	// It is the first of what others are told, and at once beside its bystanders.
-	words := table.Tell(0, newsAge).Words
-	g.Expect(words).To(HaveLen(maxEntries))
-	g.Expect(words[0].Identity).To(Equal(id))
+	// It is the first entry sent to others, ahead of the requests that only ran there.
+	entries := table.Tell(0, newsAge).Words
+	g.Expect(entries).To(HaveLen(maxEntries))
+	g.Expect(entries[0].Identity).To(Equal(id))
 }
 
 func TestEarlyLossesAreSentFirst(t *testing.T) {
@@ -207,8 +207,8 @@
 	g.Expect(table.Tell(0, newsAge).Words[0].Identity).To(Equal(id))
 }
 
-// Words may be lost, late, twice and in any order: tables that heard of each other at last
-// hold back the same requests.
+// Messages may be lost, delayed, duplicated and reordered. Once all tables have exchanged
+// messages, they must quarantine the same requests.
 func TestExchangedTablesConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newTestFleet()
@@ -246,8 +246,7 @@
 	})
 }
 
-// What routers tell each other after an endpoint with 220 streams has ended, and what every
-// word costs while nothing is known: the largest word, and none at all.
+// Measures the largest message, as exchanged after an endpoint with 220 streams was lost.
 func BenchmarkMessage(b *testing.B) {
 	w := newTestFleet()
 	table := w.table("a")
@@ -261,11 +260,11 @@
 		if text, err = json.Marshal(table.Tell(0, newsAge)); err != nil {
 			b.Fatal(err)
 		}
-		var words Words
-		if err = json.Unmarshal(text, &words); err != nil {
+		var message Words
+		if err = json.Unmarshal(text, &message); err != nil {
 			b.Fatal(err)
 		}
-		other.Hear(w.now, words)
+		other.Hear(w.now, message)
 	}
 	b.ReportMetric(float64(len(text)), "bytes/word")
 }
--- a/internal/retry/bound_test.go
+++ b/internal/retry/bound_test.go
@@ -11,29 +11,31 @@
 	. "github.com/onsi/gomega"
 )
 
-// What the operator allows in these plays, and what directRetries takes of it.
+// The operator's limit in these tests, and the shares of it that directRetries in package
+// daemon gives to the budgets.
 const (
 	operatorRatio, operatorSlack = 0.2, 52.0
 	simulationWindow             = 10 * time.Second
 	budgetRatio, budgetSlack     = 0.75 * operatorRatio, 0.5 * operatorSlack
 )
 
-// fleetSimulation is routers whose requests all want to be sent again, at one service.
+// fleetSimulation simulates routers that send requests to one service and retry those that
+// fail.
 type fleetSimulation struct {
 	routers   int
-	perSecond float64 // requests, at all routers
+	perSecond float64 // requests, over all routers
 	duration  time.Duration
 	seed      uint64
-	// restarts says whether a router starts again at a step.
+	// restarts reports whether a router restarts at a step.
 	restarts func(router, step int) bool
-	// fails says whether requests fail at a moment; nil is always.
+	// fails reports whether requests fail at the given time; nil means always.
 	fails func(now time.Duration) bool
 	tier  func(n int, now time.Duration) int
 }
 
 const simulationStep = 10 * time.Millisecond
 
-// run returns the moments of requests and of repeats.
+// run returns the times of requests and of retries.
 func (p fleetSimulation) run() (sentAt, retriedAt []time.Duration) {
 	rnd := rand.New(rand.NewPCG(p.seed, 1))
 	now := time.Duration(0)
@@ -73,8 +75,9 @@
 	return sentAt, retriedAt
 }
 
-// worstWindow is the window whose repeats exceed most what the requests of it, of the one half a
-// window before and of the one before allow.
+// worstWindow returns the retries and the limit of the window that exceeds its limit most,
+// or comes closest to it. The limit is computed from the largest number of requests in
+// that window, the one half a window earlier, and the one a whole window earlier.
 func worstWindow(sentAt, retriedAt []time.Duration) (retries int, allowed float64) {
 	countInWindow := func(at []time.Duration, from time.Duration) int {
 		lo, _ := slices.BinarySearch(at, from)
@@ -95,17 +98,17 @@
 	return retries, allowed
 }
 
-// fleetSizes are how many routers there are in these plays.
+// fleetSizes are the numbers of routers in the simulations.
 var fleetSizes = []int{1, 3, 12, 31, 103, 300, 880}
 
-// minUsedShare of what the operator allows is used while all requests want to be repeated.
+// minUsedShare is the share of the limit that must be used while all requests are retried.
 const minUsedShare = 0.4
 
-// stepsPer is how many steps of a play a time takes.
-func stepsPer(d time.Duration) int { return int(d / simulationStep) }
+// stepCount returns the number of simulation steps in d.
+func stepCount(d time.Duration) int { return int(d / simulationStep) }
 
-// checkRetryBound plays fleets of all sizes, each set up by a function, and has none make more
-// repeats in a window than the operator allows.
+// checkRetryBound runs simulations for all fleet sizes and checks that no window has more
+// retries than the operator allows.
 func checkRetryBound(t *testing.T, perSecond float64, setup func(p *fleetSimulation)) {
 	t.Helper()
 	for _, n := range fleetSizes {
@@ -114,7 +117,7 @@
 			setup(&p)
 			sent, retried := p.run()
 			retries, allowed := worstWindow(sent, retried)
-			t.Logf("%d repeats, most in a window %d of %.0f", len(retried), retries, allowed)
+			t.Logf("%d retries, %d of %.0f allowed in the worst window", len(retried), retries, allowed)
 			NewWithT(t).Expect(float64(retries)).To(BeNumerically("<=", allowed))
 		})
 	}
@@ -124,29 +127,30 @@
 	for _, perSecond := range []float64{20, 500} {
 		checkRetryBound(t, perSecond, func(*fleetSimulation) {})
 		for _, n := range fleetSizes {
-			sent, repeated := fleetSimulation{routers: n, perSecond: perSecond, duration: 40 * time.Second, seed: uint64(n)}.run()
-			retries, allowed := worstWindow(sent, repeated)
+			sent, retried := fleetSimulation{routers: n, perSecond: perSecond, duration: 40 * time.Second, seed: uint64(n)}.run()
+			retries, allowed := worstWindow(sent, retried)
 			NewWithT(t).Expect(float64(retries)).To(BeNumerically(">=", minUsedShare*allowed), "%d routers", n)
 		}
 	}
-	checkRetryBound(t, 20, func(p *fleetSimulation) { // of seven tiers by turns
+	checkRetryBound(t, 20, func(p *fleetSimulation) { // seven tiers in turn
 		p.tier = func(n int, _ time.Duration) int { return n % 7 }
 	})
 }
 
-// The story: where routers were killed or replaced one after the other, or all at once and
-// again, services got more repeats than are allowed, up to twice as many.
-// The cause: a router that starts has used nothing of a window, and had the whole of its part
-// of the slack at once, as the process before it had had.
-// The evidence: 176 repeats of 165 and 188 of 182 on days on which all routers are killed each
-// two seconds while endpoints fail, with routers that tell of no more than their parts; and
-// this play, in which 134 to 179 of 92 were made by up to 31 routers.
+// Guards against restarted routers using their budget twice. When routers were killed or
+// replaced, one after the other or all at once, services got up to twice the allowed
+// retries. A restarted router knows nothing of the current window, so it had its whole
+// part of the slack again right after the previous process had used it.
+//
+// Routers that report no more than their own parts made 176 retries of 165 allowed, and
+// 188 of 182, on days when all routers were killed every two seconds while endpoints
+// failed. In this simulation up to 31 routers made 134 to 179 of 92.
 func TestRestartedRoutersDoNotExceedTheLimit(t *testing.T) {
 	const restartInterval = 2 * time.Second
 	for name, restarts := range map[string]func(p *fleetSimulation, i, step int) bool{
-		"all at once": func(_ *fleetSimulation, _, step int) bool { return step%stepsPer(restartInterval) == 0 },
+		"all at once": func(_ *fleetSimulation, _, step int) bool { return step%stepCount(restartInterval) == 0 },
 		"one after the other": func(p *fleetSimulation, i, step int) bool {
-			return step%stepsPer(restartInterval) == i*stepsPer(restartInterval)/p.routers
+			return step%stepCount(restartInterval) == i*stepCount(restartInterval)/p.routers
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -159,52 +163,50 @@
 	}
 }
 
-// The story: failures that come in bursts a little less than a window apart had routers use
-// their whole budget twice in a window.
-// The cause: the newest tenth of a window was counted as whole from its first moment, so that
-// the oldest was forgotten up to a tenth too early.
-// The evidence: this play, in which up to 1,401 repeats of 1,052 were made, and by none of the
-// routers more than its window then held.
+// Guards against forgetting retries too early. The newest tenth of a window counted as a
+// whole tenth from its first moment, so the oldest one was dropped up to a tenth of a
+// window too early. With bursts of failures slightly less than a window apart, routers
+// used their whole budget twice within a window: up to 1,401 retries of 1,052 in this
+// simulation, although no router exceeded what its own window showed.
 func TestFailureBurstsDoNotExceedTheLimit(t *testing.T) {
-	for _, apart := range []time.Duration{9050 * time.Millisecond, 9500 * time.Millisecond, 9900 * time.Millisecond} {
+	for _, burstInterval := range []time.Duration{9050 * time.Millisecond, 9500 * time.Millisecond, 9900 * time.Millisecond} {
 		for _, perSecond := range []float64{20, 500} {
-			t.Run(apart.String(), func(t *testing.T) {
+			t.Run(burstInterval.String(), func(t *testing.T) {
 				checkRetryBound(t, perSecond, func(p *fleetSimulation) {
-					p.fails = func(now time.Duration) bool { return now%apart < 500*time.Millisecond }
+					p.fails = func(now time.Duration) bool { return now%burstInterval < 500*time.Millisecond }
 				})
 			})
 		}
 	}
 }
 
-// The story: requests of one tier after another, each the only ones for a while, had each use
-// the whole of what tiers share.
-// The cause: windows that were too short, as above; and a tier's part of the floor goes by its
-// part of the requests at that moment, and what others had used of it before was not looked at.
-// The evidence: this play, in which 93 repeats of 92 were made, 71 with whole windows, and 59
-// since all tiers together are bounded.
+// Guards against each tier using the whole shared floor in turn. A tier's part of the
+// floor follows its current share of the requests, and retries that other tiers had
+// already made were ignored; the windows were also too short (see
+// TestFailureBurstsDoNotExceedTheLimit). This simulation had 93 retries of 92, 71 with
+// correct windows, and 59 since all tiers together are limited.
 func TestAlternatingTiersDoNotExceedTheLimit(t *testing.T) {
-	for _, each := range []time.Duration{time.Second, 1500 * time.Millisecond, 3 * time.Second} {
-		t.Run(each.String(), func(t *testing.T) {
+	for _, tierDuration := range []time.Duration{time.Second, 1500 * time.Millisecond, 3 * time.Second} {
+		t.Run(tierDuration.String(), func(t *testing.T) {
 			checkRetryBound(t, 20, func(p *fleetSimulation) {
-				p.tier = func(_ int, now time.Duration) int { return int(now/each) % 7 }
+				p.tier = func(_ int, now time.Duration) int { return int(now/tierDuration) % 7 }
 			})
 		})
 	}
 }
 
-// withWallClockStep is a moment as a clock shows it whose time of day was set forward by some seconds:
-// the reading of the clock that keeps running stays.
+// withWallClockStep returns t as read after the wall clock was set forward by some
+// seconds. The monotonic reading is unchanged.
 func withWallClockStep(t time.Time, seconds int64) time.Time {
-	const secondsFrom = 30 // bit of the word that holds the time of day, above its nanoseconds
+	const secondsFrom = 30 // lowest bit of the seconds in the wall word of time.Time, above its nanoseconds
 	(*[2]uint64)(unsafe.Pointer(&t))[0] += uint64(seconds) << secondsFrom
 	return t
 }
 
-// The story: each time that the time of day of a router's VM was set, by more than a window
-// forward or back, it had the whole of its budget again, and a part of it by less.
-// The cause: windows counted by the time of day.
-// The evidence: this test, in which 26 repeats were made behind 41 without a moment passing.
+// Guards against windows that follow the wall clock. When the time of day of a router's VM
+// was set forward or back by more than a window, the router had its whole budget again,
+// and part of it after a smaller step. In this test it made 26 retries after 41 without
+// any time passing.
 func TestWallClockStepDoesNotResetTheBudget(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
@@ -215,49 +217,49 @@
 	for range 100 {
 		b.First(now, "s", 0)
 	}
-	use := func(at time.Time) (made int) {
+	exhaust := func(at time.Time) (made int) {
 		for b.TryRetry(at, "s", 0) {
 			made++
 		}
 		return made
 	}
-	g.Expect(use(now)).To(Equal(41))
-	g.Expect(use(ahead)).To(BeZero(), "set forward")
-	g.Expect(use(withWallClockStep(now, -11))).To(BeZero(), "set back")
+	g.Expect(exhaust(now)).To(Equal(41))
+	g.Expect(exhaust(ahead)).To(BeZero(), "set forward")
+	g.Expect(exhaust(withWallClockStep(now, -11))).To(BeZero(), "set back")
 }
 
-// An operator lowers what is allowed while a router runs, and raises it again.
+// The operator may lower and raise the limits while a router runs.
 func TestBudgetFollowsChangedLimits(t *testing.T) {
 	g := NewWithT(t)
 	b := NewBudget(BudgetConfig{Ratio: 0.2, Floor: None})
 	for range 100 {
 		b.First(epoch, "s", 0)
 	}
-	use := func() (made int) {
+	exhaust := func() (made int) {
 		for b.TryRetry(epoch, "s", 0) {
 			made++
 		}
 		return made
 	}
-	g.Expect(use()).To(Equal(20))
+	g.Expect(exhaust()).To(Equal(20))
 	b.Allow(0.1, None)
-	g.Expect(use()).To(BeZero(), "what was used counts on")
+	g.Expect(exhaust()).To(BeZero(), "earlier retries still count")
 	b.Allow(0.3, None)
-	g.Expect(use()).To(Equal(10))
+	g.Expect(exhaust()).To(Equal(10))
 	b.Allow(None, None)
-	g.Expect(use()).To(BeZero())
+	g.Expect(exhaust()).To(BeZero())
 }
 
-// One tier has used all that tiers share while its requests were the only ones; another one
-// follows with a hundred times as many.
+// The first tier uses up the shared floor while it has all requests. Another tier with a
+// hundred times as many requests must not get it again.
 func TestFloorUsedByOneTierIsUnavailableToAnother(t *testing.T) {
 	g := NewWithT(t)
-	const floor = 26 // in a window
+	const floor = 26 // per window
 	b := NewBudget(BudgetConfig{
 		Ratio: None, Window: simulationWindow, Floor: floor / simulationWindow.Seconds(),
 		Routers: func() int { return 1 }, Began: epoch.Add(-simulationWindow),
 	})
-	use := func(tier, requests int) (made int) {
+	exhaust := func(tier, requests int) (made int) {
 		for range requests {
 			b.First(epoch, "s", tier)
 		}
@@ -266,6 +268,6 @@
 		}
 		return made
 	}
-	g.Expect(use(0, 10)).To(Equal(floor))
-	g.Expect(use(1, 1000)).To(BeZero())
+	g.Expect(exhaust(0, 10)).To(Equal(floor))
+	g.Expect(exhaust(1, 1000)).To(BeZero())
 }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -21,38 +21,39 @@
 	defaultFloor  = 1
 )
 
-// None is a ratio or floor of 0, told from one that isn't set.
+// ExplicitZero is a ratio or floor of 0, as opposed to one that is unset.
 const None = -1
 
-// maxTargets bounds the targets with budgets of their own, well above the services of a
-// configuration; what comes beyond shares one.
+// maxTargets limits the number of targets with their own budget. It is well above the
+// number of services in a configuration; further targets share one budget.
 const maxTargets = 1024
 
-// BudgetConfig sets up a Budget. Each field that is zero takes its default; a Ratio or Floor
-// of None is 0.
+// BudgetConfig configures a Budget. Zero fields take their defaults. A Ratio or Floor of
+// ExplicitZero means 0.
 type BudgetConfig struct {
-	// Ratio is how many retries the first attempts in the window allow each.
+	// Ratio is the number of retries allowed per first attempt in the window.
 	Ratio  float64
 	Window time.Duration
-	// Floor is how many retries a second are allowed besides at each target, so that a
-	// router with little traffic can retry at all.
+	// Floor is the number of retries per second that are allowed at each target in
+	// addition, so that a router with little traffic can retry at all.
 	Floor float64
-	// Routers is how many routers share the floor; nil is this one alone. What each may do
-	// by itself adds up: .1 a second at each of 103 routers and for each of three tiers
-	// were 309 retries in 10 s.
+	// Routers returns how many routers share the floor; nil means this one only. Without
+	// sharing, the floors add up: 0.1 a second at each of 103 routers and for each of
+	// three tiers allowed 309 retries in 10 s.
 	Routers func() int
-	// Began is when this router started; zero is when the budget is first asked.
+	// Started is when this router started; zero means when the budget is first used.
 	Began time.Time
-	// Seed differs between routers that share a bound. A router whose part is less than a
-	// retry in a window then makes one in as many windows as that comes to; with 0 it
-	// makes none, and at 880 routers none of them would.
+	// Seed must differ between routers that share a floor. If a router's quota is a
+	// fraction of a retry per window, the seed makes it retry in that fraction of the
+	// windows. With 0 it never retries then, which at 880 routers means that no router
+	// does.
 	Seed uint64
 }
 
-// Budget bounds the retries of one router to a share of its first attempts. Each target
-// has a budget of its own: first attempts at one don't pay for retries at another, which
-// is the one that fails. In it each tier has its own, so that the retries of one can't use
-// up another's. It is safe for concurrent use.
+// Budget limits the retries of one router to a share of its first attempts. Each target
+// has its own budget: otherwise first attempts at healthy targets would pay for retries at
+// the failing one. Within a target each tier has its own budget, so that no tier can use
+// up another tier's retries. A Budget is safe for concurrent use.
 type Budget struct {
 	cfg     BudgetConfig
 	limits  atomic.Pointer[limits]
@@ -61,13 +62,13 @@
 	targets map[string]*target
 }
 
-// target counts first attempts (Total) and retries (Part) at one, by tier.
+// target counts the first attempts (Total) and retries (Part) at one target, by tier.
 type target struct {
 	mu    sync.Mutex
 	tiers [load.MaxTiers]window.Ring
 }
 
-// NewBudget returns a budget that has seen no attempt.
+// NewBudget returns a budget without recorded attempts.
 func NewBudget(cfg BudgetConfig) *Budget {
 	cfg.Window = cmp.Or(cfg.Window, defaultWindow)
 	b := &Budget{cfg: cfg, started: cfg.Began, targets: make(map[string]*target)}
@@ -75,11 +76,11 @@
 	return b
 }
 
-// limits is what a budget allows: a ratio, and a floor a second.
+// limits holds the ratio, and the floor in retries per second.
 type limits struct{ ratio, floor float64 }
 
-// Allow changes the ratio and the floor, which are as in a BudgetConfig. What was used of the
-// window counts on.
+// SetLimits changes the ratio and the floor, which are specified as in BudgetConfig.
+// Retries already made in the window still count.
 func (b *Budget) Allow(ratio, floor float64) {
 	b.limits.Store(&limits{
 		ratio: max(0, cmp.Or(ratio, defaultRatio)),
@@ -87,7 +88,7 @@
 	})
 }
 
-// First counts the first attempt of a request.
+// RecordFirst counts the first attempt of a request.
 func (b *Budget) First(now time.Time, targetName string, tier int) {
 	t := b.targetFor(targetName)
 	t.mu.Lock()
@@ -108,17 +109,18 @@
 	return true
 }
 
-// allowsRetry says whether a tier may make one more retry than the sums hold. Where tiers follow
-// each other, each of them was the only one for a while and may have used the whole floor:
-// where others share it, all tiers together keep to it as well.
-func (b *Budget) allowsRetry(now time.Time, at string, sums tierCounts, tier int) bool {
-	quota, threshold := b.currentQuota(now), b.retryThreshold(now, at)
+// allowsRetry reports whether the tier may make one more retry. If only one tier at a time
+// has requests, each in turn may use the whole floor. So if routers share the floor, all
+// tiers together are limited as well.
+func (b *Budget) allowsRetry(now time.Time, targetName string, sums tierCounts, tier int) bool {
+	quota, threshold := b.currentQuota(now), b.retryThreshold(now, targetName)
 	higherTiers := 0.0
 	for i := range tier {
 		higherTiers += quota.forTier(sums, i)
 	}
-	// Of the retries that all tiers allowed make, one for each whole step behind the draw, a tier
-	// has those that fall into its part.
+	// The quota of all tiers allows one retry each at threshold, threshold+1 and so on. A
+	// tier gets those that fall into its part of the quota, which follows the parts of the
+	// higher tiers.
 	allowed := wholeRetries(higherTiers+quota.forTier(sums, tier), threshold) - wholeRetries(higherTiers, threshold)
 	if sums[tier].Part >= allowed {
 		return false
@@ -127,39 +129,40 @@
 	return b.cfg.Routers == nil || all.Part < wholeRetries(quota.forAllTiers(all), threshold)
 }
 
-// wholeRetries is how many of drawn, drawn+1, drawn+2 and so on are within a bound.
+// wholeRetries returns how many of threshold, threshold+1, threshold+2 and so on are
+// within the bound.
 func wholeRetries(bound, threshold float64) int {
-	const rounding = 1e-9 // of sums of parts
+	const rounding = 1e-9 // tolerance for the sum of fractions
 	return max(0, int(math.Floor(bound-threshold+rounding))+1)
 }
 
-// quota is what this router may make of the retries in a window: a ratio of its first
-// attempts, and its part of the floor.
+// quota is this router's quota of retries per window: a ratio of its first attempts, and
+// its share of the floor.
 type quota struct{ ratio, floor float64 }
 
-// forTier is how many of them are a tier's.
-func (s quota) forTier(sums tierCounts, tier int) float64 {
+// forTier returns the quota of one tier.
+func (q quota) forTier(sums tierCounts, tier int) float64 {
 	tierTotal := sums[tier].Total
-	return s.ratio*float64(tierTotal) + s.floor*fraction(tierTotal, sums.total().Total)
+	return q.ratio*float64(tierTotal) + q.floor*fraction(tierTotal, sums.total().Total)
 }
 
-// forAllTiers is how many all tiers may make together.
-func (s quota) forAllTiers(all window.Counts) float64 { return s.ratio*float64(all.Total) + s.floor }
+// forAllTiers returns the quota of all tiers together.
+func (q quota) forAllTiers(all window.Counts) float64 { return q.ratio*float64(all.Total) + q.floor }
 
-// currentQuota is this router's now. A router that has just started has no part of a floor that is
-// shared: it doesn't know what the process before it used of this window, and routers that
-// start again one after the other would each have the whole of their part anew.
+// currentQuota returns this router's current quota. A router that has just started gets no
+// share of a shared floor: it doesn't know what the previous process used in this window,
+// and routers restarted one after the other would each get their whole share again.
 func (b *Budget) currentQuota(now time.Time) quota {
-	allows := b.limits.Load()
-	s := quota{ratio: allows.ratio, floor: allows.floor * b.cfg.Window.Seconds() / float64(b.routerCount())}
+	current := b.limits.Load()
+	q := quota{ratio: current.ratio, floor: current.floor * b.cfg.Window.Seconds() / float64(b.routerCount())}
 	if b.cfg.Routers != nil && b.age(now) < b.cfg.Window {
-		s.floor = 0
+		q.floor = 0
 	}
-	return s
+	return q
 }
 
-// retryThreshold is the part of a retry that must be allowed for it to be made: 1, or with a seed a
-// number from [0, 1) that is drawn for each window.
+// retryThreshold returns the fraction of a retry that the quota must reach for the retry
+// to be made: 1, or with a seed a random number from [0, 1) per window.
 func (b *Budget) retryThreshold(now time.Time, targetName string) float64 {
 	if b.cfg.Seed == 0 {
 		return 1
@@ -168,8 +171,8 @@
 	return rand.New(rand.NewPCG(b.cfg.Seed^xxhash.Sum64String(targetName), windowIndex)).Float64()
 }
 
-// age is how long ago this router started, by the clock that keeps running: the time of day
-// may be set.
+// age returns the time since this router started. It uses the monotonic clock, since the
+// wall clock may be set.
 func (b *Budget) age(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -179,7 +182,7 @@
 	return max(0, now.Sub(b.started))
 }
 
-// routerCount is how many routerCount share the floor.
+// routerCount returns the number of routers that share the floor.
 func (b *Budget) routerCount() int {
 	if b.cfg.Routers == nil {
 		return 1
@@ -187,7 +190,7 @@
 	return max(1, b.cfg.Routers())
 }
 
-// fraction of a whole; all of it where there is nothing yet.
+// fraction returns portion/whole, or 1 if there are no counts yet.
 func fraction(portion, whole int) float64 {
 	if whole == 0 {
 		return 1
@@ -216,7 +219,7 @@
 // tierCounts are the counts of a window by tier.
 type tierCounts [load.MaxTiers]window.Counts
 
-// countsInWindow returns those of the window that ends now. t.mu is held.
+// countsInWindow returns the counts of the window that ends now. t.mu is held.
 func (t *target) countsInWindow(now time.Time) tierCounts {
 	var s tierCounts
 	for i := range t.tiers {
@@ -234,6 +237,6 @@
 	return all
 }
 
-// tierIndex is where a tier is counted. Configurations from outside may know more tiers, and
-// those beyond the last count as the last.
+// tierIndex returns the index under which a tier is counted. External configurations may
+// have more tiers; those beyond the last index share it.
 func tierIndex(tier int) int { return min(max(tier, 0), load.MaxTiers-1) }
--- a/internal/retry/fleet_test.go
+++ b/internal/retry/fleet_test.go
@@ -1,11 +1,12 @@
 package retry
 
-// In a long overload of a plain service 103 routers sent it 2,396 attempts in ten seconds
-// beyond the first of each request, where the operator allows 2,394. Each router held its
-// retries to a share of its first attempts, but of those at all services: the models' 449
-// requests a second paid for retries at the plain service, which had 329 of the same tier.
-// And each router had a floor of its own for each tier in use, 309 retries in ten seconds.
-// Evidence: played on that budget, the first test counts 4,929 at 103 routers.
+// Guards against budgets that are shared between targets or not divided among routers. In
+// a long overload of a plain service, 103 routers sent it 2,396 attempts in ten seconds
+// beyond the first of each request, where the operator allows 2,394. Each router limited
+// its retries to a share of its first attempts, but counted those at all services: 449
+// requests a second for the models paid for retries at the plain service, which had 329 of
+// the same tier. Each router also had its own floor for each tier in use, 309 retries in
+// ten seconds. With that budget the first test counts 4,929 retries at 103 routers.
 
 import (
 	"testing"
@@ -18,8 +19,8 @@
 	const (
 		ratio, slack          = 0.2, 246.0
 		window                = 10 * time.Second
-		perSecond             = 1080 // requests for the plain service, at all routers
-		modelRequestsPerPlain = 2    // times as many for the models
+		perSecond             = 1080 // requests for the plain service, over all routers
+		modelRequestsPerPlain = 2    // requests for the models per request for the plain service
 	)
 	for _, routers := range []int{1, 10, 103, 880} {
 		budgets := make([]*Budget, routers)
@@ -39,7 +40,7 @@
 			}
 			b.First(now, "plain", tier)
 			requests++
-			for range 6 { // all endpoints say that they are full
+			for range 6 { // all endpoints refuse it as full
 				if b.TryRetry(now, "plain", tier) {
 					retries++
 				}
@@ -51,7 +52,8 @@
 	}
 }
 
-// A return to endpoints that were tried is an arrival like any other.
+// Endpoints count a revisit like any other attempt, so ChargeAll charges it even for a
+// resumed response.
 func TestRevisitIsChargedWithChargeAll(t *testing.T) {
 	g := NewWithT(t)
 	p := &Policy{ChargeAll: true, Budget: NewBudget(BudgetConfig{Ratio: 1e-9, Floor: 1e-9})}
--- a/internal/retry/naive.go
+++ b/internal/retry/naive.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Naive is the baseline: another attempt after any error, at once and whether
-// or not the request ran, up to Max attempts.
+// Naive is the baseline policy: it retries after any error, immediately and whether or not
+// the request ran, up to Max attempts.
 type Naive struct{ Max int }
 
-// First does nothing: there is no budget.
+// First does nothing, as there is no budget.
 func (Naive) First(time.Time, string, int) {}
 
-// Decide repeats while attempts are left.
+// Decide retries while attempts are left.
 func (n Naive) Decide(a Attempt, _ time.Time, _ float64) Decision {
 	switch {
 	case a.Outcome == OutcomeCompleted:
@@ -23,7 +23,7 @@
 	}
 }
 
-// DecideRevisit gives up: the baseline doesn't come back to an endpoint.
+// DecideRevisit always gives up.
 func (Naive) DecideRevisit(Attempt, int, time.Time, float64) Decision {
 	return Decision{Reason: ReasonAttempts}
 }
--- a/internal/retry/outcome.go
+++ b/internal/retry/outcome.go
@@ -1,56 +1,57 @@
-// Package retry decides what follows an attempt that didn't complete: another
-// endpoint, or the caller is told. It holds the budget that keeps retries from
-// feeding an overload. Time and randomness are handed in.
+// Package retry implements the retry policy: whether a failed attempt is retried at
+// another endpoint or its error is returned. A retry budget keeps retries from adding to
+// an overload. Time and randomness are passed in by the caller.
 package retry
 
-// Outcome is what is known of an attempt after it ended.
+// Outcome is what is known about an attempt after it ended.
 type Outcome uint8
 
-// The outcomes of an attempt. Only an agent's own word makes OutcomeNotRun: a
-// timeout or a reset connection after the request went out is OutcomeUnknown.
+// The outcomes of an attempt. Only an explicit statement of the agent results in
+// OutcomeNotRun: a timeout or reset connection after the request was sent is
+// OutcomeUnknown.
 const (
-	// OutcomeCompleted: the whole answer arrived.
+	// OutcomeCompleted: the complete response arrived.
 	OutcomeCompleted Outcome = iota
-	// OutcomeNotRun: the request didn't run and will not.
+	// OutcomeNotRun: the request didn't run and will not run.
 	OutcomeNotRun
-	// OutcomeRan: the request ran, in part at least, without a whole answer.
+	// OutcomeRan: the request ran at least in part, without a complete response.
 	OutcomeRan
-	// OutcomeUnknown: it may have run, or may run yet.
+	// OutcomeUnknown: the request may have run, or may still run.
 	OutcomeUnknown
 )
 
-// Action is what to do next.
+// Action is what to do after an attempt.
 type Action uint8
 
 // The actions that follow an attempt.
 const (
-	// ActionGiveUp: tell the caller the outcome as it is.
+	// ActionGiveUp: return the outcome to the caller.
 	ActionGiveUp Action = iota
 	// ActionRetry: send the request to another endpoint.
 	ActionRetry
-	// ActionResume: have another endpoint go on after what was delivered.
+	// ActionResume: continue at another endpoint after what was delivered.
 	ActionResume
 )
 
-// Reason says why a request is given up.
+// Reason says why a request is not retried.
 type Reason string
 
 // The reasons to give up.
 const (
 	ReasonNone Reason = ""
-	// ReasonCompleted: there is nothing left to do.
+	// ReasonCompleted: the response is complete.
 	ReasonCompleted Reason = "completed"
-	// ReasonNotIdempotent: it ran, or may have run, and must not run twice.
+	// ReasonNotIdempotent: the request ran or may have run, and must not run twice.
 	ReasonNotIdempotent Reason = "not_idempotent"
-	// ReasonAttempts: the most attempts for one request were made.
+	// ReasonAttempts: the maximum number of attempts is reached.
 	ReasonAttempts Reason = "attempts"
-	// ReasonRuns: it ran, or may have, at as many endpoints as it may.
+	// ReasonRuns: the request ran or may have run at the maximum number of endpoints.
 	ReasonRuns Reason = "runs"
-	// ReasonDeadline: its deadline comes before another attempt could.
+	// ReasonDeadline: the deadline passes before the next attempt could start.
 	ReasonDeadline Reason = "deadline"
-	// ReasonOverload: endpoints refused it for want of room, and coming back
-	// to them would add to their load.
+	// ReasonOverload: endpoints refused the request for lack of capacity, and revisiting
+	// them would add to their load.
 	ReasonOverload Reason = "overload"
-	// ReasonBudget: retries are too large a share of the router's requests.
+	// ReasonBudget: the retry budget is used up.
 	ReasonBudget Reason = "budget"
 )
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -23,59 +23,60 @@
 type Attempt struct {
 	// Number is 1 for the first attempt of a request.
 	Number int
-	// Target is what is asked, such as a service; each has a budget of its own.
+	// Target is what is requested, such as a service. Each target has its own budget.
 	Target  string
 	Tier    int
 	Outcome Outcome
-	// Idempotent says that the request may run more than once.
+	// Idempotent reports whether the request may run more than once.
 	Idempotent bool
-	// Copied says that another endpoint has a copy of the run's memory: to go
-	// on there is the same run and not another.
+	// Copied reports whether another endpoint has a copy of the run's KV cache. Resuming
+	// there continues the same run and doesn't count as another one.
 	Copied bool
-	// PossibleRuns is how many attempts ran or may have, and MaxRuns the most that
-	// may; 0 is no bound of the request's own.
+	// PossibleRuns is the number of attempts that ran or may have run. MaxRuns is their
+	// limit; 0 means that the request sets none.
 	PossibleRuns, MaxRuns int
-	// Delivered says that a part of the answer has reached the caller.
+	// Delivered reports whether the caller has received part of the response.
 	Delivered bool
-	// BudgetExempt says that the attempt ended by no fault of the load, such as at an
-	// endpoint that is leaving: the next one isn't charged to the budget.
+	// BudgetExempt reports that the failure is no sign of overload, for example at an
+	// endpoint that is draining. The next attempt isn't charged to the budget.
 	BudgetExempt bool
-	// Overloaded says that the endpoint refused the attempt for want of room.
+	// Overloaded reports that the endpoint refused the attempt for lack of capacity.
 	Overloaded bool
-	// Deadline is when the answer loses its worth; zero is never.
+	// Deadline is when the response becomes useless; zero means never.
 	Deadline time.Time
 }
 
 // Decision is what to do after an attempt.
 type Decision struct {
 	Action Action
-	Reason Reason // with ActionGiveUp
+	Reason Reason // set with ActionGiveUp
 	// Delay is how long to wait before the next attempt.
 	Delay time.Duration
-	// Budget is what was used of the budget that was charged or that refused; nil if neither.
+	// Budget is the usage of the budget that was charged or that refused the retry; nil if
+	// no budget was involved.
 	Budget *Usage
 }
 
-// Policy decides about retries. Its fields must not change while it is in use;
-// those that are zero take their defaults.
+// Policy decides about retries. Its fields must not change while it is in use. Zero fields
+// take their defaults.
 type Policy struct {
-	// MaxAttempts bounds the attempts of one request, the first included.
+	// MaxAttempts limits the attempts of one request, including the first.
 	MaxAttempts int
-	// FirstDelay bounds the delay before the second attempt; each further
-	// one doubles it, up to MaxDelay.
+	// FirstDelay is the maximum delay before the second attempt. It doubles with each
+	// further attempt, up to MaxDelay.
 	FirstDelay time.Duration
 	MaxDelay   time.Duration
-	// MaxRevisits bounds how often a request comes back to endpoints that it
-	// has tried, once no other is left or MaxAttempts were made.
+	// MaxRevisits limits how often a request is retried at endpoints that it has already
+	// tried, after no other endpoint is left or MaxAttempts is reached.
 	MaxRevisits int
-	// FirstRevisitDelay bounds the delay before the first return; each
-	// further one doubles it, up to MaxReturnDelay.
+	// FirstRevisitDelay is the maximum delay before the first revisit. It doubles with
+	// each further revisit, up to MaxRevisitDelay.
 	FirstRevisitDelay time.Duration
 	MaxRevisitDelay   time.Duration
-	// ChargeAll charges the budget for every further attempt, where a bound
-	// from outside counts what endpoints receive, whatever the reason.
+	// ChargeAll charges the budget for every attempt after the first, whatever its reason.
+	// It is for external limits on the requests that endpoints receive.
 	ChargeAll bool
-	// Budget bounds the retries of all requests together; nil is no bound.
+	// Budget limits the retries of all requests together; nil means no limit.
 	Budget *Budget
 }
 
@@ -86,10 +87,10 @@
 	}
 }
 
-// Decide says what follows the attempt, and charges the budget for a retry.
-// jitter is a random number from [0, 1): the delay is that part of its bound
-// (full jitter). An idempotent request is retried until its deadline, whatever
-// the outcome; any other one only after OutcomeNotRun.
+// Decide decides what follows the attempt, and charges the budget for a retry. jitter is a
+// random number from [0, 1), by which the maximum delay is multiplied (full jitter).
+// Attempts of an idempotent request are retried until its deadline, whatever their
+// outcome; others only after OutcomeNotRun.
 func (p *Policy) Decide(a Attempt, now time.Time, jitter float64) Decision {
 	reason := p.giveUpReason(a)
 	if reason != ReasonNone {
@@ -99,11 +100,11 @@
 	return p.checkDeadlineAndBudget(a, now, delay, p.charged(a))
 }
 
-// DecideRevisit says whether a request that found no further endpoint, or used up its
-// attempts, may come back to those it has tried, and charges the budget for it.
-// returns counts those before. The delay is at least half its bound: what is
-// waited for is an endpoint's return. A request that found no room comes back
-// only if its caller holds a part of the answer.
+// DecideRevisit decides whether a request that has no endpoint left, or has used up its
+// attempts, is retried at endpoints already tried, and charges the budget for it. revisits
+// is the number of earlier revisits. The delay is at least half its maximum, to give an
+// endpoint time to recover. A request that was refused for lack of capacity is retried
+// only if its caller has received part of the response.
 func (p *Policy) DecideRevisit(a Attempt, revisits int, now time.Time, jitter float64) Decision {
 	reason := p.giveUpReason(a)
 	switch {
@@ -119,7 +120,7 @@
 	return p.checkDeadlineAndBudget(a, now, delay, p.Budget != nil && (p.ChargeAll || !a.Delivered))
 }
 
-// checkDeadlineAndBudget decides by what may change from one moment to the next.
+// checkDeadlineAndBudget applies the checks whose result depends on the current time.
 func (p *Policy) checkDeadlineAndBudget(a Attempt, now time.Time, delay time.Duration, charged bool) Decision {
 	if !a.Deadline.IsZero() && !now.Add(delay).Before(a.Deadline) {
 		return Decision{Reason: ReasonDeadline}
@@ -139,8 +140,8 @@
 	return d
 }
 
-// charged says whether another attempt counts as a retry. One that resumes an
-// answer doesn't: it is the rest of work that was accepted, not work on top.
+// charged reports whether another attempt counts as a retry. Resuming a response doesn't:
+// it completes work that was already accepted.
 func (p *Policy) charged(a Attempt) bool {
 	if p.Budget == nil {
 		return false
@@ -148,12 +149,12 @@
 	return p.ChargeAll || !a.BudgetExempt && !a.Delivered
 }
 
-// giveUpReason says why the attempt can't be followed by another at any time.
+// giveUpReason returns why the attempt can't be retried at any time, or ReasonNone.
 func (p *Policy) giveUpReason(a Attempt) Reason {
 	if a.Outcome == OutcomeCompleted {
 		return ReasonCompleted
 	}
-	// Part of an answer delivered contradicts "not run".
+	// A partial response contradicts OutcomeNotRun.
 	mayHaveRun := (a.Outcome != OutcomeNotRun || a.Delivered) && !a.Copied
 	if mayHaveRun && !a.Idempotent {
 		return ReasonNotIdempotent
@@ -167,19 +168,19 @@
 	return ReasonNone
 }
 
-// delayBound is the longest delay after the attempt of the given number.
+// delayBound returns the maximum delay after the attempt of the given number.
 func (p *Policy) delayBound(number int) time.Duration {
 	return backoffDelay(cmp.Or(p.FirstDelay, defaultFirstDelay), cmp.Or(p.MaxDelay, defaultMaxDelay), number)
 }
 
-// revisitDelayBound is the longest delay before the return of the given number.
+// revisitDelayBound returns the maximum delay before the revisit of the given number.
 func (p *Policy) revisitDelayBound(number int) time.Duration {
 	first := cmp.Or(p.FirstRevisitDelay, defaultFirstRevisitDelay)
 	return backoffDelay(first, cmp.Or(p.MaxRevisitDelay, defaultMaxRevisitDelay), number)
 }
 
-// backoffDelay is the delay of the given number, from 1. The library's own jitter is
-// off, because it draws from the global source.
+// backoffDelay returns the exponential backoff of the given number, counted from 1. The
+// library's own jitter is off, because it uses the global random source.
 func backoffDelay(first, longest time.Duration, number int) time.Duration {
 	b := backoff.ExponentialBackOff{InitialInterval: first, Multiplier: delayMultiplier, MaxInterval: longest}
 	d := b.NextBackOff()
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -45,10 +45,10 @@
 	}{
 		{"endpoint down", func(*Attempt) {}, 0, Decision{Action: ActionRetry, Delay: 187500 * time.Microsecond}},
 		{"again", func(*Attempt) {}, 1, Decision{Action: ActionRetry, Delay: 375 * time.Millisecond}},
-		{"too often", func(*Attempt) {}, 2, Decision{Reason: ReasonAttempts}},
-		{"it ran", func(a *Attempt) { a.Outcome = OutcomeRan }, 0, Decision{Reason: ReasonNotIdempotent}},
-		{"no room", func(a *Attempt) { a.Overloaded = true }, 0, Decision{Reason: ReasonOverload}},
-		{"no room for the rest", func(a *Attempt) { a.Overloaded, a.Delivered, a.Idempotent = true, true, true }, 0,
+		{"too many revisits", func(*Attempt) {}, 2, Decision{Reason: ReasonAttempts}},
+		{"ran", func(a *Attempt) { a.Outcome = OutcomeRan }, 0, Decision{Reason: ReasonNotIdempotent}},
+		{"overloaded", func(a *Attempt) { a.Overloaded = true }, 0, Decision{Reason: ReasonOverload}},
+		{"overloaded, resuming", func(a *Attempt) { a.Overloaded, a.Delivered, a.Idempotent = true, true, true }, 0,
 			Decision{Action: ActionResume, Delay: 187500 * time.Microsecond}},
 		{"no time left", func(a *Attempt) { a.Deadline = epoch.Add(100 * time.Millisecond) }, 0, Decision{Reason: ReasonDeadline}},
 	} {
@@ -59,7 +59,7 @@
 	p.Budget = NewBudget(BudgetConfig{Floor: 0.1, Window: 10 * time.Second})
 	g := gomega.NewWithT(t)
 	g.Expect(p.DecideRevisit(down, 0, epoch, 0).Action).To(gomega.Equal(ActionRetry))
-	g.Expect(p.DecideRevisit(down, 0, epoch, 0).Reason).To(gomega.Equal(ReasonBudget), "a return is a retry, also where the load is not to blame")
+	g.Expect(p.DecideRevisit(down, 0, epoch, 0).Reason).To(gomega.Equal(ReasonBudget), "a revisit is charged even after a budget-exempt failure")
 }
 
 func TestBudgetLimitsRetriesToRatioAndFloor(t *testing.T) {
@@ -104,7 +104,7 @@
 	g.Expect(p.DecideRevisit(a, 0, time.Now(), 0)).To(gomega.Equal(Decision{Reason: ReasonRuns}))
 	a.PossibleRuns = 1
 	g.Expect(p.Decide(a, time.Now(), 0).Action).To(gomega.Equal(ActionRetry))
-	a = Attempt{Number: 2, Outcome: OutcomeNotRun, PossibleRuns: 1, MaxRuns: 1} // the latest didn't run
+	a = Attempt{Number: 2, Outcome: OutcomeNotRun, PossibleRuns: 1, MaxRuns: 1} // the latest attempt didn't run
 	g.Expect(p.Decide(a, time.Now(), 0).Action).To(gomega.Equal(ActionRetry))
 }
 
