--- a/internal/filters/choose/late_test.go
+++ b/internal/filters/choose/late_test.go
@@ -35,9 +35,9 @@
 
 // chooseAfter selects an endpoint for a request while the given number of prompts of
 // 10,000 tokens is waiting for prefill. Each of them takes 200 ms.
-func chooseAfter(t *testing.T, unread int, path string, tried ...string) error {
+func chooseAfter(t *testing.T, queued int, path string, tried ...string) error {
 	pool := balance.NewPool(balance.Config{Policy: balance.NewPromptAware()})
-	for range unread {
+	for range queued {
 		pool.SentWork(time.Now(), "e", balance.Work{Prompt: prompt.Prompt{Tokens: 10_000}})
 	}
 	tab := newRouteTable(t)
--- a/internal/filters/relay/batch_test.go
+++ b/internal/filters/relay/batch_test.go
@@ -68,14 +68,14 @@
 func TestDisconnectedCallerIsDetectedAtFlush(t *testing.T) {
 	for _, answer := range [][]string{{token, token}, {token + end}} {
 		g := NewWithT(t)
-		gone := errors.New("gone")
+		errDisconnected := errors.New("gone")
 		r := newStreamRequest()
-		r.Writer = &recordingCaller{countingCaller: countingCaller{header: make(http.Header)}, flushErr: gone}
+		r.Writer = &recordingCaller{countingCaller: countingCaller{header: make(http.Header)}, flushErr: errDisconnected}
 		r.Answer = &http.Response{Body: io.NopCloser(&batchReader{remaining: answer, beforeRead: func(string) {}})}
 		err := relay.Filter{}.Do(context.Background(), r, nil)
-		var left *relay.CallerError
-		g.Expect(err).To(BeAssignableToTypeOf(left))
-		g.Expect(err).To(MatchError(gone))
+		var callerErr *relay.CallerError
+		g.Expect(err).To(BeAssignableToTypeOf(callerErr))
+		g.Expect(err).To(MatchError(errDisconnected))
 		g.Expect(r.Delivered.Tokens).To(Equal(1), "nothing more is read")
 	}
 }
