--- a/internal/filters/attempts/attempts.go
+++ b/internal/filters/attempts/attempts.go
@@ -64,7 +64,7 @@
 
 // Policy decides whether and how to retry after an attempt. Production uses *retry.Policy.
 type Policy interface {
-	// First counts the first attempt of a request at a target.
+	// RecordFirst counts the first attempt of a request at a target.
 	First(now time.Time, target string, tier int)
 	Decide(a retry.Attempt, now time.Time, jitter float64) retry.Decision
 	// DecideRevisit decides whether to retry at endpoints that were already tried.
@@ -78,7 +78,7 @@
 	return &Filter{policy: policy, jitter: jitter, acceptsWork: func(string) bool { return true }}
 }
 
-// LimitCopiesTo restricts resuming from KV cache copies to endpoints for which acceptsWork
+// ResumeOnlyAt restricts resuming from KV cache copies to endpoints for which acceptsWork
 // returns true. Endpoints that are draining or evacuated get no resumed streams. It must
 // be called before the filter is used.
 func (f *Filter) CopiesAt(acceptsWork func(endpoint string) bool) *Filter {
@@ -118,7 +118,7 @@
 		}
 		decision := f.decide(ctx, r, h)
 		appendTrail(r, h.latestErr, decision)
-		f.setResumeEndpoint(r, h.lastSentErr, decision)
+		f.setResumeEndpoint(r, h.resultErr, decision)
 		if decision.Action == retry.ActionGiveUp || !clock.Sleep(ctx, decision.Delay) {
 			return h.result()
 		}
@@ -129,8 +129,8 @@
 // decide returns what to do after the latest attempt.
 func (f *Filter) decide(ctx context.Context, r *request.Request, h *history) retry.Decision {
 	delivered := r.Delivered.Tokens > 0
-	result := classify(h.lastSentErr, delivered)
-	unresumable := r.Delivered.Unresumable && r.Delivered.Started && h.lastSentErr != nil
+	result := classify(h.resultErr, delivered)
+	unresumable := r.Delivered.Unresumable && r.Delivered.Started && h.resultErr != nil
 	if ctx.Err() != nil || result.final || unresumable {
 		return retry.Decision{Reason: result.reason}
 	}
--- a/internal/filters/attempts/classify.go
+++ b/internal/filters/attempts/classify.go
@@ -35,9 +35,9 @@
 // received part of the response.
 func classify(err error, delivered bool) classification {
 	var refused *dispatch.RefusedError
-	var noAnswer *dispatch.NoAnswerError
+	var noResponse *dispatch.NoResponseError
 	var broken *relay.BrokenError
-	var answer *relay.AnswerError
+	var endpointErr *relay.AnswerError
 	var expired *dispatch.ExpiredError
 	var pinned *choose.PinnedError
 	var late *choose.LateError
@@ -55,9 +55,9 @@
 		return classifyRefusal(refused, delivered)
 	case errors.As(err, &expired):
 		return classification{outcome: retry.OutcomeNotRun, final: true, reason: retry.ReasonDeadline}
-	case errors.As(err, &noAnswer):
-		return classification{outcome: outcomeForRun(noAnswer.Run()), budgetExempt: !noAnswer.Sent}
-	case errors.As(err, &answer):
+	case errors.As(err, &noResponse):
+		return classification{outcome: outcomeForRun(noResponse.Run()), budgetExempt: !noResponse.Sent}
+	case errors.As(err, &endpointErr):
 		return classification{outcome: retry.OutcomeRan}
 	case errors.As(err, &broken):
 		return classifyBroken(broken)
--- a/internal/filters/attempts/history.go
+++ b/internal/filters/attempts/history.go
@@ -16,11 +16,12 @@
 
 // history summarizes the attempts of one request so far.
 type history struct {
-	// latestErr is the error of the latest attempt. lastSentErr is that of the latest
-	// attempt that had an endpoint, which is more informative.
-	latestErr, lastSentErr error
-	// mostRun is the strongest statement of all attempts on whether the request ran.
-	mostRun wire.Run
+	// latestErr is the error of the latest attempt. resultErr is the error for the caller:
+	// that of the latest attempt, or if no endpoint was left for it, that of the last one
+	// that had an endpoint, if any.
+	latestErr, resultErr error
+	// runStatus is the strongest statement of all attempts on whether the request ran.
+	runStatus wire.Run
 	// exhausted reports that no endpoint was left for the latest attempt.
 	exhausted bool
 	// attemptsInRound counts the attempts since the latest revisit. An attempt at a pair
@@ -32,16 +33,16 @@
 	revisits int
 }
 
-func newHistory() *history { return &history{mostRun: wire.RunNot} }
+func newHistory() *history { return &history{runStatus: wire.RunNot} }
 
 // add records the result of an attempt.
 func (h *history) add(err error) {
 	h.latestErr = err
 	h.exhausted = errors.Is(err, choose.ErrNoEndpoint)
-	if h.exhausted && h.lastSentErr != nil {
+	if h.exhausted && h.resultErr != nil {
 		return
 	}
-	h.lastSentErr = err
+	h.resultErr = err
 	if h.exhausted {
 		return // nothing was sent
 	}
@@ -53,18 +54,18 @@
 	switch outcome {
 	case retry.OutcomeNotRun:
 	case retry.OutcomeUnknown:
-		if h.mostRun == wire.RunNot {
-			h.mostRun = wire.RunUnknown
+		if h.runStatus == wire.RunNot {
+			h.runStatus = wire.RunUnknown
 		}
 	default:
-		h.mostRun = wire.RunYes
+		h.runStatus = wire.RunYes
 	}
 }
 
 // completeAtTokenLimit completes a response that has all its tokens and lacks only the end
 // marker.
 func (h *history) completeAtTokenLimit(ctx context.Context, r *request.Request) (bool, error) {
-	if h.lastSentErr == nil || ctx.Err() != nil {
+	if h.resultErr == nil || ctx.Err() != nil {
 		return false, nil
 	}
 	ended, err := relay.EndAtLimit(r)
@@ -74,13 +75,13 @@
 	return ended, err
 }
 
-// result returns the error for the caller: that of the last attempt, with its run status
-// corrected if only the last attempt didn't run.
+// result returns the error for the caller: that of the last attempt, with the run status
+// of an earlier attempt if that one ran or may have run and the last one didn't.
 func (h *history) result() error {
-	if h.lastSentErr == nil || h.mostRun == wire.RunNot || api.From(h.lastSentErr).Run != wire.RunNot {
-		return h.lastSentErr
+	if h.resultErr == nil || h.runStatus == wire.RunNot || api.From(h.resultErr).Run != wire.RunNot {
+		return h.resultErr
 	}
-	return &RanBeforeError{Run: h.mostRun, Cause: h.lastSentErr}
+	return &RanBeforeError{Run: h.runStatus, Cause: h.resultErr}
 }
 
 // RanBeforeError is the error of a request whose last attempt didn't run while an earlier
--- a/internal/filters/choose/choose.go
+++ b/internal/filters/choose/choose.go
@@ -83,7 +83,7 @@
 	// LateBinding queues a request at two endpoints if no endpoint is known to have free
 	// capacity. The endpoint that is free first runs it.
 	LateBinding bool
-	// RefuseLateFactor refuses a request whose response is expected to begin later than
+	// RefuseLateFactor refuses a request whose expected wait for other requests exceeds
 	// the longest objective of its service times this factor; 0 refuses none. If all
 	// requests wait in an overload, all of them miss the objective. Refusing some early
 	// keeps the others on time.
@@ -171,8 +171,8 @@
 	}
 }
 
-// backsUpRuns reports whether the service's engines copy the KV cache of running requests.
-func backsUpRuns(r *request.Request) bool {
+// copiesKVCache reports whether the service's engines copy the KV cache of running requests.
+func copiesKVCache(r *request.Request) bool {
 	if r.Route == nil {
 		return false
 	}
@@ -197,7 +197,7 @@
 	c, err := f.pool.ChooseExpecting(time.Now(), query, r.Candidates, r.TriedEndpoint)
 	r.Read, r.Wait, r.Source, r.Copy, r.Tight = c.Read, c.Wait, c.Source, nil, c.Tight
 	r.Kept = c.Kept
-	if backsUpRuns(r) {
+	if copiesKVCache(r) {
 		r.Copy = c.Copy
 	}
 	return balance.Pair{First: c.Endpoint}, err
--- a/internal/filters/choose/home.go
+++ b/internal/filters/choose/home.go
@@ -97,15 +97,15 @@
 // wrapPinned wraps the errors that rule out a retry in a PinnedError.
 func wrapPinned(err error) error {
 	var refused *dispatch.RefusedError
-	var noAnswer *dispatch.NoAnswerError
+	var noResponse *dispatch.NoResponseError
 	var broken *relay.BrokenError
 	switch {
 	case errors.As(err, &refused):
 		if refused.Run == wire.RunNot && !isKeyRefusal(refused) {
 			return err
 		}
-	case errors.As(err, &noAnswer):
-		if !noAnswer.Sent {
+	case errors.As(err, &noResponse):
+		if !noResponse.Sent {
 			return err
 		}
 	case !errors.As(err, &broken):
--- a/internal/filters/choose/late.go
+++ b/internal/filters/choose/late.go
@@ -9,8 +9,8 @@
 	"coveferry/internal/wire"
 )
 
-// minRetryAfter is the minimum Retry-After if all endpoints have a backlog of prompts:
-// about the time to prefill a few prompts.
+// minRetryAfter is the minimum Retry-After if all endpoints have a backlog of prompts or
+// are at their rate limits: about the time to prefill a few prompts.
 const minRetryAfter = 100 * time.Millisecond
 
 // LateError reports that the response would begin too late at any endpoint. The request
--- a/internal/filters/classify/classify.go
+++ b/internal/filters/classify/classify.go
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// checkKey refuses the key of a non-idempotent request that has no time of issue: an agent
-// that has just started can't tell whether the request already ran.
+// checkKey refuses a non-idempotent request whose key has no time of issue: an agent that
+// has just started can't tell whether the request already ran.
 func checkKey(r *request.Request) error {
 	if r.NonIdempotent && r.IdempotencyKey != "" && r.KeyIssued.IsZero() {
 		return &Error{Code: CodeKeyWithoutTime, Detail: keyWithoutTimeDetail}
--- a/internal/filters/dispatch/direct.go
+++ b/internal/filters/dispatch/direct.go
@@ -67,7 +67,7 @@
 	}
 	resp, err := f.direct.client.Do(req)
 	if err != nil {
-		return &NoAnswerError{Sent: server.MayHaveSent(err), Cause: err}
+		return &NoResponseError{Sent: server.MayHaveSent(err), Cause: err}
 	}
 	defer resp.Body.Close()
 	r.Heard(time.Now())
@@ -76,18 +76,18 @@
 	if reply.ID != r.CallerID {
 		// The response answers an earlier request on this connection. Its body stays
 		// unread, so the connection is closed.
-		return &NoAnswerError{Sent: true, Cause: errors.Newf("the answer belongs to request %q", reply.ID)}
+		return &NoResponseError{Sent: true, Cause: errors.Newf("the answer belongs to request %q", reply.ID)}
 	}
 	if reply.Moved {
 		f.observer.Failed(r.Endpoint.Name, r.Endpoint.Process(), false)
 		return directRefusal(resp.StatusCode, reply)
 	}
-	f.recordDirectAnswer(r.Endpoint, sent, reply)
+	f.recordDirectResponse(r.Endpoint, sent, reply)
 	if reply.NotRun {
 		return directRefusal(resp.StatusCode, reply)
 	}
 	if !reply.Signed {
-		return &NoAnswerError{Sent: true, Cause: errors.Newf("an answer with status %d that the endpoint did not sign", resp.StatusCode)}
+		return &NoResponseError{Sent: true, Cause: errors.Newf("an answer with status %d that the endpoint did not sign", resp.StatusCode)}
 	}
 	r.Answer = resp
 	defer func() { r.Answer = nil }()
@@ -98,16 +98,16 @@
 	return err
 }
 
-// recordDirectAnswer updates the load, rate limit and membership of an endpoint from the
+// recordDirectResponse updates the load, rate limit and membership of an endpoint from the
 // response header. sent is when the request was sent.
-func (f *Filter) recordDirectAnswer(e *bundle.Endpoint, sent time.Time, reply upstream.Reply) {
+func (f *Filter) recordDirectResponse(e *bundle.Endpoint, sent time.Time, reply upstream.Reply) {
 	now := time.Now()
 	var report load.Report
 	if reply.Load != nil {
 		report = *reply.Load
 	}
 	// Responses carry no sequence number; they are numbered in the order of arrival.
-	report.Seq = uint64(f.answerSeq.Add(1))
+	report.Seq = uint64(f.responseSeq.Add(1))
 	current := f.observer.Answered(e.Name, wire.Clock{Incarnation: e.Process()}, sent, report)
 	if current && reply.Load != nil {
 		f.pool.Report(now, e.Name, report)
--- a/internal/filters/dispatch/dispatch.go
+++ b/internal/filters/dispatch/dispatch.go
@@ -38,8 +38,8 @@
 	observer   Observer
 	direct     direct
 	copiedRuns copiedRuns
-	// answerSeq numbers the responses of endpoints without an agent.
-	answerSeq atomic.Int64
+	// responseSeq numbers the responses of endpoints without an agent.
+	responseSeq atomic.Int64
 }
 
 // New returns a filter that reaches agents by the client. The scheme is "https", or "http"
@@ -96,30 +96,30 @@
 	}
 	resp, err := f.client.Do(req)
 	if err != nil {
-		return &NoAnswerError{Sent: connected, Cause: err}
+		return &NoResponseError{Sent: connected, Cause: err}
 	}
-	return f.handleAnswer(ctx, r, resp, next)
+	return f.handleResponse(ctx, r, resp, next)
 }
 
-// handleAnswer passes an agent's response to the next filter, or returns its refusal as an
+// handleResponse passes an agent's response to the next filter, or returns its refusal as an
 // error.
-func (f *Filter) handleAnswer(ctx context.Context, r *request.Request, resp *http.Response, next pipeline.Next) error {
+func (f *Filter) handleResponse(ctx context.Context, r *request.Request, resp *http.Response, next pipeline.Next) error {
 	defer resp.Body.Close()
-	agentClock := f.recordAnswerHeader(r.Endpoint.Name, resp.Header)
+	agentClock := f.recordResponseHeader(r.Endpoint.Name, resp.Header)
 	if resp.StatusCode != http.StatusOK {
 		return readRefusal(resp)
 	}
 	r.Answer = resp
 	err := next(ctx, r)
 	r.Answer = nil
-	f.recordAnswerTrailer(r.Endpoint.Name, agentClock, resp.Trailer)
+	f.recordResponseTrailer(r.Endpoint.Name, agentClock, resp.Trailer)
 	return err
 }
 
 // recordResult reports the result of an attempt to the pool and the observer.
-func (f *Filter) recordResult(ctx context.Context, e *bundle.Endpoint, err error, firstToken time.Duration) {
+func (f *Filter) recordResult(ctx context.Context, e *bundle.Endpoint, err error, firstTokenDelay time.Duration) {
 	f.reportConnectionFailure(ctx, e, err)
-	f.pool.Done(time.Now(), e.Name, result(ctx, err), firstToken)
+	f.pool.Done(time.Now(), e.Name, result(ctx, err), firstTokenDelay)
 }
 
 // request returns the HTTP request of the attempt to an endpoint's agent.
@@ -183,9 +183,9 @@
 	return env
 }
 
-// recordAnswerHeader updates the clock and load of an agent from the response header. It
+// recordResponseHeader updates the clock and load of an agent from the response header. It
 // returns the agent's clock, which also names its incarnation.
-func (f *Filter) recordAnswerHeader(endpoint string, h http.Header) wire.Clock {
+func (f *Filter) recordResponseHeader(endpoint string, h http.Header) wire.Clock {
 	var reading wire.Clock
 	if err := wire.Decode(h, wire.HeaderClock, &reading); err == nil {
 		f.clockReadings.add(endpoint, f.clock(), reading)
@@ -197,7 +197,7 @@
 	return reading
 }
 
-func (f *Filter) recordAnswerTrailer(endpoint string, agentClock wire.Clock, trailer http.Header) {
+func (f *Filter) recordResponseTrailer(endpoint string, agentClock wire.Clock, trailer http.Header) {
 	var end wire.End
 	if err := wire.Decode(trailer, wire.HeaderEnd, &end); err != nil {
 		return // relay has already handled the missing trailer
@@ -215,7 +215,7 @@
 	var refusal wire.Refusal
 	body := io.LimitReader(resp.Body, maxRefusalBytes)
 	if err := json.NewDecoder(body).Decode(&refusal); err != nil {
-		return &NoAnswerError{Sent: true, Cause: errors.Wrapf(err, "refusal with status %d", resp.StatusCode)}
+		return &NoResponseError{Sent: true, Cause: errors.Wrapf(err, "refusal with status %d", resp.StatusCode)}
 	}
 	return &RefusedError{Refusal: refusal}
 }
--- a/internal/filters/dispatch/errors.go
+++ b/internal/filters/dispatch/errors.go
@@ -53,24 +53,24 @@
 	return out
 }
 
-// NoAnswerError is an attempt that ended without a valid response of its endpoint.
-type NoAnswerError struct {
+// NoResponseError is an attempt that ended without a valid response of its endpoint.
+type NoResponseError struct {
 	// Sent reports whether a connection was established, so the attempt may have run.
 	Sent  bool
 	Cause error
 }
 
 // Error implements error.
-func (e *NoAnswerError) Error() string {
+func (e *NoResponseError) Error() string {
 	return fmt.Sprintf("dispatch: no answer (sent: %t): %v", e.Sent, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *NoAnswerError) Unwrap() error { return e.Cause }
+func (e *NoResponseError) Unwrap() error { return e.Cause }
 
 // Run reports whether the attempt ran: not if no connection was established, otherwise
 // unknown.
-func (e *NoAnswerError) Run() wire.Run {
+func (e *NoResponseError) Run() wire.Run {
 	if e.Sent {
 		return wire.RunUnknown
 	}
@@ -78,7 +78,7 @@
 }
 
 // API implements api.Convertible.
-func (e *NoAnswerError) API() *api.Error {
+func (e *NoResponseError) API() *api.Error {
 	out := &api.Error{
 		Status: http.StatusBadGateway, Type: api.TypeUpstream,
 		Code: "endpoint_lost", Message: "the connection to the endpoint broke; the request may have run",
--- a/internal/filters/dispatch/observe.go
+++ b/internal/filters/dispatch/observe.go
@@ -38,12 +38,12 @@
 // reportConnectionFailure reports an attempt whose connection failed. Attempts ended by
 // the caller or the deadline are no evidence about the connection.
 func (f *Filter) reportConnectionFailure(ctx context.Context, e *bundle.Endpoint, err error) {
-	var noAnswer *NoAnswerError
+	var noResponse *NoResponseError
 	var broken *relay.BrokenError
 	switch {
 	case err == nil || ctx.Err() != nil:
-	case errors.As(err, &noAnswer):
-		f.observer.Failed(e.Name, e.Process(), noAnswer.Sent)
+	case errors.As(err, &noResponse):
+		f.observer.Failed(e.Name, e.Process(), noResponse.Sent)
 	case errors.As(err, &broken) && broken.Ending == "":
 		f.observer.Failed(e.Name, e.Process(), true)
 	}
--- a/internal/filters/dispatch/observe_test.go
+++ b/internal/filters/dispatch/observe_test.go
@@ -28,12 +28,12 @@
 		want []bool
 	}{
 		{t.Context(), nil, nil},
-		{t.Context(), &NoAnswerError{Sent: false}, []bool{false}},
-		{t.Context(), &NoAnswerError{Sent: true}, []bool{true}},
+		{t.Context(), &NoResponseError{Sent: false}, []bool{false}},
+		{t.Context(), &NoResponseError{Sent: true}, []bool{true}},
 		{t.Context(), &relay.BrokenError{}, []bool{true}},
 		{t.Context(), &relay.BrokenError{Ending: wire.EndingEngineFailed}, nil},
 		{t.Context(), &RefusedError{}, nil},
-		{canceledCtx, &NoAnswerError{Sent: true}, nil},
+		{canceledCtx, &NoResponseError{Sent: true}, nil},
 	} {
 		observer := &recordingObserver{}
 		f := &Filter{}
--- a/internal/filters/dispatch/pair.go
+++ b/internal/filters/dispatch/pair.go
@@ -80,8 +80,8 @@
 	claimed  func() bool
 }
 
-// reply is the result of a reservation: a response to relay, or an error.
-type reply struct {
+// reservationResult is the result of a reservation: a response to relay, or an error.
+type reservationResult struct {
 	*reservation
 	resp *http.Response
 	err  error
@@ -104,7 +104,7 @@
 		req.Header.Set("Expect", expectContinue)
 		pair[i] = &reservation{endpoint: e, req: req, claimed: func() bool { return b.claimed(i) }}
 	}
-	replies := make(chan reply, len(pair))
+	replies := make(chan reservationResult, len(pair))
 	for _, res := range pair {
 		res.sent = time.Now()
 		f.pool.Sent(res.sent, res.endpoint.Name)
@@ -115,31 +115,31 @@
 
 // reserve waits for the endpoint's reply. A refusal or error is recorded immediately, so
 // that the endpoint doesn't count as busy while the other one responds.
-func (f *Filter) reserve(res *reservation) reply {
+func (f *Filter) reserve(res *reservation) reservationResult {
 	resp, err := f.client.Do(res.req)
 	if err == nil && resp.StatusCode == http.StatusOK {
-		return reply{reservation: res, resp: resp}
+		return reservationResult{reservation: res, resp: resp}
 	}
 	if err != nil {
 		// Without the body the agent can't have run the request.
-		err = &NoAnswerError{Sent: res.claimed(), Cause: err}
+		err = &NoResponseError{Sent: res.claimed(), Cause: err}
 	} else {
-		f.recordAnswerHeader(res.endpoint.Name, resp.Header)
+		f.recordResponseHeader(res.endpoint.Name, resp.Header)
 		err = errors.CombineErrors(readRefusal(resp), resp.Body.Close())
 	}
 	f.recordResult(res.req.Context(), res.endpoint, err, 0)
-	return reply{reservation: res, err: err}
+	return reservationResult{reservation: res, err: err}
 }
 
 // awaitPair relays the response of the endpoint that ran the request. If neither did, it
 // returns the error of the endpoint that had the body, or else of the first one.
-func (f *Filter) awaitPair(r *request.Request, endpoints [2]*bundle.Endpoint, replies <-chan reply, next pipeline.Next) error {
-	var failed reply
+func (f *Filter) awaitPair(r *request.Request, endpoints [2]*bundle.Endpoint, replies <-chan reservationResult, next pipeline.Next) error {
+	var failed reservationResult
 	for range endpoints {
 		p := <-replies
 		if p.resp != nil {
 			r.Endpoint = p.endpoint
-			err := f.handleAnswer(p.req.Context(), r, p.resp, next)
+			err := f.handleResponse(p.req.Context(), r, p.resp, next)
 			f.recordResult(p.req.Context(), p.endpoint, err, firstToken(r, p.sent))
 			return err
 		}
--- a/internal/filters/dispatch/readings.go
+++ b/internal/filters/dispatch/readings.go
@@ -31,11 +31,11 @@
 }
 
 func newClockReadings() *clockReadings {
-	byID, err := simplelru.NewLRU[string, clockReading](maxClockReadings, nil)
+	byEndpoint, err := simplelru.NewLRU[string, clockReading](maxClockReadings, nil)
 	if err != nil { // only a size below 1 fails
 		panic(err)
 	}
-	return &clockReadings{byEndpoint: byID}
+	return &clockReadings{byEndpoint: byEndpoint}
 }
 
 // add records a clock reading that arrived at now. A reading with a longer delay than the
--- a/internal/filters/quarantine/loss.go
+++ b/internal/filters/quarantine/loss.go
@@ -18,14 +18,14 @@
 // response, including an error response, shows that the endpoint is alive.
 func endpointLost(err error) bool {
 	var refused *dispatch.RefusedError
-	var noAnswer *dispatch.NoAnswerError
+	var noResponse *dispatch.NoResponseError
 	var broken *relay.BrokenError
 	switch {
 	case errors.As(err, &refused):
 		// A status means that the engine responded.
 		return refused.Reason == wire.ReasonEngineFailed && refused.EngineStatus == 0
-	case errors.As(err, &noAnswer):
-		return noAnswer.Sent && isConnectionLoss(noAnswer.Cause)
+	case errors.As(err, &noResponse):
+		return noResponse.Sent && isConnectionLoss(noResponse.Cause)
 	case errors.As(err, &broken):
 		return broken.Ending == wire.EndingEngineFailed || broken.Ending == "" && isConnectionLoss(broken.Cause)
 	}
@@ -43,13 +43,13 @@
 	return false
 }
 
-// answered reports whether the attempt ended with a response of the endpoint's own
+// responded reports whether the attempt ended with a response of the endpoint's own
 // process, including error responses.
-func answered(err error) bool {
-	var answer *relay.AnswerError
+func responded(err error) bool {
+	var endpointErr *relay.AnswerError
 	var refused *dispatch.RefusedError
 	switch {
-	case err == nil, errors.As(err, &answer):
+	case err == nil, errors.As(err, &endpointErr):
 		return true
 	case errors.As(err, &refused):
 		return refused.Reason != wire.ReasonNotHere
--- a/internal/filters/quarantine/quarantine.go
+++ b/internal/filters/quarantine/quarantine.go
@@ -22,7 +22,7 @@
 type HeldError struct {
 	Identity poison.Identity
 	// LossCount is how many endpoints were recently lost while running the request.
-	// RetryAfter is when it may be retried.
+	// RetryAfter is the time until it may be retried.
 	LossCount  int
 	RetryAfter time.Duration
 }
@@ -67,7 +67,7 @@
 	}
 	sent := f.clock()
 	err := next(ctx, r)
-	if answered(err) && r.Endpoint != nil {
+	if responded(err) && r.Endpoint != nil {
 		f.table.Survived(processName(r), sent)
 	}
 	switch {
@@ -82,9 +82,9 @@
 	return err
 }
 
-// processName identifies the process that was lost: the endpoint's process, or the engine
-// that ran this attempt. An agent outlives its engine and doesn't name it, so each attempt
-// counts as a separate engine.
+// processName identifies the process that handled the attempt: the endpoint's process, or
+// the engine behind an agent. An agent outlives its engine and doesn't name it, so each
+// attempt counts as a separate engine.
 func processName(r *request.Request) string {
 	if r.Kind == wire.KindRouted {
 		return r.Endpoint.Name + "/" + r.Endpoint.Process()
--- a/internal/filters/quarantine/quarantine_test.go
+++ b/internal/filters/quarantine/quarantine_test.go
@@ -48,7 +48,7 @@
 // Without an agent, one process can't be lost twice. Repeated connection failures of the
 // same process have another cause.
 func TestEndpointProcessWithoutAgentCountsOnce(t *testing.T) {
-	broke := &dispatch.NoAnswerError{Sent: true, Cause: io.EOF}
+	broke := &dispatch.NoResponseError{Sent: true, Cause: io.EOF}
 	NewWithT(t).Expect(repeatAttempt(wire.KindRouted, 9, broke)).To(BeFalse())
 }
 
@@ -63,7 +63,7 @@
 		"error response":    {&relay.AnswerError{}, true},
 		"refusal":           {&dispatch.RefusedError{Refusal: wire.Refusal{Reason: "queue_full"}}, true},
 		"another instance":  {&dispatch.RefusedError{Refusal: wire.Refusal{Reason: wire.ReasonNotHere}}, false},
-		"broken connection": {&dispatch.NoAnswerError{Sent: true, Cause: io.EOF}, false},
+		"broken connection": {&dispatch.NoResponseError{Sent: true, Cause: io.EOF}, false},
 		"timeout":           {context.DeadlineExceeded, false},
 	} {
 		f := quarantine.New(poison.NewTable(poison.Config{}), clock.Boot, zerolog.Nop())
@@ -72,10 +72,10 @@
 			return f.Do(context.Background(), r, func(context.Context, *request.Request) error { return outcome })
 		}
 		for _, e := range []string{"e0", "e1", "e2"} {
-			_ = send(e, "popular", &dispatch.NoAnswerError{Sent: true, Cause: io.EOF})
+			_ = send(e, "popular", &dispatch.NoResponseError{Sent: true, Cause: io.EOF})
 		}
 		_ = send("e2", "another", c.answer)
-		var held *quarantine.HeldError
-		NewWithT(t).Expect(errors.As(send("e3", "popular", nil), &held)).To(Equal(!c.alive), name)
+		var quarantined *quarantine.HeldError
+		NewWithT(t).Expect(errors.As(send("e3", "popular", nil), &quarantined)).To(Equal(!c.alive), name)
 	}
 }
--- a/internal/filters/relay/batch_test.go
+++ b/internal/filters/relay/batch_test.go
@@ -39,15 +39,15 @@
 	flushErr         error
 }
 
-func (s *recordingCaller) Write(p []byte) (int, error) {
-	s.written += string(p)
+func (c *recordingCaller) Write(p []byte) (int, error) {
+	c.written += string(p)
 	return len(p), nil
 }
 
-func (s *recordingCaller) FlushError() error {
-	s.flushes++
-	s.flushed = s.written
-	return s.flushErr
+func (c *recordingCaller) FlushError() error {
+	c.flushes++
+	c.flushed = c.written
+	return c.flushErr
 }
 
 func TestBatchIsFlushedOnceBeforeTheNextRead(t *testing.T) {
--- a/internal/filters/relay/bench_test.go
+++ b/internal/filters/relay/bench_test.go
@@ -60,14 +60,14 @@
 // BenchmarkRelay measures the router's cost of relaying one token, without the network.
 func BenchmarkRelay(b *testing.B) {
 	for _, bench := range []struct {
-		name   string
-		atOnce int
+		name    string
+		perRead int
 	}{{"alone", 1}, {"four-at-once", 4}} {
 		b.Run(bench.name, func(b *testing.B) {
 			b.ReportAllocs()
 			to := &countingCaller{header: make(http.Header)}
 			r := &request.Request{Kind: wire.KindChat, Stream: true, Writer: to}
-			r.Answer = &http.Response{Body: io.NopCloser(&tokenReader{remaining: b.N, perRead: bench.atOnce})}
+			r.Answer = &http.Response{Body: io.NopCloser(&tokenReader{remaining: b.N, perRead: bench.perRead})}
 			if err := (relay.Filter{}).Do(context.Background(), r, nil); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/filters/relay/relay.go
+++ b/internal/filters/relay/relay.go
@@ -26,7 +26,7 @@
 func (Filter) Name() string { return "relay" }
 
 // Do relays the response. nil means that the caller has received all of it. Its errors are
-// *BrokenError, *CallerError and *AnswerError.
+// *BrokenError, *CallerError and *EndpointError.
 func (Filter) Do(_ context.Context, r *request.Request, _ pipeline.Next) error {
 	if r.Kind == wire.KindRouted {
 		return relayRouted(r)
--- a/internal/filters/relay/relay_test.go
+++ b/internal/filters/relay/relay_test.go
@@ -23,9 +23,9 @@
 	done  = "data: [DONE]\n\n"
 )
 
-// relayStream relays the given body and final status, and returns what the caller
+// relayBody relays the given body and final status, and returns what the caller
 // received.
-func relayStream(r *request.Request, stream string, ending wire.Ending) (string, error) {
+func relayBody(r *request.Request, stream string, ending wire.Ending) (string, error) {
 	trailer := http.Header{}
 	if ending != "" {
 		_ = wire.Encode(trailer, wire.HeaderEnd, wire.End{Ending: ending})
@@ -55,7 +55,7 @@
 	} {
 		g := NewWithT(t)
 		r := newStreamRequest()
-		got, err := relayStream(r, stream, wire.EndingComplete)
+		got, err := relayBody(r, stream, wire.EndingComplete)
 		var broken *relay.BrokenError
 		g.Expect(err).To(BeAssignableToTypeOf(broken), name)
 		g.Expect(got).To(Equal(strings.Repeat(token, r.Delivered.Tokens)), name)
@@ -69,7 +69,7 @@
 	for _, stream := range []string{token + end, token + end + done, token + end + token, token + end + "data: {\n\n"} {
 		for _, ending := range []wire.Ending{"", wire.EndingComplete, wire.EndingEngineFailed, wire.EndingLeaving} {
 			g := NewWithT(t)
-			got, err := relayStream(newStreamRequest(), stream, ending)
+			got, err := relayBody(newStreamRequest(), stream, ending)
 			g.Expect(err).NotTo(HaveOccurred(), "%q %q", stream, ending)
 			g.Expect(got).To(Equal(token+end+done), "%q %q", stream, ending)
 		}
@@ -80,11 +80,11 @@
 	g := NewWithT(t)
 	r := newStreamRequest()
 	r.MaxTokens = 2
-	_, err := relayStream(r, token, "")
+	_, err := relayBody(r, token, "")
 	g.Expect(err).To(HaveOccurred())
 	ended, err := relay.EndAtLimit(r)
 	g.Expect(ended, err).To(BeFalse(), "one token is missing")
-	_, err = relayStream(r, token, "")
+	_, err = relayBody(r, token, "")
 	g.Expect(err).To(HaveOccurred())
 	w := httptest.NewRecorder()
 	r.Writer = w
@@ -93,7 +93,7 @@
 	g.Expect(w.Body.String()).To(Equal(strings.Replace(end, "stop", "length", 1) + done))
 
 	r = &request.Request{Kind: wire.KindCompletion, MaxTokens: 1}
-	_, err = relayStream(r, `data: {"id":"a","choices":[{"index":0,"text":"x"}]}`+"\n\n", "")
+	_, err = relayBody(r, `data: {"id":"a","choices":[{"index":0,"text":"x"}]}`+"\n\n", "")
 	g.Expect(err).To(HaveOccurred())
 	w = httptest.NewRecorder()
 	r.Writer = w
@@ -113,7 +113,7 @@
 		if chat {
 			r.Kind = wire.KindChat
 		}
-		got, err := relayStream(r, stream, wire.Ending(ending))
+		got, err := relayBody(r, stream, wire.Ending(ending))
 		whole := strings.HasSuffix(got, done)
 		switch {
 		case streams && whole != (err == nil):
--- a/internal/filters/relay/routed.go
+++ b/internal/filters/relay/routed.go
@@ -29,7 +29,7 @@
 	readBufferBytes = 4 << 10
 )
 
-// AnswerError is an endpoint's own error response. The request ran. If it is idempotent,
+// EndpointError is an endpoint's own error response. The request ran. If it is idempotent,
 // it may be retried at another endpoint; otherwise the response is passed to the caller
 // unchanged.
 type AnswerError struct {
@@ -53,7 +53,8 @@
 	return err
 }
 
-// API implements api.Convertible, which reports whether the request ran.
+// API implements api.Convertible, for code that needs to know whether the request ran. The
+// caller receives the response itself.
 func (e *AnswerError) API() *api.Error {
 	return &api.Error{
 		Status: e.Status, Type: api.TypeUpstream, Code: "endpoint_failed",
@@ -78,13 +79,13 @@
 	if len(body) == maxBufferedBytes {
 		return relayLarge(r, body)
 	}
-	answer := &AnswerError{Status: r.Answer.StatusCode, Header: r.Answer.Header, Body: body}
+	response := &AnswerError{Status: r.Answer.StatusCode, Header: r.Answer.Header, Body: body}
 	if r.Answer.StatusCode >= http.StatusInternalServerError {
-		return answer
+		return response
 	}
 	r.Delivered.Started = true
 	recordFirstToken(r)
-	if err := answer.Write(r.Writer); err != nil {
+	if err := response.Write(r.Writer); err != nil {
 		return &CallerError{Cause: err}
 	}
 	return nil
--- a/internal/filters/reside/reside.go
+++ b/internal/filters/reside/reside.go
@@ -56,7 +56,7 @@
 	return next(ctx, r)
 }
 
-// Eligible returns the endpoints that may serve the request.
+// InAllowedRegions returns the endpoints whose region the request's route and team allow.
 func (f *Filter) Within(r *request.Request, endpoints []*bundle.Endpoint) []*bundle.Endpoint {
 	if !isRestricted(r) {
 		return endpoints
--- a/internal/poison/message.go
+++ b/internal/poison/message.go
@@ -32,8 +32,8 @@
 
 // Message is what a router tells another router about all requests.
 type Words struct {
-	// Sum is the digest of the quarantined requests. Two routers whose digests differ send
-	// each other all of them.
+	// QuarantineDigest is the digest of the quarantined requests. Two routers whose
+	// digests differ send each other all of them.
 	Sum   uint64  `json:"digest,omitempty"`
 	Words []Entry `json:"words,omitempty"`
 }
@@ -41,9 +41,9 @@
 // Digest returns the digest, which a router sends to receive only changes.
 func (m Words) Digest() uint64 { return m.Sum }
 
-// Tell returns the message for a router that sent the given digest: all changes not older
-// than maxAge, and if the digests differ, all requests that are quarantined or were
-// cleared.
+// MessageFor returns the message for a router that sent the given digest: all changes not
+// older than maxAge, and if the digests differ, also all requests that are quarantined,
+// have completed or have survivors.
 func (t *Table) Tell(peerDigest uint64, maxAge time.Duration) Words {
 	if t.Empty() {
 		return Words{}
@@ -54,7 +54,7 @@
 	m := Words{Sum: t.digest()}
 	all := m.Sum != peerDigest
 	ids := t.sortedByPriority(func(r *record) bool {
-		return now.Sub(r.changedAt) < maxAge || all && (r.poisonous() || !r.completedAt.IsZero() || len(r.survivors) > 0)
+		return now.Sub(r.changedAt) < maxAge || all && (r.quarantined() || !r.completedAt.IsZero() || len(r.survivors) > 0)
 	})
 	for _, id := range ids[:min(len(ids), maxEntries)] {
 		m.Words = append(m.Words, t.records[id].entry(id, now))
@@ -64,13 +64,13 @@
 
 // digest returns the digest of the quarantined requests. t.mu is held.
 func (t *Table) digest() uint64 {
-	var sum uint64
+	var digest uint64
 	for id, r := range t.records {
-		if r.poisonous() {
-			sum ^= uint64(id)
+		if r.quarantined() {
+			digest ^= uint64(id)
 		}
 	}
-	return sum
+	return digest
 }
 
 func (r *record) entry(id Identity, now time.Time) Entry {
@@ -91,8 +91,8 @@
 	return &ago
 }
 
-// Hear merges a message that another router sent. sentAt is the time by this table's
-// clock.
+// Merge merges a message that another router sent. sentAt is when it was sent, by this
+// table's clock.
 func (t *Table) Hear(sentAt time.Time, m Words) {
 	now := t.cfg.Clock()
 	for _, e := range m.Words {
@@ -120,10 +120,10 @@
 	return changed
 }
 
-// maxClockError is the error of a time passed between routers, which is at most the
+// maxTransitError is the largest error of a time received from another router: at most the
 // duration of a call.
-const maxClockError = 300 * time.Millisecond
+const maxTransitError = 300 * time.Millisecond
 
-// isLater reports whether a received time is later than the recorded one by more than the
-// error.
-func isLater(received, recorded time.Time) bool { return received.Sub(recorded) > maxClockError }
+// isLater reports whether a received time is later than the recorded one by more than
+// maxTransitError.
+func isLater(received, recorded time.Time) bool { return received.Sub(recorded) > maxTransitError }
--- a/internal/poison/record.go
+++ b/internal/poison/record.go
@@ -11,15 +11,15 @@
 	// second one while many are lost at the same time. By the third, the request is the
 	// likely cause, and each further loss costs all requests that run there.
 	lossThreshold = 3
-	// maxLossesKept limits the losses kept per request. The newest ones determine the hold
-	// time.
+	// maxLossesKept limits the losses, and the survivors, kept per request. The newest
+	// losses determine the hold time.
 	maxLossesKept = 8
 	// initialHold is the hold time after lossThreshold simultaneous losses, as when a
 	// failure domain loses power. It is long enough for the endpoints to be back. Each
-	// loss after the previous one, which only the request explains, multiplies the hold
-	// time by holdMultiplier: it is three minutes after three sequential losses. At
-	// maxHold, finding out whether the request is harmless by now costs at most one
-	// endpoint an hour.
+	// further loss in sequence (see sequentialLosses), which only the request explains,
+	// multiplies the hold time by holdMultiplier: it is three minutes after three
+	// sequential losses. At maxHold, finding out whether the request is harmless by now
+	// costs at most one endpoint an hour.
 	initialHold    = 5 * time.Second
 	holdMultiplier = 6
 	maxHold        = time.Hour
@@ -46,8 +46,8 @@
 	Sent, At time.Time
 	// Early reports that no part of the response had arrived.
 	Early bool
-	// learnedAt is when this router learned of the loss. The actual time may be slightly
-	// later than a time received from another router.
+	// learnedAt is when this router learned of the loss. At may be slightly earlier than
+	// the loss itself if another router reported it.
 	learnedAt time.Time
 }
 
@@ -124,8 +124,8 @@
 	return true
 }
 
-// poisonous reports whether too many endpoints were lost to the request.
-func (r *record) poisonous() bool { return len(r.losses) >= lossThreshold }
+// quarantined reports whether too many endpoints were lost to the request.
+func (r *record) quarantined() bool { return len(r.losses) >= lossThreshold }
 
 // sequentialLosses returns the number of losses in sequence. Losses of attempts that
 // overlapped in time count once, since they may have another common cause.
@@ -169,7 +169,7 @@
 // expired reports whether the record no longer counts.
 func (r *record) expired(now time.Time) bool {
 	retention := lossRetention
-	if r.poisonous() {
+	if r.quarantined() {
 		retention = r.holdDuration() + quarantineRetention
 	}
 	return now.Sub(r.latestActivity()) > retention
--- a/internal/poison/survivor_test.go
+++ b/internal/poison/survivor_test.go
@@ -4,8 +4,8 @@
 // alive. Endpoints reset three in ten of their requests. Identical requests, such as a
 // popular query, were quarantined as if they crashed endpoints: at thirty resets a second,
 // three losses in a row occur by chance. Of 1,000 such requests, 15 to 561 were refused,
-// since later responses of the same endpoints were no evidence of survival. In a
-// simulation over real connections none is refused since they are.
+// because later responses of the same endpoints did not count as evidence of survival.
+// With that evidence, a simulation over real connections refuses none.
 
 import (
 	"fmt"
@@ -62,7 +62,7 @@
 		w.lose(first, fmt.Sprint("e", i), timeToLoss)
 	}
 	w.now = w.now.Add(200 * time.Millisecond)
-	second.Hear(w.now, first.Tell(0, newsAge))
+	second.Hear(w.now, first.Tell(0, maxChangeAge))
 	g.Expect(second.Ask(id).Held).To(BeTrue())
 	second.Survived("e2", w.now.Add(-time.Millisecond))
 	g.Expect(second.Ask(id).Held).To(BeTrue())
@@ -72,7 +72,7 @@
 	g.Expect(digestOf(first)).NotTo(Equal(digestOf(second)))
 	first.Hear(w.now, second.Tell(digestOf(first), 0))
 	g.Expect(first.Ask(id).Held).To(BeFalse(), "survivors are sent to other routers")
-	second.Hear(w.now, first.Tell(0, newsAge))
+	second.Hear(w.now, first.Tell(0, maxChangeAge))
 	g.Expect(second.Ask(id).Held).To(BeFalse(), "and are kept")
 	g.Expect(digestOf(first)).To(Equal(digestOf(second)))
 }
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -15,13 +15,13 @@
 
 const (
 	// maxRecords limits the number of records, at about 200 bytes each. Losing an endpoint
-	// adds some hundred at most.
+	// adds a few hundred at most.
 	maxRecords = 1024
 )
 
 // Verdict says how to handle a request.
 type Verdict struct {
-	// Quarantined reports that the request must not be sent to an endpoint before
+	// Refused reports that the request is quarantined and must not be sent before
 	// RetryAfter has passed.
 	Held       bool
 	RetryAfter time.Duration
@@ -77,13 +77,14 @@
 // identified.
 func (t *Table) Empty() bool { return t.size.Load() == 0 }
 
-// Check returns how to handle a request that is about to be sent to an endpoint.
+// Check returns how to handle a request that is about to be sent to an endpoint. If it
+// lets a quarantined request through, it records that as a trial.
 func (t *Table) Ask(id Identity) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Clock()
 	r := t.lookup(id, now)
-	if r == nil || !r.poisonous() {
+	if r == nil || !r.quarantined() {
 		return Verdict{}
 	}
 	until := r.heldUntil(t.staggerFraction(id))
@@ -118,9 +119,9 @@
 	t.update(id, true, true, func(r *record) bool { return r.addLoss(l) })
 }
 
-// RecordSurvival records that an endpoint answered a request sent at the given time.
-// Without this, endpoints that reset connections but stay alive would get every frequent
-// request quarantined.
+// RecordResponse records that an endpoint responded to a request sent at the given time,
+// which may prove that it survived a recorded loss. Without this, endpoints that reset
+// connections but stay alive would get every frequent request quarantined.
 func (t *Table) Survived(endpoint string, sent time.Time) {
 	if t.Empty() {
 		return
@@ -172,11 +173,11 @@
 		r = &record{}
 		t.add(id, r, now)
 	}
-	wasQuarantined, endpoints := r.poisonous(), endpointNames(r.losses)
+	wasQuarantined, endpoints := r.quarantined(), endpointNames(r.losses)
 	if mutate(r) {
 		r.changedAt = now
 	}
-	quarantined := r.poisonous()
+	quarantined := r.quarantined()
 	if quarantined {
 		endpoints = endpointNames(r.losses)
 	}
@@ -225,7 +226,7 @@
 	defer t.mu.Unlock()
 	n := 0
 	for _, r := range t.records {
-		if r.poisonous() {
+		if r.quarantined() {
 			n++
 		}
 	}
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -18,18 +18,18 @@
 
 func newTestFleet() *testFleet { return &testFleet{now: time.Unix(1000, 0)} }
 
-func (w *testFleet) table(router string) *Table {
+func (f *testFleet) table(router string) *Table {
 	return NewTable(Config{
-		Router: router, Clock: func() time.Time { return w.now },
-		OnEvent: func(e Event) { w.events = append(w.events, e) },
+		Router: router, Clock: func() time.Time { return f.now },
+		OnEvent: func(e Event) { f.events = append(f.events, e) },
 	})
 }
 
 // lose advances the clock by the given time and then records the loss of the endpoint.
-func (w *testFleet) lose(t *Table, endpoint string, after time.Duration) {
-	sent := w.now
-	w.now = w.now.Add(after)
-	t.Lost(id, Loss{Endpoint: endpoint, Sent: sent, At: w.now, Early: true})
+func (f *testFleet) lose(t *Table, endpoint string, after time.Duration) {
+	sent := f.now
+	f.now = f.now.Add(after)
+	t.Lost(id, Loss{Endpoint: endpoint, Sent: sent, At: f.now, Early: true})
 }
 
 // digestOf returns the digest of the requests that a table quarantines.
@@ -37,18 +37,18 @@
 
 const (
 	id = Identity(7)
-	// newsAge is the age up to which changes are sent.
-	newsAge    = time.Second
-	timeToLoss = 300 * time.Millisecond
+	// maxChangeAge is the age up to which changes are sent.
+	maxChangeAge = time.Second
+	timeToLoss   = 300 * time.Millisecond
 )
 
 func TestRequestIsQuarantinedAfterThreeLosses(t *testing.T) {
 	g := NewWithT(t)
 	w := newTestFleet()
 	table := w.table("a")
-	for i, held := range []bool{false, false, true} {
+	for i, quarantined := range []bool{false, false, true} {
 		w.lose(table, fmt.Sprint("e", i), timeToLoss)
-		g.Expect(table.Ask(id).Held).To(Equal(held), "after %d", i+1)
+		g.Expect(table.Ask(id).Held).To(Equal(quarantined), "after %d", i+1)
 	}
 	g.Expect(table.Ask(8).Held).To(BeFalse())
 	g.Expect(table.Ask(id).RetryAfter).To(BeNumerically(">=", 3*time.Minute))
@@ -133,7 +133,7 @@
 	var tables []*Table
 	for i := range routers {
 		table := w.table(fmt.Sprint("r", i))
-		table.Hear(w.now, first.Tell(0, newsAge))
+		table.Hear(w.now, first.Tell(0, maxChangeAge))
 		tables = append(tables, table)
 	}
 	tried := 0
@@ -191,7 +191,7 @@
 	g.Expect(len(table.records)).To(Equal(maxRecords))
 	g.Expect(table.Ask(id).Held).To(BeTrue())
 	// It is the first entry sent to others, ahead of the requests that only ran there.
-	entries := table.Tell(0, newsAge).Words
+	entries := table.Tell(0, maxChangeAge).Words
 	g.Expect(entries).To(HaveLen(maxEntries))
 	g.Expect(entries[0].Identity).To(Equal(id))
 }
@@ -204,7 +204,7 @@
 	for other := range 200 {
 		table.Lost(Identity(100+other), Loss{Endpoint: "e", Sent: w.now, At: w.now})
 	}
-	g.Expect(table.Tell(0, newsAge).Words[0].Identity).To(Equal(id))
+	g.Expect(table.Tell(0, maxChangeAge).Words[0].Identity).To(Equal(id))
 }
 
 // Messages may be lost, delayed, duplicated and reordered. Once all tables have exchanged
@@ -227,14 +227,14 @@
 			},
 			"tell": func(rt *rapid.T) {
 				from, to := pick.Draw(rt, "from"), pick.Draw(rt, "to")
-				to.Hear(w.now, from.Tell(digestOf(to), newsAge))
+				to.Hear(w.now, from.Tell(digestOf(to), maxChangeAge))
 			},
-			"wait": func(*rapid.T) { w.now = w.now.Add(newsAge) },
+			"wait": func(*rapid.T) { w.now = w.now.Add(maxChangeAge) },
 		})
 		for range 3 {
 			for _, from := range tables {
 				for _, to := range tables {
-					to.Hear(w.now, from.Tell(digestOf(to), newsAge))
+					to.Hear(w.now, from.Tell(digestOf(to), maxChangeAge))
 				}
 			}
 		}
@@ -257,7 +257,7 @@
 	var text []byte
 	for b.Loop() {
 		var err error
-		if text, err = json.Marshal(table.Tell(0, newsAge)); err != nil {
+		if text, err = json.Marshal(table.Tell(0, maxChangeAge)); err != nil {
 			b.Fatal(err)
 		}
 		var message Words
--- a/internal/retry/bound_test.go
+++ b/internal/retry/bound_test.go
@@ -11,8 +11,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// The operator's limit in these tests, and the shares of it that directRetries in package
-// daemon gives to the budgets.
+// operatorSlack is the number of retries that the operator allows per window in addition
+// to the ratio. Budgets get the shares of both limits that directRetries in package daemon
+// gives them.
 const (
 	operatorRatio, operatorSlack = 0.2, 52.0
 	simulationWindow             = 10 * time.Second
@@ -36,36 +37,36 @@
 const simulationStep = 10 * time.Millisecond
 
 // run returns the times of requests and of retries.
-func (p fleetSimulation) run() (sentAt, retriedAt []time.Duration) {
-	rnd := rand.New(rand.NewPCG(p.seed, 1))
+func (s fleetSimulation) run() (sentAt, retriedAt []time.Duration) {
+	rnd := rand.New(rand.NewPCG(s.seed, 1))
 	now := time.Duration(0)
 	start := epoch.Add(time.Duration(rnd.Float64() * float64(simulationWindow)))
 	newBudget := func(i int) *Budget {
 		return NewBudget(BudgetConfig{
 			Ratio: budgetRatio, Window: simulationWindow, Floor: budgetSlack / simulationWindow.Seconds(), Seed: uint64(i + 1),
-			Routers: func() int { return p.routers }, Began: start.Add(now),
+			Routers: func() int { return s.routers }, Began: start.Add(now),
 		})
 	}
-	budgets := make([]*Budget, p.routers)
+	budgets := make([]*Budget, s.routers)
 	for i := range budgets {
 		budgets[i] = newBudget(i)
 	}
 	due := 0.0
-	for step := 0; now < p.duration; step++ {
+	for step := 0; now < s.duration; step++ {
 		for i := range budgets {
-			if p.restarts != nil && p.restarts(i, step) {
+			if s.restarts != nil && s.restarts(i, step) {
 				budgets[i] = newBudget(i)
 			}
 		}
-		for due += p.perSecond * simulationStep.Seconds(); due >= 1; due-- {
-			i, tier := rnd.IntN(p.routers), 0
-			if p.tier != nil {
-				tier = p.tier(len(sentAt), now)
+		for due += s.perSecond * simulationStep.Seconds(); due >= 1; due-- {
+			i, tier := rnd.IntN(s.routers), 0
+			if s.tier != nil {
+				tier = s.tier(len(sentAt), now)
 			}
 			sentAt = append(sentAt, now)
 			budgets[i].First(start.Add(now), "s", tier)
 			for range 4 {
-				if (p.fails == nil || p.fails(now)) && budgets[i].TryRetry(start.Add(now), "s", tier) {
+				if (s.fails == nil || s.fails(now)) && budgets[i].TryRetry(start.Add(now), "s", tier) {
 					retriedAt = append(retriedAt, now)
 				}
 			}
@@ -142,9 +143,10 @@
 // retries. A restarted router knows nothing of the current window, so it had its whole
 // part of the slack again right after the previous process had used it.
 //
-// Routers that report no more than their own parts made 176 retries of 165 allowed, and
-// 188 of 182, on days when all routers were killed every two seconds while endpoints
-// failed. In this simulation up to 31 routers made 134 to 179 of 92.
+// In simulated days in which all routers were killed every two seconds while endpoints
+// failed, services got 176 retries of 165 allowed, and 188 of 182, although no router
+// reported more than its own part. In this simulation, up to 31 routers made 134 to 179 of
+// 92 allowed.
 func TestRestartedRoutersDoNotExceedTheLimit(t *testing.T) {
 	const restartInterval = 2 * time.Second
 	for name, restarts := range map[string]func(p *fleetSimulation, i, step int) bool{
@@ -183,8 +185,8 @@
 // Guards against each tier using the whole shared floor in turn. A tier's part of the
 // floor follows its current share of the requests, and retries that other tiers had
 // already made were ignored; the windows were also too short (see
-// TestFailureBurstsDoNotExceedTheLimit). This simulation had 93 retries of 92, 71 with
-// correct windows, and 59 since all tiers together are limited.
+// TestFailureBurstsDoNotExceedTheLimit). Without either fix, this simulation makes 93
+// retries of 92 allowed; with correct windows 71; with the limit on all tiers together 59.
 func TestAlternatingTiersDoNotExceedTheLimit(t *testing.T) {
 	for _, tierDuration := range []time.Duration{time.Second, 1500 * time.Millisecond, 3 * time.Second} {
 		t.Run(tierDuration.String(), func(t *testing.T) {
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -112,21 +112,21 @@
 // allowsRetry reports whether the tier may make one more retry. If only one tier at a time
 // has requests, each in turn may use the whole floor. So if routers share the floor, all
 // tiers together are limited as well.
-func (b *Budget) allowsRetry(now time.Time, targetName string, sums tierCounts, tier int) bool {
-	quota, threshold := b.currentQuota(now), b.retryThreshold(now, targetName)
+func (b *Budget) allowsRetry(now time.Time, targetName string, counts tierCounts, tier int) bool {
+	current, threshold := b.currentQuota(now), b.retryThreshold(now, targetName)
 	higherTiers := 0.0
 	for i := range tier {
-		higherTiers += quota.forTier(sums, i)
+		higherTiers += current.forTier(counts, i)
 	}
-	// The quota of all tiers allows one retry each at threshold, threshold+1 and so on. A
-	// tier gets those that fall into its part of the quota, which follows the parts of the
-	// higher tiers.
-	allowed := wholeRetries(higherTiers+quota.forTier(sums, tier), threshold) - wholeRetries(higherTiers, threshold)
-	if sums[tier].Part >= allowed {
+	// Retry n of all tiers, counted from 0, is allowed once the quota reaches threshold+n.
+	// The tiers' quotas are lined up from the highest tier on; a tier gets the retries
+	// that fall into its own section.
+	allowed := wholeRetries(higherTiers+current.forTier(counts, tier), threshold) - wholeRetries(higherTiers, threshold)
+	if counts[tier].Part >= allowed {
 		return false
 	}
-	all := sums.total()
-	return b.cfg.Routers == nil || all.Part < wholeRetries(quota.forAllTiers(all), threshold)
+	all := counts.total()
+	return b.cfg.Routers == nil || all.Part < wholeRetries(current.forAllTiers(all), threshold)
 }
 
 // wholeRetries returns how many of threshold, threshold+1, threshold+2 and so on are
@@ -141,9 +141,9 @@
 type quota struct{ ratio, floor float64 }
 
 // forTier returns the quota of one tier.
-func (q quota) forTier(sums tierCounts, tier int) float64 {
-	tierTotal := sums[tier].Total
-	return q.ratio*float64(tierTotal) + q.floor*fraction(tierTotal, sums.total().Total)
+func (q quota) forTier(counts tierCounts, tier int) float64 {
+	tierTotal := counts[tier].Total
+	return q.ratio*float64(tierTotal) + q.floor*fraction(tierTotal, counts.total().Total)
 }
 
 // forAllTiers returns the quota of all tiers together.
@@ -161,8 +161,8 @@
 	return q
 }
 
-// retryThreshold returns the fraction of a retry that the quota must reach for the retry
-// to be made: 1, or with a seed a random number from [0, 1) per window.
+// retryThreshold returns the quota at which the first retry of a window is allowed: 1, or
+// with a seed a random number from [0, 1) per window. Each further retry needs 1 more.
 func (b *Budget) retryThreshold(now time.Time, targetName string) float64 {
 	if b.cfg.Seed == 0 {
 		return 1
@@ -221,16 +221,16 @@
 
 // countsInWindow returns the counts of the window that ends now. t.mu is held.
 func (t *target) countsInWindow(now time.Time) tierCounts {
-	var s tierCounts
+	var counts tierCounts
 	for i := range t.tiers {
-		s[i] = t.tiers[i].Sum(now)
+		counts[i] = t.tiers[i].Sum(now)
 	}
-	return s
+	return counts
 }
 
-func (s tierCounts) total() window.Counts {
+func (counts tierCounts) total() window.Counts {
 	var all window.Counts
-	for _, c := range s {
+	for _, c := range counts {
 		all.Total += c.Total
 		all.Part += c.Part
 	}
--- a/internal/retry/naive.go
+++ b/internal/retry/naive.go
@@ -6,7 +6,7 @@
 // the request ran, up to Max attempts.
 type Naive struct{ Max int }
 
-// First does nothing, as there is no budget.
+// RecordFirst does nothing, as there is no budget.
 func (Naive) First(time.Time, string, int) {}
 
 // Decide retries while attempts are left.
--- a/internal/retry/outcome.go
+++ b/internal/retry/outcome.go
@@ -6,8 +6,8 @@
 // Outcome is what is known about an attempt after it ended.
 type Outcome uint8
 
-// The outcomes of an attempt. Only an explicit statement of the agent results in
-// OutcomeNotRun: a timeout or reset connection after the request was sent is
+// The outcomes of an attempt. Once a request was sent, only an explicit statement of the
+// agent or endpoint results in OutcomeNotRun: a timeout or reset connection then is
 // OutcomeUnknown.
 const (
 	// OutcomeCompleted: the complete response arrived.
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -38,7 +38,8 @@
 	// Delivered reports whether the caller has received part of the response.
 	Delivered bool
 	// BudgetExempt reports that the failure is no sign of overload, for example at an
-	// endpoint that is draining. The next attempt isn't charged to the budget.
+	// endpoint that is draining. A retry after it is charged only with ChargeAll or as a
+	// revisit.
 	BudgetExempt bool
 	// Overloaded reports that the endpoint refused the attempt for lack of capacity.
 	Overloaded bool
@@ -80,7 +81,7 @@
 	Budget *Budget
 }
 
-// First counts the first attempt of a request of the tier at a target.
+// RecordFirst counts the first attempt of a request of the tier at a target.
 func (p *Policy) First(now time.Time, target string, tier int) {
 	if p.Budget != nil {
 		p.Budget.First(now, target, tier)
--- a/internal/retry/usage.go
+++ b/internal/retry/usage.go
@@ -23,9 +23,9 @@
 
 // Usage returns the usage of one tier at a target.
 func (b *Budget) Usage(now time.Time, targetName string, tier int) Usage {
-	sums := b.readCounts(now, b.targetFor(targetName))
+	counts := b.readCounts(now, b.targetFor(targetName))
 	tier = tierIndex(tier)
-	return Usage{Retries: sums[tier].Part, Allowed: b.currentQuota(now).forTier(sums, tier), SharingRouters: b.routerCount()}
+	return Usage{Retries: counts[tier].Part, Allowed: b.currentQuota(now).forTier(counts, tier), SharingRouters: b.routerCount()}
 }
 
 // UsageByTarget returns the usage of all tiers together at each target.
@@ -33,11 +33,11 @@
 	b.mu.Lock()
 	targets := maps.Clone(b.targets)
 	b.mu.Unlock()
-	quota, routers := b.currentQuota(now), b.routerCount()
+	current, routers := b.currentQuota(now), b.routerCount()
 	usage := make(map[string]Usage, len(targets))
 	for name, t := range targets {
 		total := b.readCounts(now, t).total()
-		usage[name] = Usage{Retries: total.Part, Allowed: quota.forAllTiers(total), SharingRouters: routers}
+		usage[name] = Usage{Retries: total.Part, Allowed: current.forAllTiers(total), SharingRouters: routers}
 	}
 	return usage
 }
