--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -7,90 +7,93 @@
 	"time"
 )
 
-// Core decides which endpoints may be used. It is not safe for concurrent use.
+// Core computes the state of each endpoint from events. It is not safe for
+// concurrent use.
 type Core struct {
 	tuning    Tuning
-	endpoints map[string]*evidence
+	endpoints map[string]*endpointState
 	list      listState
 }
 
-// NewCore returns a core that knows no endpoint yet.
+// NewCore returns a core without endpoints.
 func NewCore(t Tuning) *Core {
-	return &Core{tuning: t.withDefaults(), endpoints: make(map[string]*evidence)}
+	return &Core{tuning: t.withDefaults(), endpoints: make(map[string]*endpointState)}
 }
 
-// Apply takes an event in and returns the states that changed, by the names of
-// the endpoints. Events on endpoints that the bundle doesn't name change nothing.
+// Apply processes an event and returns the resulting state changes, sorted by
+// endpoint name. Events about endpoints that the bundle doesn't define are ignored.
 func (c *Core) Apply(now time.Time, ev Event) []Change {
 	switch ev := ev.(type) {
 	case Bundle:
 		return c.setBundle(now, ev)
 	case ListRead:
-		if c.takeList(now, ev) {
-			return c.judgeAll(now)
+		if c.applyList(now, ev) {
+			return c.evaluateAll(now)
 		}
-	case ListRenewed:
-		c.list.renew(now, ev.At)
-		return c.judgeAll(now)
+	case ListUnchanged:
+		c.list.advance(now, ev.At)
+		return c.evaluateAll(now)
 	case OwnWord:
-		if e := c.endpoints[ev.Endpoint]; e != nil && e.hear(now, ev) {
-			return c.judge(now, e, nil)
+		if e := c.endpoints[ev.Endpoint]; e != nil && e.applyStatus(now, ev) {
+			return c.evaluate(now, e, nil)
 		}
 	case Silence:
 		if e := c.endpoints[ev.Endpoint]; e != nil {
-			e.silentAt = now
-			return c.judge(now, e, nil)
+			e.unresponsiveAt = now
+			return c.evaluate(now, e, nil)
 		}
-	case ConnectionResult:
-		if e := c.endpoints[ev.Endpoint]; e != nil && e.place.mayBe(ev.Incarnation) {
-			e.fail(now, ev.Result)
-			return c.judge(now, e, nil)
+	case ConnectionFailure:
+		if e := c.endpoints[ev.Endpoint]; e != nil && e.spec.mayRun(ev.Incarnation) {
+			e.recordFailure(now, ev.Kind)
+			return c.evaluate(now, e, nil)
 		}
 	}
 	return nil
 }
 
-// Tick takes note of the time alone, which can turn a list stale and end a silence.
+// Tick re-evaluates all endpoints at the given time: the list may have become
+// stale, and unresponsive marks may have expired.
 func (c *Core) Tick(now time.Time) []Change {
 	for _, e := range c.endpoints {
-		e.endSilence(now, c.tuning)
+		e.expireUnresponsive(now, c.tuning)
 	}
-	return c.judgeAll(now)
+	return c.evaluateAll(now)
 }
 
-// Counts says whether words come from an endpoint of the bundle, and not from an
-// incarnation that another has followed; else its load report counts neither.
-func (c *Core) Counts(w OwnWord) bool {
-	e := c.endpoints[w.Endpoint]
-	return e != nil && !e.isLate(w)
+// Accepts reports whether a status comes from an endpoint of the bundle and not
+// from an incarnation that has since been replaced. If it returns false, the load
+// report that came with the status must be ignored too.
+func (c *Core) Accepts(status OwnWord) bool {
+	e := c.endpoints[status.Endpoint]
+	return e != nil && !e.isOutdated(status)
 }
 
-// Members lists all endpoints of the bundle by their names.
+// Members returns all endpoints of the bundle, sorted by name.
 func (c *Core) Members() []Member {
 	members := make([]Member, 0, len(c.endpoints))
-	for _, name := range c.names() {
+	for _, name := range c.endpointNames() {
 		members = append(members, c.endpoints[name].member())
 	}
 	return members
 }
 
-func (c *Core) names() []string { return slices.Sorted(maps.Keys(c.endpoints)) }
+func (c *Core) endpointNames() []string { return slices.Sorted(maps.Keys(c.endpoints)) }
 
-// setBundle keeps what is known of the endpoints that stay where they are. Of
-// one that moved only its earlier incarnations are kept, whose words may still
-// come.
+// setBundle replaces the set of endpoints. An endpoint whose VM, address and
+// incarnation are unchanged keeps everything. Of a changed one only the last state
+// and the incarnations are kept; delayed messages from these may still arrive.
 func (c *Core) setBundle(now time.Time, b Bundle) []Change {
 	var changes []Change
-	next := make(map[string]*evidence, len(b.Places))
+	next := make(map[string]*endpointState, len(b.Places))
 	for _, p := range b.Places {
 		before := c.endpoints[p.Endpoint]
 		e := before
-		if e == nil || e.place != p {
-			e = newEvidence(p, now, before)
-			e.list, e.listAt = c.list.word(p.VM), now
+		if e == nil || e.spec != p {
+			e = newEndpointState(p, now, before)
+			e.listStatus, e.listChangedAt = c.list.status(p.VM), now
 		}
-		if before != nil && !before.place.mayBe(p.Incarnation) {
-			e.begin()
+		if before != nil && !before.spec.mayRun(p.Incarnation) {
+			e.resetForNewProcess()
 			changes = append(changes, Change{Endpoint: p.Endpoint, From: before.state, To: e.state, Reason: ReasonRestarted})
 		}
 		next[p.Endpoint] = e
@@ -101,27 +104,27 @@
 		}
 	}
 	c.endpoints = next
-	return byName(append(changes, c.judgeAll(now)...))
+	return sortByEndpoint(append(changes, c.evaluateAll(now)...))
 }
 
-// judgeAll sorts what changed only, as it is called several times a second and
-// hardly ever finds a change.
-func (c *Core) judgeAll(now time.Time) []Change {
+// evaluateAll sorts only the changes, not the endpoints: it runs several times a
+// second and rarely finds a change.
+func (c *Core) evaluateAll(now time.Time) []Change {
 	var changes []Change
 	for _, e := range c.endpoints {
-		changes = c.judge(now, e, changes)
+		changes = c.evaluate(now, e, changes)
 	}
-	return byName(changes)
+	return sortByEndpoint(changes)
 }
 
-func byName(changes []Change) []Change {
+func sortByEndpoint(changes []Change) []Change {
 	slices.SortFunc(changes, func(a, b Change) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return changes
 }
 
-// judge works out an endpoint's state and appends a change, if it is one.
-func (c *Core) judge(now time.Time, e *evidence, changes []Change) []Change {
-	state, reason := e.judge(c.list.stale(now, c.tuning.ListStale), c.tuning)
+// evaluate recomputes an endpoint's state and appends a Change if it differs.
+func (c *Core) evaluate(now time.Time, e *endpointState, changes []Change) []Change {
+	state, reason := e.evaluate(c.list.stale(now, c.tuning.ListStaleAfter), c.tuning)
 	if state == e.state && reason == e.reason {
 		return changes
 	}
@@ -130,10 +133,10 @@
 	if state == from {
 		return changes
 	}
-	e.probe.begin(now, state, c.tuning)
-	change := Change{Endpoint: e.place.Endpoint, From: from, To: state, Reason: reason}
+	e.probe.start(now, state, c.tuning)
+	change := Change{Endpoint: e.spec.Endpoint, From: from, To: state, Reason: reason}
 	if state == Live {
-		change.MayBeNew, e.mayBeNew = e.mayBeNew, false
+		change.PossiblyRestarted, e.possiblyRestarted = e.possiblyRestarted, false
 	}
 	return append(changes, change)
 }
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,11 +1,13 @@
-// Package membership works out, at a router, which endpoints may be sent new
-// work: which are live, leaving, suspect or gone. Three sources tell of an
-// endpoint, and any one of them suffices to stop new work within seconds: the
-// platform's list of VMs, which lags and may be stale, empty or down; the
-// agent's own word, in its load reports and in notices; and what happens on the
-// router's own connections.
+// Package membership tracks the state of each endpoint at a router: live,
+// leaving, suspect or gone. The state decides whether the endpoint receives new
+// requests. There are three sources of information, and any one of them alone
+// stops new requests to an endpoint within seconds: the platform's list of VMs,
+// which lags and may be stale, empty or unavailable; the agent's own status, from
+// load reports, leaving notices and health checks; and the results of the router's
+// own connections.
 //
-// Core decides: it is handed events and the time, and does nothing itself.
-// Tracker applies its decisions to the router's pool of endpoints. Reader,
-// Prober, Listener and Announcer carry events in.
+// Core is the state machine: its inputs are events and the current time, and it
+// performs no I/O. Tracker applies its decisions to the router's pool of
+// endpoints. Feed, Prober and the control channel's notice method supply events;
+// Announcer is the agent's side and sends the notices.
 package membership
--- a/internal/membership/errors.go
+++ b/internal/membership/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// FetchError is a page of members that couldn't be had.
+// FetchError reports that a router's members could not be fetched.
 type FetchError struct {
 	URL   string
 	Cause error
@@ -14,8 +14,8 @@
 // Unwrap returns the cause.
 func (e *FetchError) Unwrap() error { return e.Cause }
 
-// ListError is a reading of the platform's list that can't be used. The last
-// good list stays.
+// ListError reports that the platform's list could not be read or is invalid. The
+// last valid list stays in use.
 type ListError struct {
 	URL   string
 	Cause error
@@ -27,17 +27,17 @@
 // Unwrap returns the cause.
 func (e *ListError) Unwrap() error { return e.Cause }
 
-// ProbeError is a probe without an answer that tells of the endpoint.
+// ProbeError reports that a probe received no valid status from the endpoint.
 type ProbeError struct {
 	Endpoint string
-	// Sent says that a connection was had.
-	Sent  bool
-	Cause error
+	// Connected reports whether a connection was established.
+	Connected bool
+	Cause     error
 }
 
 // Error describes the failure.
 func (e *ProbeError) Error() string {
-	return fmt.Sprintf("probe of %s (connected: %t): %v", e.Endpoint, e.Sent, e.Cause)
+	return fmt.Sprintf("probe of %s (connected: %t): %v", e.Endpoint, e.Connected, e.Cause)
 }
 
 // Unwrap returns the cause.
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// State is what a router makes of an endpoint.
+// State is an endpoint's state as seen by one router.
 type State string
 
-// The states of an endpoint. Live endpoints are sent work; suspect ones only
-// where nothing else is left; leaving and gone ones never.
+// The states of an endpoint. Live endpoints receive new requests. Suspect ones
+// receive them only if no live endpoint is available; leaving and gone ones never
+// do.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
@@ -14,123 +15,129 @@
 	Gone    State = "gone"
 )
 
-// States lists all states in a fixed order.
+// States returns all states in a fixed order.
 func States() []State { return []State{Live, Leaving, Suspect, Gone} }
 
-// takesWork says whether endpoints in the state may be sent new work at all.
-func (s State) takesWork() bool { return s == Live || s == Suspect }
+// acceptsRequests reports whether an endpoint in this state may receive new
+// requests.
+func (s State) acceptsRequests() bool { return s == Live || s == Suspect }
 
-// Reason is the source that a state rests on.
+// Reason is the source of information that determined a state.
 type Reason string
 
-// The reasons of a state.
+// The reasons for a state.
 const (
-	ReasonBundle     Reason = "bundle"     // the bundle names it and nothing speaks against it
-	ReasonList       Reason = "list"       // the platform's list says so
-	ReasonReport     Reason = "report"     // the agent's load report says so
-	ReasonNotice     Reason = "notice"     // the agent's notice says so
-	ReasonCheck      Reason = "check"      // it answered a health check
-	ReasonConnection Reason = "connection" // connections to the agent fail
-	ReasonReturned   Reason = "returned"   // it came back
-	ReasonRestarted  Reason = "restarted"  // another process is there under its name
+	ReasonBundle     Reason = "bundle"     // defined in the bundle, or removed from it
+	ReasonList       Reason = "list"       // the platform's list
+	ReasonReport     Reason = "report"     // the agent's load report
+	ReasonNotice     Reason = "notice"     // the agent's leaving notice
+	ReasonCheck      Reason = "check"      // the response to a health check
+	ReasonConnection Reason = "connection" // failed connections, or no response to requests
+	ReasonReturned   Reason = "returned"   // live again after another state
+	ReasonRestarted  Reason = "restarted"  // a new process runs under the endpoint's name
 )
 
-// Event is something that was learnt: Bundle, ListRead, ListRenewed, OwnWord,
-// ConnectionResult or Silence.
+// Event is an input of Core: BundleApplied, ListRead, ListUnchanged, AgentStatus,
+// ConnectionFailure or Unresponsive.
 type Event interface{ event() }
 
-// Place is an endpoint of the bundle, the VM that it runs on and its address.
+// EndpointSpec describes an endpoint of the bundle.
 type Place struct {
 	Endpoint, VM, Address string
-	// Incarnation names the process there where the source of endpoints tells; another
-	// one is a new process. Empty where agents tell it themselves.
+	// Incarnation identifies the process, if the source of the endpoints provides it;
+	// a different value means a new process. It is empty for endpoints whose agents
+	// report their own incarnation.
 	Incarnation string
 }
 
-// Bundle names all endpoints that may be used. Others never are, whatever the
-// list says.
+// BundleApplied provides all endpoints that may be used. No other endpoint is used,
+// even if the platform lists its VM.
 type Bundle struct{ Places []Place }
 
-// VM is an entry of the platform's list.
+// VM is an entry in the platform's list.
 type VM struct {
 	Name    string
 	Leaving bool
 }
 
-// ListRead is a reading of the platform's list.
+// ListRead provides the content of the platform's list.
 type ListRead struct {
 	VMs []VM
-	// At is the moment that the list describes, by the platform's clock. It
-	// is compared with other readings only.
+	// At is the time as of which the list is valid, by the platform's clock. It is
+	// only compared with the times of other lists.
 	At time.Time
 }
 
-// ListRenewed says that the list is the same at a later moment.
-type ListRenewed struct{ At time.Time }
+// ListUnchanged reports that the list is unchanged as of a later time.
+type ListUnchanged struct{ At time.Time }
 
-// OwnWord is what an agent says of itself, in an answer or a notice.
+// AgentStatus is the status that an agent reports in a response or a notice.
 type OwnWord struct {
 	Endpoint string
-	// Incarnation names the agent's process; Seq orders what it says and,
-	// clocks permitting, its incarnations.
+	// Incarnation identifies the agent's process. Seq orders the statuses of an
+	// incarnation and, unless the clock is set back, the incarnations.
 	Incarnation string
 	Seq         uint64
 	Leaving     bool
 	// Via is ReasonReport, ReasonNotice or ReasonCheck.
 	Via Reason
-	// Sent is when the request was sent that it answers; zero if that isn't known.
+	// Sent is when the request was sent to which this is the response; zero if
+	// unknown.
 	Sent time.Time
 }
 
-// Result is how a connection to an agent went.
-type Result uint8
+// FailureKind says how a connection to an agent failed.
+type FailureKind uint8
 
-// The results on a connection.
+// The kinds of connection failures.
 const (
-	// Refused: there is no process, or the way there is closed; nothing was sent.
-	Refused Result = iota
-	// Broken: it was reset, or no answer came.
+	// Refused means that no connection was established, because no process is
+	// listening or the network path is down; nothing was sent.
+	Refused FailureKind = iota
+	// Broken means that the connection was reset or no response arrived.
 	Broken
 )
 
-// ConnectionResult is a failure on a connection. An answer is an OwnWord.
-type ConnectionResult struct {
+// ConnectionFailure reports a failed connection. A response is reported as an
+// AgentStatus.
+type ConnectionFailure struct {
 	Endpoint string
-	// Incarnation is that of the process to which it led; empty if unknown.
+	// Incarnation is that of the process at the other end; empty if unknown.
 	Incarnation string
-	Result      Result
+	Kind        FailureKind
 }
 
-// Silence says that requests are open at an endpoint from which nothing at all
-// has come for long. It is said again and again while that holds. A health check
-// may be answered all the while: only an answer to a request ends it at once.
+// Unresponsive reports that requests are in flight at an endpoint that has sent no
+// data for a long time. It is repeated while the condition holds. The endpoint may
+// still pass health checks: only a response to a request clears it at once.
 type Silence struct{ Endpoint string }
 
-func (Silence) event()          {}
-func (Bundle) event()           {}
-func (ListRead) event()         {}
-func (ListRenewed) event()      {}
-func (OwnWord) event()          {}
-func (ConnectionResult) event() {}
+func (Silence) event()           {}
+func (Bundle) event()            {}
+func (ListRead) event()          {}
+func (ListUnchanged) event()     {}
+func (OwnWord) event()           {}
+func (ConnectionFailure) event() {}
 
-// Member is an endpoint's state.
+// Member is an endpoint with its state.
 type Member struct {
 	Endpoint string
 	VM       string
 	State    State
 	Reason   Reason
-	// Since is when the state and the reason were first found.
+	// Since is when the state and the reason took their current values.
 	Since       time.Time
-	Incarnation string // last heard of; empty if none
+	Incarnation string // the latest reported; empty if none
 }
 
-// Change is a state that has changed. An endpoint that the bundle names no more
-// has To Gone with ReasonBundle.
+// Change is a state transition. For an endpoint that was removed from the bundle To
+// is Gone and Reason is ReasonBundle.
 type Change struct {
 	Endpoint string
 	From, To State
 	Reason   Reason
-	// MayBeNew says of one that returned that another process may be there: connections were
-	// refused, or broke until it answered a request that was sent afterwards.
-	MayBeNew bool
+	// PossiblyRestarted is set on a return to Live if another process may be running:
+	// connections were refused, or they broke and the endpoint then answered a request
+	// that was sent after the first failure.
+	PossiblyRestarted bool
 }
--- a/internal/membership/feed.go
+++ b/internal/membership/feed.go
@@ -15,111 +15,113 @@
 	"coveferry/internal/identity"
 )
 
-// Numbers of the feed.
+// Intervals and bounds of the feed.
 const (
-	// minReadEvery is the pace of reading a short list, and readBytes what
-	// reading a long one may take of a router's allowance, in bytes a second.
-	minReadEvery = 700 * time.Millisecond
-	readBytes    = 8 << 10
-	// readGap is the mean time between two readings by any router that must be
-	// kept, also where few routers have a long list and exceed readBytes.
-	readGap = 250 * time.Millisecond
-	// bytesPerVM is an entry's size in the platform's answer.
+	// minPollInterval is the interval at which a short list is read.
+	// pollBytesPerSecond is how much of a router's bandwidth budget, in bytes a
+	// second, reading a long list may use.
+	minPollInterval    = 700 * time.Millisecond
+	pollBytesPerSecond = 8 << 10
+	// maxMeanPollInterval is the longest mean time between two reads by any of the
+	// routers. It takes precedence over pollBytesPerSecond if there are few routers
+	// and the list is long.
+	maxMeanPollInterval = 250 * time.Millisecond
+	// bytesPerVM is the size of an entry in the platform's response.
 	bytesPerVM = 95
-	// watchWait is how long a router waits to be told of a change, and
-	// watchTimeout bounds the call.
+	// watchWait is how long the server of a watch waits for a change before it
+	// replies, and watchTimeout bounds the call.
 	watchWait    = 2 * time.Second
 	watchTimeout = watchWait + time.Second
-	// watchRetry is the delay before another router is watched after a failure.
+	// watchRetry is the delay before the next router is tried after a failure.
 	watchRetry = 500 * time.Millisecond
-	// watchesInside and watchesOutside are how many routers are watched in the
-	// own failure domain and in others.
-	watchesInside  = 2
-	watchesOutside = 2
-	// rosterEvery is how often the bundle's routers are looked at.
-	rosterEvery = time.Second
+	// watchesInDomain and watchesOutsideDomain are how many routers are watched in
+	// the router's own failure domain and in all others.
+	watchesInDomain      = 2
+	watchesOutsideDomain = 2
+	// routersCheckInterval is how often the bundle's routers are checked for changes.
+	routersCheckInterval = time.Second
 )
 
-// Watch asks a router for what its list has that the caller's lacks.
-type Watch struct {
-	// At is the moment that the caller's list describes; zero if it has none.
+// WatchRequest asks a router for the changes that the caller's list lacks.
+type WatchRequest struct {
+	// At is the time as of which the caller's list is valid; zero if it has none.
 	At time.Time `json:"at,omitzero"`
 }
 
-var methodWatch = control.NewMethod[Watch, Update]("membership.watch", identity.RoleRouter).
+var methodWatch = control.NewMethod[WatchRequest, Update]("membership.watch", identity.RoleRouter).
 	WithTimeout(watchTimeout)
 
-// FeedConfig is what a feed needs.
+// FeedConfig configures a Feed.
 type FeedConfig struct {
 	Tracker *Tracker
-	// Name and FailureDomain are the router's.
+	// Name and FailureDomain are this router's.
 	Name, FailureDomain string
-	// Platform are the servers of the platform's list; with none the list
+	// Platform lists the servers of the platform's list. If it is empty, the list
 	// comes from other routers only.
 	Platform []*Platform
-	// Routers lists those of the bundle in force.
+	// Routers returns the routers of the bundle in force.
 	Routers func() []bundle.Router
 	Client  control.ClientConfig
 	Log     zerolog.Logger
 }
 
-// Feed brings the platform's list to a tracker. A router reads the platform
-// seldom, the more seldom the longer the list is, and hears from a few other
-// routers at once what they have read. It is safe for concurrent use.
+// Feed supplies the platform's list to a tracker. To limit the load on the platform
+// a router reads the list at long intervals, which grow with the list's length. In
+// between it watches a few other routers, which send the changes that they have
+// read. It is safe for concurrent use.
 type Feed struct {
 	cfg  FeedConfig
 	pool *control.Pool
 
-	mu     sync.Mutex
-	ledger ledger
-	// differs says that the last update showed this list to be another one,
-	// so that the whole is wanted next.
-	differs bool
-	changed chan struct{} // closed and renewed with each change
+	mu      sync.Mutex
+	history listHistory
+	// needsFullList means that the last update's checksum didn't match, so the next
+	// watch requests the full list.
+	needsFullList bool
+	changed       chan struct{} // closed and replaced at each change
 }
 
-// NewFeed returns a feed that has no list yet.
+// NewFeed returns a feed without a list.
 func NewFeed(cfg FeedConfig) *Feed {
 	return &Feed{cfg: cfg, pool: control.NewPool(cfg.Client, 0), changed: make(chan struct{})}
 }
 
-// Register adds to a router's control channel the method by which others watch
-// its list.
+// Register adds the method that serves watches to a router's control channel.
 func (f *Feed) Register(srv *control.Server) { control.Register(srv, methodWatch, f.serveWatch) }
 
-// Run reads and watches until ctx ends.
+// Run reads the platform's list and watches other routers until ctx ends.
 func (f *Feed) Run(ctx context.Context) {
 	defer f.pool.Close()
-	var work sync.WaitGroup
-	defer work.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	if len(f.cfg.Platform) > 0 {
-		work.Go(func() { f.readAll(ctx) })
+		wg.Go(func() { f.pollAll(ctx) })
 	}
 	for ctx.Err() == nil {
 		f.watchRouters(ctx, f.cfg.Routers())
 	}
 }
 
-// watchRouters watches some of the routers until the bundle names others.
+// watchRouters watches some of the routers until the bundle's routers change.
 func (f *Feed) watchRouters(ctx context.Context, routers []bundle.Router) {
 	ctx, cancel := context.WithCancel(ctx)
-	var work sync.WaitGroup
-	defer work.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer cancel()
-	for _, candidates := range lanes(f.cfg.Name, f.cfg.FailureDomain, routers) {
-		work.Go(func() { f.watch(ctx, candidates) })
+	for _, candidates := range watchCandidates(f.cfg.Name, f.cfg.FailureDomain, routers) {
+		wg.Go(func() { f.watch(ctx, candidates) })
 	}
 	for ctx.Err() == nil && slices.Equal(f.cfg.Routers(), routers) {
-		clock.Sleep(ctx, rosterEvery)
+		clock.Sleep(ctx, routersCheckInterval)
 	}
 }
 
-// readAll reads the platform's servers in turn. The first reading comes at once,
-// the second at a random moment, so that routers that start together part.
-func (f *Feed) readAll(ctx context.Context) {
+// pollAll reads from the platform's servers in turn. The first read is immediate and
+// the second after a random delay, so that routers that start together spread out.
+func (f *Feed) pollAll(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
-		f.read(ctx, f.cfg.Platform[i%len(f.cfg.Platform)])
-		pause := f.pace()
+		f.poll(ctx, f.cfg.Platform[i%len(f.cfg.Platform)])
+		pause := f.pollInterval()
 		if i == 0 {
 			pause = time.Duration(rand.Int64N(int64(pause)))
 		}
@@ -127,65 +129,66 @@
 	}
 }
 
-func (f *Feed) read(ctx context.Context, p *Platform) {
+func (f *Feed) poll(ctx context.Context, p *Platform) {
 	read, err := p.Read(ctx)
 	if ctx.Err() != nil {
 		return
 	}
 	f.cfg.Tracker.metrics.reads.WithLabelValues("platform", outcomeOf(err)).Inc()
 	if err != nil {
-		f.cfg.Log.Warn().Err(err).Msg("the last good list stays")
+		f.cfg.Log.Warn().Err(err).Msg("reading the platform's list failed; keeping the last valid list")
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if !f.ledger.wants(now, read.At, f.stale()) {
+	if !f.history.shouldApply(now, read.At, f.staleAfter()) {
 		return
 	}
-	f.ledger.take(now, read)
-	f.wake()
+	f.history.replace(now, read)
+	f.notifyChanged()
 	f.cfg.Tracker.Learn(read)
 }
 
-func (f *Feed) stale() time.Duration { return f.cfg.Tracker.core.tuning.ListStale }
+func (f *Feed) staleAfter() time.Duration { return f.cfg.Tracker.core.tuning.ListStaleAfter }
 
-// wake tells those that wait for a change. f.mu is held.
-func (f *Feed) wake() {
+// notifyChanged wakes the watches that wait for a change. f.mu must be held.
+func (f *Feed) notifyChanged() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-func (f *Feed) pace() time.Duration {
+func (f *Feed) pollInterval() time.Duration {
 	routers := len(f.cfg.Routers())
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return readEvery(len(f.ledger.vms), routers)
+	return pollIntervalFor(len(f.history.vms), routers)
 }
 
-// readEvery is how often one of so many routers reads a list of so many VMs.
-func readEvery(vms, routers int) time.Duration {
-	cheap := time.Duration(vms) * bytesPerVM * time.Second / readBytes
-	soon := time.Duration(routers) * readGap
-	return max(minReadEvery, min(cheap, soon))
+// pollIntervalFor returns how long each router waits between two reads of the list.
+func pollIntervalFor(vms, routers int) time.Duration {
+	byBytes := time.Duration(vms) * bytesPerVM * time.Second / pollBytesPerSecond
+	byRouters := time.Duration(routers) * maxMeanPollInterval
+	return max(minPollInterval, min(byBytes, byRouters))
 }
 
-// watch keeps watching one of the candidates, the next one after each failure.
+// watch watches one of the candidates at a time and switches to the next one after
+// a failure.
 func (f *Feed) watch(ctx context.Context, candidates []control.Target) {
 	for i := 0; ctx.Err() == nil; {
-		err := f.ask(ctx, candidates[i])
+		err := f.watchOnce(ctx, candidates[i])
 		if err != nil {
 			i = (i + 1) % len(candidates)
 		}
-		if err != nil || f.request().At.IsZero() {
-			clock.Sleep(ctx, watchRetry) // one that wants the whole is answered at once
+		if err != nil || f.watchRequest().At.IsZero() {
+			clock.Sleep(ctx, watchRetry) // a request for the full list is answered at once
 		}
 	}
 }
 
-// ask watches once.
-func (f *Feed) ask(ctx context.Context, from control.Target) error {
-	u, err := control.Call(ctx, f.pool.Client(from), methodWatch, f.request())
+// watchOnce sends one watch request and merges the update.
+func (f *Feed) watchOnce(ctx context.Context, from control.Target) error {
+	u, err := control.Call(ctx, f.pool.Client(from), methodWatch, f.watchRequest())
 	if ctx.Err() != nil {
 		return err
 	}
@@ -196,48 +199,48 @@
 	return err
 }
 
-func (f *Feed) request() Watch {
+func (f *Feed) watchRequest() WatchRequest {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.differs {
-		return Watch{}
+	if f.needsFullList {
+		return WatchRequest{}
 	}
-	return Watch{At: f.ledger.at}
+	return WatchRequest{At: f.history.asOf}
 }
 
 func (f *Feed) merge(u Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	repairs := f.differs && u.Whole && u.At.Equal(f.ledger.at)
-	if !repairs && !f.ledger.wants(now, u.At, f.stale()) {
+	repairs := f.needsFullList && u.Full && u.At.Equal(f.history.asOf)
+	if !repairs && !f.history.shouldApply(now, u.At, f.staleAfter()) {
 		return
 	}
-	changed := f.ledger.merge(now, u)
-	f.differs = !f.ledger.matches(u)
+	changed := f.history.merge(now, u)
+	f.needsFullList = !f.history.matches(u)
 	if changed {
-		f.wake()
-		f.cfg.Tracker.Learn(f.ledger.read())
+		f.notifyChanged()
+		f.cfg.Tracker.Learn(f.history.toListRead())
 		return
 	}
-	f.cfg.Tracker.Learn(ListRenewed{At: f.ledger.at})
+	f.cfg.Tracker.Learn(ListUnchanged{At: f.history.asOf})
 }
 
-// serveWatch replies when there is a change that the caller lacks, or when the
-// caller's wait is over.
-func (f *Feed) serveWatch(ctx context.Context, _ identity.Peer, req Watch) (Update, error) {
-	over := time.NewTimer(watchWait)
-	defer over.Stop()
+// serveWatch replies as soon as there is a change that the caller's list lacks, or
+// after watchWait.
+func (f *Feed) serveWatch(ctx context.Context, _ identity.Peer, req WatchRequest) (Update, error) {
+	timer := time.NewTimer(watchWait)
+	defer timer.Stop()
 	for waiting := true; waiting; {
 		f.mu.Lock()
-		news, changed := f.ledger.hasNews(req.At), f.changed
+		hasChange, changed := f.history.changedSince(req.At), f.changed
 		f.mu.Unlock()
-		if news {
+		if hasChange {
 			break
 		}
 		select {
 		case <-changed:
-		case <-over.C:
+		case <-timer.C:
 			waiting = false
 		case <-ctx.Done():
 			return Update{}, ctx.Err()
@@ -245,8 +248,8 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ledger.vms == nil {
+	if f.history.vms == nil {
 		return Update{}, &control.Error{Code: control.CodeUnavailable, Message: "no list yet"}
 	}
-	return f.ledger.since(req.At), nil
+	return f.history.updateSince(req.At), nil
 }
--- a/internal/membership/feed_test.go
+++ b/internal/membership/feed_test.go
@@ -21,9 +21,9 @@
 	"coveferry/internal/standin/vmlist"
 )
 
-// mesh is routers with their feeds in one failure domain, and the platform's
-// list, in memory.
-type mesh struct {
+// routerMesh is a set of routers with feeds in one failure domain and a server of
+// the platform's list, on an in-memory network.
+type routerMesh struct {
 	g         Gomega
 	net       *memnet.Net
 	list      *vmlist.List
@@ -37,10 +37,10 @@
 
 const listAddress = "10.0.0.1:80"
 
-// newMesh starts n routers that know four endpoints. Only the first readers of
-// them reach the platform.
-func newMesh(t *testing.T, n, readers int, lag time.Duration) *mesh {
-	m := &mesh{g: NewWithT(t), net: memnet.New(), list: vmlist.New(lag), traffic: &control.Traffic{}}
+// newRouterMesh starts n routers with four endpoints. Only the first routers, as many
+// as readers says, reach the platform.
+func newRouterMesh(t *testing.T, n, readers int, lag time.Duration) *routerMesh {
+	m := &routerMesh{g: NewWithT(t), net: memnet.New(), list: vmlist.New(lag), traffic: &control.Traffic{}}
 	var err error
 	m.authority, err = identity.Ephemeral()
 	m.g.Expect(err).NotTo(HaveOccurred())
@@ -62,8 +62,9 @@
 	return m
 }
 
-// setList lists the VMs of four endpoints, one of them leaving if it isn't -1.
-func (m *mesh) setList(leaving int) {
+// setList lists the VMs of four endpoints. The VM with the given index is leaving; -1
+// means none.
+func (m *routerMesh) setList(leaving int) {
 	vms := make([]vmlist.VM, 4)
 	for i := range vms {
 		vms[i] = vmlist.VM{Name: fmt.Sprint("vm", i), State: vmlist.Live}
@@ -74,7 +75,7 @@
 	m.list.Set(vms...)
 }
 
-func (m *mesh) identity(role identity.Role, name string) *identity.Identity {
+func (m *routerMesh) identity(role identity.Role, name string) *identity.Identity {
 	pair, err := m.authority.Issue(role, name, 24*time.Hour)
 	m.g.Expect(err).NotTo(HaveOccurred())
 	id, err := identity.New(m.authority.CertPEM(), pair.CertPEM, pair.KeyPEM)
@@ -82,7 +83,7 @@
 	return id
 }
 
-func (m *mesh) start(i int, reads bool) {
+func (m *routerMesh) start(i int, reads bool) {
 	r := m.routers[i]
 	id := m.identity(identity.RoleRouter, r.Name)
 	l, err := m.net.Listen(r.ControlAddress)
@@ -119,15 +120,15 @@
 	})
 }
 
-func (m *mesh) stop() {
+func (m *routerMesh) stop() {
 	for _, stop := range m.stops {
 		stop()
 	}
 	synctest.Wait()
 }
 
-// states counts the routers by what they make of an endpoint.
-func (m *mesh) states(endpoint int) map[State]int {
+// countStates counts the routers by their state of an endpoint.
+func (m *routerMesh) countStates(endpoint int) map[State]int {
 	counts := make(map[State]int)
 	for _, t := range m.trackers {
 		counts[t.Page(time.Now()).Members[endpoint].State]++
@@ -135,8 +136,8 @@
 	return counts
 }
 
-// choosable says whether any router may still choose an endpoint.
-func (m *mesh) choosable(endpoint int) bool {
+// canBeChosen reports whether any router's pool still chooses an endpoint.
+func (m *routerMesh) canBeChosen(endpoint int) bool {
 	e := &bundle.Endpoint{Name: fmt.Sprint("e", endpoint)}
 	for _, p := range m.pools {
 		if _, err := p.Choose(time.Now(), balance.Request{}, []*bundle.Endpoint{e}, nil); err == nil {
@@ -146,28 +147,28 @@
 	return false
 }
 
-// A single router that reaches the platform suffices for all.
+// A single router that reaches the platform supplies the list to all others.
 func TestListReachesRoutersThatCannotReadIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMesh(t, 12, 1, 2*time.Second)
+		m := newRouterMesh(t, 12, 1, 2*time.Second)
 		defer m.stop()
 		time.Sleep(5 * time.Second)
 		m.setList(1)
 		time.Sleep(3 * time.Second)
-		m.g.Expect(m.states(1)).To(Equal(map[State]int{Leaving: 12}))
-		m.g.Expect(m.choosable(1)).To(BeFalse())
-		m.g.Expect(m.choosable(0)).To(BeTrue())
+		m.g.Expect(m.countStates(1)).To(Equal(map[State]int{Leaving: 12}))
+		m.g.Expect(m.canBeChosen(1)).To(BeFalse())
+		m.g.Expect(m.canBeChosen(0)).To(BeTrue())
 		age := m.trackers[11].Page(time.Now()).ListAge
 		m.g.Expect(age).NotTo(BeNil())
 		m.g.Expect(age.Std()).To(BeNumerically("<", 15*time.Second))
 	})
 }
 
-// Down, empty and stale lists leave the last good one in force, and its return
-// needs nobody.
-func TestFailingListKeepsTheLastGoodOne(t *testing.T) {
+// The last valid list stays in use while the platform's list is unavailable, empty or
+// stale, and the routers recover without intervention.
+func TestFailingListKeepsTheLastValidOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMesh(t, 3, 3, time.Second)
+		m := newRouterMesh(t, 3, 3, time.Second)
 		defer m.stop()
 		m.setList(1)
 		time.Sleep(5 * time.Second)
@@ -175,24 +176,25 @@
 			fail(true)
 			m.setList(-1)
 			time.Sleep(time.Minute)
-			m.g.Expect(m.states(1)).To(Equal(map[State]int{Leaving: 3}))
+			m.g.Expect(m.countStates(1)).To(Equal(map[State]int{Leaving: 3}))
 			m.g.Expect(m.trackers[0].Page(time.Now()).ListAge.Std()).To(BeNumerically(">", 50*time.Second))
 			m.setList(1)
 			time.Sleep(2 * time.Second)
 			fail(false)
 			time.Sleep(5 * time.Second)
-			m.g.Expect(m.states(1)).To(Equal(map[State]int{Leaving: 3}))
+			m.g.Expect(m.countStates(1)).To(Equal(map[State]int{Leaving: 3}))
 		}
 		m.setList(-1)
 		time.Sleep(5 * time.Second)
-		m.g.Expect(m.states(1)).To(Equal(map[State]int{Live: 3}))
+		m.g.Expect(m.countStates(1)).To(Equal(map[State]int{Live: 3}))
 	})
 }
 
-// Both sides of a partition go on by what each reaches, and join by themselves.
-func TestPartitionedRoutersJoinAgain(t *testing.T) {
+// Each side of a partition continues with the sources that it reaches, and both sides
+// converge after the partition has ended.
+func TestPartitionedRoutersConverge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMesh(t, 6, 1, time.Second)
+		m := newRouterMesh(t, 6, 1, time.Second)
 		defer m.stop()
 		time.Sleep(5 * time.Second)
 		each := func(do func(from, to string)) {
@@ -206,18 +208,19 @@
 		each(m.net.Cut)
 		m.setList(1)
 		time.Sleep(10 * time.Second)
-		m.g.Expect(m.states(1)).To(Equal(map[State]int{Leaving: 3, Live: 3}))
+		m.g.Expect(m.countStates(1)).To(Equal(map[State]int{Leaving: 3, Live: 3}))
 		each(m.net.Heal)
 		time.Sleep(15 * time.Second)
-		m.g.Expect(m.states(1)).To(Equal(map[State]int{Leaving: 6}))
+		m.g.Expect(m.countStates(1)).To(Equal(map[State]int{Leaving: 6}))
 	})
 }
 
-// Whatever a reader saw, a follower that asks for what it lacks holds the same.
-func TestFollowersHoldTheReadersList(t *testing.T) {
+// After each update a watcher's list equals that of the router that it watches, for any
+// sequence of lists that the routers have read.
+func TestWatchersConvergeOnTheListOfTheirSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := epoch
-		ledgers := make([]ledger, 3)
+		histories := make([]listHistory, 3)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Second)
 			if i := rapid.IntRange(0, 1).Draw(t, "reader"); rapid.Bool().Draw(t, "reads") {
@@ -225,39 +228,39 @@
 				for _, n := range rapid.SliceOfDistinct(rapid.IntRange(0, 4), rapid.ID).Draw(t, "vms") {
 					read.VMs = append(read.VMs, VM{Name: fmt.Sprint(n), Leaving: rapid.Bool().Draw(t, "leaving")})
 				}
-				ledgers[i].take(now, read)
+				histories[i].replace(now, read)
 				continue
 			}
 			i, j := rapid.IntRange(0, 2).Draw(t, "from"), rapid.IntRange(0, 2).Draw(t, "to")
-			from, to := &ledgers[i], &ledgers[j]
-			if i == j || from.vms == nil || !to.wants(now, from.at, time.Hour) {
+			from, to := &histories[i], &histories[j]
+			if i == j || from.vms == nil || !to.shouldApply(now, from.asOf, time.Hour) {
 				continue
 			}
-			if to.merge(now, from.since(to.at)); !to.matches(from.since(to.at)) {
-				to.merge(now, from.since(time.Time{}))
+			if to.merge(now, from.updateSince(to.asOf)); !to.matches(from.updateSince(to.asOf)) {
+				to.merge(now, from.updateSince(time.Time{}))
 			}
-			for _, vm := range from.read().VMs {
+			for _, vm := range from.toListRead().VMs {
 				if got, ok := to.vms[vm.Name]; !ok || got.leaving != vm.Leaving {
 					t.Fatalf("%s: %+v, want leaving=%t", vm.Name, got, vm.Leaving)
 				}
 			}
-			if len(to.vms) != len(from.vms) || !to.at.Equal(from.at) {
-				t.Fatalf("%d VMs at %s, want %d at %s", len(to.vms), to.at, len(from.vms), from.at)
+			if len(to.vms) != len(from.vms) || !to.asOf.Equal(from.asOf) {
+				t.Fatalf("%d VMs at %s, want %d at %s", len(to.vms), to.asOf, len(from.vms), from.asOf)
 			}
 		}
 	})
 }
 
-// The whole fleet's readings of the platform don't grow with its routers, each
-// stays within its allowance, and few routers read often enough all the same.
-func TestPaceOfReading(t *testing.T) {
+// The rate of reads by all routers together stays below 25 per second at any fleet size,
+// each router stays within pollBytesPerSecond, and a few routers still read often enough.
+func TestPollInterval(t *testing.T) {
 	g := NewWithT(t)
 	for _, size := range []struct{ routers, vms int }{{50, 210}, {880, 3700}, {4580, 19_000}} {
-		every := readEvery(size.vms, size.routers).Seconds()
-		g.Expect(float64(size.routers) / every).To(BeNumerically("<", 25))
-		g.Expect(float64(size.vms*bytesPerVM) / every).To(BeNumerically("~", readBytes, 1))
+		interval := pollIntervalFor(size.vms, size.routers).Seconds()
+		g.Expect(float64(size.routers) / interval).To(BeNumerically("<", 25))
+		g.Expect(float64(size.vms*bytesPerVM) / interval).To(BeNumerically("~", pollBytesPerSecond, 1))
 	}
-	g.Expect(readEvery(110, 6)).To(BeNumerically("<", 1500*time.Millisecond))
-	g.Expect(readEvery(3700, 3)).To(BeNumerically("<", time.Second))
-	g.Expect(readEvery(3700, 0)).To(Equal(minReadEvery))
+	g.Expect(pollIntervalFor(110, 6)).To(BeNumerically("<", 1500*time.Millisecond))
+	g.Expect(pollIntervalFor(3700, 3)).To(BeNumerically("<", time.Second))
+	g.Expect(pollIntervalFor(3700, 0)).To(Equal(minPollInterval))
 }
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -2,105 +2,108 @@
 
 import "time"
 
-// listState is the last good list.
+// listState is the last valid list.
 type listState struct {
 	vms map[string]bool // whether each VM is leaving; nil before the first list
-	// at is the moment that the list describes, by the platform's clock, and
-	// renewed when at last moved on, by this process's.
-	at      time.Time
-	renewed time.Time
+	// asOf is the time as of which the list is valid, by the platform's clock.
+	// advancedAt is when asOf last changed, by this process's clock.
+	asOf       time.Time
+	advancedAt time.Time
 }
 
-// ListAge is the time since the platform's list last showed anything newer;
-// false if there was none yet. A list that is read but frozen ages.
+// ListAge returns the time since the platform's list last advanced, and false if
+// there was no list yet. A list that can be read but doesn't advance also ages.
 func (c *Core) ListAge(now time.Time) (time.Duration, bool) {
-	return now.Sub(c.list.renewed), c.list.vms != nil
+	return now.Sub(c.list.advancedAt), c.list.vms != nil
 }
 
 func (l *listState) stale(now time.Time, limit time.Duration) bool {
-	return l.vms == nil || now.Sub(l.renewed) > limit
+	return l.vms == nil || now.Sub(l.advancedAt) > limit
 }
 
-func (l *listState) renew(now, at time.Time) {
-	if l.vms != nil && at.After(l.at) {
-		l.at, l.renewed = at, now
+func (l *listState) advance(now, at time.Time) {
+	if l.vms != nil && at.After(l.asOf) {
+		l.asOf, l.advancedAt = at, now
 	}
 }
 
-// word is what the list says of a VM that wasn't asked about before.
-func (l *listState) word(vm string) listed {
+// status returns the status of a VM from the current list alone.
+func (l *listState) status(vm string) listStatus {
 	leaving, ok := l.vms[vm]
 	switch {
 	case !ok:
-		return unlisted
+		return neverListed
 	case leaving:
 		return listedLeaving
 	}
 	return listedLive
 }
 
-// takeList replaces the last good list; false if this one isn't good. One that
-// is empty says nothing. One from before the last, as of another server that
-// lags more, is passed over until the last is stale.
-func (c *Core) takeList(now time.Time, read ListRead) bool {
+// applyList replaces the last valid list and returns false if the new one is
+// rejected. An empty list is rejected, as it is more likely a fault of the platform.
+// One older than the last, such as from a server that lags more, is rejected until
+// the last one is stale.
+func (c *Core) applyList(now time.Time, read ListRead) bool {
 	if len(read.VMs) == 0 {
 		return false
 	}
-	if read.At.Before(c.list.at) && !c.list.stale(now, c.tuning.ListStale) {
+	if read.At.Before(c.list.asOf) && !c.list.stale(now, c.tuning.ListStaleAfter) {
 		return false
 	}
-	if !read.At.Equal(c.list.at) {
-		c.list.at, c.list.renewed = read.At, now
+	if !read.At.Equal(c.list.asOf) {
+		c.list.asOf, c.list.advancedAt = read.At, now
 	}
 	c.list.vms = make(map[string]bool, len(read.VMs))
 	for _, vm := range read.VMs {
 		c.list.vms[vm.Name] = vm.Leaving
 	}
-	c.compare(now)
+	c.updateListStatus(now)
 	return true
 }
 
-// compare takes the list's word on each endpoint.
-func (c *Core) compare(now time.Time) {
+// updateListStatus updates the list status of each endpoint.
+func (c *Core) updateListStatus(now time.Time) {
 	for _, e := range c.endpoints {
-		word := c.list.word(e.place.VM)
-		if word == unlisted {
-			word = missing(e.list)
+		status := c.list.status(e.spec.VM)
+		if status == neverListed {
+			status = statusAfterRemoval(e.listStatus)
 		}
-		e.setListed(now, word)
+		e.setListStatus(now, status)
 	}
-	c.believeDrops()
+	c.confirmRemovals()
 }
 
-// missing is the word on a VM that isn't listed, after an earlier word on it.
-func missing(before listed) listed {
+// statusAfterRemoval returns the status of a VM that isn't listed, given its previous
+// status.
+func statusAfterRemoval(before listStatus) listStatus {
 	switch before {
 	case listedLive:
-		return absent
+		return removedWhileLive
 	case listedLeaving:
-		return absentWhenLeaving
+		return removedWhileLeaving
 	}
 	return before
 }
 
-// believeDrops believes that endpoints are gone which the list lacks, unless it
-// lacks so many that the list is the likelier failure. Those that it was
-// believed of before stay so. A VM that was shown as leaving may go at any time.
-func (c *Core) believeDrops() {
-	seen, lacking := 0, 0
+// confirmRemovals marks the endpoints that were removed from the list while live as
+// gone, unless there are so many that a fault of the list is more likely. In that
+// case earlier confirmations stay. VMs that were listed as leaving don't count, as
+// they may be removed at any time.
+func (c *Core) confirmRemovals() {
+	removedCount, lacking := 0, 0
 	for _, e := range c.endpoints {
-		if e.list != unlisted {
-			seen++
+		if e.listStatus != neverListed {
+			removedCount++
 		}
-		if e.list == absent {
+		if e.listStatus == removedWhileLive {
 			lacking++
 		}
 	}
-	room := max(1, int(c.tuning.MaxDrop*float64(seen)))
-	if lacking > room {
+	maxRemovals := max(1, int(c.tuning.MaxRemovedShare*float64(removedCount)))
+	if lacking > maxRemovals {
 		return
 	}
 	for _, e := range c.endpoints {
-		e.dropped = e.list == absent
+		e.removalConfirmed = e.listStatus == removedWhileLive
 	}
 }
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics publishes what a tracker knows.
+// metrics holds a tracker's counters.
 type metrics struct {
 	changes *prometheus.CounterVec
 	reads   *prometheus.CounterVec
@@ -14,7 +14,7 @@
 	notices prometheus.Counter
 }
 
-// outcome labels the results of reads and probes.
+// outcome is a value of the label "result" of the read and probe counters.
 type outcome string
 
 const (
@@ -61,7 +61,8 @@
 		"Time since the platform's list of VMs last showed anything newer; absent before the first.", nil, nil)
 )
 
-// collector counts states when it is asked.
+// collector exports the number of endpoints by state and the age of the list at each
+// scrape.
 type collector struct{ tracker *Tracker }
 
 // Describe implements prometheus.Collector.
@@ -72,11 +73,11 @@
 
 // Collect implements prometheus.Collector.
 func (c collector) Collect(ch chan<- prometheus.Metric) {
-	page := c.tracker.Page(time.Now())
+	snapshot := c.tracker.Page(time.Now())
 	for _, s := range States() {
-		ch <- prometheus.MustNewConstMetric(endpointsDesc, prometheus.GaugeValue, float64(page.count(s)), string(s))
+		ch <- prometheus.MustNewConstMetric(endpointsDesc, prometheus.GaugeValue, float64(snapshot.countState(s)), string(s))
 	}
-	if page.ListAge != nil {
-		ch <- prometheus.MustNewConstMetric(listAgeDesc, prometheus.GaugeValue, page.ListAge.Std().Seconds())
+	if snapshot.ListAge != nil {
+		ch <- prometheus.MustNewConstMetric(listAgeDesc, prometheus.GaugeValue, snapshot.ListAge.Std().Seconds())
 	}
 }
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes rapid's seed, so that each run plays the same cases; use
+// TestMain fixes rapid's seed, so that each run checks the same cases; pass
 // -rapid.seed for others.
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -22,175 +22,176 @@
 	os.Exit(m.Run())
 }
 
-// world is what truly goes on, of which the core hears late and in part.
-type world struct {
+// simulation holds the true state of the processes, of which the core receives
+// delayed and incomplete information.
+type simulation struct {
 	now       time.Time
 	core      *Core
 	processes []process
-	words     []OwnWord // all that were ever said
-	lists     []ListRead
-	// read is the last list that was read while the list worked.
-	read ListRead
+	statuses  []OwnWord // all that were created, delivered or not
+	allLists  []ListRead
+	// lastRead is the last list that was read while the platform was available.
+	lastRead ListRead
 }
 
 type process struct {
 	number    int
-	leaving   bool // by its own word
-	vmLeaving bool // by the platform's
-	// heard says that its own word has reached the core.
-	heard bool
+	leaving   bool // by its own status
+	vmLeaving bool // by the platform's list
+	// delivered means that its own status has reached the core.
+	delivered bool
 }
 
-const worldSize = 6
+const simulatedEndpoints = 6
 
-func newWorld() *world {
-	w := &world{now: epoch, core: NewCore(Tuning{}), processes: make([]process, worldSize)}
-	w.core.Apply(w.now, bundleOf(worldSize))
-	return w
+func newSimulation() *simulation {
+	s := &simulation{now: epoch, core: NewCore(Tuning{}), processes: make([]process, simulatedEndpoints)}
+	s.core.Apply(s.now, bundleOf(simulatedEndpoints))
+	return s
 }
 
-// later keeps any two words and lists apart.
-func (w *world) later() { w.now = w.now.Add(time.Millisecond) }
+// tick gives each status and each list a different time.
+func (s *simulation) tick() { s.now = s.now.Add(time.Millisecond) }
 
-func (w *world) word(i int) OwnWord {
-	w.later()
-	p := w.processes[i]
-	word := OwnWord{
+func (s *simulation) newStatus(i int) OwnWord {
+	s.tick()
+	p := s.processes[i]
+	status := OwnWord{
 		Endpoint: fmt.Sprint("e", i), Incarnation: fmt.Sprint(p.number),
-		Seq: uint64(w.now.Sub(epoch)), Leaving: p.leaving, Via: ReasonReport,
+		Seq: uint64(s.now.Sub(epoch)), Leaving: p.leaving, Via: ReasonReport,
 	}
-	w.words = append(w.words, word)
-	return word
+	s.statuses = append(s.statuses, status)
+	return status
 }
 
-func (w *world) listing() ListRead {
-	w.later()
-	read := ListRead{At: w.now}
-	for i, p := range w.processes {
+func (s *simulation) newList() ListRead {
+	s.tick()
+	read := ListRead{At: s.now}
+	for i, p := range s.processes {
 		read.VMs = append(read.VMs, VM{Name: fmt.Sprint("vm", i), Leaving: p.vmLeaving})
 	}
-	w.lists = append(w.lists, read)
+	s.allLists = append(s.allLists, read)
 	return read
 }
 
-func (w *world) start(i int) { w.processes[i] = process{number: w.processes[i].number + 1} }
+func (s *simulation) restart(i int) { s.processes[i] = process{number: s.processes[i].number + 1} }
 
-func (w *world) hear(i int) {
-	w.core.Apply(w.now, w.word(i))
-	w.processes[i].heard = true
+func (s *simulation) deliverStatus(i int) {
+	s.core.Apply(s.now, s.newStatus(i))
+	s.processes[i].delivered = true
 }
 
-func (w *world) readList() {
-	w.read = w.listing()
-	w.core.Apply(w.now, w.read)
+func (s *simulation) readList() {
+	s.lastRead = s.newList()
+	s.core.Apply(s.now, s.lastRead)
 }
 
-// check: whoever was heard to leave, by itself or by a list that isn't stale,
-// gets no work, whatever else was heard before or since.
-func (w *world) check(t *rapid.T) {
-	fresh := len(w.read.VMs) > 0 && w.now.Sub(w.read.At) <= DefaultTuning().ListStale
-	for i, m := range w.core.Members() {
-		p := w.processes[i]
-		known := p.leaving && p.heard || fresh && w.read.VMs[i].Leaving
-		if known && m.State.takesWork() {
-			t.Fatalf("%s is %s (%s) though it is known to leave", m.Endpoint, m.State, m.Reason)
+// checkInvariant checks that an endpoint that is known to be leaving, from its own status
+// or a list that isn't stale, accepts no requests, whatever other events there were.
+func (s *simulation) checkInvariant(t *rapid.T) {
+	fresh := len(s.lastRead.VMs) > 0 && s.now.Sub(s.lastRead.At) <= DefaultTuning().ListStaleAfter
+	for i, m := range s.core.Members() {
+		p := s.processes[i]
+		knownLeaving := p.leaving && p.delivered || fresh && s.lastRead.VMs[i].Leaving
+		if knownLeaving && m.State.acceptsRequests() {
+			t.Fatalf("%s is %s (%s) although it is known to be leaving", m.Endpoint, m.State, m.Reason)
 		}
 	}
 }
 
-// settle: once all is well again, all endpoints are used again.
-func (w *world) settle(t *rapid.T) {
-	for i := range w.processes {
-		w.now = w.now.Add(time.Second)
-		w.start(i)
+// checkRecovery restarts all processes and checks that all endpoints become live.
+func (s *simulation) checkRecovery(t *rapid.T) {
+	for i := range s.processes {
+		s.now = s.now.Add(time.Second)
+		s.restart(i)
 	}
 	for range 2 {
-		w.now = w.now.Add(time.Second)
-		w.readList()
+		s.now = s.now.Add(time.Second)
+		s.readList()
 	}
-	for i := range w.processes {
-		w.hear(i)
+	for i := range s.processes {
+		s.deliverStatus(i)
 	}
-	for _, m := range w.core.Members() {
+	for _, m := range s.core.Members() {
 		if m.State != Live {
-			t.Fatalf("%s stays %s (%s) after all is well", m.Endpoint, m.State, m.Reason)
+			t.Fatalf("%s stays %s (%s) after all sources recovered", m.Endpoint, m.State, m.Reason)
 		}
 	}
 }
 
-func TestKnownLeavingGetsNoWorkAndAllReturn(t *testing.T) {
+func TestLeavingEndpointsGetNoRequestsAndAllRecover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
-		any := rapid.IntRange(0, worldSize-1)
-		w.readList()
+		s := newSimulation()
+		any := rapid.IntRange(0, simulatedEndpoints-1)
+		s.readList()
 		t.Repeat(map[string]func(*rapid.T){
 			"agent leaves": func(t *rapid.T) {
-				p := &w.processes[any.Draw(t, "i")]
-				p.leaving, p.heard = true, p.heard && p.leaving
+				p := &s.processes[any.Draw(t, "i")]
+				p.leaving, p.delivered = true, p.delivered && p.leaving
 			},
-			"platform leaves": func(t *rapid.T) { w.processes[any.Draw(t, "i")].vmLeaving = true },
-			"VM is replaced":  func(t *rapid.T) { w.start(any.Draw(t, "i")) },
+			"platform marks VM as leaving": func(t *rapid.T) { s.processes[any.Draw(t, "i")].vmLeaving = true },
+			"VM is replaced":               func(t *rapid.T) { s.restart(any.Draw(t, "i")) },
 			"agent restarts": func(t *rapid.T) {
 				i := any.Draw(t, "i")
-				vmLeaving := w.processes[i].vmLeaving
-				w.start(i)
-				w.processes[i].vmLeaving = vmLeaving
+				vmLeaving := s.processes[i].vmLeaving
+				s.restart(i)
+				s.processes[i].vmLeaving = vmLeaving
 			},
-			"hear":      func(t *rapid.T) { w.hear(any.Draw(t, "i")) },
-			"say":       func(t *rapid.T) { w.word(any.Draw(t, "i")) }, // on its way
-			"read list": func(*rapid.T) { w.readList() },
-			"make list": func(*rapid.T) { w.listing() },
-			"hear late": func(t *rapid.T) {
-				if len(w.words) > 0 {
-					w.core.Apply(w.now, rapid.SampledFrom(w.words).Draw(t, "word"))
+			"fresh status arrives": func(t *rapid.T) { s.deliverStatus(any.Draw(t, "i")) },
+			"status is created":    func(t *rapid.T) { s.newStatus(any.Draw(t, "i")) }, // not delivered yet
+			"read list":            func(*rapid.T) { s.readList() },
+			"make list":            func(*rapid.T) { s.newList() },
+			"late status arrives": func(t *rapid.T) {
+				if len(s.statuses) > 0 {
+					s.core.Apply(s.now, rapid.SampledFrom(s.statuses).Draw(t, "status"))
 				}
 			},
 			"read late list": func(t *rapid.T) {
-				late := rapid.SampledFrom(w.lists).Draw(t, "list")
-				if w.now.Sub(w.read.At) > DefaultTuning().ListStale {
-					return // then any is better than none
+				late := rapid.SampledFrom(s.allLists).Draw(t, "list")
+				if s.now.Sub(s.lastRead.At) > DefaultTuning().ListStaleAfter {
+					return // the core accepts any list once the last one is stale
 				}
-				w.core.Apply(w.now, late)
-				if late.At.After(w.read.At) {
-					w.read = late
+				s.core.Apply(s.now, late)
+				if late.At.After(s.lastRead.At) {
+					s.lastRead = late
 				}
 			},
-			"empty list": func(*rapid.T) { w.core.Apply(w.now, ListRead{At: w.now}) },
+			"empty list": func(*rapid.T) { s.core.Apply(s.now, ListRead{At: s.now}) },
 			"connection fails": func(t *rapid.T) {
-				result := rapid.SampledFrom([]Result{Refused, Broken}).Draw(t, "result")
-				w.core.Apply(w.now, ConnectionResult{Endpoint: fmt.Sprint("e", any.Draw(t, "i")), Result: result})
+				result := rapid.SampledFrom([]FailureKind{Refused, Broken}).Draw(t, "result")
+				s.core.Apply(s.now, ConnectionFailure{Endpoint: fmt.Sprint("e", any.Draw(t, "i")), Kind: result})
 			},
 			"time passes": func(t *rapid.T) {
-				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 20_000).Draw(t, "ms")) * time.Millisecond)
-				w.core.Tick(w.now)
+				s.now = s.now.Add(time.Duration(rapid.IntRange(1, 20_000).Draw(t, "ms")) * time.Millisecond)
+				s.core.Tick(s.now)
 			},
-			"": w.check,
+			"": s.checkInvariant,
 		})
-		w.settle(t)
+		s.checkRecovery(t)
 	})
 }
 
-// Whatever lists come, those that count as gone by their absence alone stay
-// within the share, and an endpoint that a list shows as live is not gone.
-func TestListAloneTakesAwayAShareAtMost(t *testing.T) {
+// For any sequence of lists, the endpoints that are gone by removal from the list alone
+// stay within Tuning.MaxRemovedShare.
+func TestListAloneRemovesAtMostMaxRemovedShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
-		w.readList()
+		s := newSimulation()
+		s.readList()
 		for range rapid.IntRange(1, 10).Draw(t, "lists") {
-			w.now = w.now.Add(time.Second)
-			read := ListRead{At: w.now}
-			for _, i := range rapid.SliceOfDistinct(rapid.IntRange(0, worldSize-1), rapid.ID).Draw(t, "vms") {
+			s.now = s.now.Add(time.Second)
+			read := ListRead{At: s.now}
+			for _, i := range rapid.SliceOfDistinct(rapid.IntRange(0, simulatedEndpoints-1), rapid.ID).Draw(t, "vms") {
 				read.VMs = append(read.VMs, VM{Name: fmt.Sprint("vm", i)})
 			}
-			w.core.Apply(w.now, read)
+			s.core.Apply(s.now, read)
 			gone := 0
-			for _, m := range w.core.Members() {
+			for _, m := range s.core.Members() {
 				if m.State == Gone {
 					gone++
 				}
 			}
 			if gone > 1 { // a quarter of six
-				t.Fatalf("%d endpoints are gone by the list alone", gone)
+				t.Fatalf("%d endpoints are gone because of the list alone", gone)
 			}
 		}
 	})
--- a/internal/membership/notice.go
+++ b/internal/membership/notice.go
@@ -17,22 +17,22 @@
 	"coveferry/internal/wire"
 )
 
-// Bounds of an agent's notices.
+// Timeouts and bounds of an agent's leaving notices.
 const (
-	// heardFor is how long ago a router may have sent an attempt for its being
-	// told. One that wasn't heard of for longer learns by its first attempt.
-	heardFor = 10 * time.Minute
-	// maxHeard bounds the routers that are remembered.
-	maxHeard = 4096
-	// atOnce bounds the notices that are under way together: with 880 routers,
-	// all of them out of reach, a round takes 2.8 s.
-	atOnce = 256
-	// noticeTimeout bounds one notice, and noticeRounds how often it is sent.
+	// routerTTL is how long after its last attempt a router is still notified. A
+	// router that sent none for longer learns of the leaving from its next attempt.
+	routerTTL = 10 * time.Minute
+	// maxKnownRouters bounds the routers that are remembered.
+	maxKnownRouters = 4096
+	// maxConcurrentNotices bounds the notices in flight: with 880 routers, all
+	// unreachable, a round takes 2.8 s.
+	maxConcurrentNotices = 256
+	// noticeTimeout bounds one notice, and noticeRounds the attempts for each router.
 	noticeTimeout = 700 * time.Millisecond
 	noticeRounds  = 2
 )
 
-// Notice is what an agent tells routers when it leaves.
+// Notice is the message that an agent sends to routers when it is leaving.
 type Notice struct {
 	Status wire.Status `json:"status"`
 }
@@ -45,18 +45,18 @@
 	return nil
 }
 
-// NoticeReply says that a router took a notice in.
+// NoticeReply acknowledges a Notice.
 type NoticeReply struct{}
 
 var methodNotice = control.NewMethod[Notice, NoticeReply]("membership.notice", identity.RoleAgent).
 	WithTimeout(noticeTimeout)
 
-// Register adds to a router's control channel the methods that agents call.
+// Register adds the methods that agents call to a router's control channel.
 func (t *Tracker) Register(srv *control.Server) {
 	control.Register(srv, methodNotice, t.serveNotice)
 }
 
-// serveNotice takes an agent's word on its own endpoint, and on no other.
+// serveNotice accepts an agent's status of its own endpoint and of no other.
 func (t *Tracker) serveNotice(_ context.Context, peer identity.Peer, n Notice) (NoticeReply, error) {
 	if peer.Name != n.Status.Endpoint {
 		return NoticeReply{}, &control.Error{Code: control.CodeForbidden, Message: "an agent speaks for its own endpoint only"}
@@ -69,73 +69,74 @@
 	return NoticeReply{}, nil
 }
 
-// AnnouncerConfig is what an announcer needs.
+// AnnouncerConfig configures an Announcer.
 type AnnouncerConfig struct {
-	// Status is the agent's.
+	// Status returns the agent's current status.
 	Status func() wire.Status
-	// Routers lists those of the bundle in force.
+	// Routers returns the routers of the bundle in force.
 	Routers func() []bundle.Router
 	Client  control.ClientConfig
 	Log     zerolog.Logger
 }
 
-// Announcer tells routers at once that their agent leaves. It is safe for
-// concurrent use.
+// Announcer notifies routers that the agent is leaving. It is safe for concurrent
+// use.
 type Announcer struct {
-	cfg   AnnouncerConfig
-	heard *lru.Cache[string, time.Time] // when each router was heard of last
+	cfg      AnnouncerConfig
+	lastSeen *lru.Cache[string, time.Time] // when each router sent its last request
 }
 
-// NewAnnouncer returns an announcer that has heard of no router yet.
+// NewAnnouncer returns an announcer that has seen no router yet.
 func NewAnnouncer(cfg AnnouncerConfig) *Announcer {
-	heard, err := lru.New[string, time.Time](maxHeard)
+	lastSeen, err := lru.New[string, time.Time](maxKnownRouters)
 	if err != nil { // only a size below 1 fails
 		panic(err)
 	}
-	return &Announcer{cfg: cfg, heard: heard}
+	return &Announcer{cfg: cfg, lastSeen: lastSeen}
 }
 
-// Wrap returns the agent's handler with the routers noted that call it.
+// Wrap returns a handler that records the routers that call the agent's handler.
 func (a *Announcer) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.TLS != nil {
-			a.note(r)
+			a.recordRouter(r)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (a *Announcer) note(r *http.Request) {
+func (a *Announcer) recordRouter(r *http.Request) {
 	peer, err := identity.PeerOf(r.TLS)
 	if err == nil && peer.Role == identity.RoleRouter {
-		a.heard.Add(peer.Name, time.Now())
+		a.lastSeen.Add(peer.Name, time.Now())
 	}
 }
 
-// Announced says how many routers a notice reached, and how many of those that
-// were heard of it didn't. These learn by refusals and reports.
-type Announced struct{ Told, Missed int }
+// AnnounceResult holds how many routers acknowledged the notice and how many of the
+// recently seen ones did not. The latter learn of the leaving from load reports and
+// refused connections.
+type AnnounceResult struct{ Notified, Missed int }
 
-// Announce sends the agent's status, which must say by now that it leaves, to
-// the routers that were heard of lately. Those that don't take it are told again
-// once all others have been, so that none waits for another that is away.
-func (a *Announcer) Announce(ctx context.Context) Announced {
+// Announce sends the agent's status, which must already be leaving, to the recently
+// seen routers. Routers that don't acknowledge it are retried after all others have
+// been tried, so that an unreachable router doesn't delay the others.
+func (a *Announcer) Announce(ctx context.Context) AnnounceResult {
 	notice := Notice{Status: a.cfg.Status()}
 	targets := a.targets()
 	missed := targets
 	for range noticeRounds {
-		missed = a.round(ctx, missed, notice)
+		missed = a.sendRound(ctx, missed, notice)
 	}
-	out := Announced{Told: len(targets) - len(missed), Missed: len(missed)}
-	a.cfg.Log.Info().Int("told", out.Told).Int("missed", out.Missed).Msg("routers told of the leaving")
+	out := AnnounceResult{Notified: len(targets) - len(missed), Missed: len(missed)}
+	a.cfg.Log.Info().Int("told", out.Notified).Int("missed", out.Missed).Msg("leaving notices sent to routers")
 	return out
 }
 
-// targets are the routers that were heard of and whose addresses are known.
+// targets returns the routers of the bundle that were seen within routerTTL.
 func (a *Announcer) targets() []control.Target {
 	var out []control.Target
 	for _, r := range a.cfg.Routers() {
-		if at, ok := a.heard.Peek(r.Name); ok && time.Since(at) <= heardFor {
+		if at, ok := a.lastSeen.Peek(r.Name); ok && time.Since(at) <= routerTTL {
 			peer := identity.Peer{Role: identity.RoleRouter, Name: r.Name}
 			out = append(out, control.Target{Address: r.ControlAddress, Peer: peer})
 		}
@@ -143,15 +144,16 @@
 	return out
 }
 
-// round tells each target once and returns those that didn't take it.
-func (a *Announcer) round(ctx context.Context, targets []control.Target, n Notice) []control.Target {
+// sendRound sends the notice once to each target and returns the targets that did
+// not acknowledge it.
+func (a *Announcer) sendRound(ctx context.Context, targets []control.Target, n Notice) []control.Target {
 	var mu sync.Mutex
 	var missed []control.Target
-	var work errgroup.Group
-	work.SetLimit(atOnce)
+	var group errgroup.Group
+	group.SetLimit(maxConcurrentNotices)
 	for _, target := range targets {
-		work.Go(func() error {
-			if !a.tell(ctx, target, n) {
+		group.Go(func() error {
+			if !a.send(ctx, target, n) {
 				mu.Lock()
 				defer mu.Unlock()
 				missed = append(missed, target)
@@ -159,33 +161,33 @@
 			return nil
 		})
 	}
-	_ = work.Wait() // no function returns an error
+	_ = group.Wait() // no function returns an error
 	return missed
 }
 
-// tell sends a notice by a client of its own, which has no delay from an earlier
+// send sends a notice through a new client, which has no backoff from an earlier
 // failure.
-func (a *Announcer) tell(ctx context.Context, target control.Target, n Notice) bool {
+func (a *Announcer) send(ctx context.Context, target control.Target, n Notice) bool {
 	client := control.NewClient(a.cfg.Client, target)
-	defer client.Close() // the call's error is the one that counts
+	defer client.Close() // only the call's error matters
 	_, err := control.Call(ctx, client, methodNotice, n)
 	if err != nil {
-		a.cfg.Log.Debug().Err(err).Str("router", target.Peer.Name).Msg("notice not taken")
+		a.cfg.Log.Debug().Err(err).Str("router", target.Peer.Name).Msg("leaving notice not acknowledged")
 	}
 	return err == nil
 }
 
-// Goodbye keeps an agent's announcement under way while the agent stops.
+// BackgroundAnnouncement runs an agent's announcement while the agent shuts down.
 type Goodbye struct {
 	announcer *Announcer
 	once      sync.Once
 	done      chan struct{}
 }
 
-// NewGoodbye returns a goodbye that waits for Say.
+// NewBackgroundAnnouncement returns an announcement that begins with Start.
 func NewGoodbye(a *Announcer) *Goodbye { return &Goodbye{announcer: a, done: make(chan struct{})} }
 
-// Say starts the announcement and returns at once; later calls do nothing.
+// Start starts the announcement and returns at once; later calls do nothing.
 func (g *Goodbye) Say() {
 	g.once.Do(func() {
 		go func() {
@@ -195,5 +197,5 @@
 	})
 }
 
-// Wait returns once all was said. It must follow Say.
+// Wait returns when the announcement has ended. It must be called after Start.
 func (g *Goodbye) Wait() { <-g.done }
--- a/internal/membership/platform.go
+++ b/internal/membership/platform.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// pathVMs is the platform's path of the list.
+	// pathVMs is the path of the list on the platform's servers.
 	pathVMs = "/v1/vms"
-	// listTimeout bounds one reading, and maxListBytes its size: 100 B for
-	// each of 80,000 VMs.
+	// listTimeout bounds one read, and maxListBytes its size: 100 B for each of
+	// 80,000 VMs.
 	listTimeout  = time.Second
 	maxListBytes = 8 << 20
 )
@@ -26,15 +26,15 @@
 	vmLeaving vmState = "leaving"
 )
 
-func stateOf(leaving bool) vmState {
+func vmStateOf(leaving bool) vmState {
 	if leaving {
 		return vmLeaving
 	}
 	return vmLive
 }
 
-// listing is the platform's answer.
-type listing struct {
+// listResponse is the platform's response.
+type listResponse struct {
 	VMs []struct {
 		Name  string  `json:"name"`
 		State vmState `json:"state"`
@@ -42,13 +42,13 @@
 	At time.Time `json:"at"`
 }
 
-// Platform is one server of the platform's list of VMs.
+// PlatformClient reads the platform's list of VMs from one server.
 type Platform struct {
 	client *http.Client
 	url    string
 }
 
-// NewPlatform returns a server by its base URL.
+// NewPlatformClient returns a client for the server with the given base URL.
 func NewPlatform(client *http.Client, base string) *Platform {
 	return &Platform{client: client, url: strings.TrimSuffix(base, "/") + pathVMs}
 }
@@ -57,21 +57,21 @@
 func (p *Platform) Read(ctx context.Context) (ListRead, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	var l listing
+	var l listResponse
 	err := getJSON(ctx, p.client, p.url, maxListBytes, &l)
 	if err != nil {
 		return ListRead{}, &ListError{URL: p.url, Cause: err}
 	}
-	read, err := l.read()
+	read, err := l.toListRead()
 	if err != nil {
 		return ListRead{}, &ListError{URL: p.url, Cause: err}
 	}
 	return read, nil
 }
 
-// read refuses a listing with a state that isn't known: what it means can't be
-// guessed, for one VM or for all.
-func (l listing) read() (ListRead, error) {
+// toListRead converts the response. It rejects the list as a whole if any VM has an
+// unknown state, whose meaning can't be guessed.
+func (l listResponse) toListRead() (ListRead, error) {
 	if len(l.VMs) == 0 {
 		return ListRead{}, errors.New("empty")
 	}
--- a/internal/membership/platform_test.go
+++ b/internal/membership/platform_test.go
@@ -13,14 +13,14 @@
 	"coveferry/internal/wire"
 )
 
-// answer is a server that always gives the same answer.
-type answer string
+// fixedResponse is an http.RoundTripper that always returns the same body.
+type fixedResponse string
 
-func (a answer) RoundTrip(*http.Request) (*http.Response, error) {
+func (a fixedResponse) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(string(a)))}, nil
 }
 
-func TestListsThatCannotBeUnderstoodAreRefused(t *testing.T) {
+func TestInvalidListsAreRejected(t *testing.T) {
 	for text, ok := range map[string]bool{
 		`{"vms":[{"name":"a","state":"live"},{"name":"b","state":"leaving"}],"at":"2026-03-01T08:00:00Z"}`: true,
 		`{"vms":[],"at":"2026-03-01T08:00:00Z"}`:                                                           false,
@@ -28,7 +28,7 @@
 		`{"vms":[{"name":"a","st`: false,
 	} {
 		g := NewWithT(t)
-		read, err := NewPlatform(&http.Client{Transport: answer(text)}, "http://10.0.0.1:80/").Read(t.Context())
+		read, err := NewPlatform(&http.Client{Transport: fixedResponse(text)}, "http://10.0.0.1:80/").Read(t.Context())
 		if ok {
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(read).To(Equal(ListRead{At: epoch, VMs: []VM{{Name: "a"}, {Name: "b", Leaving: true}}}))
@@ -39,23 +39,23 @@
 	}
 }
 
-// Only what changed travels, a VM that is gone too.
-func TestUpdateHoldsWhatChanged(t *testing.T) {
+// An update contains only the changes, including removed VMs.
+func TestUpdateHoldsOnlyChanges(t *testing.T) {
 	g := NewWithT(t)
-	var l ledger
-	l.take(epoch, ListRead{At: epoch, VMs: []VM{{Name: "a"}, {Name: "b"}, {Name: "c"}}})
+	var l listHistory
+	l.replace(epoch, ListRead{At: epoch, VMs: []VM{{Name: "a"}, {Name: "b"}, {Name: "c"}}})
 	next := epoch.Add(time.Second)
-	l.take(next, ListRead{At: next, VMs: []VM{{Name: "a"}, {Name: "b", Leaving: true}}})
-	u := l.since(epoch)
-	g.Expect(u.Whole).To(BeFalse())
+	l.replace(next, ListRead{At: next, VMs: []VM{{Name: "a"}, {Name: "b", Leaving: true}}})
+	u := l.updateSince(epoch)
+	g.Expect(u.Full).To(BeFalse())
 	g.Expect(u.VMs).To(Equal([]VMEntry{{Name: "b", Leaving: true, At: next}}))
 	g.Expect(u.Gone).To(Equal([]VMEntry{{Name: "c", At: next}}))
-	g.Expect(l.since(time.Time{}).Whole).To(BeTrue())
+	g.Expect(l.updateSince(time.Time{}).Full).To(BeTrue())
 }
 
-// The pool must not learn of endpoints that the bundle names no more.
-func TestReportsOfUnknownEndpointsDoNotCount(t *testing.T) {
-	playStand(t, func(s *stand) {
+// The pool must not receive load reports of endpoints that are not in the bundle.
+func TestReportsOfUnknownEndpointsAreIgnored(t *testing.T) {
+	runWithProber(t, func(s *proberFixture) {
 		clock := wire.Clock{Incarnation: "a"}
 		s.g.Expect(s.tracker.Answered("e0", clock, time.Time{}, load.Report{Seq: 1})).To(BeTrue())
 		s.g.Expect(s.tracker.Answered("e9", clock, time.Time{}, load.Report{Seq: 1})).To(BeFalse())
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// probeTick is how often a prober looks for endpoints to ask; with
-	// Tuning.ProbeBatch it bounds a router's probes a second.
+	// probeTick is how often a prober checks for due probes; with Tuning.ProbeBatch it
+	// bounds a router's probes per second.
 	probeTick = 250 * time.Millisecond
 	// probeTimeout bounds one probe.
 	probeTimeout = time.Second
@@ -23,27 +23,28 @@
 	maxStatusBytes = 16 << 10
 )
 
-// Prober asks endpoints that aren't live for their status.
+// Prober probes endpoints that aren't live.
 type Prober struct {
 	tracker *Tracker
 	client  *http.Client
 	scheme  string
-	// health asks an endpoint without an agent; nil if all have one.
-	health Health
+	// healthCheck checks an endpoint without an agent; nil if all have one.
+	healthCheck HealthCheck
 }
 
-// ErrNotAsked is a Health that didn't ask, since the endpoint must be sent nothing now. It
-// says nothing of the endpoint.
-var ErrNotAsked = errors.New("membership: the endpoint must not be asked now")
+// ErrProbeSkipped is returned by a HealthCheck that sent nothing, because the endpoint must not
+// be contacted at this time. It doesn't count as a failure of the endpoint.
+var ErrNotAsked = errors.New("membership: probe skipped: the endpoint must not be contacted now")
 
-// Health asks an endpoint that has no agent whether it is healthy. sent says
-// that a connection was had.
-type Health func(ctx context.Context, endpoint string) (sent bool, err error)
+// HealthCheck checks the health of an endpoint that has no agent. sent reports
+// whether a connection was established.
+type HealthCheck func(ctx context.Context, endpoint string) (sent bool, err error)
 
-// NewHealthProber returns a prober of endpoints that have no agent.
-func NewHealthProber(t *Tracker, h Health) *Prober { return &Prober{tracker: t, health: h} }
+// NewHealthProber returns a prober for endpoints without agents.
+func NewHealthProber(t *Tracker, h HealthCheck) *Prober { return &Prober{tracker: t, healthCheck: h} }
 
-// NewProber returns a prober that reaches agents as the router's attempts do.
+// NewProber returns a prober that connects to agents in the same way as the router's
+// attempts.
 func NewProber(t *Tracker, client *http.Client, scheme string) *Prober {
 	return &Prober{tracker: t, client: client, scheme: scheme}
 }
@@ -52,16 +53,16 @@
 func (p *Prober) Run(ctx context.Context) {
 	tick := time.NewTicker(probeTick)
 	defer tick.Stop()
-	var open sync.WaitGroup
-	defer open.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		for _, name := range p.tracker.probes() {
-			open.Go(func() { p.probe(ctx, name) })
+		for _, name := range p.tracker.dueProbes() {
+			wg.Go(func() { p.probe(ctx, name) })
 		}
 	}
 }
@@ -69,24 +70,24 @@
 func (p *Prober) probe(ctx context.Context, name string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	place := p.tracker.place(name)
-	status, err := p.ask(ctx, place)
+	place := p.tracker.endpointSpec(name)
+	status, err := p.fetchStatus(ctx, place)
 	if errors.Is(ctx.Err(), context.Canceled) || errors.Is(err, ErrNotAsked) {
-		return // the router stops, or nothing was asked
+		return // the router is stopping, or the probe was skipped
 	}
 	p.tracker.metrics.probes.WithLabelValues(outcomeOf(err)).Inc()
 	var failed *ProbeError
 	if errors.As(err, &failed) {
-		p.tracker.Failed(name, place.Incarnation, failed.Sent)
+		p.tracker.Failed(name, place.Incarnation, failed.Connected)
 		return
 	}
-	p.tracker.checked(name, status.Clock, status.Load)
+	p.tracker.handleHealthCheck(name, status.Clock, status.Load)
 }
 
-// ask asks once. Its error is a *ProbeError.
-func (p *Prober) ask(ctx context.Context, of Place) (wire.Status, error) {
-	if p.health != nil {
-		return p.askHealth(ctx, of)
+// fetchStatus sends one probe. Its error is a *ProbeError.
+func (p *Prober) fetchStatus(ctx context.Context, of Place) (wire.Status, error) {
+	if p.healthCheck != nil {
+		return p.checkHealth(ctx, of)
 	}
 	name := of.Endpoint
 	sent := false
@@ -100,28 +101,28 @@
 		err = errors.Newf("the address belongs to %q", status.Endpoint)
 	}
 	if err != nil {
-		return wire.Status{}, &ProbeError{Endpoint: name, Sent: sent, Cause: err}
+		return wire.Status{}, &ProbeError{Endpoint: name, Connected: sent, Cause: err}
 	}
 	return status, nil
 }
 
-// askHealth turns the word of an endpoint without an agent into a status. It is taken for
-// that of the process which was known to be there when it was asked.
-func (p *Prober) askHealth(ctx context.Context, of Place) (wire.Status, error) {
-	sent, err := p.health(ctx, of.Endpoint)
+// checkHealth returns the result of a health check as a status. The status is attributed to
+// the incarnation that was known when the check was sent.
+func (p *Prober) checkHealth(ctx context.Context, of Place) (wire.Status, error) {
+	sent, err := p.healthCheck(ctx, of.Endpoint)
 	if err != nil {
-		return wire.Status{}, &ProbeError{Endpoint: of.Endpoint, Sent: sent, Cause: err}
+		return wire.Status{}, &ProbeError{Endpoint: of.Endpoint, Connected: sent, Cause: err}
 	}
 	return wire.Status{Endpoint: of.Endpoint, Clock: wire.Clock{Incarnation: cmp.Or(of.Incarnation, of.Endpoint)}}, nil
 }
 
-// place is where an endpoint is by the bundle in force; it has a name alone if the bundle
-// doesn't know it.
-func (t *Tracker) place(endpoint string) Place {
+// endpointSpec returns an endpoint of the bundle in force; only the name is set if the bundle
+// doesn't define it.
+func (t *Tracker) endpointSpec(endpoint string) Place {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.core.endpoints[endpoint]; e != nil {
-		return e.place
+		return e.spec
 	}
 	return Place{Endpoint: endpoint}
 }
--- a/internal/membership/prober_test.go
+++ b/internal/membership/prober_test.go
@@ -20,8 +20,8 @@
 	"coveferry/internal/wire"
 )
 
-// stand is a tracker with its prober and one agent that can be replaced.
-type stand struct {
+// proberFixture is a tracker with its prober and one agent that can be replaced.
+type proberFixture struct {
 	g       Gomega
 	net     *memnet.Net
 	tracker *Tracker
@@ -34,24 +34,24 @@
 
 const agentAddress = "10.0.0.2:80"
 
-func playStand(t *testing.T, play func(*stand)) {
+func runWithProber(t *testing.T, test func(*proberFixture)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stand{g: NewWithT(t), net: memnet.New(), pool: balance.NewPool(balance.Config{}), reg: prometheus.NewRegistry()}
+		s := &proberFixture{g: NewWithT(t), net: memnet.New(), pool: balance.NewPool(balance.Config{}), reg: prometheus.NewRegistry()}
 		s.tracker = NewTracker(Config{Pool: s.pool, Log: zerolog.Nop(), Metrics: s.reg})
 		s.tracker.Learn(Bundle{Places: []Place{{Endpoint: "e0", VM: "vm0", Address: agentAddress}}})
 		client := &http.Client{Transport: &http.Transport{DialContext: s.net.Dialer("r"), DisableKeepAlives: true}}
 		ctx, cancel := context.WithCancel(t.Context())
-		var work sync.WaitGroup
-		work.Go(func() { NewProber(s.tracker, client, "http").Run(ctx) })
-		play(s)
+		var wg sync.WaitGroup
+		wg.Go(func() { NewProber(s.tracker, client, "http").Run(ctx) })
+		test(s)
 		cancel()
-		work.Wait()
-		s.kill()
+		wg.Wait()
+		s.stopAgent()
 	})
 }
 
-// start starts an agent that says the status.
-func (s *stand) start(status wire.Status) {
+// startAgent starts an agent that always responds with the given status.
+func (s *proberFixture) startAgent(status wire.Status) {
 	l, err := s.net.Listen(agentAddress)
 	s.g.Expect(err).NotTo(HaveOccurred())
 	s.agent = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -63,7 +63,7 @@
 	go s.agent.Serve(l)
 }
 
-func (s *stand) kill() {
+func (s *proberFixture) stopAgent() {
 	if s.agent != nil {
 		s.agent.Close()
 	}
@@ -76,69 +76,69 @@
 	}
 }
 
-func (s *stand) expect(state State) {
+func (s *proberFixture) expectState(state State) {
 	s.g.ExpectWithOffset(1, s.tracker.Page(time.Now()).Members[0].State).To(Equal(state))
 }
 
-func TestSuspectReturnsSlowlyOnceItAnswers(t *testing.T) {
-	playStand(t, func(s *stand) {
+func TestSuspectReturnsWithReducedWeightOnceItResponds(t *testing.T) {
+	runWithProber(t, func(s *proberFixture) {
 		s.tracker.Failed("e0", "", false)
 		time.Sleep(time.Minute)
-		s.expect(Suspect)
-		s.start(statusOf("a", 1, false))
+		s.expectState(Suspect)
+		s.startAgent(statusOf("a", 1, false))
 		for range 2 * DefaultTuning().ProbeMax / time.Second {
 			if s.tracker.Page(time.Now()).Members[0].State != Live {
 				time.Sleep(time.Second)
 			}
 		}
-		s.expect(Live)
+		s.expectState(Live)
 		s.g.Expect(s.probes).To(Equal(1))
 		weight := s.pool.Views(time.Now(), endpointsOf("e0"))[0].Weight
 		s.g.Expect(weight).To(And(BeNumerically(">", 0), BeNumerically("<", 1)))
 	})
 }
 
-// The next incarnation of one that left is found without anybody's help, and
-// one that goes on leaving isn't taken for it.
-func TestLeavingIsAskedUntilItsNextIncarnation(t *testing.T) {
-	playStand(t, func(s *stand) {
-		s.start(statusOf("a", 2, true))
+// Probes find the next incarnation of an endpoint that has left, without other events.
+// An incarnation that still responds as leaving is not mistaken for it.
+func TestLeavingEndpointIsProbedUntilItsNextIncarnation(t *testing.T) {
+	runWithProber(t, func(s *proberFixture) {
+		s.startAgent(statusOf("a", 2, true))
 		s.g.Expect(s.tracker.Answered("e0", wire.Clock{Incarnation: "a"}, time.Time{}, load.Report{Seq: 1, Leaving: true})).To(BeTrue())
 		time.Sleep(time.Minute)
-		s.expect(Leaving)
+		s.expectState(Leaving)
 		s.g.Expect(s.probes).To(BeNumerically(">", 2))
-		s.kill()
+		s.stopAgent()
 		time.Sleep(time.Minute)
-		s.expect(Gone)
-		s.start(statusOf("b", 3, false))
+		s.expectState(Gone)
+		s.startAgent(statusOf("b", 3, false))
 		time.Sleep(DefaultTuning().ProbeMax + time.Second)
-		s.expect(Live)
+		s.expectState(Live)
 		s.g.Expect(s.tracker.Answered("e0", wire.Clock{Incarnation: "a"}, time.Time{}, load.Report{Seq: 9, Leaving: true})).To(BeFalse())
 	})
 }
 
-// An address that has come to another endpoint answers, but not for this one.
-func TestAnswerOfAnotherEndpointDoesNotCount(t *testing.T) {
-	playStand(t, func(s *stand) {
+// A response is rejected if the address now belongs to another endpoint.
+func TestProbeResponseOfAnotherEndpointIsRejected(t *testing.T) {
+	runWithProber(t, func(s *proberFixture) {
 		s.tracker.Failed("e0", "", false)
 		other := statusOf("a", 1, false)
 		other.Endpoint = "e9"
-		s.start(other)
+		s.startAgent(other)
 		time.Sleep(time.Minute)
-		s.expect(Suspect)
+		s.expectState(Suspect)
 	})
 }
 
-func TestMetricsTellStatesAndAge(t *testing.T) {
-	playStand(t, func(s *stand) {
+func TestSnapshotAndMetricsExportStatesAndListAge(t *testing.T) {
+	runWithProber(t, func(s *proberFixture) {
 		g := s.g
 		g.Expect(testutil.GatherAndCount(s.reg, "coveferry_membership_list_age_seconds")).To(Equal(0))
 		s.tracker.Learn(ListRead{At: time.Now(), VMs: []VM{{Name: "vm0", Leaving: true}}})
 		time.Sleep(2 * time.Second)
 		g.Expect(testutil.GatherAndCount(s.reg, "coveferry_membership_list_age_seconds")).To(Equal(1))
-		g.Expect(s.tracker.Page(time.Now()).count(Leaving)).To(Equal(1))
-		page := s.tracker.Page(time.Now())
-		g.Expect(page.Members[0].Age.Std()).To(Equal(2 * time.Second))
-		g.Expect(page.ListAge.Std()).To(Equal(2 * time.Second))
+		g.Expect(s.tracker.Page(time.Now()).countState(Leaving)).To(Equal(1))
+		snapshot := s.tracker.Page(time.Now())
+		g.Expect(snapshot.Members[0].Age.Std()).To(Equal(2 * time.Second))
+		g.Expect(snapshot.ListAge.Std()).To(Equal(2 * time.Second))
 	})
 }
--- a/internal/membership/restart_test.go
+++ b/internal/membership/restart_test.go
@@ -1,10 +1,10 @@
 package membership
 
-// A process that starts again under its name has nothing to do with the one before: that
-// one's leaving, its broken connections and its late words don't hold for it. Evidence:
-// before the list told incarnations apart, an endpoint that had said it leaves and started
-// again under its name stayed out of use until its entry said something else, and words of
-// the new process at another address counted as late for ever.
+// A new process under an endpoint's name must not inherit the leaving status, the broken
+// connections or the delayed messages of the process before it. Before the source of the
+// endpoints provided incarnations, an endpoint that had reported leaving and then restarted
+// stayed out of use until its entry changed, and all statuses of a new process at another
+// address were rejected as outdated.
 
 import (
 	"testing"
@@ -13,55 +13,55 @@
 	. "github.com/onsi/gomega"
 )
 
-func placeOf(incarnation string) Bundle {
+func bundleWithIncarnation(incarnation string) Bundle {
 	return Bundle{Places: []Place{{Endpoint: "e0", VM: "vm0", Address: "10.0.0.1:1", Incarnation: incarnation}}}
 }
 
-func TestAnotherProcessUnderTheNameIsUsedAfresh(t *testing.T) {
-	for name, before := range map[string]func(*scene){
-		"leaving by the list": func(s *scene) { s.list("0s", []string{"!0"}) },
-		"leaving by its word": func(s *scene) {
+func TestNewProcessUnderTheSameNameStartsLive(t *testing.T) {
+	for name, before := range map[string]func(*coreFixture){
+		"leaving by the list": func(s *coreFixture) { s.readList("0s", []string{"!0"}) },
+		"leaving by its status": func(s *coreFixture) {
 			s.apply(OwnWord{Endpoint: "e0", Incarnation: "100", Leaving: true, Via: ReasonReport})
 		},
-		"suspect": func(s *scene) { s.apply(ConnectionResult{Endpoint: "e0", Incarnation: "100", Result: Refused}) },
-		"live":    func(*scene) {},
+		"suspect": func(s *coreFixture) { s.apply(ConnectionFailure{Endpoint: "e0", Incarnation: "100", Kind: Refused}) },
+		"live":    func(*coreFixture) {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newScene(NewWithT(t), 0)
-			s.apply(placeOf("100"))
-			s.list("0s", []string{"0"})
-			s.wait("1s")
+			s := newCoreFixture(NewWithT(t), 0)
+			s.apply(bundleWithIncarnation("100"))
+			s.readList("0s", []string{"0"})
+			s.advanceTime("1s")
 			before(s)
-			changes := s.apply(placeOf("200"))
+			changes := s.apply(bundleWithIncarnation("200"))
 			s.g.Expect(changes).To(HaveLen(1))
 			s.g.Expect(changes[0].Reason).To(Equal(ReasonRestarted))
 			s.g.Expect(changes[0].To).To(Equal(Live))
-			s.list("1s", []string{"0"})
+			s.readList("1s", []string{"0"})
 			s.g.Expect(s.core.Members()[0].State).To(Equal(Live))
 
-			// Late news of the process before.
-			s.apply(ConnectionResult{Endpoint: "e0", Incarnation: "100", Result: Refused})
+			// A delayed failure of the previous process is ignored.
+			s.apply(ConnectionFailure{Endpoint: "e0", Incarnation: "100", Kind: Refused})
 			s.g.Expect(s.core.Members()[0].State).To(Equal(Live))
-			s.g.Expect(s.core.Counts(OwnWord{Endpoint: "e0", Incarnation: "200"})).To(BeTrue())
-			// Its own failures count as ever.
-			s.apply(ConnectionResult{Endpoint: "e0", Incarnation: "200", Result: Refused})
+			s.g.Expect(s.core.Accepts(OwnWord{Endpoint: "e0", Incarnation: "200"})).To(BeTrue())
+			// The new process's own failures count.
+			s.apply(ConnectionFailure{Endpoint: "e0", Incarnation: "200", Kind: Refused})
 			s.g.Expect(s.core.Members()[0].State).To(Equal(Suspect))
 		})
 	}
 }
 
-func TestTheSameProcessKeepsWhatIsKnown(t *testing.T) {
-	s := newScene(NewWithT(t), 0)
-	s.apply(placeOf("100"))
-	s.list("0s", []string{"!0"})
-	s.g.Expect(s.apply(placeOf("100"))).To(BeEmpty())
+func TestSameProcessKeepsItsState(t *testing.T) {
+	s := newCoreFixture(NewWithT(t), 0)
+	s.apply(bundleWithIncarnation("100"))
+	s.readList("0s", []string{"!0"})
+	s.g.Expect(s.apply(bundleWithIncarnation("100"))).To(BeEmpty())
 	s.g.Expect(s.core.Members()[0].State).To(Equal(Leaving))
 }
 
-func TestWordsOfTheProcessBeforeAreLate(t *testing.T) {
-	s := newScene(NewWithT(t), 0)
-	s.apply(placeOf("100")) // which said nothing until it had ended
-	s.apply(placeOf("200"))
+func TestStatusOfReplacedProcessIsOutdated(t *testing.T) {
+	s := newCoreFixture(NewWithT(t), 0)
+	s.apply(bundleWithIncarnation("100")) // its first status arrives after it has ended
+	s.apply(bundleWithIncarnation("200"))
 	s.now = s.now.Add(time.Second)
-	s.g.Expect(s.core.Counts(OwnWord{Endpoint: "e0", Incarnation: "100"})).To(BeFalse())
+	s.g.Expect(s.core.Accepts(OwnWord{Endpoint: "e0", Incarnation: "100"})).To(BeFalse())
 }
--- a/internal/membership/returning_test.go
+++ b/internal/membership/returning_test.go
@@ -12,69 +12,71 @@
 	"coveferry/internal/wire"
 )
 
-// The story: while the store was away an endpoint ended and another process took its name and
-// address. Routers found their connections refused, and then a good health check, and sent it
-// what they had for any other; it was cold, and got 15 requests in a second of 12 that it bore.
-// The evidence: the soak's seed 1034, whose routers heard of the restart seven seconds later.
-func TestAnEndpointThatReturnsAfterRefusedConnectionsIsTold(t *testing.T) {
+// Guards against overloading a cold process: while the configuration store was unavailable, an
+// endpoint's process ended and another one took over its name and address. Routers saw refused
+// connections, then a passed health check, and sent the endpoint its full share: 15 requests in
+// a second, while a cold process handles 12. Found by the soak test with seed 1034, where the
+// routers learned of the restart seven seconds later.
+func TestOnReturningIsCalledAfterRefusedConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		sent bool
-		told int
+		sent      bool
+		wantCalls int
 	}{"refused": {false, 1}, "broken": {true, 0}} {
 		g := NewWithT(t)
 		tracker := NewTracker(Config{Pool: balance.NewPool(balance.Config{}), Log: zerolog.Nop()})
-		told := 0
+		calls := 0
 		tracker.OnReturning(func(endpoint string) {
 			g.Expect(endpoint).To(Equal("e0"))
-			told++
+			calls++
 		})
 		tracker.Learn(bundleOf(2))
 		tracker.Failed("e0", "", c.sent)
 		tracker.Failed("e0", "", c.sent)
 		tracker.Answered("e0", wire.Clock{}, time.Time{}, load.Report{Seq: uint64(time.Now().UnixNano())})
-		g.Expect(told).To(Equal(c.told), name)
+		g.Expect(calls).To(Equal(c.wantCalls), name)
 		tracker.Answered("e0", wire.Clock{}, time.Time{}, load.Report{Seq: uint64(time.Now().UnixNano())})
-		g.Expect(told).To(Equal(c.told), "%s, once", name)
+		g.Expect(calls).To(Equal(c.wantCalls), "%s, once", name)
 	}
 }
 
-// newReturningTracker is a tracker of two endpoints, and the number of those that it told return
-// as what may be another process.
+// newReturningTracker returns a tracker of two endpoints and the number of calls of its
+// OnReturning function.
 func newReturningTracker() (*Tracker, *int) {
 	tracker := NewTracker(Config{Pool: balance.NewPool(balance.Config{}), Log: zerolog.Nop()})
-	told := 0
-	tracker.OnReturning(func(string) { told++ })
+	calls := 0
+	tracker.OnReturning(func(string) { calls++ })
 	tracker.Learn(bundleOf(2))
-	return tracker, &told
+	return tracker, &calls
 }
 
-// The story: an endpoint's process ended behind a proxy that takes connections and resets them,
-// and another one took its name. A request that found no other endpoint was the first that it
-// answered, before any health check: all routers took it for the old one and sent it 13 to 17
-// requests in a second of 12 that it bore while cold. The evidence: the soak's seed 3010.
-func TestAnEndpointThatAnswersARequestSentAfterConnectionsBrokeIsTold(t *testing.T) {
+// Guards against overloading a cold process: an endpoint's process ended behind a proxy that
+// accepts connections and resets them, and another one took over its name. Its first response
+// was to a request for which no other endpoint was available, before any health check. All
+// routers treated it as the old process and sent 13 to 17 requests in a second, while a cold
+// process handles 12. Found by the soak test with seed 3010.
+func TestOnReturningIsCalledAfterResponseToRequestSentAfterBrokenConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		sent time.Duration // after the connections broke
-		told int
-	}{"sent before": {-time.Second, 0}, "sent since": {time.Minute, 1}} {
+		sent      time.Duration // relative to the broken connections
+		wantCalls int
+	}{"sent before": {-time.Second, 0}, "sent after": {time.Minute, 1}} {
 		g := NewWithT(t)
-		tracker, told := newReturningTracker()
+		tracker, calls := newReturningTracker()
 		tracker.Failed("e0", "", true)
 		tracker.Answered("e0", wire.Clock{}, time.Now().Add(time.Minute), load.Report{Seq: 1})
-		g.Expect(*told).To(BeZero(), "one connection may break at a process that lives on")
+		g.Expect(*calls).To(BeZero(), "a single connection may break without a restart of the process")
 		tracker.Failed("e0", "", true)
 		tracker.Failed("e0", "", true)
 		tracker.Answered("e0", wire.Clock{}, time.Now().Add(c.sent), load.Report{Seq: 2})
-		g.Expect(*told).To(Equal(c.told), name)
+		g.Expect(*calls).To(Equal(c.wantCalls), name)
 	}
 }
 
-// A health check tells for itself whether the process is cold.
-func TestAnEndpointThatAnswersAHealthCheckAfterConnectionsBrokeIsNotTold(t *testing.T) {
+// A health check itself reports whether the process is cold.
+func TestOnReturningIsNotCalledAfterPassedHealthCheck(t *testing.T) {
 	g := NewWithT(t)
-	tracker, told := newReturningTracker()
+	tracker, calls := newReturningTracker()
 	tracker.Failed("e0", "", true)
 	tracker.Failed("e0", "", true)
-	tracker.checked("e0", wire.Clock{}, load.Report{Seq: 1})
-	g.Expect(*told).To(BeZero())
+	tracker.handleHealthCheck("e0", wire.Clock{}, load.Report{Seq: 1})
+	g.Expect(*calls).To(BeZero())
 }
--- a/internal/membership/page.go
+++ b/internal/membership/snapshot.go
@@ -12,52 +12,53 @@
 	"coveferry/internal/units"
 )
 
-// Path is where a router tells its members, beside its metrics.
+// PathMembers is the HTTP path of a router's members, on the listener of its
+// metrics.
 const Path = "/members"
 
-// maxPageBytes bounds the page that Fetch reads.
-const maxPageBytes = 8 << 20
+// maxSnapshotBytes bounds the response that Fetch reads.
+const maxSnapshotBytes = 8 << 20
 
-// Page is what a router makes of the endpoints at one moment.
+// Snapshot holds the states of all endpoints at a router at one time.
 type Page struct {
 	Router string    `json:"router"`
 	At     time.Time `json:"at"`
-	// ListAge is the time since the platform's list last showed anything
-	// newer; nil before the first list.
+	// ListAge is the time since the platform's list last advanced; nil before the
+	// first list.
 	ListAge *units.Duration `json:"list_age,omitempty"`
 	Members []PageMember    `json:"members"`
 }
 
-// PageMember is one endpoint.
+// SnapshotMember is one endpoint in a Snapshot.
 type PageMember struct {
 	Endpoint string `json:"endpoint"`
 	VM       string `json:"vm"`
 	State    State  `json:"state"`
 	Reason   Reason `json:"reason"`
-	// Age is how long the state and the reason have stood.
+	// Age is the time since the state or the reason last changed.
 	Age         units.Duration `json:"age"`
 	Incarnation string         `json:"incarnation,omitempty"`
 }
 
-// Page returns the members by their names.
+// Snapshot returns the current states, sorted by endpoint name.
 func (t *Tracker) Page(now time.Time) Page {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	page := Page{Router: t.cfg.Name, At: now, Members: []PageMember{}}
+	snapshot := Page{Router: t.cfg.Name, At: now, Members: []PageMember{}}
 	if age, ok := t.core.ListAge(now); ok {
 		d := units.Duration(age)
-		page.ListAge = &d
+		snapshot.ListAge = &d
 	}
 	for _, m := range t.core.Members() {
-		page.Members = append(page.Members, PageMember{
+		snapshot.Members = append(snapshot.Members, PageMember{
 			Endpoint: m.Endpoint, VM: m.VM, State: m.State, Reason: m.Reason,
 			Age: units.Duration(now.Sub(m.Since)), Incarnation: m.Incarnation,
 		})
 	}
-	return page
+	return snapshot
 }
 
-func (p Page) count(s State) int {
+func (p Page) countState(s State) int {
 	n := 0
 	for _, m := range p.Members {
 		if m.State == s {
@@ -67,35 +68,36 @@
 	return n
 }
 
-// ServeHTTP answers with the page.
+// ServeHTTP responds with the current snapshot as JSON.
 func (t *Tracker) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(t.Page(time.Now())) // the reader may have left
+	_ = json.NewEncoder(w).Encode(t.Page(time.Now())) // fails only if the client has disconnected
 }
 
-// Fetch reads the page at a URL. Its error is a *FetchError.
+// Fetch reads a router's snapshot from a URL. Its error is a *FetchError.
 func Fetch(ctx context.Context, client *http.Client, url string) (Page, error) {
-	page, err := fetchPage(ctx, client, url)
+	snapshot, err := fetchSnapshot(ctx, client, url)
 	if err != nil {
 		return Page{}, &FetchError{URL: url, Cause: err}
 	}
-	return page, nil
+	return snapshot, nil
 }
 
-func fetchPage(ctx context.Context, client *http.Client, url string) (Page, error) {
-	var page Page
-	err := getJSON(ctx, client, url, maxPageBytes, &page)
-	if err == nil && page.At.IsZero() {
-		err = errors.New("not a page of members")
+func fetchSnapshot(ctx context.Context, client *http.Client, url string) (Page, error) {
+	var snapshot Page
+	err := getJSON(ctx, client, url, maxSnapshotBytes, &snapshot)
+	if err == nil && snapshot.At.IsZero() {
+		err = errors.New("the response is not a list of members")
 	}
-	return page, err
+	return snapshot, err
 }
 
-// getJSON decodes the answer to a GET, which must be shorter than limit.
+// getJSON decodes the response to a GET request. A response longer than limit bytes
+// is cut off and fails to decode.
 func getJSON(ctx context.Context, client *http.Client, url string, limit int64, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return errors.Wrap(err, "make the request")
+		return errors.Wrap(err, "create request")
 	}
 	resp, err := client.Do(req)
 	if err != nil {
@@ -103,7 +105,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return errors.Newf("answered %s", resp.Status)
+		return errors.Newf("response status %s", resp.Status)
 	}
-	return errors.Wrap(json.NewDecoder(io.LimitReader(resp.Body, limit)).Decode(out), "decode the answer")
+	return errors.Wrap(json.NewDecoder(io.LimitReader(resp.Body, limit)).Decode(out), "decode response")
 }
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -12,7 +12,7 @@
 	"coveferry/internal/wire"
 )
 
-// Pool is what a tracker needs of the router's endpoints. See balance.Pool.
+// Pool is the part of the router's endpoint pool that a tracker uses. See balance.Pool.
 type Pool interface {
 	SetLeaving(endpoint string, leaving bool)
 	SetSuspect(endpoint string, suspect bool)
@@ -21,9 +21,9 @@
 	Restart(now time.Time, endpoint string)
 }
 
-// Config is what a tracker needs.
+// Config configures a Tracker.
 type Config struct {
-	// Name is the router's, for the page of members.
+	// Name is the router's name in snapshots.
 	Name    string
 	Pool    Pool
 	Tuning  Tuning
@@ -31,76 +31,76 @@
 	Metrics prometheus.Registerer // nil for none
 }
 
-// Tracker holds a router's core and applies its decisions to the pool. It
-// implements dispatch.Observer. It is safe for concurrent use.
+// Tracker passes events to a router's Core and applies the state changes to the
+// pool. It implements dispatch.Observer. It is safe for concurrent use.
 type Tracker struct {
 	cfg     Config
 	metrics *metrics
 
-	// returning is told of endpoints that return as what may be another process; nil for nobody.
-	returning func(endpoint string)
+	// onReturning is called for endpoints that return and may run another process; may be nil.
+	onReturning func(endpoint string)
 
 	mu   sync.Mutex
 	core *Core
 }
 
-// NewTracker returns a tracker that knows no endpoint until SetBundle.
+// NewTracker returns a tracker without endpoints; SetBundle adds them.
 func NewTracker(cfg Config) *Tracker {
 	t := &Tracker{cfg: cfg, core: NewCore(cfg.Tuning)}
 	t.metrics = newMetrics(cfg.Metrics, t)
 	return t
 }
 
-// OnReturning has a function called for each endpoint that returns after its connections
-// had failed and at which another process may be, before it gets work again. It must be called
-// before the tracker is used.
-func (t *Tracker) OnReturning(f func(endpoint string)) { t.returning = f }
+// OnReturning registers a function that is called for each endpoint that returns after failed
+// connections and may run another process, before it receives requests again. OnReturning must
+// be called before the tracker is used.
+func (t *Tracker) OnReturning(f func(endpoint string)) { t.onReturning = f }
 
-// SetBundle takes the endpoints of the bundle in force.
+// SetBundle sets the endpoints of the bundle in force.
 func (t *Tracker) SetBundle(b *bundle.Bundle) {
 	places := make([]Place, 0, len(b.Endpoints))
 	for _, e := range b.Endpoints {
 		if e.Direct {
-			continue // no agent speaks for it
+			continue // it has no agent
 		}
 		places = append(places, Place{Endpoint: e.Name, VM: e.VM, Address: e.Address})
 	}
 	t.Learn(Bundle{Places: places})
 }
 
-// Learn takes an event in and applies what follows from it.
+// HandleEvent processes an event and applies the resulting changes.
 func (t *Tracker) Learn(ev Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	t.apply(now, t.core.Apply(now, ev))
+	t.applyChanges(now, t.core.Apply(now, ev))
 }
 
-// Answered implements dispatch.Observer. Reports of endpoints that the bundle
-// names no more don't count either.
+// Answered implements dispatch.Observer. It returns false for reports that must be
+// ignored, including those of endpoints that are no longer in the bundle.
 func (t *Tracker) Answered(endpoint string, clock wire.Clock, sent time.Time, report load.Report) bool {
-	return t.hear(OwnWord{
+	return t.handleStatus(OwnWord{
 		Endpoint: endpoint, Incarnation: clock.Incarnation, Seq: report.Seq,
 		Leaving: report.Leaving, Via: ReasonReport, Sent: sent,
 	})
 }
 
-// checked takes the answer to a health check.
-func (t *Tracker) checked(endpoint string, clock wire.Clock, report load.Report) {
-	t.hear(OwnWord{
+// handleHealthCheck processes the response to a health check.
+func (t *Tracker) handleHealthCheck(endpoint string, clock wire.Clock, report load.Report) {
+	t.handleStatus(OwnWord{
 		Endpoint: endpoint, Incarnation: clock.Incarnation, Seq: report.Seq,
 		Leaving: report.Leaving, Via: ReasonCheck,
 	})
 }
 
-func (t *Tracker) hear(word OwnWord) bool {
+func (t *Tracker) handleStatus(status OwnWord) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.core.Counts(word) {
+	if !t.core.Accepts(status) {
 		return false
 	}
 	now := time.Now()
-	t.apply(now, t.core.Apply(now, word))
+	t.applyChanges(now, t.core.Apply(now, status))
 	return true
 }
 
@@ -110,29 +110,29 @@
 	if sent {
 		result = Broken
 	}
-	t.Learn(ConnectionResult{Endpoint: endpoint, Incarnation: incarnation, Result: result})
+	t.Learn(ConnectionFailure{Endpoint: endpoint, Incarnation: incarnation, Kind: result})
 }
 
-// probes takes note of the time and returns the endpoints to ask now.
-func (t *Tracker) probes() []string {
+// dueProbes re-evaluates all endpoints and returns the ones to probe now.
+func (t *Tracker) dueProbes() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	t.apply(now, t.core.Tick(now))
+	t.applyChanges(now, t.core.Tick(now))
 	return t.core.Probes(now)
 }
 
-// apply brings changes to the pool, in their order. t.mu is held.
-func (t *Tracker) apply(now time.Time, changes []Change) {
+// applyChanges applies changes to the pool in their order. t.mu must be held.
+func (t *Tracker) applyChanges(now time.Time, changes []Change) {
 	for _, ch := range changes {
-		t.applyOne(now, ch)
+		t.applyChange(now, ch)
 		t.metrics.changes.WithLabelValues(string(ch.To), string(ch.Reason)).Inc()
 		t.cfg.Log.Info().Str("endpoint", ch.Endpoint).Str("from", string(ch.From)).
 			Str("to", string(ch.To)).Str("reason", string(ch.Reason)).Msg("endpoint changed its state")
 	}
 }
 
-func (t *Tracker) applyOne(now time.Time, ch Change) {
+func (t *Tracker) applyChange(now time.Time, ch Change) {
 	pool := t.cfg.Pool
 	switch {
 	case ch.To == Gone && ch.Reason == ReasonBundle:
@@ -140,12 +140,12 @@
 	case ch.Reason == ReasonRestarted:
 		pool.Restart(now, ch.Endpoint)
 	case ch.To == Live:
-		if ch.MayBeNew && t.returning != nil {
-			t.returning(ch.Endpoint)
+		if ch.PossiblyRestarted && t.onReturning != nil {
+			t.onReturning(ch.Endpoint)
 		}
 		pool.Return(now, ch.Endpoint)
 	default:
-		pool.SetLeaving(ch.Endpoint, !ch.To.takesWork())
+		pool.SetLeaving(ch.Endpoint, !ch.To.acceptsRequests())
 		pool.SetSuspect(ch.Endpoint, ch.To == Suspect)
 	}
 }
--- a/internal/membership/tuning.go
+++ b/internal/membership/tuning.go
@@ -7,62 +7,63 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Tuning holds the numbers by which Core decides. A zero field is the default
-// that DefaultTuning gives.
+// Tuning holds Core's parameters. A zero field stands for its value in
+// DefaultTuning.
 type Tuning struct {
-	// MaxDrop is the share of the endpoints that may count as gone because the
-	// list lacks them and for no other reason; at least one always may.
-	MaxDrop float64
-	// ListStale is the age from which a list counts as stale: its word on a
-	// leaving VM then yields to that of a new incarnation.
-	ListStale time.Duration
-	// BrokenLimit is how many connections in a row break before an endpoint
-	// is suspect. One that is refused suffices.
+	// MaxRemovedShare is the share of the listed endpoints that may become gone by
+	// removal from the list alone; at least one always may.
+	MaxRemovedShare float64
+	// ListStaleAfter is the age beyond which a list is stale: a new incarnation then
+	// overrides its entry for a leaving VM.
+	ListStaleAfter time.Duration
+	// BrokenLimit is the number of consecutive broken connections that make an
+	// endpoint suspect. A single refused connection does so too.
 	BrokenLimit int
-	// SilenceHold is how long a silence counts after it was last heard of: longer
-	// than the time between two words on it.
-	SilenceHold time.Duration
-	// ProbeMin and ProbeMax bound the time between two probes of an endpoint,
-	// which doubles; ProbeLeaving is the first one of an endpoint that leaves.
-	ProbeMin, ProbeMax, ProbeLeaving time.Duration
-	// ProbeSilent bounds it at one that fell silent.
-	ProbeSilent time.Duration
-	// ProbeBatch bounds the probes that are due at once.
+	// UnresponsiveHold is how long an endpoint stays suspect after the last
+	// Unresponsive event. It must be longer than the time between two of these events.
+	UnresponsiveHold time.Duration
+	// ProbeMin and ProbeMax bound the time between two probes of an endpoint, which
+	// doubles after each probe. ProbeLeavingDelay is the first interval for a leaving
+	// endpoint.
+	ProbeMin, ProbeMax, ProbeLeavingDelay time.Duration
+	// ProbeMaxUnresponsive replaces ProbeMax for an unresponsive endpoint.
+	ProbeMaxUnresponsive time.Duration
+	// ProbeBatch bounds the probes that Core.Probes returns at once.
 	ProbeBatch int
-	// Seed spreads the probes of different routers.
+	// Seed varies the jitter of probes between routers.
 	Seed uint64
 }
 
 // DefaultTuning returns the defaults.
 func DefaultTuning() Tuning {
 	return Tuning{
-		MaxDrop:      0.25,
-		ListStale:    30 * time.Second,
-		BrokenLimit:  2,
-		SilenceHold:  time.Second,
-		ProbeMin:     500 * time.Millisecond,
-		ProbeMax:     30 * time.Second,
-		ProbeLeaving: 5 * time.Second,
-		ProbeSilent:  time.Second,
-		ProbeBatch:   2,
+		MaxRemovedShare:      0.25,
+		ListStaleAfter:       30 * time.Second,
+		BrokenLimit:          2,
+		UnresponsiveHold:     time.Second,
+		ProbeMin:             500 * time.Millisecond,
+		ProbeMax:             30 * time.Second,
+		ProbeLeavingDelay:    5 * time.Second,
+		ProbeMaxUnresponsive: time.Second,
+		ProbeBatch:           2,
 	}
 }
 
 func (t Tuning) withDefaults() Tuning {
 	d := DefaultTuning()
 	return Tuning{
-		MaxDrop:      cmp.Or(t.MaxDrop, d.MaxDrop),
-		ListStale:    cmp.Or(t.ListStale, d.ListStale),
-		BrokenLimit:  cmp.Or(t.BrokenLimit, d.BrokenLimit),
-		SilenceHold:  cmp.Or(t.SilenceHold, d.SilenceHold),
-		ProbeMin:     cmp.Or(t.ProbeMin, d.ProbeMin),
-		ProbeMax:     cmp.Or(t.ProbeMax, d.ProbeMax),
-		ProbeLeaving: cmp.Or(t.ProbeLeaving, d.ProbeLeaving),
-		ProbeSilent:  cmp.Or(t.ProbeSilent, d.ProbeSilent),
-		ProbeBatch:   cmp.Or(t.ProbeBatch, d.ProbeBatch),
-		Seed:         t.Seed,
+		MaxRemovedShare:      cmp.Or(t.MaxRemovedShare, d.MaxRemovedShare),
+		ListStaleAfter:       cmp.Or(t.ListStaleAfter, d.ListStaleAfter),
+		BrokenLimit:          cmp.Or(t.BrokenLimit, d.BrokenLimit),
+		UnresponsiveHold:     cmp.Or(t.UnresponsiveHold, d.UnresponsiveHold),
+		ProbeMin:             cmp.Or(t.ProbeMin, d.ProbeMin),
+		ProbeMax:             cmp.Or(t.ProbeMax, d.ProbeMax),
+		ProbeLeavingDelay:    cmp.Or(t.ProbeLeavingDelay, d.ProbeLeavingDelay),
+		ProbeMaxUnresponsive: cmp.Or(t.ProbeMaxUnresponsive, d.ProbeMaxUnresponsive),
+		ProbeBatch:           cmp.Or(t.ProbeBatch, d.ProbeBatch),
+		Seed:                 t.Seed,
 	}
 }
 
-// SeedOf is a Seed that differs between routers, from the name of one.
+// SeedOf returns a Seed derived from a router's name.
 func SeedOf(router string) uint64 { return xxhash.Sum64String(router) }
--- a/internal/membership/lanes.go
+++ b/internal/membership/watch_candidates.go
@@ -11,11 +11,12 @@
 	"coveferry/internal/identity"
 )
 
-// lanes deals out the routers that this one may watch: each lane is watched one
-// router at a time, in its order, and no router is in two lanes. The order is
-// the router's own, a rendezvous ranking, so that all are watched by about as
-// many and one that comes or goes moves few watches.
-func lanes(self, domain string, routers []bundle.Router) [][]control.Target {
+// watchCandidates distributes the other routers over lists of candidates. One router
+// of each list is watched at a time, in the list's order, and no router is in two
+// lists. The order is a rendezvous ranking by this router's name, so that each router
+// is watched by about the same number of others, and adding or removing a router
+// moves few watches.
+func watchCandidates(self, domain string, routers []bundle.Router) [][]control.Target {
 	var inside, outside []bundle.Router
 	for _, r := range routers {
 		switch {
@@ -26,11 +27,11 @@
 			outside = append(outside, r)
 		}
 	}
-	return append(deal(self, inside, watchesInside), deal(self, outside, watchesOutside)...)
+	return append(distribute(self, inside, watchesInDomain), distribute(self, outside, watchesOutsideDomain)...)
 }
 
-// deal ranks routers and deals them out to at most n lanes.
-func deal(self string, routers []bundle.Router, n int) [][]control.Target {
+// distribute ranks routers and distributes them over at most n lists.
+func distribute(self string, routers []bundle.Router, n int) [][]control.Target {
 	rank := func(r bundle.Router) uint64 { return xxhash.Sum64String(self + "\x00" + r.Name) }
 	slices.SortFunc(routers, func(a, b bundle.Router) int { return cmp.Compare(rank(a), rank(b)) })
 	out := make([][]control.Target, min(n, len(routers)))
