--- a/internal/bundle/accept.go
+++ b/internal/bundle/accept.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// sourceName stands in messages for a bundle that came over the network.
+// sourceName is the file name in messages about a bundle received over the network.
 const sourceName = "bundle"
 
-// Accept decides on a signed bundle that was offered to a process. It returns
-// the snapshot to use from now on: a new one, or current itself if the offer
-// says the same as what is in force. Otherwise it returns an error and no
-// snapshot, and current stays in force. Current is nil in a process that has
-// accepted nothing so far.
+// Accept verifies and checks a signed bundle. It returns the snapshot to use from
+// now on: a new one, or current itself if the bundle has the same version and
+// content. Otherwise it returns an error and no snapshot, and current stays in
+// force. Current is nil in a process that has not accepted a bundle yet.
 //
 // The error is one of ErrBadSignature, ErrUnknownKey, ErrTampered, ErrInvalid,
 // ErrRolledBack, ErrConflict and ErrExpired.
@@ -25,24 +24,24 @@
 	if comment != trustedComment(bundlePurpose, b.Version, b.Expires) {
 		return nil, ErrTampered
 	}
-	return succeed(now, current, b)
+	return acceptSuccessor(now, current, b)
 }
 
-// succeed decides whether a genuine bundle may follow the one in force. A
-// repeat of what is in force is accepted even when it has expired, as nothing
-// changes by it.
-func succeed(now time.Time, current *Snapshot, b *Bundle) (*Snapshot, error) {
-	if err := mayFollow(now, current, b.Version, b.Expires); err != nil {
+// acceptSuccessor decides whether a bundle with a valid signature may replace the
+// one in force. The bundle in force is accepted again even after it has expired,
+// because that changes nothing.
+func acceptSuccessor(now time.Time, current *Snapshot, b *Bundle) (*Snapshot, error) {
+	if err := checkVersionAndExpiry(now, current, b.Version, b.Expires); err != nil {
 		return nil, err
 	}
 	if current != nil && b.Version == current.Version() {
-		return repeat(current, b)
+		return acceptSameVersion(current, b)
 	}
 	return NewSnapshot(b), nil
 }
 
-// mayFollow decides by version and expiry alone.
-func mayFollow(now time.Time, current *Snapshot, version uint64, expires time.Time) error {
+// checkVersionAndExpiry decides by version and expiry alone.
+func checkVersionAndExpiry(now time.Time, current *Snapshot, version uint64, expires time.Time) error {
 	switch {
 	case current != nil && version < current.Version():
 		return &RolledBackError{Offered: version, Accepted: current.Version()}
@@ -55,7 +54,7 @@
 	}
 }
 
-func repeat(current *Snapshot, b *Bundle) (*Snapshot, error) {
+func acceptSameVersion(current *Snapshot, b *Bundle) (*Snapshot, error) {
 	if changes := Diff(current.Bundle(), b); len(changes) > 0 {
 		return nil, &ConflictError{Version: b.Version, Changes: changes}
 	}
--- a/internal/bundle/bundle_suite_test.go
+++ b/internal/bundle/bundle_suite_test.go
@@ -17,14 +17,14 @@
 	ginkgo.RunSpecs(t, "bundle")
 }
 
-func example(name string) []byte {
+func readExample(name string) []byte {
 	src, err := os.ReadFile(filepath.Join("..", "..", "examples", "bundles", name))
 	gomega.Expect(err).NotTo(gomega.HaveOccurred())
 	return src
 }
 
-// small is a bundle that passes every check without a warning.
-func small() *Bundle {
+// validBundle returns a small bundle without errors and warnings.
+func validBundle() *Bundle {
 	issued := time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC)
 	return &Bundle{
 		Format: Format, Version: 7, Issued: issued, Expires: issued.AddDate(1, 0, 0),
--- a/internal/bundle/check.go
+++ b/internal/bundle/check.go
@@ -1,12 +1,12 @@
 package bundle
 
-// rule is one thing that must hold for a bundle.
+// rule is one check of a bundle.
 type rule struct {
-	// whole marks a rule that compares parts of the bundle with each other.
-	// It is left out when some part couldn't be decoded, as it would report
-	// consequences of that fault in places that are right.
-	whole bool
-	check func(b *Bundle, f *Findings)
+	// needsCompleteBundle marks a rule that compares parts of the bundle with each
+	// other. It is skipped if any part couldn't be decoded, because it would report
+	// consequences of that error in correct parts.
+	needsCompleteBundle bool
+	check               func(b *Bundle, f *Findings)
 }
 
 var rules = []rule{
@@ -22,10 +22,10 @@
 	{check: checkTeamKeys},
 	{check: checkSharedKeys},
 	{check: checkTeamLimits},
-	{check: checkEndpointPlaces},
+	{check: checkEndpointLocations},
 	{check: checkEndpointAddresses},
 	{check: checkUniqueAddresses},
-	{check: checkRouterPlaces},
+	{check: checkRouterLocations},
 	{check: checkControlAddresses},
 	{check: checkUniqueControlAddresses},
 	{check: checkEndpointSlots},
@@ -35,26 +35,26 @@
 	{check: checkLimits},
 	{check: checkRoutes},
 	{check: checkQueueHoldsRequest},
-	{whole: true, check: checkGrantedClasses},
-	{whole: true, check: checkGrantedTiers},
-	{whole: true, check: checkServedModels},
-	{whole: true, check: checkServedServices},
-	{whole: true, check: checkPlacedModels},
-	{whole: true, check: checkRouteTable},
-	{whole: true, check: checkModelCoverage},
-	{whole: true, check: checkServiceCoverage},
-	{whole: true, check: checkControlCoverage},
+	{needsCompleteBundle: true, check: checkGrantedClasses},
+	{needsCompleteBundle: true, check: checkGrantedTiers},
+	{needsCompleteBundle: true, check: checkServedModels},
+	{needsCompleteBundle: true, check: checkServedServices},
+	{needsCompleteBundle: true, check: checkPlacedModels},
+	{needsCompleteBundle: true, check: checkRouteTable},
+	{needsCompleteBundle: true, check: checkModelCoverage},
+	{needsCompleteBundle: true, check: checkServiceCoverage},
+	{needsCompleteBundle: true, check: checkControlCoverage},
 }
 
-// Check applies every rule to a decoded bundle and returns all that it finds.
+// Check applies every rule to a decoded bundle and returns all findings.
 func Check(b *Bundle) Findings {
 	return check(b, true)
 }
 
-func check(b *Bundle, whole bool) Findings {
+func check(b *Bundle, complete bool) Findings {
 	var f Findings
 	for _, r := range rules {
-		if whole || !r.whole {
+		if complete || !r.needsCompleteBundle {
 			r.check(b, &f)
 		}
 	}
--- a/internal/bundle/check_control.go
+++ b/internal/bundle/check_control.go
@@ -6,18 +6,19 @@
 	"coveferry/internal/jsonc"
 )
 
-func checkRouterPlaces(b *Bundle, f *Findings) {
+func checkRouterLocations(b *Bundle, f *Findings) {
 	for i := range b.Routers {
 		path := jsonc.Index("routers", i)
-		checkPlace(path, "failure_domain", b.Routers[i].FailureDomain, f)
-		checkPlace(path, "region", b.Routers[i].Region, f)
+		checkPlainName(path, "failure_domain", b.Routers[i].FailureDomain, f)
+		checkPlainName(path, "region", b.Routers[i].Region, f)
 	}
 }
 
-// controlAddress is where a control address stands in the bundle.
+// controlAddress is a control address with its path in the bundle.
 type controlAddress struct{ path, address string }
 
-// controlAddresses lists those that are given.
+// controlAddresses returns the control addresses of all routers and of the endpoints
+// that have one.
 func controlAddresses(b *Bundle) []controlAddress {
 	var out []controlAddress
 	for i := range b.Endpoints {
@@ -37,8 +38,8 @@
 	}
 }
 
-// checkUniqueControlAddresses asks that a control address is no other address,
-// be it of the control channel or of an endpoint's attempts.
+// checkUniqueControlAddresses reports control addresses that equal another control
+// address or the address of an endpoint.
 func checkUniqueControlAddresses(b *Bundle, f *Findings) {
 	taken := make(map[netip.AddrPort]string)
 	for i := range b.Endpoints {
@@ -59,8 +60,8 @@
 	}
 }
 
-// checkControlCoverage warns of endpoints that are left out of a control
-// channel that the bundle sets up for others.
+// checkControlCoverage warns of endpoints without a control address if the bundle
+// has control addresses at all.
 func checkControlCoverage(b *Bundle, f *Findings) {
 	if len(controlAddresses(b)) == 0 {
 		return
--- a/internal/bundle/check_endpoints.go
+++ b/internal/bundle/check_endpoints.go
@@ -10,24 +10,24 @@
 // MaxSlots bounds the slots of an endpoint.
 const MaxSlots = 100_000
 
-func checkEndpointPlaces(b *Bundle, f *Findings) {
+func checkEndpointLocations(b *Bundle, f *Findings) {
 	for i := range b.Endpoints {
 		e := &b.Endpoints[i]
 		path := jsonc.Index("endpoints", i)
-		checkPlace(path, "vm", e.VM, f)
-		checkPlace(path, "failure_domain", e.FailureDomain, f)
-		checkPlace(path, "region", e.Region, f)
+		checkPlainName(path, "vm", e.VM, f)
+		checkPlainName(path, "failure_domain", e.FailureDomain, f)
+		checkPlainName(path, "region", e.Region, f)
 	}
 }
 
-func checkPlace(path, key, name string, f *Findings) {
-	if !plainName.fits(name) {
+func checkPlainName(path, key, name string, f *Findings) {
+	if !plainName.matches(name) {
 		f.errorf(jsonc.Key(path, key), "%q is not a name; %s", name, plainName.help)
 	}
 }
 
-// parseAddress reads a literal IP and port. An IPv4 address written as IPv6
-// is the same address.
+// parseAddress parses a literal IP and port. An IPv4-mapped IPv6 address equals its
+// IPv4 address.
 func parseAddress(text string) (netip.AddrPort, bool) {
 	ap, err := netip.ParseAddrPort(text)
 	if err != nil || ap.Port() == 0 || ap.Addr().IsUnspecified() || ap.Addr().IsMulticast() {
@@ -94,8 +94,8 @@
 	}
 }
 
-// checkServed checks the names that an endpoint lists under a key, which is
-// also the key of the list that defines them.
+// checkServed checks the names that an endpoint lists under a key. The names must be
+// defined in the bundle's list of the same key.
 func checkServed(endpoint int, key string, names []string, known nameSet, f *Findings) {
 	for i, name := range names {
 		if known.has(name) && !slices.Contains(names[:i], name) {
@@ -113,18 +113,18 @@
 func checkModelCoverage(b *Bundle, f *Findings) {
 	domains := domainsOf(b.Endpoints, func(e *Endpoint) []string { return e.Models })
 	for i := range b.Models {
-		warnCoverage(jsonc.Index("models", i), "model", b.Models[i].Name, domains, f)
+		checkCoverage(jsonc.Index("models", i), "model", b.Models[i].Name, domains, f)
 	}
 }
 
 func checkServiceCoverage(b *Bundle, f *Findings) {
 	domains := domainsOf(b.Endpoints, func(e *Endpoint) []string { return e.Services })
 	for i := range b.Services {
-		warnCoverage(jsonc.Index("services", i), "service", b.Services[i].Name, domains, f)
+		checkCoverage(jsonc.Index("services", i), "service", b.Services[i].Name, domains, f)
 	}
 }
 
-// domainsOf collects the failure domains in which each target is served.
+// domainsOf returns the failure domains in which each target is served.
 func domainsOf(endpoints []Endpoint, targets func(*Endpoint) []string) map[string]nameSet {
 	out := make(map[string]nameSet)
 	for i := range endpoints {
@@ -138,11 +138,11 @@
 	return out
 }
 
-func warnCoverage(path, noun, name string, domains map[string]nameSet, f *Findings) {
+func checkCoverage(path, kind, name string, domains map[string]nameSet, f *Findings) {
 	switch len(domains[name]) {
 	case 0:
-		f.warnf(path, "%s %q has no endpoint, so its requests are refused", noun, name)
+		f.warnf(path, "%s %q has no endpoint, so its requests are refused", kind, name)
 	case 1:
-		f.warnf(path, "%s %q has endpoints in a single failure domain only", noun, name)
+		f.warnf(path, "%s %q has endpoints in a single failure domain only", kind, name)
 	}
 }
--- a/internal/bundle/check_general.go
+++ b/internal/bundle/check_general.go
@@ -8,8 +8,8 @@
 	"coveferry/internal/units"
 )
 
-// Bounds on the limits of a bundle. They catch slips of the pen, such as
-// "4GiB" for "4MiB"; they say nothing of what suits an endpoint.
+// Bounds on the limits of a bundle. They catch typing errors, such as "4GiB" for
+// "4MiB", and are no advice on suitable values.
 const (
 	MinRequestBytes = units.Bytes(1 << 10)
 	MaxRequestBytes = units.Bytes(64 << 20)
@@ -94,8 +94,8 @@
 	}
 }
 
-// checkQueueHoldsRequest asks that the largest request fits an empty queue:
-// it would be refused for ever otherwise.
+// checkQueueHoldsRequest checks that the largest allowed request fits into an empty
+// queue; otherwise it would always be rejected.
 func checkQueueHoldsRequest(b *Bundle, f *Findings) {
 	if b.Limits.QueueBytes > 0 && b.Limits.QueueBytes < b.Limits.RequestBytes {
 		f.errorf("limits.queue_bytes", "%s is below request_bytes, %s", size(b.Limits.QueueBytes), size(b.Limits.RequestBytes))
@@ -103,6 +103,6 @@
 }
 
 func size(b units.Bytes) string {
-	text, _ := b.MarshalText() // never fails
+	text, _ := b.MarshalText() // never returns an error
 	return string(text)
 }
--- a/internal/bundle/check_names.go
+++ b/internal/bundle/check_names.go
@@ -11,15 +11,15 @@
 	upperAlpha = "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
 )
 
-// nameRule says how a name is formed.
+// nameRule defines the syntax of a kind of names.
 type nameRule struct {
-	first string // characters that it may begin with
-	rest  string // characters that may follow besides those
-	most  int    // length
-	help  string
+	first  string // characters allowed at any position
+	rest   string // characters allowed after the first position only
+	maxLen int    // in bytes
+	help   string
 }
 
-// A model's name is chosen by its maker, hence the wider alphabet.
+// Model names are chosen by the models' publishers, so they allow more characters.
 var (
 	plainName = nameRule{lowerAlnum, "._-", 63,
 		"use 1 to 63 lower-case letters, digits, '.', '_' or '-', beginning with a letter or digit"}
@@ -27,8 +27,8 @@
 		"use 1 to 127 letters, digits, '.', '_', ':', '/' or '-', beginning with a letter or digit"}
 )
 
-func (r *nameRule) fits(name string) bool {
-	if name == "" || len(name) > r.most || strings.IndexByte(r.first, name[0]) < 0 {
+func (r *nameRule) matches(name string) bool {
+	if name == "" || len(name) > r.maxLen || strings.IndexByte(r.first, name[0]) < 0 {
 		return false
 	}
 	for i := range len(name) {
@@ -39,7 +39,7 @@
 	return true
 }
 
-// namedList is one of the bundle's lists, reduced to the names in it.
+// namedList holds the names in one of the bundle's lists.
 type namedList struct {
 	key   string
 	rule  *nameRule
@@ -70,7 +70,7 @@
 func checkNames(b *Bundle, f *Findings) {
 	for _, list := range b.namedLists() {
 		for i, name := range list.names {
-			if !list.rule.fits(name) {
+			if !list.rule.matches(name) {
 				f.errorf(jsonc.Key(jsonc.Index(list.key, i), "name"), "%q is not a name; %s", name, list.rule.help)
 			}
 		}
@@ -82,7 +82,7 @@
 		first := make(map[string]int, len(list.names))
 		for i, name := range list.names {
 			if name == "" {
-				continue // reported as no name
+				continue // reported by checkNames
 			}
 			if j, dup := first[name]; dup {
 				f.errorf(jsonc.Key(jsonc.Index(list.key, i), "name"), "%q is already the name of %s", name, jsonc.Index(list.key, j))
@@ -93,7 +93,7 @@
 	}
 }
 
-// nameSet is a set of names that others may refer to.
+// nameSet is a set of names.
 type nameSet map[string]struct{}
 
 func setOf(names []string) nameSet {
--- a/internal/bundle/check_placement.go
+++ b/internal/bundle/check_placement.go
@@ -6,8 +6,8 @@
 	"coveferry/internal/jsonc"
 )
 
-// MinWeightFetches and MaxWeightFetches bound the weight store's rate in requests
-// a second, against slips of the pen.
+// MinWeightFetches and MaxWeightFetches bound the weight store's rate in requests per
+// second, to catch typing errors.
 const (
 	MinWeightFetches = 0.001
 	MaxWeightFetches = 1_000_000
@@ -25,17 +25,17 @@
 			f.errorf(jsonc.Key(path, "models"), "a placement names at least one model")
 		}
 		checkAdapters(jsonc.Key(path, "adapters"), p, f)
-		if p.Version != "" && !modelName.fits(p.Version) {
+		if p.Version != "" && !modelName.matches(p.Version) {
 			f.errorf(jsonc.Key(path, "version"), "%q is not a version; %s", p.Version, modelName.help)
 		}
-		checkPlace(path, "role", p.Role, f)
+		checkPlainName(path, "role", p.Role, f)
 	}
 }
 
 func checkAdapters(path string, p *Placement, f *Findings) {
 	for i, name := range p.Adapters {
 		switch {
-		case !modelName.fits(name):
+		case !modelName.matches(name):
 			f.errorf(jsonc.Index(path, i), "%q is not a name; %s", name, modelName.help)
 		case slices.Contains(p.Adapters[:i], name) || slices.Contains(p.Models, name):
 			f.errorf(jsonc.Index(path, i), "%q is named twice", name)
@@ -58,8 +58,8 @@
 	}
 }
 
-// checkPlacedModels asks that placed models are defined, and that an endpoint
-// with a placement serves nothing that its engine would not hold.
+// checkPlacedModels checks that placed models are defined, and that an endpoint with
+// a placement serves only models that its placement contains.
 func checkPlacedModels(b *Bundle, f *Findings) {
 	known := setOf(namesOf(b.Models, func(m *Model) string { return m.Name }))
 	for i := range b.Endpoints {
--- a/internal/bundle/check_teams.go
+++ b/internal/bundle/check_teams.go
@@ -7,8 +7,8 @@
 	"coveferry/internal/jsonc"
 )
 
-// MaxTeamRate and MaxTeamConcurrency bound a team's limits; see the other
-// bounds of limits.
+// MaxTeamRate and MaxTeamConcurrency bound a team's limits. Like the other bounds
+// they only catch typing errors.
 const (
 	MaxTeamRate        = 1e9
 	MaxTeamConcurrency = 10_000_000
@@ -67,7 +67,7 @@
 		}
 		for j, hash := range b.Teams[i].KeyHashes {
 			if !keyHash.MatchString(hash) {
-				// The text isn't repeated: it may be a key by mistake.
+				// The value isn't included, as it may be a key in plain text.
 				f.errorf(jsonc.Index(path, j), "is not a key hash; write \"sha256:\" and 64 lower-case hexadecimal digits")
 			}
 		}
--- a/internal/bundle/digest.go
+++ b/internal/bundle/digest.go
@@ -7,19 +7,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Digest is the SHA-256 digest of a section's bytes, and the section's name.
+// Digest is the SHA-256 digest of a section's bytes. It identifies the section.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a section.
 func DigestOf(section []byte) Digest { return sha256.Sum256(section) }
 
-// String writes the digest in URL-safe base 64, fit for a file name.
+// String returns the digest in URL-safe base64, which is valid in a file name.
 func (d Digest) String() string { return base64.RawURLEncoding.EncodeToString(d[:]) }
 
-// MarshalText writes the digest as String does.
+// MarshalText returns the same text as String.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText parses the form that MarshalText returns.
 func (d *Digest) UnmarshalText(text []byte) error {
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(string(text))
 	if err != nil || len(raw) != len(d) {
--- a/internal/bundle/envelope.go
+++ b/internal/bundle/envelope.go
@@ -6,22 +6,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// SignedManifest is a manifest with its signature in one value, so that no
-// reader sees one of them without the other.
+// SignedManifest holds a manifest and its signature in one value, so that they are
+// always read and written together.
 type SignedManifest struct {
-	// Manifest is the manifest's text, byte for byte as it was signed.
+	// Manifest is the manifest's text, exactly the bytes that were signed.
 	Manifest string `json:"manifest"`
-	// Signature is the detached signature in minisign's form.
+	// Signature is the detached signature in minisign's format.
 	Signature string `json:"signature"`
 }
 
-// EncodeSignedManifest writes a signed manifest as one value.
+// EncodeSignedManifest encodes a manifest and its signature as one value.
 func EncodeSignedManifest(src, sig []byte) []byte {
 	return encode(SignedManifest{Manifest: string(src), Signature: string(sig)})
 }
 
-// DecodeSignedManifest reads such a value; nothing is verified yet. The error
-// is an ErrInvalid.
+// DecodeSignedManifest decodes the value of EncodeSignedManifest. It doesn't verify
+// the signature. The error is an ErrInvalid.
 func DecodeSignedManifest(value []byte) (SignedManifest, error) {
 	var s SignedManifest
 	if err := json.Unmarshal(value, &s); err != nil {
--- a/internal/bundle/errors.go
+++ b/internal/bundle/errors.go
@@ -9,41 +9,41 @@
 	"coveferry/internal/jsonc"
 )
 
-// The reasons for which a signed bundle is refused, for errors.Is.
+// The reasons for which a signed bundle is rejected, for errors.Is.
 var (
-	// ErrTampered means that the bytes aren't those that the key's holder signed.
+	// ErrTampered means that the bytes differ from those that were signed.
 	ErrTampered = errors.New("bundle: signature does not match the content")
-	// ErrBadSignature means that the signature itself can't be read.
+	// ErrBadSignature means that the signature can't be parsed.
 	ErrBadSignature = errors.New("bundle: malformed signature")
-	// ErrUnknownKey means that no trusted key made the signature.
+	// ErrUnknownKey means that the signature was made with a key that isn't trusted.
 	ErrUnknownKey = errors.New("bundle: signed by an unknown key")
-	// ErrExpired means that the bundle may no longer be accepted as new.
+	// ErrExpired means that the bundle has expired and can't be accepted as new.
 	ErrExpired = errors.New("bundle: expired")
 	// ErrRolledBack means that a higher version was accepted before.
 	ErrRolledBack = errors.New("bundle: older than the accepted version")
-	// ErrConflict means that two contents carry one version.
+	// ErrConflict means that the version was accepted before with other content.
 	ErrConflict = errors.New("bundle: version is already in use with other content")
-	// ErrInvalid means that the content is malformed or fails its check.
+	// ErrInvalid means that the content is malformed or has errors.
 	ErrInvalid = errors.New("bundle: invalid")
-	// ErrMissingSection means that a section of a manifest isn't at hand.
+	// ErrMissingSection means that a section of a manifest isn't available.
 	ErrMissingSection = errors.New("bundle: section is missing")
-	// ErrNotFound means that a bundle defines no such item.
+	// ErrNotFound means that the bundle doesn't define the item.
 	ErrNotFound = errors.New("bundle: not found")
 )
 
-// InvalidError holds every fault of a bundle. It is an ErrInvalid.
+// InvalidError holds all errors found in a bundle. It is an ErrInvalid.
 type InvalidError struct{ Problems jsonc.Problems }
 
-// Error returns one line for each fault.
+// Error returns one line for each problem.
 func (e *InvalidError) Error() string { return e.Problems.Error() }
 
-// Unwrap returns the faults as the decoder's error.
+// Unwrap returns the problems as jsonc.Problems.
 func (e *InvalidError) Unwrap() error { return e.Problems }
 
 // Is reports whether target is the reason of this error.
 func (e *InvalidError) Is(target error) bool { return target == ErrInvalid }
 
-// BadSignatureError says why a signature can't be read. It is an ErrBadSignature.
+// BadSignatureError reports why a signature can't be parsed. It is an ErrBadSignature.
 type BadSignatureError struct{ Cause error }
 
 func (e *BadSignatureError) Error() string {
@@ -56,7 +56,7 @@
 // Is reports whether target is the reason of this error.
 func (e *BadSignatureError) Is(target error) bool { return target == ErrBadSignature }
 
-// UnknownKeyError names the key of a signature. It is an ErrUnknownKey.
+// UnknownKeyError holds the ID of the key that made a signature. It is an ErrUnknownKey.
 type UnknownKeyError struct{ KeyID uint64 }
 
 func (e *UnknownKeyError) Error() string {
@@ -66,7 +66,7 @@
 // Is reports whether target is the reason of this error.
 func (e *UnknownKeyError) Is(target error) bool { return target == ErrUnknownKey }
 
-// ExpiredError says when a bundle expired. It is an ErrExpired.
+// ExpiredError holds the time at which a bundle expired. It is an ErrExpired.
 type ExpiredError struct {
 	Version      uint64
 	Expires, Now time.Time
@@ -80,7 +80,7 @@
 // Is reports whether target is the reason of this error.
 func (e *ExpiredError) Is(target error) bool { return target == ErrExpired }
 
-// RolledBackError holds both versions. It is an ErrRolledBack.
+// RolledBackError holds the offered and the accepted version. It is an ErrRolledBack.
 type RolledBackError struct{ Offered, Accepted uint64 }
 
 func (e *RolledBackError) Error() string {
@@ -91,8 +91,8 @@
 // Is reports whether target is the reason of this error.
 func (e *RolledBackError) Is(target error) bool { return target == ErrRolledBack }
 
-// ConflictError names the version that two contents carry, and how many
-// changes lie between them. It is an ErrConflict.
+// ConflictError holds the version that is in use with other content, and the changes
+// between the two. It is an ErrConflict.
 type ConflictError struct {
 	Version uint64
 	Changes []Change
@@ -106,7 +106,7 @@
 // Is reports whether target is the reason of this error.
 func (e *ConflictError) Is(target error) bool { return target == ErrConflict }
 
-// MissingSectionError names the sections that must be fetched first. It is an
+// MissingSectionError lists the sections that must be fetched first. It is an
 // ErrMissingSection.
 type MissingSectionError struct{ Digests []Digest }
 
@@ -117,16 +117,16 @@
 // Is reports whether target is the reason of this error.
 func (e *MissingSectionError) Is(target error) bool { return target == ErrMissingSection }
 
-// NotFoundError names an item that a bundle doesn't define. It is an ErrNotFound.
+// NotFoundError identifies an item that a bundle doesn't define. It is an ErrNotFound.
 type NotFoundError struct {
-	Noun Noun
+	Kind ItemKind
 	Name string
 	// Known are the names that the bundle defines.
 	Known []string
 }
 
 func (e *NotFoundError) Error() string {
-	return fmt.Sprintf("the bundle defines no %s %q; it defines %s", e.Noun, e.Name, listOrNone(e.Known))
+	return fmt.Sprintf("the bundle defines no %s %q; it defines %s", e.Kind, e.Name, listOrNone(e.Known))
 }
 
 // Is reports whether target is the reason of this error.
--- a/internal/bundle/explain.go
+++ b/internal/bundle/explain.go
@@ -9,17 +9,18 @@
 	"coveferry/internal/units"
 )
 
-// Explanation says what a bundle means for one kind of request.
+// Explanation describes how a bundle handles requests of a team in a class for a
+// model or service.
 type Explanation struct {
 	Version uint64 `json:"version"`
 	Team    string `json:"team"`
 	Class   string `json:"class"`
 	// Model is the model or, for a plain service, the service.
 	Model string `json:"model"`
-	// Service says that the target is a plain service.
+	// Service means that the target is a plain service.
 	Service bool `json:"service"`
-	// Routed says that such a request is sent to an endpoint, unless limits
-	// or load forbid it. Otherwise Reason says why it is refused.
+	// Routed means that such a request is sent to an endpoint, unless limits or load
+	// prevent it. Otherwise Reason says why it is rejected.
 	Routed bool   `json:"routed"`
 	Reason string `json:"reason,omitempty"`
 
@@ -32,9 +33,10 @@
 	Deadline      units.Duration  `json:"deadline"`
 	Domains       []DomainSummary `json:"failure_domains"`
 	Slots         int             `json:"slots"`
-	// Placed are the endpoints whose placement holds the model, served or not.
+	// Placed are the endpoints whose placement contains the model, whether or not
+	// they serve it.
 	Placed       []string    `json:"placed,omitempty"`
-	Routers      []string    `json:"routers,omitempty"` // that the bundle lists
+	Routers      []string    `json:"routers,omitempty"` // all routers of the bundle
 	Limits       TeamLimits  `json:"limits"`
 	RequestBytes units.Bytes `json:"request_bytes"`
 }
@@ -46,18 +48,18 @@
 	Slots         int      `json:"slots"`
 }
 
-// Explain tells what would happen to a request. An empty class is the team's
-// default class; model may also name a plain service. The error is a
-// *NotFoundError if the bundle defines no such team, class or target.
+// Explain describes how a request would be handled. An empty class stands for the
+// team's default class; model may also name a plain service. The error is a
+// *NotFoundError if the bundle doesn't define the team, class or target.
 func Explain(b *Bundle, team, class, model string) (*Explanation, error) {
-	t, err := find(NounTeam, b.Teams, team, func(t *Team) string { return t.Name })
+	t, err := find(KindTeam, b.Teams, team, func(t *Team) string { return t.Name })
 	if err != nil {
 		return nil, err
 	}
 	if class == "" && len(t.Grants) > 0 {
 		class = t.Grants[0].Class
 	}
-	c, err := find(NounClass, b.Classes, class, func(c *Class) string { return c.Name })
+	c, err := find(KindClass, b.Classes, class, func(c *Class) string { return c.Name })
 	if err != nil {
 		return nil, err
 	}
@@ -72,35 +74,35 @@
 		TierRank: -1, Tiers: len(b.Tiers),
 		Routers: namesOf(b.Routers, func(r *Router) string { return r.Name }),
 	}
-	e.rank(b, t)
-	e.place(b)
-	e.decide()
+	e.setTier(b, t)
+	e.setEndpoints(b)
+	e.setOutcome()
 	return e, nil
 }
 
-func find[T any](noun Noun, items []T, name string, nameOf func(*T) string) (*T, error) {
+func find[T any](kind ItemKind, items []T, name string, nameOf func(*T) string) (*T, error) {
 	for i := range items {
 		if nameOf(&items[i]) == name {
 			return &items[i], nil
 		}
 	}
-	return nil, &NotFoundError{Noun: noun, Name: name, Known: namesOf(items, nameOf)}
+	return nil, &NotFoundError{Kind: kind, Name: name, Known: namesOf(items, nameOf)}
 }
 
 func isService(b *Bundle, target string) (bool, error) {
-	_, noModel := find(NounModel, b.Models, target, func(m *Model) string { return m.Name })
+	_, noModel := find(KindModel, b.Models, target, func(m *Model) string { return m.Name })
 	if noModel == nil {
 		return false, nil
 	}
-	_, noService := find(NounService, b.Services, target, func(s *Service) string { return s.Name })
+	_, noService := find(KindService, b.Services, target, func(s *Service) string { return s.Name })
 	if noService == nil {
 		return true, nil
 	}
 	return false, noModel
 }
 
-// rank fills in the tier that the team paid for in the class.
-func (e *Explanation) rank(b *Bundle, t *Team) {
+// setTier sets the tier that is granted to the team for the class.
+func (e *Explanation) setTier(b *Bundle, t *Team) {
 	for _, g := range t.Grants {
 		if g.Class == e.Class {
 			e.Tier = g.Tier
@@ -109,8 +111,9 @@
 	}
 }
 
-// place fills in the endpoints that serve the target, by failure domain.
-func (e *Explanation) place(b *Bundle) {
+// setEndpoints sets the endpoints that serve the target, by failure domain, and those
+// whose placement contains it.
+func (e *Explanation) setEndpoints(b *Bundle) {
 	e.Domains = []DomainSummary{}
 	for i := range b.Endpoints {
 		ep := &b.Endpoints[i]
@@ -132,18 +135,18 @@
 }
 
 func (e *Explanation) addEndpoint(ep *Endpoint) {
-	at := slices.IndexFunc(e.Domains, func(d DomainSummary) bool { return d.FailureDomain == ep.FailureDomain })
-	if at < 0 {
-		at = len(e.Domains)
+	index := slices.IndexFunc(e.Domains, func(d DomainSummary) bool { return d.FailureDomain == ep.FailureDomain })
+	if index < 0 {
+		index = len(e.Domains)
 		e.Domains = append(e.Domains, DomainSummary{FailureDomain: ep.FailureDomain})
 	}
-	d := &e.Domains[at]
+	d := &e.Domains[index]
 	d.Endpoints = append(d.Endpoints, ep.Name)
 	d.Slots += ep.Slots
 	e.Slots += ep.Slots
 }
 
-func (e *Explanation) decide() {
+func (e *Explanation) setOutcome() {
 	switch {
 	case e.Tier == "":
 		e.Reason = fmt.Sprintf("team %q has no grant for class %q", e.Team, e.Class)
@@ -154,11 +157,11 @@
 	}
 }
 
-// String writes the explanation for a reader, several lines long.
+// String returns the explanation as text of several lines.
 func (e *Explanation) String() string {
 	var s strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&s, format+"\n", args...) }
-	line("A request of team %q in class %q for %s %q, by bundle version %d:", e.Team, e.Class, e.noun(), e.Model, e.Version)
+	line("A request of team %q in class %q for %s %q, by bundle version %d:", e.Team, e.Class, e.targetKind(), e.Model, e.Version)
 	if !e.Routed {
 		line("  is refused: %s", e.Reason)
 		return s.String()
@@ -180,11 +183,11 @@
 	return s.String()
 }
 
-func (e *Explanation) noun() Noun {
+func (e *Explanation) targetKind() ItemKind {
 	if e.Service {
-		return NounService
+		return KindService
 	}
-	return NounModel
+	return KindModel
 }
 
 func (e *Explanation) betweenTokens() string {
@@ -194,7 +197,7 @@
 	return fmt.Sprintf("%s between tokens, ", e.BetweenTokens.Std())
 }
 
-// String lists the limits that are set.
+// String returns the limits that are set.
 func (l TeamLimits) String() string {
 	var set []string
 	if l.RequestsPerSecond > 0 {
--- a/internal/bundle/finding.go
+++ b/internal/bundle/finding.go
@@ -5,43 +5,43 @@
 	"strings"
 )
 
-// Severity says whether a finding keeps a bundle from being accepted.
+// Severity says whether a finding prevents a bundle from being accepted.
 type Severity string
 
 // The severities of findings.
 const (
-	SeverityError   Severity = "error"   // the bundle is refused
+	SeverityError   Severity = "error"   // the bundle is rejected
 	SeverityWarning Severity = "warning" // the bundle is accepted
 )
 
-// Finding is one fault or doubt that a check found in a bundle.
+// Finding is one error or warning about a bundle.
 type Finding struct {
 	Severity Severity
-	// Path is the place in the bundle, such as "teams[2].grants[0].tier".
+	// Path is the path in the bundle, such as "teams[2].grants[0].tier".
 	Path    string
 	Message string
 }
 
-// Findings are what a check found, in the order of the rules.
+// Findings is a list of findings in the order of the rules.
 type Findings []Finding
 
-// Errors returns the findings that keep the bundle from being accepted.
-func (f Findings) Errors() Findings { return f.only(SeverityError) }
+// Errors returns the findings that prevent the bundle from being accepted.
+func (f Findings) Errors() Findings { return f.withSeverity(SeverityError) }
 
-// Warnings returns the findings that don't.
-func (f Findings) Warnings() Findings { return f.only(SeverityWarning) }
+// Warnings returns the findings that don't prevent it.
+func (f Findings) Warnings() Findings { return f.withSeverity(SeverityWarning) }
 
-func (f Findings) only(s Severity) Findings {
+func (f Findings) withSeverity(s Severity) Findings {
 	var out Findings
-	for _, one := range f {
-		if one.Severity == s {
-			out = append(out, one)
+	for _, finding := range f {
+		if finding.Severity == s {
+			out = append(out, finding)
 		}
 	}
 	return out
 }
 
-// Error lists the findings, one a line.
+// Error returns the findings, one per line.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
--- a/internal/bundle/join.go
+++ b/internal/bundle/join.go
@@ -7,8 +7,9 @@
 	"coveferry/internal/jsonc"
 )
 
-// fragment is what one section holds: some entries of one part of a bundle.
-type fragment struct {
+// sectionContent is the decoded content of a section: some entries of one of the
+// bundle's fields.
+type sectionContent struct {
 	Tiers     []Tier     `json:"tiers,omitempty"`
 	Classes   []Class    `json:"classes,omitempty"`
 	Models    []Model    `json:"models,omitempty"`
@@ -20,90 +21,91 @@
 	Limits    *Limits    `json:"limits,omitempty"`
 }
 
-// fragments are the decoded sections of a bundle by their digests. They are
-// kept with a snapshot, so that the next version decodes only what changed.
-type fragments map[Digest]*fragment
+// sectionContents are the decoded sections of a bundle by digest. They are kept with
+// a snapshot, so that for the next version only changed sections are decoded.
+type sectionContents map[Digest]*sectionContent
 
-// Join puts a bundle together from its sections and checks it. Sections that
-// the manifest doesn't name are left alone. The error is a
-// *MissingSectionError, ErrTampered if a section doesn't fit its digest, or an
-// *InvalidError. Teams and endpoints come in the order of their names.
+// Join builds a bundle from its sections and checks it. Sections that are not in the
+// manifest are ignored. The error is a *MissingSectionError, ErrTampered if a section
+// doesn't match its digest, or an *InvalidError. Teams, endpoints, routes and routers
+// are sorted by name.
 func Join(m *Manifest, sections map[Digest][]byte) (*Bundle, error) {
-	parts, err := decodeSections(m, sections, nil)
+	contents, err := decodeSections(m, sections, nil)
 	if err != nil {
 		return nil, err
 	}
-	return assemble(m, parts)
+	return assemble(m, contents)
 }
 
-// decodeSections returns the fragments that a manifest names, by decoding
-// those that aren't known yet.
-func decodeSections(m *Manifest, sections map[Digest][]byte, known fragments) (fragments, error) {
+// decodeSections returns the contents of a manifest's sections. It decodes only those
+// that aren't known yet.
+func decodeSections(m *Manifest, sections map[Digest][]byte, known sectionContents) (sectionContents, error) {
 	have := func(d Digest) bool { return known[d] != nil || sections[d] != nil }
 	if missing := Missing(have, m); len(missing) > 0 {
 		return nil, &MissingSectionError{Digests: missing}
 	}
-	parts := make(fragments, len(m.Sections))
+	contents := make(sectionContents, len(m.Sections))
 	var faults jsonc.Problems
 	for _, d := range m.Sections {
-		if part := known[d]; part != nil {
-			parts[d] = part
+		if content := known[d]; content != nil {
+			contents[d] = content
 			continue
 		}
 		if DigestOf(sections[d]) != d {
 			return nil, ErrTampered
 		}
-		part, found := decodeFragment("section "+d.String(), sections[d])
-		parts[d] = part
+		part, found := decodeSection("section "+d.String(), sections[d])
+		contents[d] = part
 		faults = append(faults, found...)
 	}
 	if len(faults) > 0 {
 		return nil, &InvalidError{Problems: faults}
 	}
-	return parts, nil
+	return contents, nil
 }
 
-func decodeFragment(name string, text []byte) (*fragment, jsonc.Problems) {
+func decodeSection(name string, text []byte) (*sectionContent, jsonc.Problems) {
 	doc, err := jsonc.Parse(name, text)
 	if err != nil {
 		return nil, syntaxProblems(name, err)
 	}
-	var part fragment
-	return &part, doc.Decode(&part)
+	var content sectionContent
+	return &content, doc.Decode(&content)
 }
 
-// assemble joins fragments in the order of the manifest.
-func assemble(m *Manifest, parts fragments) (*Bundle, error) {
+// assemble joins the contents in the order of the manifest.
+func assemble(m *Manifest, contents sectionContents) (*Bundle, error) {
 	b := &Bundle{Format: m.Format, Version: m.Version, Issued: m.Issued, Expires: m.Expires}
 	for _, d := range m.Sections {
-		b.add(parts[d])
+		b.add(contents[d])
 	}
 	slices.SortFunc(b.Teams, func(x, y Team) int { return cmp.Compare(x.Name, y.Name) })
 	slices.SortFunc(b.Endpoints, func(x, y Endpoint) int { return cmp.Compare(x.Name, y.Name) })
 	slices.SortFunc(b.Routes, func(x, y Route) int { return cmp.Compare(x.Name, y.Name) })
 	slices.SortFunc(b.Routers, func(x, y Router) int { return cmp.Compare(x.Name, y.Name) })
 	if errs := Check(b).Errors(); len(errs) > 0 {
-		return nil, &InvalidError{Problems: unplaced(errs)}
+		return nil, &InvalidError{Problems: problemsWithoutPosition(errs)}
 	}
 	return b, nil
 }
 
-func (b *Bundle) add(part *fragment) {
-	b.Tiers = append(b.Tiers, part.Tiers...)
-	b.Classes = append(b.Classes, part.Classes...)
-	b.Models = append(b.Models, part.Models...)
-	b.Services = append(b.Services, part.Services...)
-	b.Teams = append(b.Teams, part.Teams...)
-	b.Endpoints = append(b.Endpoints, part.Endpoints...)
-	b.Routes = append(b.Routes, part.Routes...)
-	b.Routers = append(b.Routers, part.Routers...)
-	if part.Limits != nil {
-		b.Limits = *part.Limits
+func (b *Bundle) add(content *sectionContent) {
+	b.Tiers = append(b.Tiers, content.Tiers...)
+	b.Classes = append(b.Classes, content.Classes...)
+	b.Models = append(b.Models, content.Models...)
+	b.Services = append(b.Services, content.Services...)
+	b.Teams = append(b.Teams, content.Teams...)
+	b.Endpoints = append(b.Endpoints, content.Endpoints...)
+	b.Routes = append(b.Routes, content.Routes...)
+	b.Routers = append(b.Routers, content.Routers...)
+	if content.Limits != nil {
+		b.Limits = *content.Limits
 	}
 }
 
-// unplaced turns findings on a joined bundle, which has no lines, into problems.
-func unplaced(found Findings) jsonc.Problems {
+// problemsWithoutPosition converts findings on a joined bundle, which has no line
+// numbers, into problems.
+func problemsWithoutPosition(found Findings) jsonc.Problems {
 	out := make(jsonc.Problems, len(found))
 	for i, f := range found {
 		out[i] = jsonc.Problem{File: sourceName, Line: 1, Column: 1, Path: f.Path, Message: f.Message}
--- a/internal/bundle/parse.go
+++ b/internal/bundle/parse.go
@@ -6,11 +6,10 @@
 	"coveferry/internal/jsonc"
 )
 
-// MaxValueBytes is the size of the largest value that the configuration
-// service holds.
+// MaxValueBytes is the largest value that the configuration service can store.
 const MaxValueBytes = 1_000_000
 
-// Inspection is all that is known of a bundle file after decoding and check.
+// Inspection is the result of decoding and checking a bundle file.
 type Inspection struct {
 	// Bundle is nil if there are errors.
 	Bundle   *Bundle
@@ -18,9 +17,9 @@
 	Warnings jsonc.Problems
 }
 
-// Parse decodes and checks a bundle file. The file name is used in messages
-// only. An error is an *InvalidError with every fault and its place; a bundle
-// that is returned has passed the whole check.
+// Parse decodes and checks a bundle file. The file name is used in messages only. The
+// error is an *InvalidError with all errors and their positions; a returned bundle
+// has none.
 func Parse(file string, src []byte) (*Bundle, error) {
 	in := Inspect(file, src)
 	if len(in.Errors) > 0 {
@@ -29,7 +28,7 @@
 	return in.Bundle, nil
 }
 
-// Inspect decodes and checks a bundle file and returns warnings as well.
+// Inspect decodes and checks a bundle file and also returns warnings.
 func Inspect(file string, src []byte) Inspection {
 	doc, err := jsonc.Parse(file, src)
 	if err != nil {
@@ -39,8 +38,8 @@
 	faults := doc.Decode(&b)
 	found := check(&b, len(faults) == 0)
 	in := Inspection{
-		Errors:   append(faults, place(doc, found.Errors(), faults)...),
-		Warnings: place(doc, found.Warnings(), faults),
+		Errors:   append(faults, locate(doc, found.Errors(), faults)...),
+		Warnings: locate(doc, found.Warnings(), faults),
 	}
 	if len(src) > MaxValueBytes {
 		in.Warnings = append(in.Warnings, doc.Problem("", tooLargeMessage(len(src))))
@@ -65,9 +64,9 @@
 	return jsonc.Problems{{File: file, Line: 1, Column: 1, Message: err.Error()}}
 }
 
-// place finds the lines of findings. It leaves out those at a place that
-// could not be decoded, as they would say the same thing twice.
-func place(doc *jsonc.Document, found Findings, faults jsonc.Problems) jsonc.Problems {
+// locate converts findings into problems with positions. It omits findings on a path
+// that couldn't be decoded, because the decoding error already reports it.
+func locate(doc *jsonc.Document, found Findings, faults jsonc.Problems) jsonc.Problems {
 	faulty := make(nameSet, len(faults))
 	for _, p := range faults {
 		faulty[p.Path] = struct{}{}
--- a/internal/bundle/property_test.go
+++ b/internal/bundle/property_test.go
@@ -14,15 +14,15 @@
 	"coveferry/internal/units"
 )
 
-// Every run draws the same bundles, so that it gives the same verdict; give
-// -rapid.seed for others.
+// The seed is fixed, so that every run draws the same bundles and has the same
+// result; pass -rapid.seed for others.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-func signRaw(key PrivateKey, src []byte, comment string) []byte {
+func signWithComment(key PrivateKey, src []byte, comment string) []byte {
 	return minisign.SignWithComments(key, src, comment, "")
 }
 
@@ -34,14 +34,14 @@
 	return out
 }
 
-func drawSome(t *rapid.T, from []string, atLeast int) []string {
+func drawSubset(t *rapid.T, from []string, atLeast int) []string {
 	return rapid.SliceOfNDistinct(rapid.SampledFrom(from), atLeast, len(from), rapid.ID[string]).Draw(t, "some")
 }
 
-// drawBundle draws a bundle that passes its check.
+// drawBundle draws a bundle without errors.
 func drawBundle(t *rapid.T) *Bundle {
-	count := func(most int) int { return rapid.IntRange(1, most).Draw(t, "n") }
-	b := small()
+	count := func(upTo int) int { return rapid.IntRange(1, upTo).Draw(t, "n") }
+	b := validBundle()
 	b.Version = uint64(count(3))
 	tiers, classes, models := names("t", count(8)), names("c", count(4)), names("m", count(4))
 	b.Tiers, b.Classes, b.Models, b.Services, b.Teams, b.Endpoints = nil, nil, nil, nil, nil, nil
@@ -58,7 +58,7 @@
 	}
 	for _, n := range names("team", count(5)) {
 		team := Team{Name: n, KeyHashes: []string{HashKey(n)}, Limits: TeamLimits{Concurrency: count(2) - 1}}
-		for _, c := range drawSome(t, classes, 1) {
+		for _, c := range drawSubset(t, classes, 1) {
 			team.Grants = append(team.Grants, Grant{c, rapid.SampledFrom(tiers).Draw(t, "tier")})
 		}
 		b.Teams = append(b.Teams, team)
@@ -66,7 +66,7 @@
 	for i, n := range names("e", count(6)) {
 		e := Endpoint{Name: n, VM: n, Region: "r", Slots: count(3), Address: fmt.Sprintf("10.0.0.%d:1", i+1)}
 		e.FailureDomain = rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "domain")
-		e.Models, e.Services = drawSome(t, models, 1), drawSome(t, names("sm", len(models)), 0)
+		e.Models, e.Services = drawSubset(t, models, 1), drawSubset(t, names("sm", len(models)), 0)
 		b.Endpoints = append(b.Endpoints, e)
 	}
 	b.Routers = nil
@@ -77,8 +77,8 @@
 	return b
 }
 
-// scan is the naive look-up of endpoints.
-func scan(b *Bundle, serves func(*Endpoint) bool) []*Endpoint {
+// scanEndpoints is the linear search with which a snapshot's indexes must agree.
+func scanEndpoints(b *Bundle, serves func(*Endpoint) bool) []*Endpoint {
 	var out []*Endpoint
 	for i := range b.Endpoints {
 		if serves(&b.Endpoints[i]) {
@@ -94,9 +94,9 @@
 		b := drawBundle(t)
 		s := NewSnapshot(b)
 		for _, m := range names("m", 5) {
-			want := scan(b, func(e *Endpoint) bool { return slices.Contains(e.Models, m) })
+			want := scanEndpoints(b, func(e *Endpoint) bool { return slices.Contains(e.Models, m) })
 			g.Expect(s.EndpointsForModel(m)).To(gomega.HaveExactElements(want), m)
-			want = scan(b, func(e *Endpoint) bool { return slices.Contains(e.Services, "s"+m) })
+			want = scanEndpoints(b, func(e *Endpoint) bool { return slices.Contains(e.Services, "s"+m) })
 			g.Expect(s.EndpointsForService("s"+m)).To(gomega.HaveExactElements(want), m)
 		}
 		for rank, tier := range b.Tiers {
@@ -122,19 +122,19 @@
 		again, err := Parse("b", encode(a))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(Diff(a, again)).To(gomega.BeEmpty())
-		// Nothing but tiers is drawn in another order, so the texts tell.
+		// Only tiers are drawn in varying order, so equal bundles have equal encodings.
 		g.Expect(len(Diff(a, b)) == 0).To(gomega.Equal(string(encode(a)) == string(encode(b))))
 		g.Expect(Diff(b, a)).To(gomega.HaveLen(len(Diff(a, b))))
 	})
 }
 
-// FuzzParse asks that whatever Parse accepts passes the check, and survives
-// being written and read again.
+// FuzzParse checks that a bundle that Parse accepts has no errors and is unchanged by
+// encoding and parsing.
 func FuzzParse(f *testing.F) {
 	gomega.RegisterTestingT(f)
-	f.Add(example("registry.jsonc"))
-	f.Add(example("fleet.jsonc"))
-	f.Add([]byte(encode(small())))
+	f.Add(readExample("registry.jsonc"))
+	f.Add(readExample("fleet.jsonc"))
+	f.Add([]byte(encode(validBundle())))
 	f.Add([]byte(`{"format": 1, "teams": [{}], /* a comment */ }`))
 	f.Fuzz(func(t *testing.T, src []byte) {
 		b, err := Parse("f", src)
--- a/internal/bundle/route.go
+++ b/internal/bundle/route.go
@@ -6,46 +6,46 @@
 	"coveferry/internal/units"
 )
 
-// RouteKind says how often a route's requests may run and whether the answer is
-// a stream.
+// RouteKind says whether a route's requests may be executed more than once and
+// whether the response is a stream.
 type RouteKind string
 
 // The kinds of routes.
 const (
 	RouteNonIdempotent   RouteKind = "non_idempotent"
 	RouteIdempotent      RouteKind = "idempotent"
-	RouteStream          RouteKind = "stream" // runs at most once
+	RouteStream          RouteKind = "stream" // executed at most once
 	RouteResumableStream RouteKind = "resumable_stream"
 )
 
-// Route is a host and a path prefix under which a service answers.
+// Route maps a host and a path prefix to a service.
 type Route struct {
 	Name string `json:"name" jsonc:"required"`
 	Host string `json:"host" jsonc:"required"`
-	// Prefix begins and ends with a slash; the longest that fits is taken.
+	// Prefix begins and ends with a slash; the longest matching prefix wins.
 	Prefix  string    `json:"prefix" jsonc:"required"`
 	Service string    `json:"service" jsonc:"required"`
 	Kind    RouteKind `json:"kind" jsonc:"required"`
-	// Tier is the one that requests are served by.
+	// Tier is the tier at which requests are served.
 	Tier string `json:"tier" jsonc:"required"`
-	// Timeout is the longest time that a request may take, FirstAnswer the one
-	// within which the answer, or a stream's first event, is on time, and
-	// BetweenEvents the longest pause of a stream that is on time.
+	// Timeout is the longest time that a request may take. FirstAnswer is the target
+	// for the time to the response or to a stream's first event, and BetweenEvents
+	// the target for the longest time between two events of a stream.
 	Timeout       units.Duration `json:"timeout" jsonc:"required"`
 	FirstAnswer   units.Duration `json:"first_answer,omitempty"`
 	BetweenEvents units.Duration `json:"between_events,omitempty"`
-	// MaxRuns is the most endpoints at which one request may run; 0 leaves it
-	// to the retry policy.
+	// MaxRuns is the largest number of endpoints at which one request may be
+	// executed; 0 leaves it to the retry policy.
 	MaxRuns int `json:"max_runs,omitempty"`
-	// Public routes need no key.
+	// Public means that requests need no key.
 	Public bool `json:"public,omitempty"`
-	// Regions are those in which requests may be served and what is kept of them may lie;
-	// none binds nothing.
+	// Regions are the regions in which requests may be served and their data stored; empty
+	// means no restriction.
 	Regions []string `json:"regions,omitempty"`
 }
 
-// table is the route table of a bundle that has passed its check.
-func (b *Bundle) table() (*route.Table, error) {
+// routeTable returns the route table of a bundle without errors.
+func (b *Bundle) routeTable() (*route.Table, error) {
 	c := route.Config{Version: b.Version, KeyForm: HashKey, Teams: make(map[string]*route.Team)}
 	for i := range b.Services {
 		c.Services = append(c.Services, route.Service{Name: b.Services[i].Name})
@@ -57,19 +57,19 @@
 		}
 	}
 	for i := range b.Routes {
-		c.Routes = append(c.Routes, b.routeOf(&b.Routes[i]))
+		c.Routes = append(c.Routes, b.toRoute(&b.Routes[i]))
 	}
 	c.Limits.BodyBytes = int64(b.Limits.RequestBytes)
 	return route.NewTable(c)
 }
 
-func (b *Bundle) routeOf(r *Route) route.Route {
+func (b *Bundle) toRoute(r *Route) route.Route {
 	out := route.Route{
 		Name: r.Name, Host: r.Host, Prefix: r.Prefix,
 		Targets:   []route.Target{{Service: r.Service, Weight: 1}},
 		Stream:    r.Kind == RouteStream || r.Kind == RouteResumableStream,
 		Resumable: r.Kind == RouteResumableStream,
-		Tier:      b.rankOf(r.Tier),
+		Tier:      b.tierRank(r.Tier),
 		Timeout:   r.Timeout.Std(), Objective: r.FirstAnswer.Std(), MaxGap: r.BetweenEvents.Std(),
 		MaxRuns: r.MaxRuns, Public: r.Public,
 	}
@@ -82,7 +82,7 @@
 	return out
 }
 
-func (b *Bundle) rankOf(tier string) int {
+func (b *Bundle) tierRank(tier string) int {
 	for rank := range b.Tiers {
 		if b.Tiers[rank].Name == tier {
 			return rank
@@ -110,7 +110,8 @@
 	}
 }
 
-// checkRouteTable compares routes with the services and tiers that they name.
+// checkRouteTable checks that the services, tiers and regions of routes are defined and
+// that a route table can be built.
 func checkRouteTable(b *Bundle, f *Findings) {
 	tiers := setOf(namesOf(b.Tiers, func(t *Tier) string { return t.Name }))
 	services := setOf(namesOf(b.Services, func(s *Service) string { return s.Name }))
@@ -128,13 +129,13 @@
 		}
 		checkRegions(path, r, regions, f)
 	}
-	if _, err := b.table(); err != nil && known {
+	if _, err := b.routeTable(); err != nil && known {
 		f.errorf("routes", "%v", err)
 	}
 }
 
-// checkRegions compares a route's regions with those of the endpoints: a name that is wrong
-// would have requests refused that its right region could serve.
+// checkRegions checks that each of a route's regions has an endpoint: with a wrong name,
+// requests would be rejected although the intended region could serve them.
 func checkRegions(path string, r *Route, regions nameSet, f *Findings) {
 	for _, region := range r.Regions {
 		if !regions.has(region) {
--- a/internal/bundle/route_test.go
+++ b/internal/bundle/route_test.go
@@ -11,12 +11,12 @@
 )
 
 func routesExample(g Gomega) *Bundle {
-	in := Inspect("routes.jsonc", example("routes.jsonc"))
+	in := Inspect("routes.jsonc", readExample("routes.jsonc"))
 	g.Expect(in.Errors).To(BeEmpty())
 	return in.Bundle
 }
 
-func TestRoutesOfABundleAreATable(t *testing.T) {
+func TestSnapshotHasRouteTable(t *testing.T) {
 	g := NewWithT(t)
 	s := NewSnapshot(routesExample(g))
 	receipts := s.Routes().Match("portal.example", "/receipts/1")
@@ -33,7 +33,7 @@
 	g.Expect(s.EndpointsForService("filings")).To(BeEmpty(), "no agent serves it")
 }
 
-func TestARouteOfABundleMayBeBoundToRegions(t *testing.T) {
+func TestRouteRegionsRestrictResidency(t *testing.T) {
 	g := NewWithT(t)
 	b := routesExample(g)
 	region := b.Endpoints[0].Region
@@ -43,7 +43,7 @@
 	g.Expect(NewSnapshot(routesExample(g)).Routes().Match(b.Routes[0].Host, b.Routes[0].Prefix).Residency).To(BeNil())
 }
 
-func TestFaultyRoutesAreFoundWithTheirPlace(t *testing.T) {
+func TestInvalidRoutesAreReportedWithTheirPath(t *testing.T) {
 	for _, c := range []struct {
 		path   string
 		change func(r *Route)
@@ -55,7 +55,7 @@
 		{"routes[0].service", func(r *Route) { r.Service = "none" }},
 		{"routes[0].regions", func(r *Route) { r.Regions = []string{"moon"} }},
 		{"routes", func(r *Route) { r.Prefix = "receipts" }},
-		{"routes", func(r *Route) { r.Prefix = "/names/" }}, // that of the other route
+		{"routes", func(r *Route) { r.Prefix = "/names/" }}, // same as the other route
 	} {
 		g := NewWithT(t)
 		b := routesExample(g)
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestRoutesSurviveBeingSplitAndJoined(t *testing.T) {
+func TestRoutesAreUnchangedBySplitAndJoin(t *testing.T) {
 	g := NewWithT(t)
 	b := routesExample(g)
 	m, sections := Split(b)
--- a/internal/bundle/sections_test.go
+++ b/internal/bundle/sections_test.go
@@ -12,9 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// fleetOf makes a bundle of the size that the project is designed for.
-func fleetOf(endpoints, teams int) *Bundle {
-	b := small()
+// largeBundle returns a bundle with the given numbers of endpoints and teams. The
+// design size is 3700 endpoints and 290 teams.
+func largeBundle(endpoints, teams int) *Bundle {
+	b := validBundle()
 	b.Teams, b.Endpoints = nil, nil
 	for i := range teams {
 		b.Teams = append(b.Teams, Team{
@@ -31,8 +32,8 @@
 	return b
 }
 
-// cost is the number of bytes of a manifest and some of its sections.
-func cost(m *Manifest, sections map[Digest][]byte, moved []Digest) int {
+// transferSize returns the number of bytes of a manifest and some of its sections.
+func transferSize(m *Manifest, sections map[Digest][]byte, moved []Digest) int {
 	total := len(encode(m))
 	for _, d := range moved {
 		total += len(sections[d])
@@ -40,20 +41,20 @@
 	return total
 }
 
-// bytesMoved tells what a node with the sections of old fetches for new.
-func bytesMoved(old, new *Bundle) (bytes, sections int) {
+// transferred returns what a node that has the sections of old fetches for new.
+func transferred(old, new *Bundle) (bytes, sections int) {
 	_, have := Split(old)
 	m, all := Split(new)
 	moved := Missing(func(d Digest) bool { return have[d] != nil }, &m)
-	return cost(&m, all, moved), len(moved)
+	return transferSize(&m, all, moved), len(moved)
 }
 
-// controlBytes is what control may cost a node each second.
-const controlBytes = 17_000
+// controlBytesPerSecond is the bandwidth budget of a node's control traffic.
+const controlBytesPerSecond = 17_000
 
 var _ = Describe("sections", func() {
 	var (
-		now      = small().Issued.Add(time.Hour)
+		now      = validBundle().Issued.Add(time.Hour)
 		keys     []PublicKey
 		m        Manifest
 		parts    map[Digest][]byte
@@ -64,21 +65,21 @@
 	BeforeEach(func() {
 		pub, key := keyPair(1)
 		keys, privateKey = []PublicKey{pub}, key
-		m, parts = Split(small())
+		m, parts = Split(validBundle())
 		src, sig = SignManifest(&m, key)
 	})
 
-	It("are accepted as the whole bundle is", func() {
+	It("are accepted like a whole bundle", func() {
 		snap, err := AcceptSections(now, nil, src, sig, keys, parts)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(Diff(snap.Bundle(), small())).To(BeEmpty())
+		Expect(Diff(snap.Bundle(), validBundle())).To(BeEmpty())
 		Expect(AcceptSections(now, snap, src, sig, keys, parts)).To(BeIdenticalTo(snap))
 	})
 
-	It("needn't be fetched twice", func() {
+	It("are not fetched again if they are unchanged", func() {
 		current, err := AcceptSections(now, nil, src, sig, keys, parts)
 		Expect(err).NotTo(HaveOccurred())
-		b := small()
+		b := validBundle()
 		b.Version++
 		b.Endpoints[0].Slots++
 		newer, all := Split(b)
@@ -88,19 +89,19 @@
 		next, err := AcceptSections(now, current, newSrc, newSig, keys, map[Digest][]byte{missing[0]: all[missing[0]]})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(Diff(next.Bundle(), b)).To(BeEmpty())
-		Expect(current.Bundle().Endpoints[0].Slots).To(Equal(4), "the snapshot of older requests")
+		Expect(current.Bundle().Endpoints[0].Slots).To(Equal(4), "the snapshot that is in use must not change")
 		Expect(Missing((*Snapshot)(nil).HasSection, &newer)).To(Equal(newer.Sections))
 		Expect(Missing(next.HasSection, &newer)).To(BeEmpty())
 	})
 
-	It("are refused for the reasons of the whole bundle", func() {
-		_, err := OpenManifest(small().Expires, nil, src, sig, keys)
+	It("are rejected for the same reasons as a whole bundle", func() {
+		_, err := OpenManifest(validBundle().Expires, nil, src, sig, keys)
 		Expect(err).To(MatchError(ErrExpired))
-		newer := small()
+		newer := validBundle()
 		newer.Version = 8
 		_, err = OpenManifest(now, NewSnapshot(newer), src, sig, keys)
 		Expect(err).To(MatchError(ErrRolledBack))
-		other := small()
+		other := validBundle()
 		other.Limits.QueueEntries++
 		_, err = AcceptSections(now, NewSnapshot(other), src, sig, keys, parts)
 		Expect(err).To(MatchError(ErrConflict))
@@ -108,18 +109,18 @@
 		Expect(err).To(MatchError(ErrTampered))
 	})
 
-	It("never take a signature of one form for the other", func() {
-		whole := source(func(*Bundle) {})
+	It("reject a signature that was made for a whole bundle, and vice versa", func() {
+		whole := encodedBundle(func(*Bundle) {})
 		bundleSig, err := Sign("b", whole, privateKey)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = OpenManifest(now, nil, whole, bundleSig, keys)
 		Expect(err).To(MatchError(ErrTampered))
 		Expect(Verify(keys, src, sig)).To(MatchError(ErrTampered))
-		_, err = OpenManifest(now, nil, src, signRaw(privateKey, src, "coveferry manifest version=8"), keys)
+		_, err = OpenManifest(now, nil, src, signWithComment(privateKey, src, "coveferry manifest version=8"), keys)
 		Expect(err).To(MatchError(ErrTampered))
 	})
 
-	It("are used whole or not at all", func() {
+	It("are rejected if any section is tampered with or missing", func() {
 		last := m.Sections[len(m.Sections)-1]
 		genuine := parts[last]
 		parts[last] = append([]byte(" "), genuine...)
@@ -130,8 +131,8 @@
 		Expect(err).To(Equal(&MissingSectionError{Digests: []Digest{last}}))
 	})
 
-	It("are checked when joined", func() {
-		b := small()
+	It("are checked after joining", func() {
+		b := validBundle()
 		b.Teams[0].Grants[0].Tier = "silver"
 		bad, badParts := Split(b)
 		_, err := Join(&bad, badParts)
@@ -144,24 +145,24 @@
 		Expect(err).To(MatchError(ContainSubstring("tears: unknown key")))
 	})
 
-	It("move little for one changed endpoint at the size to design for", func() {
-		old, changed, grown := fleetOf(3700, 290), fleetOf(3700, 290), fleetOf(3701, 290)
+	It("transfer few bytes for one changed endpoint at the design size", func() {
+		old, changed, grown := largeBundle(3700, 290), largeBundle(3700, 290), largeBundle(3701, 290)
 		changed.Version++
 		changed.Endpoints[1234].Slots++
-		_, n := bytesMoved(old, changed)
+		_, n := transferred(old, changed)
 		Expect(n).To(Equal(1))
-		_, n = bytesMoved(old, grown)
+		_, n = transferred(old, grown)
 		Expect(n).To(BeNumerically("<=", 2))
 
-		By("whichever section it is in")
+		By("for a change in any section")
 		manifest, sections := Split(old)
 		for d := range sections {
-			Expect(cost(&manifest, sections, []Digest{d})).To(BeNumerically("<", controlBytes))
+			Expect(transferSize(&manifest, sections, []Digest{d})).To(BeNumerically("<", controlBytesPerSecond))
 		}
 	})
 })
 
-func TestSplitAndJoinAgree(t *testing.T) {
+func TestJoinRestoresSplitBundle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		b := drawBundle(t)
@@ -175,13 +176,13 @@
 	})
 }
 
-// BenchmarkOneChangedEndpoint compares what a node fetches and computes for
-// one changed endpoint, as a whole bundle and in sections.
+// BenchmarkOneChangedEndpoint compares the bytes that a node fetches and its CPU time
+// for one changed endpoint, as a whole bundle and in sections.
 func BenchmarkOneChangedEndpoint(b *testing.B) {
 	RegisterTestingT(b)
 	pub, key := keyPair(1)
 	keys := []PublicKey{pub}
-	old, changed := fleetOf(3700, 290), fleetOf(3700, 290)
+	old, changed := largeBundle(3700, 290), largeBundle(3700, 290)
 	changed.Version++
 	changed.Endpoints[1234].Slots++
 	now, current := changed.Issued, NewSnapshot(old)
@@ -207,7 +208,7 @@
 			_, err := AcceptSections(now, current, src, sig, keys, parts)
 			Expect(err).NotTo(HaveOccurred())
 		}
-		size, n := bytesMoved(old, changed)
+		size, n := transferred(old, changed)
 		b.ReportMetric(float64(size), "bytes-moved")
 		b.ReportMetric(float64(n), "sections-moved")
 	})
@@ -218,7 +219,8 @@
 	})
 }
 
-// FuzzDecodeSignedManifest asks that what is read is what would be written.
+// FuzzDecodeSignedManifest checks that a decoded value is unchanged by encoding and
+// decoding.
 func FuzzDecodeSignedManifest(f *testing.F) {
 	f.Add(EncodeSignedManifest([]byte(`{"version":1}`), []byte("untrusted comment: c\n")))
 	f.Add([]byte(`{"manifest": "m"}`))
--- a/internal/bundle/snapshot.go
+++ b/internal/bundle/snapshot.go
@@ -7,9 +7,8 @@
 	"coveferry/internal/route"
 )
 
-// Snapshot is a checked bundle with the look-ups that requests need. It is
-// immutable: a new version is a new snapshot, and a request keeps the one it
-// began with.
+// Snapshot is a valid bundle with the indexes that requests need. It is immutable: a
+// new version is a new snapshot, and a request uses the same snapshot throughout.
 type Snapshot struct {
 	bundle    *Bundle
 	teams     map[string]*Team
@@ -21,13 +20,13 @@
 	byAddress map[string]string // names of endpoints
 	direct    map[string][]*Endpoint
 	routes    *route.Table // nil without routes
-	// parts are what the bundle was joined from; it is empty for a bundle that
-	// came whole.
-	parts fragments
+	// sections are the contents from which the bundle was joined; empty for a bundle
+	// that was received whole.
+	sections sectionContents
 }
 
-// NewSnapshot indexes a bundle that has passed its check. The bundle must not
-// be changed afterwards.
+// NewSnapshot indexes a bundle without errors. The bundle must not be changed
+// afterwards.
 func NewSnapshot(b *Bundle) *Snapshot {
 	s := &Snapshot{
 		bundle:    b,
@@ -58,7 +57,7 @@
 		s.indexEndpoint(&b.Endpoints[i])
 	}
 	if len(b.Routes) > 0 {
-		s.routes, _ = b.table() // the bundle has passed its check
+		s.routes, _ = b.routeTable() // can't fail: Check has built the same table
 	}
 	return s
 }
@@ -79,31 +78,30 @@
 	}
 }
 
-// Bundle returns the bundle behind the snapshot; it must not be changed.
+// Bundle returns the snapshot's bundle, which must not be changed.
 func (s *Snapshot) Bundle() *Bundle { return s.bundle }
 
-// Version is the bundle's version.
+// Version returns the bundle's version.
 func (s *Snapshot) Version() uint64 { return s.bundle.Version }
 
-// HasSection says whether the bundle was joined from a section, so that the
-// section needn't be fetched again for the next version. It may be called on
-// nil, which has none.
-func (s *Snapshot) HasSection(d Digest) bool { return s.fragments()[d] != nil }
+// HasSection reports whether the bundle was joined from the section, which then
+// needn't be fetched again for the next version. It returns false on a nil snapshot.
+func (s *Snapshot) HasSection(d Digest) bool { return s.sectionContents()[d] != nil }
 
-func (s *Snapshot) fragments() fragments {
+func (s *Snapshot) sectionContents() sectionContents {
 	if s == nil {
 		return nil
 	}
-	return s.parts
+	return s.sections
 }
 
-// TeamByKey finds the team that holds a key.
+// TeamByKey returns the team that owns a key.
 func (s *Snapshot) TeamByKey(key string) (*Team, bool) {
 	t, ok := s.teams[HashKey(key)]
 	return t, ok
 }
 
-// Class finds a class by name.
+// Class returns a class by name.
 func (s *Snapshot) Class(name string) (*Class, bool) {
 	c, ok := s.classes[name]
 	return c, ok
@@ -115,22 +113,22 @@
 	return r, ok
 }
 
-// Service finds a plain service by name.
+// Service returns a plain service by name.
 func (s *Snapshot) Service(name string) (*Service, bool) {
 	svc, ok := s.services[name]
 	return svc, ok
 }
 
-// EndpointsForModel lists the endpoints that serve a model.
+// EndpointsForModel returns the endpoints that serve a model.
 func (s *Snapshot) EndpointsForModel(model string) []*Endpoint { return s.byModel[model] }
 
-// EndpointsForService lists the endpoints that serve a plain service.
+// EndpointsForService returns the endpoints that serve a plain service.
 func (s *Snapshot) EndpointsForService(name string) []*Endpoint { return s.byService[name] }
 
-// Routes is the table of the bundle's routes, nil if it has none.
+// Routes returns the route table, nil if the bundle has no routes.
 func (s *Snapshot) Routes() *route.Table { return s.routes }
 
-// DirectEndpoints lists the endpoints of a service that routers reach without
+// DirectEndpoints returns the endpoints of a service that routers reach without
 // agents.
 func (s *Snapshot) DirectEndpoints(service string) []*Endpoint { return s.direct[service] }
 
@@ -140,7 +138,7 @@
 	return name, ok
 }
 
-// HashKey returns the form in which a bundle holds a team's key.
+// HashKey returns the hash of a team's key in the form of Team.KeyHashes.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return "sha256:" + hex.EncodeToString(sum[:])
--- a/internal/bundle/split.go
+++ b/internal/bundle/split.go
@@ -7,40 +7,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxChunk is the most teams or endpoints in one section. A change moves the
-// manifest, which shrinks as chunks grow, and one chunk. At 3,700 endpoints the
-// mean of the sum is nearly the same from 32 to 96, and its worst case smallest
-// at 32; BenchmarkOneChangedEndpoint shows a single change.
-const maxChunk = 32
+// maxChunkItems is the largest number of items in one section. A change transfers the
+// manifest, which is smaller with larger chunks, and one chunk. At 3,700 endpoints the
+// mean of the sum is nearly the same from 32 to 96, and the worst case is smallest at
+// 32; BenchmarkOneChangedEndpoint measures a single change.
+const maxChunkItems = 32
 
-// hashBits is the length of the hash that spreads things over chunks.
+// hashBits is the length of the hash that distributes items over chunks.
 const hashBits = 64
 
-// Split takes a bundle apart. The sections depend on the content alone: a
-// thing that is added, removed or changed touches one section, or two where a
-// chunk overflows or two are joined.
+// Split returns the manifest and the sections of a bundle. The sections depend on the
+// content alone: adding, removing or changing an item changes one section, or two if a
+// chunk is split or two chunks are merged.
 func Split(b *Bundle) (Manifest, map[Digest][]byte) {
-	h := b.head()
+	h := b.header()
 	s := splitter{
 		manifest: Manifest{Format: h.Format, Version: h.Version, Issued: h.Issued, Expires: h.Expires, Sections: []Digest{}},
 		sections: make(map[Digest][]byte),
 	}
-	s.add(fragment{Limits: &b.Limits})
-	s.add(fragment{Tiers: b.Tiers})
-	s.add(fragment{Classes: b.Classes})
-	s.add(fragment{Models: b.Models})
-	s.add(fragment{Services: b.Services})
+	s.add(sectionContent{Limits: &b.Limits})
+	s.add(sectionContent{Tiers: b.Tiers})
+	s.add(sectionContent{Classes: b.Classes})
+	s.add(sectionContent{Models: b.Models})
+	s.add(sectionContent{Services: b.Services})
 	for _, teams := range chunks(b.Teams, func(t *Team) string { return t.Name }) {
-		s.add(fragment{Teams: teams})
+		s.add(sectionContent{Teams: teams})
 	}
 	for _, endpoints := range chunks(b.Endpoints, func(e *Endpoint) string { return e.Name }) {
-		s.add(fragment{Endpoints: endpoints})
+		s.add(sectionContent{Endpoints: endpoints})
 	}
 	for _, routes := range chunks(b.Routes, func(r *Route) string { return r.Name }) {
-		s.add(fragment{Routes: routes})
+		s.add(sectionContent{Routes: routes})
 	}
 	for _, routers := range chunks(b.Routers, func(r *Router) string { return r.Name }) {
-		s.add(fragment{Routers: routers})
+		s.add(sectionContent{Routers: routers})
 	}
 	return s.manifest, s.sections
 }
@@ -50,9 +50,9 @@
 	sections map[Digest][]byte
 }
 
-// add makes a section; a part without entries needs none.
-func (s *splitter) add(part fragment) {
-	text := encode(part)
+// add adds a section, unless the content is empty.
+func (s *splitter) add(content sectionContent) {
+	text := encode(content)
 	if string(text) == "{}" {
 		return
 	}
@@ -61,7 +61,8 @@
 	s.manifest.Sections = append(s.manifest.Sections, d)
 }
 
-// chunks spreads things over lists of at most maxChunk by the hash of their names.
+// chunks distributes items over lists of at most maxChunkItems by the hash of their
+// names.
 func chunks[T any](items []T, name func(*T) string) [][]T {
 	hashed := make([]hashedItem[T], len(items))
 	for i := range items {
@@ -71,7 +72,7 @@
 	slices.SortFunc(hashed, func(a, b hashedItem[T]) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name))
 	})
-	return halve(hashed, 0)
+	return splitByHash(hashed, 0)
 }
 
 type hashedItem[T any] struct {
@@ -80,25 +81,25 @@
 	item T
 }
 
-// halve divides a list sorted by hash, bit by bit, until each part holds at
-// most maxChunk items. Unlike hashing into a number of buckets that follows
-// the number of items, an overflow touches the items of one chunk only.
-func halve[T any](sorted []hashedItem[T], bit int) [][]T {
+// splitByHash divides a list sorted by hash, bit by bit, until each part has at most
+// maxChunkItems items. Unlike hashing into a number of buckets that depends on the
+// number of items, an overflow changes only one chunk.
+func splitByHash[T any](sorted []hashedItem[T], bit int) [][]T {
 	if len(sorted) == 0 {
 		return nil
 	}
-	if len(sorted) <= maxChunk || bit == hashBits {
-		return [][]T{plain(sorted)}
+	if len(sorted) <= maxChunkItems || bit == hashBits {
+		return [][]T{itemsOf(sorted)}
 	}
 	mask := uint64(1) << (hashBits - 1 - bit)
 	at := slices.IndexFunc(sorted, func(h hashedItem[T]) bool { return h.hash&mask != 0 })
 	if at < 0 {
 		at = len(sorted)
 	}
-	return append(halve(sorted[:at], bit+1), halve(sorted[at:], bit+1)...)
+	return append(splitByHash(sorted[:at], bit+1), splitByHash(sorted[at:], bit+1)...)
 }
 
-func plain[T any](sorted []hashedItem[T]) []T {
+func itemsOf[T any](sorted []hashedItem[T]) []T {
 	out := make([]T, len(sorted))
 	for i := range sorted {
 		out[i] = sorted[i].item
--- a/internal/bundle/types.go
+++ b/internal/bundle/types.go
@@ -1,7 +1,7 @@
-// Package bundle holds the operators' configuration: teams, classes, tiers,
-// models, services, endpoints and limits, under one version and one signature.
-// A bundle is decoded strictly, checked whole, and used only as an immutable
-// Snapshot.
+// Package bundle defines the operators' configuration: teams, classes, tiers, models,
+// services, endpoints, routes, routers and limits, under one version and one
+// signature. A bundle is decoded strictly, validated as a whole, and used only as an
+// immutable Snapshot.
 package bundle
 
 import (
@@ -16,13 +16,13 @@
 
 // Bundle is one version of the configuration.
 type Bundle struct {
-	// Format must be the constant of that name.
+	// Format must equal the constant Format.
 	Format int `json:"format" jsonc:"required"`
-	// Version grows with every change; a lower one is never accepted.
+	// Version increases with every change; a lower one is never accepted.
 	Version uint64    `json:"version" jsonc:"required"`
 	Issued  time.Time `json:"issued" jsonc:"required"`
-	// Expires ends the validity of the signature, not of the service: an
-	// expired bundle in force stays in force, but isn't accepted as new.
+	// Expires is the time from which the bundle isn't accepted as new. A bundle that
+	// is already in force stays in force after it has expired.
 	Expires time.Time `json:"expires" jsonc:"required"`
 
 	Tiers     []Tier     `json:"tiers" jsonc:"required"` // highest first
@@ -31,15 +31,16 @@
 	Services  []Service  `json:"services,omitempty"`
 	Teams     []Team     `json:"teams" jsonc:"required"`
 	Endpoints []Endpoint `json:"endpoints" jsonc:"required"`
-	// Routes send requests by host and path to services whose endpoints are
-	// reached directly.
+	// Routes map requests by host and path to services whose endpoints are reached
+	// directly.
 	Routes []Route `json:"routes,omitempty"`
-	// Routers are the entry VMs' processes, so that processes find each other.
+	// Routers are the processes on the entry VMs, listed so that other processes can
+	// reach them.
 	Routers []Router `json:"routers,omitempty"`
 	Limits  Limits   `json:"limits" jsonc:"required"`
 }
 
-// Tier is a level of service. Its rank is its place in the list.
+// Tier is a service level. Its rank is its index in the list.
 type Tier struct {
 	Name string `json:"name" jsonc:"required"`
 }
@@ -50,13 +51,13 @@
 	// FirstToken is the target for the time to the first token; for a plain
 	// service, to the first byte.
 	FirstToken units.Duration `json:"first_token" jsonc:"required"`
-	// BetweenTokens is the target for the mean time between tokens; 0 is none.
+	// BetweenTokens is the target for the mean time between tokens; 0 means none.
 	BetweenTokens units.Duration `json:"between_tokens,omitempty"`
-	// Objective is the share of requests that must meet FirstToken and be
-	// answered whole, between 0 and 1; 0 stands for 0.95. Reports go by it.
+	// Objective is the share of requests, between 0 and 1, that must meet FirstToken
+	// and receive a complete response; 0 means 0.95. Reports use it.
 	Objective float64 `json:"objective,omitempty"`
-	// Deadline is when an answer loses its worth, unless the caller says so
-	// with a deadline of its own.
+	// Deadline is the time after which a response is useless, unless the caller sets
+	// its own deadline.
 	Deadline units.Duration `json:"deadline" jsonc:"required"`
 }
 
@@ -65,11 +66,11 @@
 	Name string `json:"name" jsonc:"required"`
 }
 
-// Service is a plain HTTP service that coveferry routes to as well.
+// Service is a plain HTTP service, as opposed to a model.
 type Service struct {
 	Name string `json:"name" jsonc:"required"`
-	// Idempotent says that a call may be repeated, unless its caller marks
-	// it as non-idempotent.
+	// Idempotent means that a call may be retried, unless its caller marks it as
+	// non-idempotent.
 	Idempotent bool `json:"idempotent,omitempty"`
 }
 
@@ -78,13 +79,13 @@
 	Name string `json:"name" jsonc:"required"`
 	// KeyHashes are SHA-256 hashes of the team's keys, as "sha256:<hex>".
 	KeyHashes []string `json:"key_hashes" jsonc:"required"`
-	// Grants say which classes the team may use and the tier it paid for in
-	// each. The first grant is the default class.
+	// Grants are the classes that the team may use, with the tier for each. The
+	// class of the first grant is the default class.
 	Grants []Grant    `json:"grants" jsonc:"required"`
 	Limits TeamLimits `json:"limits,omitzero"`
 }
 
-// Grant lets a team use a class at a tier.
+// Grant allows a team to use a class at a tier.
 type Grant struct {
 	Class string `json:"class" jsonc:"required"`
 	Tier  string `json:"tier" jsonc:"required"`
@@ -100,73 +101,75 @@
 // Endpoint is a model engine or a plain service together with its agent.
 type Endpoint struct {
 	Name string `json:"name" jsonc:"required"`
-	// Address is the agent's, IP and port.
+	// Address is the IP and port of the agent, or of the service for a direct endpoint.
 	Address string `json:"address" jsonc:"required"`
-	// ControlAddress is where the agent takes part in the control channel, IP
-	// and port; without it the agent only asks others.
+	// ControlAddress is the IP and port at which the agent serves the control
+	// channel; without it the agent is only a client of the channel.
 	ControlAddress string   `json:"control_address,omitempty"`
 	VM             string   `json:"vm" jsonc:"required"`
 	FailureDomain  string   `json:"failure_domain" jsonc:"required"`
 	Region         string   `json:"region" jsonc:"required"`
 	Models         []string `json:"models,omitempty"`
 	Services       []string `json:"services,omitempty"`
-	// Direct endpoints have no agent: routers reach the address itself, for
-	// the requests of routes only.
+	// Direct means that the endpoint has no agent: routers connect to the address
+	// itself, only for requests of routes.
 	Direct bool `json:"direct,omitempty"`
-	// Slots is how many requests the endpoint runs at once.
+	// Slots is how many requests the endpoint processes concurrently.
 	Slots int `json:"slots" jsonc:"required"`
-	// Incarnation names the process at the address, where a list of endpoints tells it;
-	// one that starts again has another. A bundle doesn't, and agents tell their own.
+	// Incarnation identifies the process at the address and changes at each restart. It is
+	// set only if the endpoint comes from a list that provides it, not from a bundle;
+	// agents report their own incarnation.
 	Incarnation string `json:"-"`
-	// Placement is what the agent has the engine hold; without it the agent
-	// gives its engine no orders.
+	// Placement is what the agent loads into the engine; without it the agent sends
+	// its engine no commands.
 	Placement Placement `json:"placement,omitzero"`
 }
 
-// Process names the process at the endpoint, as far as can be told: that of another
-// incarnation, or at another address, holds and knows nothing of the one before.
+// Process identifies the process at the endpoint as far as known. A process with another
+// incarnation or address shares no state with the previous one.
 func (e *Endpoint) Process() string { return cmp.Or(e.Incarnation, e.Address) }
 
-// Placement is what an engine is to hold, which its agent orders.
+// Placement is the content that an agent loads into its engine.
 type Placement struct {
-	// Models are loaded; other models of the bundle are unloaded once enough
-	// other endpoints hold them.
+	// Models are loaded. Other models of the bundle are unloaded once enough other
+	// endpoints hold them.
 	Models []string `json:"models,omitempty"`
 	// Adapters are loaded, after the models.
 	Adapters []string `json:"adapters,omitempty"`
-	// Version is set unless it is empty.
+	// Version is set in the engine unless it is empty.
 	Version string `json:"version,omitempty"`
-	// Role is required in a placement: an agent that starts sets it first, and
-	// by the order's fencing number shuts out the agent before it.
+	// Role is required in a placement: a starting agent sets it first, and the
+	// command's fencing token excludes the previous agent.
 	Role string `json:"role,omitempty"`
 }
 
-// IsZero says whether nothing is placed.
+// IsZero reports whether the placement is empty.
 func (p Placement) IsZero() bool {
 	return len(p.Models) == 0 && len(p.Adapters) == 0 && p.Version == "" && p.Role == ""
 }
 
-// Router is a process on an entry VM. A router that isn't listed serves all the
-// same, but others don't know it and never call it.
+// Router is a process on an entry VM. A router that isn't listed also serves requests,
+// but other processes don't know it and never call it.
 type Router struct {
-	// Name is that of the router's certificate.
+	// Name is the name in the router's certificate.
 	Name           string `json:"name" jsonc:"required"`
 	ControlAddress string `json:"control_address" jsonc:"required"` // IP and port
 	FailureDomain  string `json:"failure_domain" jsonc:"required"`
 	Region         string `json:"region" jsonc:"required"`
 }
 
-// Limits bound what the system holds for callers.
+// Limits bound the memory used for callers' requests, the rate of weight fetches and
+// the unloading of models.
 type Limits struct {
-	// RequestBytes bounds one request's body.
+	// RequestBytes bounds the body of one request.
 	RequestBytes units.Bytes `json:"request_bytes" jsonc:"required"`
 	// QueueEntries and QueueBytes bound the queue of each endpoint.
 	QueueEntries int         `json:"queue_entries" jsonc:"required"`
 	QueueBytes   units.Bytes `json:"queue_bytes" jsonc:"required"`
-	// WeightFetchesPerSecond is the weight store's rate of requests, which the
-	// agents with a placement share.
+	// WeightFetchesPerSecond is the weight store's total request rate, shared by all
+	// agents with a placement.
 	WeightFetchesPerSecond float64 `json:"weight_fetches_per_second,omitempty"`
-	// MinReadyReplicas is how many other endpoints must keep a model before
-	// an agent unloads it; 0 means 1.
+	// MinReadyReplicas is how many other endpoints must hold a model before an agent
+	// unloads it; 0 means 1.
 	MinReadyReplicas int `json:"min_ready_replicas,omitempty"`
 }
