--- a/internal/membership/notice.go
+++ b/internal/membership/notice.go
@@ -177,14 +177,14 @@
 	return err == nil
 }
 
-// BackgroundAnnouncement runs an agent's announcement while the agent shuts down.
+// Notifier runs an Announcer in the background while the agent shuts down.
 type Goodbye struct {
 	announcer *Announcer
 	once      sync.Once
 	done      chan struct{}
 }
 
-// NewBackgroundAnnouncement returns an announcement that begins with Start.
+// NewNotifier returns a notifier for the announcer; Start begins the announcement.
 func NewGoodbye(a *Announcer) *Goodbye { return &Goodbye{announcer: a, done: make(chan struct{})} }
 
 // Start starts the announcement and returns at once; later calls do nothing.
