--- a/internal/membership/endpoint_state.go
+++ b/internal/membership/endpoint_state.go
@@ -33,11 +33,11 @@
 	seq                  uint64
 	previousIncarnations []string // the latest last
 	restartedAt          time.Time
-	lastResponseAt       time.Time
+	lastStatusAt         time.Time
 	leaving              bool
 	leavingReason        Reason // why leaving is set
 
-	brokenCount    int       // consecutive failed connections
+	failureCount   int       // consecutive failed connections
 	firstFailureAt time.Time // when the first of these failed
 	lastRefused    bool      // the last connection was refused
 	// possiblyRestarted means that the process may not be the one that was running
@@ -112,9 +112,9 @@
 	if status.Leaving && !e.leaving {
 		e.leaving, e.leavingReason = true, status.Via
 	}
-	e.lastResponseAt = now
+	e.lastStatusAt = now
 	e.possiblyRestarted = e.possiblyRestarted || e.state == Suspect && e.respondsAfterFailure(status)
-	e.brokenCount, e.lastRefused, e.firstFailureAt = 0, false, time.Time{}
+	e.failureCount, e.lastRefused, e.firstFailureAt = 0, false, time.Time{}
 	if status.Via != ReasonCheck {
 		e.unresponsiveAt = time.Time{}
 	}
@@ -144,7 +144,7 @@
 	if e.firstFailureAt.IsZero() {
 		e.firstFailureAt = now
 	}
-	e.brokenCount++
+	e.failureCount++
 	e.lastRefused = r == Refused
 	e.possiblyRestarted = e.possiblyRestarted || e.lastRefused
 }
@@ -153,7 +153,7 @@
 // UnresponsiveHold, since no request is in flight any more, and the endpoint has passed a
 // health check since. Without that health check a caller's request would be the probe.
 func (e *endpointState) expireUnresponsive(now time.Time, t Tuning) {
-	if !e.unresponsiveAt.IsZero() && now.Sub(e.unresponsiveAt) > t.UnresponsiveHold && e.lastResponseAt.After(e.unresponsiveAt) {
+	if !e.unresponsiveAt.IsZero() && now.Sub(e.unresponsiveAt) > t.UnresponsiveHold && e.lastStatusAt.After(e.unresponsiveAt) {
 		e.unresponsiveAt = time.Time{}
 	}
 }
@@ -173,7 +173,7 @@
 }
 
 func (e *endpointState) isSuspect(t Tuning) bool {
-	return e.lastRefused || !e.unresponsiveAt.IsZero() || e.brokenCount >= t.BrokenLimit
+	return e.lastRefused || !e.unresponsiveAt.IsZero() || e.failureCount >= t.BrokenLimit
 }
 
 // evaluate computes the state. The agent's own leaving status takes precedence over
@@ -181,15 +181,15 @@
 // because a leaving VM still answers. A response overrides the mere removal of a live
 // VM from the list.
 func (e *endpointState) evaluate(stale bool, t Tuning) (State, Reason) {
-	renewed := e.restartedAt.After(e.listChangedAt)
+	restarted := e.restartedAt.After(e.listChangedAt)
 	switch {
 	case e.leaving:
 		return e.leavingOrGone(), e.leavingReason
-	case e.listStatus == listedLeaving && !(stale && renewed):
+	case e.listStatus == listedLeaving && !(stale && restarted):
 		return e.leavingOrGone(), ReasonList
-	case e.listStatus == removedWhileLeaving && !renewed:
+	case e.listStatus == removedWhileLeaving && !restarted:
 		return Gone, ReasonList
-	case e.listStatus == removedWhileLive && (e.removalConfirmed || e.isSuspect(t)) && !e.lastResponseAt.After(e.listChangedAt):
+	case e.listStatus == removedWhileLive && (e.removalConfirmed || e.isSuspect(t)) && !e.lastStatusAt.After(e.listChangedAt):
 		return Gone, ReasonList
 	case e.isSuspect(t):
 		return Suspect, ReasonConnection
