--- a/internal/bundle/check_endpoints.go
+++ b/internal/bundle/check_endpoints.go
@@ -22,7 +22,7 @@
 
 func checkPlainName(path, key, name string, f *Findings) {
 	if !plainName.matches(name) {
-		f.errorf(jsonc.Key(path, key), "%q is not a name; %s", name, plainName.help)
+		f.errorf(jsonc.Key(path, key), "%q is not a valid name; %s", name, plainName.help)
 	}
 }
 
@@ -141,7 +141,7 @@
 func checkCoverage(path, kind, name string, domains map[string]nameSet, f *Findings) {
 	switch len(domains[name]) {
 	case 0:
-		f.warnf(path, "%s %q has no endpoint, so its requests are refused", kind, name)
+		f.warnf(path, "%s %q has no endpoint, so its requests are rejected", kind, name)
 	case 1:
 		f.warnf(path, "%s %q has endpoints in a single failure domain only", kind, name)
 	}
--- a/internal/bundle/check_general.go
+++ b/internal/bundle/check_general.go
@@ -74,7 +74,7 @@
 		case c.Deadline <= 0:
 			f.errorf(path, "%s must be above 0", c.Deadline.Std())
 		case c.Deadline.Std() > MaxDeadline:
-			f.errorf(path, "%s is above the most allowed, %s", c.Deadline.Std(), MaxDeadline)
+			f.errorf(path, "%s is above the maximum, %s", c.Deadline.Std(), MaxDeadline)
 		case c.Deadline < c.FirstToken:
 			f.errorf(path, "%s is shorter than first_token, %s", c.Deadline.Std(), c.FirstToken.Std())
 		}
--- a/internal/bundle/check_names.go
+++ b/internal/bundle/check_names.go
@@ -71,7 +71,7 @@
 	for _, list := range b.namedLists() {
 		for i, name := range list.names {
 			if !list.rule.matches(name) {
-				f.errorf(jsonc.Key(jsonc.Index(list.key, i), "name"), "%q is not a name; %s", name, list.rule.help)
+				f.errorf(jsonc.Key(jsonc.Index(list.key, i), "name"), "%q is not a valid name; %s", name, list.rule.help)
 			}
 		}
 	}
--- a/internal/bundle/check_placement.go
+++ b/internal/bundle/check_placement.go
@@ -26,7 +26,7 @@
 		}
 		checkAdapters(jsonc.Key(path, "adapters"), p, f)
 		if p.Version != "" && !modelName.matches(p.Version) {
-			f.errorf(jsonc.Key(path, "version"), "%q is not a version; %s", p.Version, modelName.help)
+			f.errorf(jsonc.Key(path, "version"), "%q is not a valid version; %s", p.Version, modelName.help)
 		}
 		checkPlainName(path, "role", p.Role, f)
 	}
@@ -36,7 +36,7 @@
 	for i, name := range p.Adapters {
 		switch {
 		case !modelName.matches(name):
-			f.errorf(jsonc.Index(path, i), "%q is not a name; %s", name, modelName.help)
+			f.errorf(jsonc.Index(path, i), "%q is not a valid name; %s", name, modelName.help)
 		case slices.Contains(p.Adapters[:i], name) || slices.Contains(p.Models, name):
 			f.errorf(jsonc.Index(path, i), "%q is named twice", name)
 		}
@@ -59,7 +59,7 @@
 }
 
 // checkPlacedModels checks that placed models are defined, and that an endpoint with
-// a placement serves only models that its placement contains.
+// a placement serves only models and adapters that its placement contains.
 func checkPlacedModels(b *Bundle, f *Findings) {
 	known := setOf(namesOf(b.Models, func(m *Model) string { return m.Name }))
 	for i := range b.Endpoints {
--- a/internal/bundle/diff.go
+++ b/internal/bundle/diff.go
@@ -65,9 +65,9 @@
 	return header{Format: b.Format, Version: b.Version, Issued: b.Issued.UTC(), Expires: b.Expires.UTC()}
 }
 
-// Diff returns the changes from old to new by kind and name. The result is empty if
-// and only if both bundles are equivalent: comments, the order of named items and
-// time zones make no difference, but the order of tiers does.
+// Diff returns the changes from old to new, ordered by kind and name. The result is
+// empty if and only if both bundles are equivalent: comments, the order of named items
+// and time zones make no difference, but the order of tiers does.
 func Diff(old, new *Bundle) []Change {
 	var d differ
 	d.addFields(Change{Noun: KindBundle}, encode(old.header()), encode(new.header()))
--- a/internal/bundle/errors.go
+++ b/internal/bundle/errors.go
@@ -11,7 +11,8 @@
 
 // The reasons for which a signed bundle is rejected, for errors.Is.
 var (
-	// ErrTampered means that the bytes differ from those that were signed.
+	// ErrTampered means that the content or the trusted comment doesn't match the
+	// signature.
 	ErrTampered = errors.New("bundle: signature does not match the content")
 	// ErrBadSignature means that the signature can't be parsed.
 	ErrBadSignature = errors.New("bundle: malformed signature")
--- a/internal/bundle/explain.go
+++ b/internal/bundle/explain.go
@@ -90,15 +90,15 @@
 }
 
 func isService(b *Bundle, target string) (bool, error) {
-	_, noModel := find(KindModel, b.Models, target, func(m *Model) string { return m.Name })
-	if noModel == nil {
+	_, modelErr := find(KindModel, b.Models, target, func(m *Model) string { return m.Name })
+	if modelErr == nil {
 		return false, nil
 	}
-	_, noService := find(KindService, b.Services, target, func(s *Service) string { return s.Name })
-	if noService == nil {
+	_, serviceErr := find(KindService, b.Services, target, func(s *Service) string { return s.Name })
+	if serviceErr == nil {
 		return true, nil
 	}
-	return false, noModel
+	return false, modelErr
 }
 
 // setTier sets the tier that is granted to the team for the class.
--- a/internal/bundle/join.go
+++ b/internal/bundle/join.go
@@ -45,7 +45,7 @@
 		return nil, &MissingSectionError{Digests: missing}
 	}
 	contents := make(sectionContents, len(m.Sections))
-	var faults jsonc.Problems
+	var problems jsonc.Problems
 	for _, d := range m.Sections {
 		if content := known[d]; content != nil {
 			contents[d] = content
@@ -54,12 +54,12 @@
 		if DigestOf(sections[d]) != d {
 			return nil, ErrTampered
 		}
-		part, found := decodeSection("section "+d.String(), sections[d])
-		contents[d] = part
-		faults = append(faults, found...)
+		content, sectionProblems := decodeSection("section "+d.String(), sections[d])
+		contents[d] = content
+		problems = append(problems, sectionProblems...)
 	}
-	if len(faults) > 0 {
-		return nil, &InvalidError{Problems: faults}
+	if len(problems) > 0 {
+		return nil, &InvalidError{Problems: problems}
 	}
 	return contents, nil
 }
--- a/internal/bundle/manifest.go
+++ b/internal/bundle/manifest.go
@@ -37,7 +37,7 @@
 	return src, minisign.SignWithComments(key, src, comment, untrustedComment)
 }
 
-// VerifyManifest checks the signature, version and expiry of a manifest, before its
+// AcceptManifest checks the signature, version and expiry of a manifest, before its
 // sections are fetched. The errors are those of Accept except ErrConflict, which is
 // only detected by AcceptSections.
 func OpenManifest(now time.Time, current *Snapshot, src, sig []byte, keys []PublicKey) (*Manifest, error) {
@@ -65,8 +65,8 @@
 		return nil, &InvalidError{Problems: syntaxProblems(name, err)}
 	}
 	var m Manifest
-	if faults := doc.Decode(&m); len(faults) > 0 {
-		return nil, &InvalidError{Problems: faults}
+	if problems := doc.Decode(&m); len(problems) > 0 {
+		return nil, &InvalidError{Problems: problems}
 	}
 	return &m, nil
 }
@@ -92,6 +92,6 @@
 	if err != nil || next == current {
 		return next, err
 	}
-	next.sections = contents
+	next.contents = contents
 	return next, nil
 }
--- a/internal/bundle/parse.go
+++ b/internal/bundle/parse.go
@@ -6,7 +6,8 @@
 	"coveferry/internal/jsonc"
 )
 
-// MaxValueBytes is the largest value that the configuration service can store.
+// MaxValueBytes is the size of the largest value that the configuration service can
+// store.
 const MaxValueBytes = 1_000_000
 
 // Inspection is the result of decoding and checking a bundle file.
@@ -35,11 +36,11 @@
 		return Inspection{Errors: syntaxProblems(file, err)}
 	}
 	var b Bundle
-	faults := doc.Decode(&b)
-	found := check(&b, len(faults) == 0)
+	problems := doc.Decode(&b)
+	found := check(&b, len(problems) == 0)
 	in := Inspection{
-		Errors:   append(faults, locate(doc, found.Errors(), faults)...),
-		Warnings: locate(doc, found.Warnings(), faults),
+		Errors:   append(problems, locate(doc, found.Errors(), problems)...),
+		Warnings: locate(doc, found.Warnings(), problems),
 	}
 	if len(src) > MaxValueBytes {
 		in.Warnings = append(in.Warnings, doc.Problem("", tooLargeMessage(len(src))))
@@ -66,14 +67,14 @@
 
 // locate converts findings into problems with positions. It omits findings on a path
 // that couldn't be decoded, because the decoding error already reports it.
-func locate(doc *jsonc.Document, found Findings, faults jsonc.Problems) jsonc.Problems {
-	faulty := make(nameSet, len(faults))
-	for _, p := range faults {
-		faulty[p.Path] = struct{}{}
+func locate(doc *jsonc.Document, found Findings, problems jsonc.Problems) jsonc.Problems {
+	undecodable := make(nameSet, len(problems))
+	for _, p := range problems {
+		undecodable[p.Path] = struct{}{}
 	}
 	var out jsonc.Problems
 	for _, f := range found {
-		if !faulty.has(f.Path) {
+		if !undecodable.has(f.Path) {
 			out = append(out, doc.Problem(f.Path, f.Message))
 		}
 	}
--- a/internal/bundle/sections_test.go
+++ b/internal/bundle/sections_test.go
@@ -33,9 +33,9 @@
 }
 
 // transferSize returns the number of bytes of a manifest and some of its sections.
-func transferSize(m *Manifest, sections map[Digest][]byte, moved []Digest) int {
+func transferSize(m *Manifest, sections map[Digest][]byte, fetched []Digest) int {
 	total := len(encode(m))
-	for _, d := range moved {
+	for _, d := range fetched {
 		total += len(sections[d])
 	}
 	return total
@@ -45,8 +45,8 @@
 func transferred(old, new *Bundle) (bytes, sections int) {
 	_, have := Split(old)
 	m, all := Split(new)
-	moved := Missing(func(d Digest) bool { return have[d] != nil }, &m)
-	return transferSize(&m, all, moved), len(moved)
+	fetched := Missing(func(d Digest) bool { return have[d] != nil }, &m)
+	return transferSize(&m, all, fetched), len(fetched)
 }
 
 // controlBytesPerSecond is the bandwidth budget of a node's control traffic.
@@ -57,7 +57,7 @@
 		now      = validBundle().Issued.Add(time.Hour)
 		keys     []PublicKey
 		m        Manifest
-		parts    map[Digest][]byte
+		sections map[Digest][]byte
 		src, sig []byte
 
 		privateKey PrivateKey
@@ -65,19 +65,19 @@
 	BeforeEach(func() {
 		pub, key := keyPair(1)
 		keys, privateKey = []PublicKey{pub}, key
-		m, parts = Split(validBundle())
+		m, sections = Split(validBundle())
 		src, sig = SignManifest(&m, key)
 	})
 
 	It("are accepted like a whole bundle", func() {
-		snap, err := AcceptSections(now, nil, src, sig, keys, parts)
+		snap, err := AcceptSections(now, nil, src, sig, keys, sections)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(Diff(snap.Bundle(), validBundle())).To(BeEmpty())
-		Expect(AcceptSections(now, snap, src, sig, keys, parts)).To(BeIdenticalTo(snap))
+		Expect(AcceptSections(now, snap, src, sig, keys, sections)).To(BeIdenticalTo(snap))
 	})
 
 	It("are not fetched again if they are unchanged", func() {
-		current, err := AcceptSections(now, nil, src, sig, keys, parts)
+		current, err := AcceptSections(now, nil, src, sig, keys, sections)
 		Expect(err).NotTo(HaveOccurred())
 		b := validBundle()
 		b.Version++
@@ -103,7 +103,7 @@
 		Expect(err).To(MatchError(ErrRolledBack))
 		other := validBundle()
 		other.Limits.QueueEntries++
-		_, err = AcceptSections(now, NewSnapshot(other), src, sig, keys, parts)
+		_, err = AcceptSections(now, NewSnapshot(other), src, sig, keys, sections)
 		Expect(err).To(MatchError(ErrConflict))
 		_, err = OpenManifest(now, nil, bytes.Replace(src, []byte(`"version":7`), []byte(`"version":9`), 1), sig, keys)
 		Expect(err).To(MatchError(ErrTampered))
@@ -122,12 +122,12 @@
 
 	It("are rejected if any section is tampered with or missing", func() {
 		last := m.Sections[len(m.Sections)-1]
-		genuine := parts[last]
-		parts[last] = append([]byte(" "), genuine...)
-		_, err := AcceptSections(now, nil, src, sig, keys, parts)
+		genuine := sections[last]
+		sections[last] = append([]byte(" "), genuine...)
+		_, err := AcceptSections(now, nil, src, sig, keys, sections)
 		Expect(err).To(MatchError(ErrTampered))
-		delete(parts, last)
-		_, err = AcceptSections(now, nil, src, sig, keys, parts)
+		delete(sections, last)
+		_, err = AcceptSections(now, nil, src, sig, keys, sections)
 		Expect(err).To(Equal(&MissingSectionError{Digests: []Digest{last}}))
 	})
 
@@ -140,8 +140,8 @@
 		Expect(err).To(MatchError(ContainSubstring(`teams[0].grants[0].tier: "silver" is not in tiers`)))
 		unknown := []byte(`{"tears": []}`)
 		m.Sections = append(m.Sections, DigestOf(unknown))
-		parts[DigestOf(unknown)] = unknown
-		_, err = Join(&m, parts)
+		sections[DigestOf(unknown)] = unknown
+		_, err = Join(&m, sections)
 		Expect(err).To(MatchError(ContainSubstring("tears: unknown key")))
 	})
 
@@ -166,13 +166,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		b := drawBundle(t)
-		m, parts := Split(b)
-		joined, err := Join(&m, parts)
+		m, sections := Split(b)
+		joined, err := Join(&m, sections)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(Diff(b, joined)).To(BeEmpty())
 		again, sameParts := Split(joined)
 		g.Expect(again).To(Equal(m))
-		g.Expect(maps.EqualFunc(parts, sameParts, bytes.Equal)).To(BeTrue())
+		g.Expect(maps.EqualFunc(sections, sameParts, bytes.Equal)).To(BeTrue())
 	})
 }
 
@@ -198,14 +198,14 @@
 		b.ReportMetric(float64(len(src)), "bytes-moved")
 	})
 	b.Run("sections", func(b *testing.B) {
-		before, parts := Split(old)
+		before, sections := Split(old)
 		src, sig := SignManifest(&before, key)
-		current, err := AcceptSections(now, nil, src, sig, keys, parts)
+		current, err := AcceptSections(now, nil, src, sig, keys, sections)
 		Expect(err).NotTo(HaveOccurred())
-		m, parts := Split(changed)
+		m, sections := Split(changed)
 		src, sig = SignManifest(&m, key)
 		for b.Loop() {
-			_, err := AcceptSections(now, current, src, sig, keys, parts)
+			_, err := AcceptSections(now, current, src, sig, keys, sections)
 			Expect(err).NotTo(HaveOccurred())
 		}
 		size, n := transferred(old, changed)
--- a/internal/bundle/envelope.go
+++ b/internal/bundle/signed_manifest.go
@@ -28,7 +28,7 @@
 		return SignedManifest{}, errors.Wrapf(ErrInvalid, "signed manifest: %s", err)
 	}
 	if s.Manifest == "" || s.Signature == "" {
-		return SignedManifest{}, errors.Wrap(ErrInvalid, "signed manifest: manifest and signature must both be there")
+		return SignedManifest{}, errors.Wrap(ErrInvalid, "signed manifest: manifest and signature must both be set")
 	}
 	return s, nil
 }
--- a/internal/bundle/snapshot.go
+++ b/internal/bundle/snapshot.go
@@ -20,9 +20,9 @@
 	byAddress map[string]string // names of endpoints
 	direct    map[string][]*Endpoint
 	routes    *route.Table // nil without routes
-	// sections are the contents from which the bundle was joined; empty for a bundle
-	// that was received whole.
-	sections sectionContents
+	// contents are the decoded sections from which the bundle was joined; empty for
+	// a bundle that was received whole.
+	contents sectionContents
 }
 
 // NewSnapshot indexes a bundle without errors. The bundle must not be changed
@@ -92,7 +92,7 @@
 	if s == nil {
 		return nil
 	}
-	return s.sections
+	return s.contents
 }
 
 // TeamByKey returns the team that owns a key.
--- a/internal/bundle/types.go
+++ b/internal/bundle/types.go
@@ -125,7 +125,7 @@
 	Placement Placement `json:"placement,omitzero"`
 }
 
-// Process identifies the process at the endpoint as far as known. A process with another
+// ProcessID identifies the process at the endpoint as far as known. A process with another
 // incarnation or address shares no state with the previous one.
 func (e *Endpoint) Process() string { return cmp.Or(e.Incarnation, e.Address) }
 
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -85,18 +85,18 @@
 func (c *Core) setBundle(now time.Time, b Bundle) []Change {
 	var changes []Change
 	next := make(map[string]*endpointState, len(b.Places))
-	for _, p := range b.Places {
-		before := c.endpoints[p.Endpoint]
+	for _, spec := range b.Places {
+		before := c.endpoints[spec.Endpoint]
 		e := before
-		if e == nil || e.spec != p {
-			e = newEndpointState(p, now, before)
-			e.listStatus, e.listChangedAt = c.list.status(p.VM), now
+		if e == nil || e.spec != spec {
+			e = newEndpointState(spec, now, before)
+			e.listStatus, e.listChangedAt = c.list.status(spec.VM), now
 		}
-		if before != nil && !before.spec.mayRun(p.Incarnation) {
+		if before != nil && !before.spec.mayRun(spec.Incarnation) {
 			e.resetForNewProcess()
-			changes = append(changes, Change{Endpoint: p.Endpoint, From: before.state, To: e.state, Reason: ReasonRestarted})
+			changes = append(changes, Change{Endpoint: spec.Endpoint, From: before.state, To: e.state, Reason: ReasonRestarted})
 		}
-		next[p.Endpoint] = e
+		next[spec.Endpoint] = e
 	}
 	for name, e := range c.endpoints {
 		if next[name] == nil {
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -39,8 +39,8 @@
 
 // readList applies a list as of now plus the given offset that holds the VMs with
 // these numbers; a "!" before the number marks a leaving VM.
-func (s *coreFixture) readList(ago string, vms []string) {
-	at, err := time.ParseDuration(ago)
+func (s *coreFixture) readList(offset string, vms []string) {
+	at, err := time.ParseDuration(offset)
 	s.g.Expect(err).NotTo(HaveOccurred())
 	read := ListRead{At: s.now.Add(at)}
 	for _, vm := range vms {
@@ -108,7 +108,7 @@
 	"a lagging or flapping list doesn't return an endpoint that reported leaving, but triggers a probe": "report a 1 leaving; report a 2; list 0s 1 2 3 4 5 6 7; " +
 		"unprobed; list 1s 0 1 2 3 4 5 6 7; is leaving report; probed e0",
 	"a new incarnation returns the endpoint and previous ones are ignored": "report a 1; report a 2 leaving; report b 10; is live returned; " +
-		"report a 3 leaving; report unseen 4 leaving; is live returned; late a; report c 20 leaving; is leaving report",
+		"report a 3 leaving; report unheard 4 leaving; is live returned; late a; report c 20 leaving; is leaving report",
 	"leaving in the list persists through responses and restarts until the list is stale": "report a 1; list 0s !0 1 2 3 4 5 6 7; wait 1s; report a 2; " +
 		"report b 3; is leaving list; wait 30s; is live returned",
 	"leaving in a stale list persists for the same incarnation": "report a 1; list 0s !0 1 2 3 4 5 6 7; wait 1h; report a 2; is leaving list",
@@ -127,12 +127,12 @@
 }
 
 func TestScenarios(t *testing.T) {
-	for name, script := range scenarios {
+	for name, scenario := range scenarios {
 		t.Run(name, func(t *testing.T) {
 			s := newCoreFixture(NewWithT(t), 8)
 			s.runStep("list", "0s", "0", "1", "2", "3", "4", "5", "6", "7")
 			s.runStep("wait", "1s")
-			for step := range strings.SplitSeq(script, "; ") {
+			for step := range strings.SplitSeq(scenario, "; ") {
 				fields := strings.Fields(step)
 				s.runStep(fields[0], fields[1:]...)
 			}
--- a/internal/membership/endpoint_state.go
+++ b/internal/membership/endpoint_state.go
@@ -56,8 +56,8 @@
 // newEndpointState returns the state of an endpoint that is new or has changed in
 // the bundle. It keeps only the state and the incarnations of before, which may be
 // nil.
-func newEndpointState(p Place, now time.Time, before *endpointState) *endpointState {
-	e := &endpointState{spec: p, state: Live, reason: ReasonBundle, since: now}
+func newEndpointState(spec Place, now time.Time, before *endpointState) *endpointState {
+	e := &endpointState{spec: spec, state: Live, reason: ReasonBundle, since: now}
 	if before != nil {
 		e.previousIncarnations = before.previousIncarnations
 		e.addPreviousIncarnation(before.incarnation)
@@ -74,8 +74,8 @@
 
 // mayRun reports whether the endpoint's process may be of this incarnation: true if
 // either incarnation is unknown.
-func (p Place) mayRun(incarnation string) bool {
-	return p.Incarnation == "" || incarnation == "" || p.Incarnation == incarnation
+func (spec Place) mayRun(incarnation string) bool {
+	return spec.Incarnation == "" || incarnation == "" || spec.Incarnation == incarnation
 }
 
 // addPreviousIncarnation records a replaced incarnation; an empty one is ignored.
@@ -88,8 +88,8 @@
 }
 
 // isOutdated reports whether a status comes from a replaced incarnation. A replaced
-// incarnation that is not recorded is recognized by its lower Seq: an agent's
-// numbers begin at its start time by its VM's clock. If that clock was set back, a
+// incarnation that is not recorded is recognized by its lower Seq: an agent's Seq
+// starts from its start time by its VM's clock. If that clock was set back, a
 // new incarnation is ignored until the clock has caught up or the bundle changes the
 // endpoint's VM, address or incarnation.
 func (e *endpointState) isOutdated(status OwnWord) bool {
@@ -140,18 +140,19 @@
 	return status.Via == ReasonReport && !e.firstFailureAt.IsZero() && status.Sent.After(e.firstFailureAt)
 }
 
-func (e *endpointState) recordFailure(now time.Time, r FailureKind) {
+func (e *endpointState) recordFailure(now time.Time, kind FailureKind) {
 	if e.firstFailureAt.IsZero() {
 		e.firstFailureAt = now
 	}
 	e.failureCount++
-	e.lastRefused = r == Refused
+	e.lastRefused = kind == Refused
 	e.possiblyRestarted = e.possiblyRestarted || e.lastRefused
 }
 
-// expireUnresponsive clears the unresponsive mark once it has not been repeated for
-// UnresponsiveHold, since no request is in flight any more, and the endpoint has passed a
-// health check since. Without that health check a caller's request would be the probe.
+// expireUnresponsive clears the unresponsive mark if it was not repeated for
+// UnresponsiveHold, so no request is in flight any more, and the endpoint has passed a health
+// check after the mark was set. Without that health check, a caller's request would serve as
+// the probe.
 func (e *endpointState) expireUnresponsive(now time.Time, t Tuning) {
 	if !e.unresponsiveAt.IsZero() && now.Sub(e.unresponsiveAt) > t.UnresponsiveHold && e.lastStatusAt.After(e.unresponsiveAt) {
 		e.unresponsiveAt = time.Time{}
@@ -197,7 +198,7 @@
 	return Live, e.liveReason()
 }
 
-// leavingOrGone returns Gone once connections are refused.
+// leavingOrGone returns Gone if the last connection was refused, otherwise Leaving.
 func (e *endpointState) leavingOrGone() State {
 	if e.lastRefused {
 		return Gone
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -130,7 +130,7 @@
 	Incarnation string // the latest reported; empty if none
 }
 
-// Change is a state transition. For an endpoint that was removed from the bundle To
+// Change is a state transition. For an endpoint that was removed from the bundle, To
 // is Gone and Reason is ReasonBundle.
 type Change struct {
 	Endpoint string
--- a/internal/membership/feed.go
+++ b/internal/membership/feed.go
@@ -22,9 +22,9 @@
 	// second, reading a long list may use.
 	minPollInterval    = 700 * time.Millisecond
 	pollBytesPerSecond = 8 << 10
-	// maxMeanPollInterval is the longest mean time between two reads by any of the
-	// routers. It takes precedence over pollBytesPerSecond if there are few routers
-	// and the list is long.
+	// maxMeanPollInterval is the longest mean time between two consecutive reads by
+	// all routers together. It takes precedence over pollBytesPerSecond if there are
+	// few routers and the list is long.
 	maxMeanPollInterval = 250 * time.Millisecond
 	// bytesPerVM is the size of an entry in the platform's response.
 	bytesPerVM = 95
@@ -56,8 +56,8 @@
 	Tracker *Tracker
 	// Name and FailureDomain are this router's.
 	Name, FailureDomain string
-	// Platform lists the servers of the platform's list. If it is empty, the list
-	// comes from other routers only.
+	// Platform holds a client for each server of the platform's list. If it is empty,
+	// the list comes from other routers only.
 	Platform []*Platform
 	// Routers returns the routers of the bundle in force.
 	Routers func() []bundle.Router
@@ -65,10 +65,10 @@
 	Log     zerolog.Logger
 }
 
-// Feed supplies the platform's list to a tracker. To limit the load on the platform
-// a router reads the list at long intervals, which grow with the list's length. In
-// between it watches a few other routers, which send the changes that they have
-// read. It is safe for concurrent use.
+// Feed supplies the platform's list to a tracker. A router reads the list less often
+// the longer the list is and the more routers there are, which bounds the router's
+// bandwidth and the platform's load. It also watches a few other routers, which send
+// changes as soon as they have read them. Feed is safe for concurrent use.
 type Feed struct {
 	cfg  FeedConfig
 	pool *control.Pool
--- a/internal/membership/feed_test.go
+++ b/internal/membership/feed_test.go
@@ -37,8 +37,8 @@
 
 const listAddress = "10.0.0.1:80"
 
-// newRouterMesh starts n routers with four endpoints. Only the first routers, as many
-// as readers says, reach the platform.
+// newRouterMesh starts n routers with four endpoints. Only the first `readers` routers
+// reach the platform.
 func newRouterMesh(t *testing.T, n, readers int, lag time.Duration) *routerMesh {
 	m := &routerMesh{g: NewWithT(t), net: memnet.New(), list: vmlist.New(lag), traffic: &control.Traffic{}}
 	var err error
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -40,9 +40,9 @@
 }
 
 // applyList replaces the last valid list and returns false if the new one is
-// rejected. An empty list is rejected, as it is more likely a fault of the platform.
-// One older than the last, such as from a server that lags more, is rejected until
-// the last one is stale.
+// rejected. An empty list is rejected, as a fault of the platform is more likely than
+// the removal of all VMs. A list older than the last, such as from a server that lags
+// more, is rejected until the last one is stale.
 func (c *Core) applyList(now time.Time, read ListRead) bool {
 	if len(read.VMs) == 0 {
 		return false
@@ -87,20 +87,20 @@
 
 // confirmRemovals marks the endpoints that were removed from the list while live as
 // gone, unless there are so many that a fault of the list is more likely. In that
-// case earlier confirmations stay. VMs that were listed as leaving don't count, as
-// they may be removed at any time.
+// case earlier confirmations stay. Removals of VMs that were listed as leaving are
+// not limited, as these may be removed at any time.
 func (c *Core) confirmRemovals() {
-	removedCount, lacking := 0, 0
+	everListed, removed := 0, 0
 	for _, e := range c.endpoints {
 		if e.listStatus != neverListed {
-			removedCount++
+			everListed++
 		}
 		if e.listStatus == removedWhileLive {
-			lacking++
+			removed++
 		}
 	}
-	maxRemovals := max(1, int(c.tuning.MaxRemovedShare*float64(removedCount)))
-	if lacking > maxRemovals {
+	maxRemovals := max(1, int(c.tuning.MaxRemovedShare*float64(everListed)))
+	if removed > maxRemovals {
 		return
 	}
 	for _, e := range c.endpoints {
--- a/internal/membership/list_history.go
+++ b/internal/membership/list_history.go
@@ -53,12 +53,12 @@
 
 // shouldApply reports whether a list as of the given time should replace this one:
 // if it is newer, or if it is older and this list has not advanced for longer than
-// stale, such as after the platform's clock was set back.
-func (l *listHistory) shouldApply(now, at time.Time, stale time.Duration) bool {
+// staleAfter, such as after the platform's clock was set back.
+func (l *listHistory) shouldApply(now, at time.Time, staleAfter time.Duration) bool {
 	if l.vms == nil || at.After(l.asOf) {
 		return true
 	}
-	return at.Before(l.asOf) && now.Sub(l.advancedAt) > stale
+	return at.Before(l.asOf) && now.Sub(l.advancedAt) > staleAfter
 }
 
 // replace replaces the list by one that was read from the platform.
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -158,8 +158,8 @@
 			},
 			"empty list": func(*rapid.T) { s.core.Apply(s.now, ListRead{At: s.now}) },
 			"connection fails": func(t *rapid.T) {
-				result := rapid.SampledFrom([]FailureKind{Refused, Broken}).Draw(t, "result")
-				s.core.Apply(s.now, ConnectionFailure{Endpoint: fmt.Sprint("e", any.Draw(t, "i")), Kind: result})
+				kind := rapid.SampledFrom([]FailureKind{Refused, Broken}).Draw(t, "result")
+				s.core.Apply(s.now, ConnectionFailure{Endpoint: fmt.Sprint("e", any.Draw(t, "i")), Kind: kind})
 			},
 			"time passes": func(t *rapid.T) {
 				s.now = s.now.Add(time.Duration(rapid.IntRange(1, 20_000).Draw(t, "ms")) * time.Millisecond)
--- a/internal/membership/notice.go
+++ b/internal/membership/notice.go
@@ -19,15 +19,17 @@
 
 // Timeouts and bounds of an agent's leaving notices.
 const (
-	// routerTTL is how long after its last attempt a router is still notified. A
-	// router that sent none for longer learns of the leaving from its next attempt.
+	// routerTTL is how long after its last request a router is still notified. A
+	// router that sent none for longer learns of the leaving from the response to its
+	// next request.
 	routerTTL = 10 * time.Minute
 	// maxKnownRouters bounds the routers that are remembered.
 	maxKnownRouters = 4096
 	// maxConcurrentNotices bounds the notices in flight: with 880 routers, all
 	// unreachable, a round takes 2.8 s.
 	maxConcurrentNotices = 256
-	// noticeTimeout bounds one notice, and noticeRounds the attempts for each router.
+	// noticeTimeout bounds one notice, and noticeRounds is how often each router is
+	// tried.
 	noticeTimeout = 700 * time.Millisecond
 	noticeRounds  = 2
 )
@@ -177,17 +179,17 @@
 	return err == nil
 }
 
-// Notifier runs an Announcer in the background while the agent shuts down.
+// Delivery sends an agent's leaving notices in the background while the agent shuts down.
 type Goodbye struct {
 	announcer *Announcer
 	once      sync.Once
 	done      chan struct{}
 }
 
-// NewNotifier returns a notifier for the announcer; Start begins the announcement.
+// NewDelivery returns a delivery by the announcer that begins with Start.
 func NewGoodbye(a *Announcer) *Goodbye { return &Goodbye{announcer: a, done: make(chan struct{})} }
 
-// Start starts the announcement and returns at once; later calls do nothing.
+// Start starts the delivery and returns at once; later calls do nothing.
 func (g *Goodbye) Say() {
 	g.once.Do(func() {
 		go func() {
@@ -197,5 +199,5 @@
 	})
 }
 
-// Wait returns when the announcement has ended. It must be called after Start.
+// Wait returns when the delivery has ended. It must be called after Start.
 func (g *Goodbye) Wait() { <-g.done }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -38,8 +38,8 @@
 }
 
 // maxProbeInterval returns the longest time between two probes. It is shorter for an
-// unresponsive endpoint: that may recover at any time, which only a probe finds out, and only
-// routers with requests at it send these probes.
+// unresponsive endpoint, which may recover at any time: only a probe detects this, and only
+// routers with requests in flight at it send these probes.
 func (e *endpointState) maxProbeInterval(t Tuning) time.Duration {
 	if !e.unresponsiveAt.IsZero() {
 		return t.ProbeMaxUnresponsive
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -36,9 +36,9 @@
 // be contacted at this time. It doesn't count as a failure of the endpoint.
 var ErrNotAsked = errors.New("membership: probe skipped: the endpoint must not be contacted now")
 
-// HealthCheck checks the health of an endpoint that has no agent. sent reports
+// HealthCheck checks the health of an endpoint that has no agent. connected reports
 // whether a connection was established.
-type HealthCheck func(ctx context.Context, endpoint string) (sent bool, err error)
+type HealthCheck func(ctx context.Context, endpoint string) (connected bool, err error)
 
 // NewHealthProber returns a prober for endpoints without agents.
 func NewHealthProber(t *Tracker, h HealthCheck) *Prober { return &Prober{tracker: t, healthCheck: h} }
@@ -70,15 +70,15 @@
 func (p *Prober) probe(ctx context.Context, name string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	place := p.tracker.endpointSpec(name)
-	status, err := p.fetchStatus(ctx, place)
+	spec := p.tracker.endpointSpec(name)
+	status, err := p.fetchStatus(ctx, spec)
 	if errors.Is(ctx.Err(), context.Canceled) || errors.Is(err, ErrNotAsked) {
 		return // the router is stopping, or the probe was skipped
 	}
 	p.tracker.metrics.probes.WithLabelValues(outcomeOf(err)).Inc()
 	var failed *ProbeError
 	if errors.As(err, &failed) {
-		p.tracker.Failed(name, place.Incarnation, failed.Connected)
+		p.tracker.Failed(name, spec.Incarnation, failed.Connected)
 		return
 	}
 	p.tracker.handleHealthCheck(name, status.Clock, status.Load)
@@ -90,9 +90,9 @@
 		return p.checkHealth(ctx, of)
 	}
 	name := of.Endpoint
-	sent := false
+	connected := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { sent = true },
+		GotConn: func(httptrace.GotConnInfo) { connected = true },
 	})
 	var status wire.Status
 	url := p.scheme + "://" + of.Address + wire.PathStatus
@@ -101,7 +101,7 @@
 		err = errors.Newf("the address belongs to %q", status.Endpoint)
 	}
 	if err != nil {
-		return wire.Status{}, &ProbeError{Endpoint: name, Connected: sent, Cause: err}
+		return wire.Status{}, &ProbeError{Endpoint: name, Connected: connected, Cause: err}
 	}
 	return status, nil
 }
@@ -109,9 +109,9 @@
 // checkHealth returns the result of a health check as a status. The status is attributed to
 // the incarnation that was known when the check was sent.
 func (p *Prober) checkHealth(ctx context.Context, of Place) (wire.Status, error) {
-	sent, err := p.healthCheck(ctx, of.Endpoint)
+	connected, err := p.healthCheck(ctx, of.Endpoint)
 	if err != nil {
-		return wire.Status{}, &ProbeError{Endpoint: of.Endpoint, Connected: sent, Cause: err}
+		return wire.Status{}, &ProbeError{Endpoint: of.Endpoint, Connected: connected, Cause: err}
 	}
 	return wire.Status{Endpoint: of.Endpoint, Clock: wire.Clock{Incarnation: cmp.Or(of.Incarnation, of.Endpoint)}}, nil
 }
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -58,14 +58,14 @@
 
 // SetBundle sets the endpoints of the bundle in force.
 func (t *Tracker) SetBundle(b *bundle.Bundle) {
-	places := make([]Place, 0, len(b.Endpoints))
+	specs := make([]Place, 0, len(b.Endpoints))
 	for _, e := range b.Endpoints {
 		if e.Direct {
 			continue // it has no agent
 		}
-		places = append(places, Place{Endpoint: e.Name, VM: e.VM, Address: e.Address})
+		specs = append(specs, Place{Endpoint: e.Name, VM: e.VM, Address: e.Address})
 	}
-	t.Learn(Bundle{Places: places})
+	t.Learn(Bundle{Places: specs})
 }
 
 // HandleEvent processes an event and applies the resulting changes.
@@ -106,11 +106,11 @@
 
 // Failed implements dispatch.Observer.
 func (t *Tracker) Failed(endpoint, incarnation string, sent bool) {
-	result := Refused
+	kind := Refused
 	if sent {
-		result = Broken
+		kind = Broken
 	}
-	t.Learn(ConnectionFailure{Endpoint: endpoint, Incarnation: incarnation, Kind: result})
+	t.Learn(ConnectionFailure{Endpoint: endpoint, Incarnation: incarnation, Kind: kind})
 }
 
 // dueProbes re-evaluates all endpoints and returns the ones to probe now.
--- a/internal/membership/tuning.go
+++ b/internal/membership/tuning.go
@@ -10,8 +10,8 @@
 // Tuning holds Core's parameters. A zero field stands for its value in
 // DefaultTuning.
 type Tuning struct {
-	// MaxRemovedShare is the share of the listed endpoints that may become gone by
-	// removal from the list alone; at least one always may.
+	// MaxRemovedShare is the share of the endpoints whose VM has ever been listed that
+	// may become gone by removal from the list alone; at least one always may.
 	MaxRemovedShare float64
 	// ListStaleAfter is the age beyond which a list is stale: a new incarnation then
 	// overrides its entry for a leaving VM.
