--- a/internal/sched/drain/drain.go
+++ b/internal/sched/drain/drain.go
@@ -1,7 +1,6 @@
-// Package drain measures how fast an endpoint finishes requests. It counts
-// finishes against the slot time that went into them, so that idle slots
-// neither lower the rate nor raise it, and runs that last long lower it before
-// they end.
+// Package drain measures the rate at which an endpoint finishes requests. It
+// divides the finished requests by the slot time used, so that idle slots don't
+// affect the rate and a long-running request lowers it before it finishes.
 package drain
 
 import (
@@ -9,33 +8,33 @@
 	"time"
 )
 
-// window is the busy time after which an observation has lost all but 1/e of
-// its weight.
-const window = 10 * time.Second
+// decayTime is the time constant of the exponential decay: after that much busy
+// time an observation has 1/e of its weight.
+const decayTime = 10 * time.Second
 
-// Bounds of the waits that callers are told to keep.
+// Bounds of the Retry-After times reported to callers.
 const (
 	MinRetryAfter = 100 * time.Millisecond
 	MaxRetryAfter = 30 * time.Second
 )
 
-// unmeasuredRetryAfter is told while nothing has finished yet.
-const unmeasuredRetryAfter = time.Second
+// defaultRetryAfter is reported until a request has finished.
+const defaultRetryAfter = time.Second
 
-// Meter measures the rate of one endpoint. The zero value is ready for use and
-// has measured nothing.
+// Meter measures the drain rate of one endpoint. The zero value is ready to
+// use and has no measurement.
 type Meter struct {
 	last     time.Time
 	finishes float64
 	slotTime float64 // seconds
 }
 
-// Advance accounts for the time up to now, during which busy slots were in
-// use. Call it before each change of that number. A now that lies before the
-// last one is ignored.
+// Advance accounts for the time since the previous call, during which busy
+// slots were in use. Call it before each change of that number. A call with an
+// earlier time than the previous one is ignored.
 func (m *Meter) Advance(now time.Time, busy int) {
-	passed := now.Sub(m.last)
-	if passed <= 0 {
+	elapsed := now.Sub(m.last)
+	if elapsed <= 0 {
 		return
 	}
 	first := m.last.IsZero()
@@ -43,17 +42,17 @@
 	if first || busy == 0 {
 		return
 	}
-	decay := math.Exp(-passed.Seconds() / window.Seconds())
+	decay := math.Exp(-elapsed.Seconds() / decayTime.Seconds())
 	m.finishes *= decay
-	// The slot time of the interval decays within it, too.
-	m.slotTime = m.slotTime*decay + float64(busy)*window.Seconds()*(1-decay)
+	// The slot time used during the interval decays within the interval, too.
+	m.slotTime = m.slotTime*decay + float64(busy)*decayTime.Seconds()*(1-decay)
 }
 
-// Finished counts a request that gave its slot back.
+// Finished counts a request that released its slot.
 func (m *Meter) Finished() { m.finishes++ }
 
-// PerSecond is the rate at which the given number of slots finishes requests
-// when all are in use; 0 while nothing has been measured.
+// PerSecond returns the rate at which the given number of slots finishes
+// requests when all are in use, or 0 without a measurement.
 func (m *Meter) PerSecond(slots int) float64 {
 	if m.slotTime <= 0 {
 		return 0
@@ -61,8 +60,8 @@
 	return m.finishes / m.slotTime * float64(slots)
 }
 
-// Wait is how long n requests take to finish at the measured rate, 0 while
-// nothing has been measured.
+// Wait returns the time in which n requests finish at the measured rate, or 0
+// without a measurement.
 func (m *Meter) Wait(slots, n int) time.Duration {
 	rate := m.PerSecond(slots)
 	if rate <= 0 {
@@ -75,16 +74,16 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// RetryAfter is Wait within the bounds of what callers are told, or a second
-// while nothing has been measured.
+// RetryAfter returns Wait clamped to MinRetryAfter and MaxRetryAfter, or
+// defaultRetryAfter without a measurement.
 func (m *Meter) RetryAfter(slots, n int) time.Duration {
 	if m.PerSecond(slots) <= 0 {
-		return unmeasuredRetryAfter
+		return defaultRetryAfter
 	}
 	return Clamp(m.Wait(slots, n))
 }
 
-// Clamp keeps a wait within the bounds of what callers are told.
+// Clamp limits a wait to the range from MinRetryAfter to MaxRetryAfter.
 func Clamp(d time.Duration) time.Duration {
 	return min(max(d, MinRetryAfter), MaxRetryAfter)
 }
--- a/internal/sched/fifo/fifo.go
+++ b/internal/sched/fifo/fifo.go
@@ -1,6 +1,6 @@
-// Package fifo is the naive baseline of the scheduling policies: jobs start in
-// the order of arrival. It knows neither tiers nor deadlines, never preempts,
-// and refuses only when a configured bound of the queue is reached.
+// Package fifo implements the baseline scheduling policy: jobs start in order
+// of arrival. It ignores tiers and deadlines, never preempts, and refuses a job
+// only when a configured limit of the queue is reached.
 package fifo
 
 import (
@@ -12,19 +12,19 @@
 	"coveferry/internal/sched/drain"
 )
 
-// Config holds the endpoint's size and the bounds of its queue.
+// Config holds the endpoint's concurrency and the limits of its queue.
 type Config struct {
-	// Slots is how many jobs run at once.
+	// Slots is the number of jobs that run concurrently.
 	Slots int
-	// QueueEntries and QueueBytes bound the waiting jobs; 0 means no bound.
+	// QueueEntries and QueueBytes limit the waiting jobs; 0 means unlimited.
 	QueueEntries int
 	QueueBytes   int
 }
 
-// Scheduler is the policy. It must be made by New.
+// Scheduler is the FIFO policy. Use New to create one.
 type Scheduler struct {
 	cfg     Config
-	queue   *list.List // of *entry, by arrival
+	queue   *list.List // of *entry, in order of arrival
 	entries map[sched.JobID]*entry
 	running int
 	bytes   int // of the waiting jobs
@@ -38,7 +38,7 @@
 type entry struct {
 	job     sched.Job
 	arrival uint64
-	place   *list.Element // nil while running
+	element *list.Element // nil while running
 }
 
 // New returns a scheduler with an empty queue.
@@ -50,8 +50,8 @@
 	}
 }
 
-// Offer admits the job unless the queue is full. A tier out of range counts as
-// the nearest one; a job whose id is already held is refused without a reason.
+// Offer admits the job unless the queue is full. An out-of-range tier is
+// clamped. A job whose id is already known is refused without a reason.
 func (s *Scheduler) Offer(now time.Time, j sched.Job) sched.Verdict {
 	s.meter.Advance(now, s.running)
 	if _, held := s.entries[j.ID]; held {
@@ -68,8 +68,8 @@
 	return sched.Verdict{Admitted: true}
 }
 
-// full says whether a job of the given size finds no room. A job that could
-// start at once needs none.
+// full reports whether a job of the given size exceeds the queue's limits. A
+// job that can start immediately isn't subject to them.
 func (s *Scheduler) full(size int) bool {
 	if s.queue.Len() == 0 && s.running < s.cfg.Slots {
 		return false
@@ -80,7 +80,7 @@
 	return s.cfg.QueueBytes > 0 && s.bytes+size > s.cfg.QueueBytes
 }
 
-// enqueue puts the entry behind all that arrived before it.
+// enqueue inserts the entry in order of arrival.
 func (s *Scheduler) enqueue(e *entry) {
 	s.bytes += e.job.Bytes
 	at := s.queue.Back()
@@ -88,20 +88,20 @@
 		at = at.Prev()
 	}
 	if at == nil {
-		e.place = s.queue.PushFront(e)
+		e.element = s.queue.PushFront(e)
 		return
 	}
-	e.place = s.queue.InsertAfter(e, at)
+	e.element = s.queue.InsertAfter(e, at)
 }
 
-// dequeue takes the entry out of the queue.
+// dequeue removes the entry from the queue.
 func (s *Scheduler) dequeue(e *entry) {
-	s.queue.Remove(e.place)
-	e.place = nil
+	s.queue.Remove(e.element)
+	e.element = nil
 	s.bytes -= e.job.Bytes
 }
 
-// Next starts the job that arrived first while a slot is free.
+// Next starts the waiting job that arrived first if a slot is free.
 func (s *Scheduler) Next(now time.Time) sched.Decision {
 	s.meter.Advance(now, s.running)
 	front := s.queue.Front()
@@ -114,22 +114,22 @@
 	return sched.Decision{Action: sched.ActionStart, Job: e.job.ID}
 }
 
-// Tokens does nothing: the order doesn't depend on the work done.
+// Tokens does nothing: the order doesn't depend on produced tokens.
 func (s *Scheduler) Tokens(time.Time, sched.JobID, int) {}
 
-// Requeue puts a running job back at the place of its arrival. This policy
-// never asks for that.
+// Requeue returns a running job to its original position in the queue. This
+// policy never preempts, so the agent has no reason to call it.
 func (s *Scheduler) Requeue(now time.Time, id sched.JobID) {
 	s.meter.Advance(now, s.running)
 	e, held := s.entries[id]
-	if !held || e.place != nil {
+	if !held || e.element != nil {
 		return
 	}
 	s.running--
 	s.enqueue(e)
 }
 
-// Finish forgets a job.
+// Finish removes a waiting or running job.
 func (s *Scheduler) Finish(now time.Time, id sched.JobID) {
 	s.meter.Advance(now, s.running)
 	e, held := s.entries[id]
@@ -137,7 +137,7 @@
 		return
 	}
 	delete(s.entries, id)
-	if e.place != nil {
+	if e.element != nil {
 		s.dequeue(e)
 		return
 	}
@@ -145,12 +145,12 @@
 	s.meter.Finished()
 }
 
-// Load counts the waiting and running jobs by tier. It walks over all of them.
+// Load counts the waiting and running jobs by tier in linear time.
 func (s *Scheduler) Load(now time.Time) load.Report {
 	s.meter.Advance(now, s.running)
 	r := load.Report{Slots: s.cfg.Slots, DrainPerSecond: s.meter.PerSecond(s.cfg.Slots)}
 	for _, e := range s.entries {
-		if e.place != nil {
+		if e.element != nil {
 			r.Queued[e.job.Tier]++
 			continue
 		}
@@ -159,5 +159,5 @@
 	return r
 }
 
-// Wake returns the zero time: nothing here depends on the clock.
+// Wake returns the zero time: no decision depends on the clock.
 func (s *Scheduler) Wake() time.Time { return time.Time{} }
--- a/internal/sched/fifo/fifo_test.go
+++ b/internal/sched/fifo/fifo_test.go
@@ -18,15 +18,15 @@
 
 var epoch = time.Unix(1000, 0)
 
-// at is the moment a number of seconds after the epoch.
+// at returns the time the given number of seconds after the epoch.
 func at(seconds int) time.Time { return epoch.Add(time.Duration(seconds) * time.Second) }
 
 func start(id sched.JobID) sched.Decision {
 	return sched.Decision{Action: sched.ActionStart, Job: id}
 }
 
-var _ = Describe("the baseline", func() {
-	It("starts jobs in the order of arrival, whatever their tier", func() {
+var _ = Describe("the FIFO policy", func() {
+	It("starts jobs in order of arrival regardless of their tier", func() {
 		s := fifo.New(fifo.Config{Slots: 1})
 		for id, tier := range []int{2, 0, 1} {
 			v := s.Offer(at(0), sched.Job{ID: sched.JobID(id + 1), Tier: tier})
@@ -39,9 +39,9 @@
 		}
 	})
 
-	It("refuses beyond the bounds of entries and bytes only", func() {
+	It("refuses only jobs beyond the limits of entries and bytes", func() {
 		s := fifo.New(fifo.Config{Slots: 1, QueueEntries: 2, QueueBytes: 10})
-		Expect(s.Offer(at(0), sched.Job{ID: 1, Bytes: 99}).Admitted).To(BeTrue(), "a free slot needs no room")
+		Expect(s.Offer(at(0), sched.Job{ID: 1, Bytes: 99}).Admitted).To(BeTrue(), "a job that can start immediately isn't limited")
 		Expect(s.Next(at(0))).To(Equal(start(1)))
 		Expect(s.Offer(at(0), sched.Job{ID: 2, Bytes: 6}).Admitted).To(BeTrue())
 		Expect(s.Offer(at(0), sched.Job{ID: 3, Bytes: 5}).Reason).To(Equal(sched.ReasonQueueFull))
@@ -51,7 +51,7 @@
 		Expect(full.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("keeps a requeued job's place and forgets a cancelled one", func() {
+	It("keeps a requeued job's position and removes a cancelled one", func() {
 		s := fifo.New(fifo.Config{Slots: 1})
 		for id := sched.JobID(1); id <= 3; id++ {
 			s.Offer(at(0), sched.Job{ID: id, Tier: 1})
@@ -65,7 +65,7 @@
 		Expect(s.Next(at(2))).To(Equal(start(3)))
 	})
 
-	It("measures the rate at which slots drain", func() {
+	It("measures the drain rate", func() {
 		s := fifo.New(fifo.Config{Slots: 2})
 		for id := sched.JobID(1); id <= 100; id++ {
 			s.Offer(at(int(id)), sched.Job{ID: id})
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -1,7 +1,7 @@
-// Package sched defines what an agent asks of the policy that decides which
-// request runs next on its endpoint. A policy is pure: it does no I/O, starts
-// no goroutine and reads no clock; the caller hands in the time and carries
-// the decisions out. Policies are not safe for concurrent use.
+// Package sched defines the interface between an agent and the scheduling
+// policy of its endpoint. A policy is pure: it does no I/O, starts no goroutine
+// and reads no clock; the caller passes the time and carries out the decisions.
+// Policies are not safe for concurrent use.
 package sched
 
 import (
@@ -10,7 +10,7 @@
 	"coveferry/internal/load"
 )
 
-// JobID names a request within one agent.
+// JobID identifies a request within one agent.
 type JobID uint64
 
 // Job is a request as the policy sees it.
@@ -18,20 +18,20 @@
 	ID    JobID
 	Team  string
 	Class string
-	// Tier is the rank of the tier paid for; 0 is the highest.
+	// Tier is the priority tier that the team pays for; 0 is the highest.
 	Tier int
-	// FirstTokenBy is the moment after which the class's latency target is
-	// missed; Deadline the one after which the answer is worth nothing.
+	// FirstTokenBy is when the first token must be produced to meet the class's
+	// latency target. Deadline is when the answer becomes useless.
 	FirstTokenBy time.Time
 	Deadline     time.Time
 	// Bytes is the size of the request held in the queue.
 	Bytes int
-	// Preemptible says that the endpoint can stop this request and go on
-	// with it later.
+	// Preemptible reports whether the endpoint can stop this request and
+	// resume it later.
 	Preemptible bool
 }
 
-// Reason says why a job was refused or dropped; it is reported to callers and
+// Reason is why a job was refused or dropped. It is reported to callers and
 // counted in metrics.
 type Reason string
 
@@ -40,17 +40,17 @@
 const (
 	ReasonNone      Reason = ""
 	ReasonQueueFull Reason = "queue_full"
-	ReasonTooLate   Reason = "too_late"  // the target can't be met any more
-	ReasonDisplaced Reason = "displaced" // gave way to a higher tier
-	ReasonExpired   Reason = "expired"   // its deadline passed in the queue
+	ReasonTooLate   Reason = "too_late"  // the target can no longer be met
+	ReasonDisplaced Reason = "displaced" // removed for a job of a higher tier
+	ReasonExpired   Reason = "expired"   // the deadline passed in the queue
 )
 
-// Verdict answers an offer.
+// Verdict is the result of Policy.Offer.
 type Verdict struct {
 	Admitted bool
 	Reason   Reason
-	// RetryAfter is when the measured drain rate leaves room for a job like
-	// this one.
+	// RetryAfter is the time until the queue can accept a job like this one at
+	// the measured drain rate.
 	RetryAfter time.Duration
 }
 
@@ -59,55 +59,58 @@
 
 // The actions a policy asks its agent to carry out.
 const (
-	// ActionNone: nothing to do until the state changes.
+	// ActionNone means that there is nothing to do until the state changes.
 	ActionNone Action = iota
-	// ActionStart: run the job, which left the queue.
+	// ActionStart runs the job, which has been removed from the queue.
 	ActionStart
-	// ActionPreempt: stop the running job, then call Requeue for it.
+	// ActionPreempt stops the running job; the agent then calls Requeue for it.
 	ActionPreempt
-	// ActionDrop: tell the job's caller that it didn't run; it left the queue.
+	// ActionDrop refuses a job that was queued and has been removed from the
+	// queue without running.
 	ActionDrop
 )
 
-// Decision is one step that the agent has to carry out.
+// Decision is one action that the agent must carry out.
 type Decision struct {
 	Action Action
 	Job    JobID
 	Reason Reason // with ActionDrop
-	// RetryAfter goes to the caller with ActionDrop.
+	// RetryAfter is reported to the caller with ActionDrop.
 	RetryAfter time.Duration
 }
 
-// Bounds are those of a queue that a new bundle may change.
+// Bounds holds the limits of a queue that a new bundle can change.
 type Bounds struct {
-	// Slots is how many jobs run at once; those beyond a lower number go on.
+	// Slots is the number of jobs that run concurrently. When it is lowered,
+	// running jobs above the new number continue.
 	Slots int
-	// QueueEntries and QueueBytes bound the waiting jobs; 0 means no bound.
+	// QueueEntries and QueueBytes limit the waiting jobs; 0 means unlimited.
 	QueueEntries, QueueBytes int
 }
 
-// Resizer is a Policy whose bounds can change while it holds jobs.
+// Resizer is implemented by policies whose bounds can change while they hold
+// jobs.
 type Resizer interface {
 	Resize(now time.Time, b Bounds)
 }
 
-// Policy decides which job runs when. The agent calls Next after every other
-// call until it returns ActionNone.
+// Policy decides which job runs when. After every other call the agent calls
+// Next repeatedly until it returns ActionNone.
 type Policy interface {
 	// Offer admits the job to the queue or refuses it.
 	Offer(now time.Time, j Job) Verdict
-	// Next returns the next step to carry out.
+	// Next returns the next decision to carry out.
 	Next(now time.Time) Decision
 	// Tokens charges produced tokens to the running job.
 	Tokens(now time.Time, id JobID, n int)
-	// Requeue puts a preempted job, whose work has stopped, back in the queue.
+	// Requeue returns a preempted job to the queue once it has stopped.
 	Requeue(now time.Time, id JobID)
-	// Finish forgets a job that completed, failed, or was cancelled, whether
+	// Finish removes a job that completed, failed, or was cancelled, whether
 	// it was running or waiting. An unknown id is ignored.
 	Finish(now time.Time, id JobID)
-	// Load reports the present queue. Seq and Leaving are the agent's to set.
+	// Load reports the current queue. The agent sets Seq and Leaving.
 	Load(now time.Time) load.Report
-	// Wake is when Next has to be asked again if nothing else happens, the
-	// zero time if never.
+	// Wake returns when Next must be called again if no other call comes
+	// first, or the zero time if it needn't be.
 	Wake() time.Time
 }
--- a/internal/sched/schedtest/machine_test.go
+++ b/internal/sched/schedtest/comparison_test.go
@@ -17,24 +17,25 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// TestMain fixes the seed, unless one is given, so that each run has the same
-// verdict; new ground is the fuzz target's.
+// TestMain sets a fixed seed unless one is given, so that results are
+// reproducible. FuzzAgainstReference explores other inputs.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
-		_ = seed.Value.Set("1") // a number is always taken
+		_ = seed.Value.Set("1") // can't fail for a number
 	}
 	os.Exit(m.Run())
 }
 
-// chooser yields the choices of a run, from rapid or from a fuzzer's bytes.
+// chooser returns the next choice below limit, from rapid or from the fuzzer's
+// input.
 type chooser func(limit int) int
 
 func fromRapid(t *rapid.T) chooser {
 	return func(limit int) int { return rapid.IntRange(0, limit-1).Draw(t, "choice") }
 }
 
-// config chooses a small one, so that its bounds are met often.
+// config chooses a small configuration, so that its limits are reached often.
 func (pick chooser) config() tiered.Config {
 	return tiered.Config{
 		Slots:                1 + pick(4),
@@ -48,7 +49,7 @@
 	}
 }
 
-// job chooses one with few teams, classes and tiers.
+// job chooses a job out of few teams, classes and tiers.
 func (pick chooser) job(now time.Time, id sched.JobID) sched.Job {
 	j := sched.Job{
 		ID:          id,
@@ -67,111 +68,112 @@
 	return j
 }
 
-// machine drives the policy and the reference with the same steps.
-type machine struct {
-	pick  chooser
-	now   time.Time
-	last  sched.JobID
-	got   sched.Policy
-	want  sched.Policy
-	model *ledger
-	fail  func(format string, args ...any)
+// comparison applies the same steps to the policy and to the reference.
+type comparison struct {
+	pick      chooser
+	now       time.Time
+	lastID    sched.JobID
+	policy    sched.Policy
+	reference sched.Policy
+	tracker   *jobTracker
+	fail      func(format string, args ...any)
 }
 
-func newMachine(pick chooser, fail func(string, ...any)) *machine {
+func newComparison(pick chooser, fail func(string, ...any)) *comparison {
 	cfg := pick.config()
-	return &machine{
+	return &comparison{
 		pick: pick, now: epoch, fail: fail,
-		got: tiered.New(cfg), want: schedtest.NewReference(cfg), model: newLedger(cfg),
+		policy: tiered.New(cfg), reference: schedtest.NewReference(cfg), tracker: newJobTracker(cfg),
 	}
 }
 
-// some chooses a job id that may be held, or not any more.
-func (m *machine) some() sched.JobID { return sched.JobID(1 + m.pick(int(m.last)+1)) }
+// chooseID chooses the id of a job that may be unknown to the policy.
+func (m *comparison) chooseID() sched.JobID { return sched.JobID(1 + m.pick(int(m.lastID)+1)) }
 
-// step makes one choice and compares all that follows from it.
-func (m *machine) step() {
+// step applies one chosen step and compares the resulting decisions.
+func (m *comparison) step() {
 	m.now = m.now.Add([]time.Duration{0, time.Microsecond, 7 * time.Millisecond, 400 * time.Millisecond}[m.pick(4)])
 	switch m.pick(8) {
 	case 0, 1, 2:
 		m.offer()
 	case 3:
-		m.both(func(p sched.Policy) { p.Requeue(m.now, m.model.stopping) })
-		m.model.requeue()
+		m.both(func(p sched.Policy) { p.Requeue(m.now, m.tracker.preempting) })
+		m.tracker.requeue()
 	case 4:
-		id := m.some()
+		id := m.chooseID()
 		m.both(func(p sched.Policy) { p.Finish(m.now, id) })
-		m.model.finish(id)
+		m.tracker.finish(id)
 	case 5:
-		if id, ok := m.model.runs(m.pick); ok {
+		if id, ok := m.tracker.chooseRunning(m.pick); ok {
 			m.both(func(p sched.Policy) { p.Finish(m.now, id) })
-			m.model.finish(id)
+			m.tracker.finish(id)
 		}
 	case 6:
-		if wake := m.want.Wake(); wake.After(m.now) {
+		if wake := m.reference.Wake(); wake.After(m.now) {
 			m.now = wake
 		}
 	default:
-		id, n := m.some(), m.pick(200)
+		id, n := m.chooseID(), m.pick(200)
 		m.both(func(p sched.Policy) { p.Tokens(m.now, id, n) })
 	}
-	m.settle()
+	m.applyDecisions()
 }
 
-func (m *machine) both(do func(sched.Policy)) {
-	do(m.got)
-	do(m.want)
+func (m *comparison) both(do func(sched.Policy)) {
+	do(m.policy)
+	do(m.reference)
 }
 
-func (m *machine) offer() {
-	m.last++
-	j := m.pick.job(m.now, m.last)
-	got, want := m.got.Offer(m.now, j), m.want.Offer(m.now, j)
+func (m *comparison) offer() {
+	m.lastID++
+	j := m.pick.job(m.now, m.lastID)
+	got, want := m.policy.Offer(m.now, j), m.reference.Offer(m.now, j)
 	if got != want {
 		m.fail("Offer(%+v) = %+v, want %+v", j, got, want)
 	}
-	if err := m.model.answer(j, got); err != nil {
+	if err := m.tracker.applyVerdict(j, got); err != nil {
 		m.fail("Offer(%+v) = %+v: %v", j, got, err)
 	}
 }
 
-// settle asks for decisions until there are none, and compares the rest.
-func (m *machine) settle() {
+// applyDecisions compares decisions until there are none, then loads and
+// wakeup times.
+func (m *comparison) applyDecisions() {
 	for {
-		got, want := m.got.Next(m.now), m.want.Next(m.now)
+		got, want := m.policy.Next(m.now), m.reference.Next(m.now)
 		if got != want {
 			m.fail("Next = %+v, want %+v", got, want)
 		}
 		if got.Action == sched.ActionNone {
 			break
 		}
-		if err := m.model.carryOut(got); err != nil {
+		if err := m.tracker.applyDecision(got); err != nil {
 			m.fail("%+v: %v", got, err)
 		}
 	}
-	if got, want := m.got.Load(m.now), m.want.Load(m.now); got != want {
+	if got, want := m.policy.Load(m.now), m.reference.Load(m.now); got != want {
 		m.fail("Load = %+v, want %+v", got, want)
 	}
-	if got, want := m.got.Wake(), m.want.Wake(); !got.Equal(want) {
+	if got, want := m.policy.Wake(), m.reference.Wake(); !got.Equal(want) {
 		m.fail("Wake = %v, want %v", got, want)
 	}
-	if err := m.model.check(m.got.Load(m.now)); err != nil {
+	if err := m.tracker.check(m.policy.Load(m.now)); err != nil {
 		m.fail("%v", err)
 	}
 }
 
-// TestAgainstReference compares every decision and checks the ledger's
-// invariants on the way.
+// TestAgainstReference compares every decision with the reference and checks
+// the invariants of jobTracker.
 func TestAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMachine(fromRapid(t), t.Fatalf)
+		m := newComparison(fromRapid(t), t.Fatalf)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
 			m.step()
 		}
 	})
 }
 
-// FuzzAgainstReference does the same with the choices taken from bytes.
+// FuzzAgainstReference is TestAgainstReference with choices from fuzzer input.
 func FuzzAgainstReference(f *testing.F) {
 	f.Add([]byte("tiers go strictly before one another, teams share a tier, deadlines order a team"))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -183,7 +185,7 @@
 			data = data[2:]
 			return n % limit
 		}
-		m := newMachine(pick, t.Fatalf)
+		m := newComparison(pick, t.Fatalf)
 		for range 400 {
 			if len(data) < 2 {
 				return
@@ -193,5 +195,5 @@
 	})
 }
 
-// total is the number of waiting and running jobs.
+// total returns the number of waiting and running jobs.
 func total(r load.Report) int { return r.TotalQueued() + r.TotalRunning() }
--- a/internal/sched/schedtest/engine.go
+++ b/internal/sched/schedtest/engine.go
@@ -8,52 +8,53 @@
 	"coveferry/internal/sched"
 )
 
-// tick is how often a running job reports the tokens it has produced.
+// tick is the interval at which a running job reports produced tokens.
 const tick = 100 * time.Millisecond
 
-// Work is a job with what the policy can't know beforehand.
-type Work struct {
+// Workload is a job with the properties that the policy doesn't know in advance.
+type Workload struct {
 	Job sched.Job
-	// At is when it is offered.
+	// At is when the job is offered.
 	At time.Time
-	// Run is the slot time that it needs after its first token, in which it
-	// produces Tokens.
+	// Run is the slot time from the first token to the end, during which the
+	// job produces Tokens.
 	Run    time.Duration
 	Tokens int
 }
 
-// Outcome is what became of a Work. Times that never came are zero.
+// Outcome is the result of a Workload. Times of events that didn't happen are
+// zero.
 type Outcome struct {
-	Work
+	Workload
 	Verdict     sched.Verdict
 	Dropped     sched.Reason
-	Started     time.Time // for the first time
-	First       time.Time // first token
+	Started     time.Time // first start
+	FirstToken  time.Time
 	Finished    time.Time
 	SlotTime    time.Duration
 	Preemptions int
 }
 
-// InTime says whether the first token met its target.
-func (o *Outcome) InTime() bool {
-	return !o.First.IsZero() && !o.First.After(o.Job.FirstTokenBy)
+// MetTarget reports whether the first token met its latency target.
+func (o *Outcome) MetTarget() bool {
+	return !o.FirstToken.IsZero() && !o.FirstToken.After(o.Job.FirstTokenBy)
 }
 
-// Useful says whether the answer was whole by its deadline.
-func (o *Outcome) Useful() bool {
+// MetDeadline reports whether the answer was complete by its deadline.
+func (o *Outcome) MetDeadline() bool {
 	return !o.Finished.IsZero() && !o.Finished.After(o.Job.Deadline)
 }
 
-// Engine is a fake endpoint with its agent in virtual time: it runs work under
-// a policy, each job at the same speed whatever else runs.
+// Engine simulates an endpoint with its agent in virtual time. It runs jobs
+// under a policy, each at a speed that doesn't depend on the other jobs.
 type Engine struct {
 	Policy sched.Policy
-	// Prefill is the slot time before a job's first token, due again when a
-	// preempted job goes on.
+	// Prefill is the slot time before a job's first token, spent again when a
+	// preempted job resumes.
 	Prefill time.Duration
-	// Stop is how long a preemption takes.
-	Stop time.Duration
-	// Observe is called after each step, if set.
+	// PreemptTime is the duration of a preemption.
+	PreemptTime time.Duration
+	// Observe, if set, is called after each event.
 	Observe func(now time.Time, running []*Run)
 
 	now     time.Time
@@ -61,20 +62,20 @@
 	byID    map[sched.JobID]*Run
 }
 
-// Run is a job's progress.
+// Run is the progress of a job.
 type Run struct {
 	Outcome
-	Produced int
-	startsAt time.Time     // of producing tokens
-	done     time.Duration // of Work.Run, before startsAt
-	nextTick time.Time
-	stopAt   time.Time // zero unless being preempted
+	Produced         int
+	generatingFrom   time.Time     // end of the prefill in the current slot
+	generated        time.Duration // part of Workload.Run done before generatingFrom
+	nextTick         time.Time
+	preemptionEndsAt time.Time // zero unless being preempted
 }
 
-// Simulate offers the work, which must be sorted by At, and returns what became
-// of it by the given time. It panics if the policy asks to be woken at a moment
-// that has passed, since an agent would then spin.
-func (e *Engine) Simulate(work []Work, until time.Time) []*Run {
+// Simulate offers the workloads, which must be sorted by At, and returns their
+// progress at the given time. It panics if the policy requests a wakeup in the
+// past, since an agent would then spin.
+func (e *Engine) Simulate(work []Workload, until time.Time) []*Run {
 	e.byID = make(map[sched.JobID]*Run)
 	all := make([]*Run, 0, len(work))
 	for {
@@ -88,16 +89,15 @@
 			work = work[1:]
 		}
 		e.progress()
-		e.settle()
+		e.applyDecisions()
 		if e.Observe != nil {
 			e.Observe(e.now, e.running)
 		}
 	}
 }
 
-// nextEvent is the earliest moment at which something happens, at least a
-// nanosecond from now.
-func (e *Engine) nextEvent(work []Work) time.Time {
+// nextEvent returns the time of the next event, at least a nanosecond from now.
+func (e *Engine) nextEvent(work []Workload) time.Time {
 	var at time.Time
 	consider := func(t time.Time) {
 		if !t.IsZero() && (at.IsZero() || t.Before(at)) {
@@ -108,7 +108,7 @@
 		consider(work[0].At)
 	}
 	for _, r := range e.running {
-		consider(r.event())
+		consider(r.nextEvent())
 	}
 	wake := e.Policy.Wake()
 	if !wake.IsZero() && !e.now.IsZero() && !wake.After(e.now) {
@@ -121,79 +121,79 @@
 	return at
 }
 
-func (r *Run) event() time.Time {
+func (r *Run) nextEvent() time.Time {
 	at := r.nextTick
-	if end := r.end(); end.Before(at) {
+	if end := r.releasesAt(); end.Before(at) {
 		at = end
 	}
-	if !r.stopAt.IsZero() && r.stopAt.Before(at) {
-		at = r.stopAt
+	if !r.preemptionEndsAt.IsZero() && r.preemptionEndsAt.Before(at) {
+		at = r.preemptionEndsAt
 	}
 	return at
 }
 
-// whole is when the job will be whole if it runs on.
-func (r *Run) whole() time.Time { return r.startsAt.Add(r.Work.Run - r.done) }
+// completesAt returns when the job completes if it isn't interrupted.
+func (r *Run) completesAt() time.Time { return r.generatingFrom.Add(r.Workload.Run - r.generated) }
 
-// end is when the job gives its slot back: once it is whole, or when its caller
-// leaves at the deadline.
-func (r *Run) end() time.Time {
+// releasesAt returns when the job releases its slot: when it completes, or at
+// the deadline, when its caller cancels.
+func (r *Run) releasesAt() time.Time {
 	by := r.Job.Deadline
-	if by.IsZero() || r.whole().Before(by) {
-		return r.whole()
+	if by.IsZero() || r.completesAt().Before(by) {
+		return r.completesAt()
 	}
 	return by
 }
 
-func (e *Engine) offer(w Work) *Run {
-	r := &Run{Outcome: Outcome{Work: w}}
+func (e *Engine) offer(w Workload) *Run {
+	r := &Run{Outcome: Outcome{Workload: w}}
 	r.Verdict = e.Policy.Offer(e.now, w.Job)
 	if r.Verdict.Admitted {
 		e.byID[w.Job.ID] = r
 	}
-	e.settle()
+	e.applyDecisions()
 	return r
 }
 
-// progress produces tokens, ends jobs and completes preemptions.
+// progress produces tokens, finishes jobs and completes preemptions.
 func (e *Engine) progress() {
 	var kept []*Run
 	for _, r := range e.running {
 		r.produce(e)
 		switch {
-		case !r.end().After(e.now):
-			if !r.whole().After(e.now) {
+		case !r.releasesAt().After(e.now):
+			if !r.completesAt().After(e.now) {
 				r.Finished = e.now
 			}
 			e.Policy.Finish(e.now, r.Job.ID)
-		case !r.stopAt.IsZero() && !r.stopAt.After(e.now):
-			r.done += max(0, e.now.Sub(r.startsAt))
-			r.stopAt = time.Time{}
+		case !r.preemptionEndsAt.IsZero() && !r.preemptionEndsAt.After(e.now):
+			r.generated += max(0, e.now.Sub(r.generatingFrom))
+			r.preemptionEndsAt = time.Time{}
 			e.Policy.Requeue(e.now, r.Job.ID)
 		default:
 			kept = append(kept, r)
 			continue
 		}
-		r.SlotTime += e.now.Sub(r.startsAt) + e.Prefill
+		r.SlotTime += e.now.Sub(r.generatingFrom) + e.Prefill
 	}
 	e.running = kept
 }
 
-// produce reports the tokens that are due.
+// produce reports the tokens produced since the last report.
 func (r *Run) produce(e *Engine) {
-	if r.startsAt.After(e.now) {
+	if r.generatingFrom.After(e.now) {
 		return
 	}
-	if r.First.IsZero() {
-		r.First = e.now
+	if r.FirstToken.IsZero() {
+		r.FirstToken = e.now
 	}
 	for !r.nextTick.After(e.now) {
 		r.nextTick = r.nextTick.Add(tick)
 	}
-	ran := min(r.Work.Run, r.done+e.now.Sub(r.startsAt))
+	ran := min(r.Workload.Run, r.generated+e.now.Sub(r.generatingFrom))
 	due := r.Tokens
-	if r.Work.Run > 0 {
-		due = max(1, int(int64(r.Tokens)*int64(ran)/int64(r.Work.Run)))
+	if r.Workload.Run > 0 {
+		due = max(1, int(int64(r.Tokens)*int64(ran)/int64(r.Workload.Run)))
 	}
 	if n := due - r.Produced; n > 0 {
 		r.Produced = due
@@ -201,8 +201,8 @@
 	}
 }
 
-// settle carries decisions out until there are none.
-func (e *Engine) settle() {
+// applyDecisions carries out decisions until there are none.
+func (e *Engine) applyDecisions() {
 	for {
 		d := e.Policy.Next(e.now)
 		r := e.byID[d.Job]
@@ -213,7 +213,7 @@
 			e.start(r)
 		case sched.ActionPreempt:
 			r.Preemptions++
-			r.stopAt = e.now.Add(e.Stop)
+			r.preemptionEndsAt = e.now.Add(e.PreemptTime)
 		case sched.ActionDrop:
 			r.Dropped = d.Reason
 		}
@@ -224,7 +224,7 @@
 	if r.Started.IsZero() {
 		r.Started = e.now
 	}
-	r.startsAt = e.now.Add(e.Prefill)
-	r.nextTick = r.startsAt
+	r.generatingFrom = e.now.Add(e.Prefill)
+	r.nextTick = r.generatingFrom
 	e.running = append(e.running, r)
 }
--- a/internal/sched/schedtest/overload_test.go
+++ b/internal/sched/schedtest/overload_test.go
@@ -17,37 +17,37 @@
 	overloadTime  = 5 * time.Minute
 )
 
-// kind is a class of the mix, at the tier of its place in it.
-type kind struct {
+// trafficClass is a class of a traffic mix. Its index in the mix is its tier.
+type trafficClass struct {
 	class                string
-	load                 float64 // share of the endpoint's slot time at 1x
+	load                 float64 // share of the endpoint's slot time at load 1
 	run                  time.Duration
 	tokens               int
 	firstToken, deadline time.Duration
 }
 
-// registry is a mix in the shape of the registry's: receipts, queries and
-// reviews, together the whole capacity.
-var registry = []kind{
+// registryMix models the traffic of the registry team: receipts, queries and
+// reviews, which together use the whole capacity.
+var registryMix = []trafficClass{
 	{"receipt", 0.2, 400 * time.Millisecond, 20, 300 * time.Millisecond, 3 * time.Second},
 	{"query", 0.4, 4 * time.Second, 200, 2 * time.Second, 15 * time.Second},
 	{"review", 0.4, 12 * time.Second, 600, 10 * time.Second, 90 * time.Second},
 }
 
-// arrivals draws the mix at a multiple of the capacity: Poisson arrivals,
-// exponential run times.
-func arrivals(mix []kind, times float64, seed uint64) []schedtest.Work {
+// arrivals generates the mix at a multiple of the capacity, with Poisson
+// arrivals and exponential run times.
+func arrivals(mix []trafficClass, load float64, seed uint64) []schedtest.Workload {
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	next := make([]time.Time, len(mix))
 	draw := func(i int) {
-		gap := float64(mix[i].run) / (mix[i].load * times * overloadSlots)
+		gap := float64(mix[i].run) / (mix[i].load * load * overloadSlots)
 		next[i] = next[i].Add(time.Duration(rnd.ExpFloat64() * gap))
 	}
 	for i := range next {
 		next[i] = epoch
 		draw(i)
 	}
-	var work []schedtest.Work
+	var work []schedtest.Workload
 	for {
 		first := 0
 		for i := range next {
@@ -58,14 +58,14 @@
 		if next[first].Sub(epoch) > overloadTime {
 			return work
 		}
-		work = append(work, draft(mix[first], first, next[first], rnd, len(work)+1))
+		work = append(work, newWorkload(mix[first], first, next[first], rnd, len(work)+1))
 		draw(first)
 	}
 }
 
-func draft(k kind, tier int, at time.Time, rnd *rand.Rand, id int) schedtest.Work {
+func newWorkload(k trafficClass, tier int, at time.Time, rnd *rand.Rand, id int) schedtest.Workload {
 	length := rnd.ExpFloat64()
-	return schedtest.Work{
+	return schedtest.Workload{
 		Job: sched.Job{
 			ID: sched.JobID(id), Team: fmt.Sprint("team", rnd.IntN(5)), Class: k.class, Tier: tier,
 			FirstTokenBy: at.Add(k.firstToken), Deadline: at.Add(k.deadline), Preemptible: true,
@@ -76,9 +76,9 @@
 	}
 }
 
-// BenchmarkOverload reports what policies make of the same arrivals: each
-// tier's attainment and useful answers a second, and the part of the slot time
-// that went into answers of no use.
+// BenchmarkOverload compares policies under the same arrivals. It reports for
+// each tier the share of first tokens on target and the answers per second that
+// met their deadline, and the share of slot time spent on answers that didn't.
 func BenchmarkOverload(b *testing.B) {
 	policies := map[string]func() sched.Policy{
 		"fifo": func() sched.Policy { return fifo.New(fifo.Config{Slots: overloadSlots, QueueEntries: 200}) },
@@ -91,33 +91,33 @@
 		add(fmt.Sprint("share=", share), tiered.Config{Preempt: true, ReserveShare: share})
 	}
 	add("reserve=off", tiered.Config{Preempt: true, Off: tiered.Switches{Reserve: true}})
-	for _, most := range []int{1, 2, 5} {
-		add(fmt.Sprint("preemptions=", most), tiered.Config{Preempt: true, MaxPreemptions: most})
+	for _, maxPreemptions := range []int{1, 2, 5} {
+		add(fmt.Sprint("preemptions=", maxPreemptions), tiered.Config{Preempt: true, MaxPreemptions: maxPreemptions})
 	}
 	add("preempt=off", tiered.Config{})
 	add("refuselate=on", tiered.Config{Preempt: true, RefuseLateFirstToken: true})
-	add("givingup=off", tiered.Config{Preempt: true, Off: tiered.Switches{GivingUp: true}})
+	add("givingup=off", tiered.Config{Preempt: true, Off: tiered.Switches{LateDrop: true}})
 	add("earlyrefusal=off", tiered.Config{Preempt: true, Off: tiered.Switches{EarlyRefusal: true}})
-	for _, times := range []float64{1, 2} {
+	for _, load := range []float64{1, 2} {
 		for name, policy := range policies {
-			b.Run(fmt.Sprintf("load=%v/%s", times, name), func(b *testing.B) { overload(b, policy, times) })
+			b.Run(fmt.Sprintf("load=%v/%s", load, name), func(b *testing.B) { reportOverload(b, policy, load) })
 		}
 	}
 }
 
-func overload(b *testing.B, policy func() sched.Policy, times float64) {
+func reportOverload(b *testing.B, policy func() sched.Policy, load float64) {
 	var offered, inTime, useful [3]float64
 	var used, wasted float64
 	for b.Loop() {
 		for seed := range uint64(3) {
-			e := schedtest.Engine{Policy: policy(), Prefill: 100 * time.Millisecond, Stop: 20 * time.Millisecond}
-			for _, r := range e.Simulate(arrivals(registry, times, seed), epoch.Add(2*overloadTime)) {
+			e := schedtest.Engine{Policy: policy(), Prefill: 100 * time.Millisecond, PreemptTime: 20 * time.Millisecond}
+			for _, r := range e.Simulate(arrivals(registryMix, load, seed), epoch.Add(2*overloadTime)) {
 				offered[r.Job.Tier]++
-				if r.InTime() {
+				if r.MetTarget() {
 					inTime[r.Job.Tier]++
 				}
 				used += r.SlotTime.Seconds()
-				if r.Useful() {
+				if r.MetDeadline() {
 					useful[r.Job.Tier]++
 				} else {
 					wasted += r.SlotTime.Seconds()
--- a/internal/sched/schedtest/property_test.go
+++ b/internal/sched/schedtest/property_test.go
@@ -15,14 +15,14 @@
 
 const longestRun = 2 * time.Second
 
-// flood is work of one class a tier, each of which alone is more than the slots
-// can do.
-func flood(pick chooser, tiers, slots int, lasting time.Duration) []schedtest.Work {
-	var work []schedtest.Work
+// flood generates one class for each tier, each of which alone exceeds the
+// capacity of the slots.
+func flood(pick chooser, tiers, slots int, duration time.Duration) []schedtest.Workload {
+	var work []schedtest.Workload
 	every := longestRun / time.Duration(4*slots)
-	for now := time.Duration(0); now < lasting; now += every {
+	for now := time.Duration(0); now < duration; now += every {
 		for tier := range tiers {
-			work = append(work, schedtest.Work{
+			work = append(work, schedtest.Workload{
 				Job: sched.Job{
 					ID:           sched.JobID(len(work) + 1),
 					Team:         fmt.Sprint("team", pick(2)),
@@ -40,34 +40,36 @@
 	return work
 }
 
-// bound is how long a class can go without service, as the design note states.
-func bound(cfg tiered.Config, classes, tiers int, run time.Duration) time.Duration {
+// starvationBound returns the longest time without service of a class, as stated
+// in docs/design/0002-scheduling.md.
+func starvationBound(cfg tiered.Config, classes, tiers int, run time.Duration) time.Duration {
 	slotWait := run
 	if cfg.Preempt {
 		slotWait = time.Duration(tiers) * run
 	}
-	part := min(1, cfg.ReserveShare*float64(cfg.Slots))
-	turn := time.Duration(float64(run)/part) + slotWait
-	return cfg.ReserveAfter + time.Duration(classes)*turn
+	share := min(1, cfg.ReserveShare*float64(cfg.Slots))
+	perClass := time.Duration(float64(run)/share) + slotWait
+	return cfg.ReserveAfter + time.Duration(classes)*perClass
 }
 
-// longestHunger is the longest time in which no job of a class started that was
-// its oldest waiting one.
-func longestHunger(runs []*schedtest.Run, classes int, until time.Time) time.Duration {
+// longestUnserved returns the longest time in which a class's oldest waiting job
+// wasn't started.
+func longestUnserved(runs []*schedtest.Run, classes int, until time.Time) time.Duration {
 	var longest time.Duration
 	for c := range classes {
-		served := epoch
+		lastServed := epoch
 		for _, r := range runs {
 			if r.Job.Class != fmt.Sprint("class", c) || !r.Verdict.Admitted || r.Dropped != "" {
-				continue // a displaced one was never its class's oldest
+				continue // a displaced job was never the oldest of its class
 			}
-			// In order of arrival, each is the oldest once those before started.
+			// In order of arrival, each job is the oldest once all earlier ones
+			// have started.
 			started := r.Started
 			if started.IsZero() {
 				started = until
 			}
-			longest = max(longest, started.Sub(served))
-			served = maxTime(served, started)
+			longest = max(longest, started.Sub(lastServed))
+			lastServed = maxTime(lastServed, started)
 		}
 	}
 	return longest
@@ -80,35 +82,38 @@
 	return b
 }
 
-// hunger floods an engine and returns the longest hunger and its bound.
-func hunger(pick chooser, off tiered.Switches) (got, limit time.Duration) {
+// measureStarvation floods an engine and returns the longest time that a class
+// went without service, and its bound.
+func measureStarvation(pick chooser, off tiered.Switches) (got, limit time.Duration) {
 	const tiers = 3
 	cfg := tiered.Config{
 		Slots: 1 + pick(4), Preempt: pick(2) == 0, QueueEntries: 1 + pick(50), MaxPreemptions: 2,
 		ReserveShare: []float64{0.1, 0.3}[pick(2)], ReserveAfter: time.Second, Off: off,
 	}
-	e := schedtest.Engine{Policy: tiered.New(cfg), Prefill: 50 * time.Millisecond, Stop: 20 * time.Millisecond}
-	held := longestRun + e.Prefill + e.Stop + time.Millisecond
-	limit = bound(cfg, tiers, tiers, held)
-	lasting := 2 * limit
-	runs := e.Simulate(flood(pick, tiers, cfg.Slots, lasting), epoch.Add(lasting))
-	return longestHunger(runs, tiers, epoch.Add(lasting)), limit
+	e := schedtest.Engine{Policy: tiered.New(cfg), Prefill: 50 * time.Millisecond, PreemptTime: 20 * time.Millisecond}
+	slotTime := longestRun + e.Prefill + e.PreemptTime + time.Millisecond
+	limit = starvationBound(cfg, tiers, tiers, slotTime)
+	duration := 2 * limit
+	runs := e.Simulate(flood(pick, tiers, cfg.Slots, duration), epoch.Add(duration))
+	return longestUnserved(runs, tiers, epoch.Add(duration)), limit
 }
 
-// TestNoClassStarves holds the bound against sustained load of higher tiers.
-func TestNoClassStarves(t *testing.T) {
+// TestStarvationBoundUnderSustainedLoad checks that no class exceeds the
+// starvation bound under sustained load of higher tiers, and that the bound
+// fails without the reserve.
+func TestStarvationBoundUnderSustainedLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		got, limit := hunger(fromSeed(seed), tiered.Switches{})
+		got, limit := measureStarvation(fromSeed(seed), tiered.Switches{})
 		if got > limit {
-			t.Fatalf("a class went hungry for %v, bound %v", got, limit)
+			t.Fatalf("a class went without service for %v, bound %v", got, limit)
 		}
 	})
-	got, limit := hunger(fromSeed(1), tiered.Switches{Reserve: true})
+	got, limit := measureStarvation(fromSeed(1), tiered.Switches{Reserve: true})
 	NewWithT(t).Expect(got).To(BeNumerically(">", limit), "without the reserve")
 }
 
-// fromSeed is a cheap source of choices for long runs.
+// fromSeed returns a fast source of choices for long runs.
 func fromSeed(seed uint64) chooser {
 	return func(limit int) int {
 		seed = seed*6364136223846793005 + 1442695040888963407
@@ -116,9 +121,9 @@
 	}
 }
 
-// unfairness lets two teams wait all the time in one tier and returns the
-// largest difference in tokens served to them, and its bound.
-func unfairness(pick chooser, off tiered.Switches) (got, limit int) {
+// measureUnfairness runs two teams of one tier that always have waiting jobs and
+// returns the largest difference in tokens served, and its bound.
+func measureUnfairness(pick chooser, off tiered.Switches) (got, limit int) {
 	const longest = 400
 	slots := 1 + pick(4)
 	off.Reserve = true
@@ -140,14 +145,15 @@
 	return got, (3*slots + 1) * longest
 }
 
-// TestTeamsShare holds the bound on the difference between two busy teams.
-func TestTeamsShare(t *testing.T) {
+// TestBusyTeamsGetEqualShares checks the bound on the difference in tokens
+// served to two busy teams, and that it fails without fairness.
+func TestBusyTeamsGetEqualShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		got, limit := unfairness(fromSeed(rapid.Uint64().Draw(t, "seed")), tiered.Switches{})
+		got, limit := measureUnfairness(fromSeed(rapid.Uint64().Draw(t, "seed")), tiered.Switches{})
 		if got > limit {
 			t.Fatalf("the teams are %d tokens apart, bound %d", got, limit)
 		}
 	})
-	got, limit := unfairness(fromSeed(1), tiered.Switches{Fairness: true})
+	got, limit := measureUnfairness(fromSeed(1), tiered.Switches{Fairness: true})
 	NewWithT(t).Expect(got).To(BeNumerically(">", limit), "without fairness")
 }
--- a/internal/sched/schedtest/reference.go
+++ b/internal/sched/schedtest/reference.go
@@ -1,6 +1,7 @@
-// Package schedtest holds what tests of scheduling policies share: a naive
-// reference of the tiered policy, written for obviousness with slices and
-// linear scans, against which the real one is compared decision by decision.
+// Package schedtest provides helpers for tests of scheduling policies: a simple
+// reference implementation of the tiered policy, written with slices and linear
+// scans, against which the production one is compared decision by decision, and
+// a simulated endpoint.
 package schedtest
 
 import (
@@ -13,51 +14,52 @@
 	"coveferry/internal/sched/tiered"
 )
 
-// phase is where a job is.
+// phase is the state of a job.
 type phase int
 
 const (
 	phaseWaiting phase = iota
 	phaseRunning
-	phaseStopping
+	phasePreempting
 	phaseDropping
 )
 
-// refJob is a job that the reference holds.
+// refJob is a waiting, running or dropped job.
 type refJob struct {
 	sched.Job
 	arrival     int
 	phase       phase
-	begun       bool
+	started     bool
 	reserved    bool
 	reason      sched.Reason
-	condemned   int // order among the dropping
+	dropOrder   int // position among the jobs to drop
 	startBy     time.Time
 	startedAt   time.Time
-	stopAskedAt time.Time
-	ran         time.Duration
+	preemptedAt time.Time
+	runTime     time.Duration
 	produced    int64
 	charged     int64
 	preemptions int
 }
 
-// refTeam is a team's account in one tier.
+// refTeam is the state of a team within one tier.
 type refTeam struct {
 	tier   int
 	name   string
 	served int64
 }
 
-// refClass is what is known of a class.
+// refClass holds the state and statistics of a request class.
 type refClass struct {
 	name                        string
 	tokens, runTime, firstToken refMean
-	hungry                      bool
-	since                       time.Time
-	turn                        int
+	unserved                    bool
+	unservedSince               time.Time
+	serviceOrder                int
 }
 
-// refMean is a mean in eighths in which a new value weighs one eighth.
+// refMean is an exponentially weighted moving average, stored in eighths, in
+// which a new value has the weight 1/8.
 type refMean struct{ eighths, count int64 }
 
 func (m *refMean) add(v int64) {
@@ -69,31 +71,32 @@
 	m.count++
 }
 
-// Reference is the naive version of tiered.Scheduler. It has no switches.
+// Reference is a simple implementation of the policy of tiered.Scheduler. It
+// ignores Config.Disabled.
 type Reference struct {
-	cfg      tiered.Config
-	jobs     []*refJob // all that are held, by arrival
-	teams    []*refTeam
-	classes  []*refClass
-	lastTeam [load.MaxTiers]*refTeam
-	meter    drain.Meter
-	starts   [load.MaxTiers]drain.Meter // first starts while jobs of the tier wait
-	now      time.Time
-	stopTime refMean
-	account  int64 // the reserve's, in per mille of slot microseconds
-	owed     int
-	arrivals int
-	turns    int
-	drops    int
+	cfg              tiered.Config
+	jobs             []*refJob // in order of arrival
+	teams            []*refTeam
+	classes          []*refClass
+	lastTeam         [load.MaxTiers]*refTeam
+	meter            drain.Meter
+	startRate        [load.MaxTiers]drain.Meter // of first starts while jobs of the tier wait
+	now              time.Time
+	preemptTime      refMean
+	balance          int64 // of the reserve, in per mille of slot microseconds
+	earmarked        int
+	arrivals         int
+	nextServiceOrder int
+	nextDropOrder    int
 }
 
 var _ sched.Policy = (*Reference)(nil)
 
-// NewReference returns a reference with an empty queue. Each field of cfg must
-// be set, since the reference knows no defaults.
+// NewReference returns a reference with an empty queue. All fields of cfg must
+// be set, since the reference applies no defaults.
 func NewReference(cfg tiered.Config) *Reference { return &Reference{cfg: cfg} }
 
-// count is the number of held jobs for which ok holds.
+// count returns the number of jobs that satisfy ok.
 func (r *Reference) count(ok func(*refJob) bool) int {
 	n := 0
 	for _, j := range r.jobs {
@@ -104,7 +107,7 @@
 	return n
 }
 
-// best is the held job for which ok holds and which goes before all others.
+// best returns the first job in the order of before that satisfies ok, or nil.
 func (r *Reference) best(ok func(*refJob) bool, before func(a, b *refJob) bool) *refJob {
 	var best *refJob
 	for _, j := range r.jobs {
@@ -116,7 +119,7 @@
 }
 
 func (j *refJob) waits() bool     { return j.phase == phaseWaiting }
-func (j *refJob) holdsSlot() bool { return j.phase == phaseRunning || j.phase == phaseStopping }
+func (j *refJob) holdsSlot() bool { return j.phase == phaseRunning || j.phase == phasePreempting }
 
 func earlier(a, b *refJob) bool { return a.arrival < b.arrival }
 
@@ -126,10 +129,10 @@
 	return r.best(func(j *refJob) bool { return j.ID == id }, earlier)
 }
 
-func (r *Reference) forget(gone *refJob) {
+func (r *Reference) forget(removed *refJob) {
 	var kept []*refJob
 	for _, j := range r.jobs {
-		if j != gone {
+		if j != removed {
 			kept = append(kept, j)
 		}
 	}
@@ -162,17 +165,17 @@
 	busy := r.busy()
 	r.meter.Advance(now, busy)
 	if !r.now.IsZero() {
-		passed := now.UnixMicro() - r.now.UnixMicro()
+		elapsed := now.UnixMicro() - r.now.UnixMicro()
 		spent := int64(r.count(func(j *refJob) bool { return j.reserved }))
-		r.account = min(0, r.account+r.share()*int64(busy)*passed-1000*spent*passed)
+		r.balance = min(0, r.balance+r.share()*int64(busy)*elapsed-1000*spent*elapsed)
 	}
 	r.now = now
 }
 
-// share is the reserve's, in thousandths.
+// share returns the reserve's share of slot time in thousandths.
 func (r *Reference) share() int64 { return max(1, int64(math.Round(r.cfg.ReserveShare*1000))) }
 
-// Load counts the jobs.
+// Load counts the waiting and running jobs.
 func (r *Reference) Load(now time.Time) load.Report {
 	r.advance(now)
 	report := load.Report{Slots: r.cfg.Slots, DrainPerSecond: r.meter.PerSecond(r.cfg.Slots)}
@@ -187,7 +190,7 @@
 	return report
 }
 
-// Tokens charges tokens beyond what the job has cost its team.
+// Tokens charges the team for produced tokens beyond the job's charge.
 func (r *Reference) Tokens(now time.Time, id sched.JobID, n int) {
 	r.advance(now)
 	j := r.find(id)
@@ -201,41 +204,41 @@
 	r.charge(j, max(j.charged, j.produced))
 }
 
-// charge sets what the job has cost its team.
+// charge sets the tokens charged to the team for the job.
 func (r *Reference) charge(j *refJob, tokens int64) {
 	r.team(j.Tier, j.Team).served += tokens - j.charged
 	j.charged = tokens
 }
 
-// Requeue puts a job that held a slot back in the queue.
+// Requeue returns a job that held a slot to the queue.
 func (r *Reference) Requeue(now time.Time, id sched.JobID) {
 	r.advance(now)
 	j := r.find(id)
 	if j == nil || !j.holdsSlot() {
 		return
 	}
-	if j.phase == phaseStopping {
-		r.stopTime.add(int64(now.Sub(j.stopAskedAt)))
+	if j.phase == phasePreempting {
+		r.preemptTime.add(int64(now.Sub(j.preemptedAt)))
 	}
 	higher := r.count(func(o *refJob) bool { return o.waits() && o.Tier < j.Tier })
-	if j.phase == phaseStopping && higher > 0 {
-		r.owed++
+	if j.phase == phasePreempting && higher > 0 {
+		r.earmarked++
 	}
-	r.touch(j.Tier)
+	r.advanceStartRate(j.Tier)
 	r.release(j)
-	r.lift(r.team(j.Tier, j.Team))
+	r.liftCounter(r.team(j.Tier, j.Team))
 	j.phase = phaseWaiting
-	r.demand(r.class(j.Class))
+	r.markUnserved(r.class(j.Class))
 }
 
-// release takes the job's slot back and corrects its charge.
+// release frees the job's slot and corrects its charge.
 func (r *Reference) release(j *refJob) {
 	j.reserved = false
-	j.ran += r.now.Sub(j.startedAt)
+	j.runTime += r.now.Sub(j.startedAt)
 	r.charge(j, max(j.produced, 1))
 }
 
-// Finish forgets a job.
+// Finish removes a job.
 func (r *Reference) Finish(now time.Time, id sched.JobID) {
 	r.advance(now)
 	j := r.find(id)
@@ -246,28 +249,29 @@
 		r.release(j)
 		r.meter.Finished()
 		c := r.class(j.Class)
-		c.runTime.add(int64(j.ran))
+		c.runTime.add(int64(j.runTime))
 		c.tokens.add(j.produced)
 	}
-	left := j.waits()
-	if left {
-		r.touch(j.Tier)
+	wasWaiting := j.waits()
+	if wasWaiting {
+		r.advanceStartRate(j.Tier)
 	}
 	r.forget(j)
-	if left {
-		r.noteLeft(j)
+	if wasWaiting {
+		r.recordLastTeam(j)
 	}
 }
 
-// touch accounts for the time since the tier's waiting jobs last changed.
-func (r *Reference) touch(tier int) {
+// advanceStartRate accounts for the time since the tier's waiting jobs last
+// changed.
+func (r *Reference) advanceStartRate(tier int) {
 	waiting := r.count(func(j *refJob) bool { return j.waits() && j.Tier == tier })
-	r.starts[tier].Advance(r.now, min(waiting, 1))
+	r.startRate[tier].Advance(r.now, min(waiting, 1))
 }
 
-// noteLeft records the team as the last one that waited in its tier, if none
-// of its jobs waits any more. The job must have left the queue already.
-func (r *Reference) noteLeft(j *refJob) {
+// recordLastTeam records the job's team as the last active one of its tier if
+// none of its jobs is waiting any more. Call it after the job left the queue.
+func (r *Reference) recordLastTeam(j *refJob) {
 	m := r.team(j.Tier, j.Team)
 	if r.waitingOf(m) == 0 {
 		r.lastTeam[j.Tier] = m
@@ -278,22 +282,22 @@
 	return r.count(func(j *refJob) bool { return j.waits() && j.Tier == m.tier && j.Team == m.name })
 }
 
-// lift brings a team that starts to wait up to the least counter of the teams
-// that wait, or that of the one that waited last.
-func (r *Reference) lift(m *refTeam) {
+// liftCounter raises the counter of a team that becomes active to the lowest
+// counter of the active teams, or to that of the last active team.
+func (r *Reference) liftCounter(m *refTeam) {
 	if r.waitingOf(m) > 0 {
 		return
 	}
-	present := r.leastServed(m.tier)
-	if present == nil {
-		present = r.lastTeam[m.tier]
+	lowest := r.leastServed(m.tier)
+	if lowest == nil {
+		lowest = r.lastTeam[m.tier]
 	}
-	if present != nil {
-		m.served = max(m.served, present.served)
+	if lowest != nil {
+		m.served = max(m.served, lowest.served)
 	}
 }
 
-// leastServed is the waiting team of the tier with the least counter.
+// leastServed returns the active team of the tier with the lowest counter.
 func (r *Reference) leastServed(tier int) *refTeam {
 	var best *refTeam
 	for _, m := range r.teams {
@@ -307,21 +311,21 @@
 	return best
 }
 
-// demand notes that the class has a waiting job.
-func (r *Reference) demand(c *refClass) {
-	if !c.hungry {
-		c.hungry = true
-		r.renew(c)
+// markUnserved records that the class has a waiting job.
+func (r *Reference) markUnserved(c *refClass) {
+	if !c.unserved {
+		c.unserved = true
+		r.moveToServiceEnd(c)
 	}
 }
 
-func (r *Reference) renew(c *refClass) {
-	c.since = r.now
-	c.turn = r.turns
-	r.turns++
+func (r *Reference) moveToServiceEnd(c *refClass) {
+	c.unservedSince = r.now
+	c.serviceOrder = r.nextServiceOrder
+	r.nextServiceOrder++
 }
 
-// oldest is the class's waiting job that arrived first.
+// oldest returns the class's waiting job that arrived first.
 func (r *Reference) oldest(class string) *refJob {
 	return r.best(func(j *refJob) bool { return j.waits() && j.Class == class }, earlier)
 }
--- a/internal/sched/schedtest/reference_admit.go
+++ b/internal/sched/schedtest/reference_admit.go
@@ -21,27 +21,28 @@
 		return sched.Verdict{Reason: sched.ReasonTooLate, RetryAfter: r.retryAfter(j.Tier)}
 	}
 	m := r.team(j.Tier, j.Team)
-	fresh := r.count(func(o *refJob) bool { return o.waits() && !o.begun && o.Class == j.Class })
+	fresh := r.count(func(o *refJob) bool { return o.waits() && !o.started && o.Class == j.Class })
 	if fresh > 0 {
 		if wait, by := r.expectedWait(j), r.admitBy(n, c); tooLate(now.Add(wait), by) {
 			return sched.Verdict{Reason: sched.ReasonTooLate, RetryAfter: drain.Clamp(wait - by.Sub(now))}
 		}
-		if !r.makeRoom(j) {
+		if !r.displaceLowerTiers(j) {
 			return sched.Verdict{Reason: sched.ReasonQueueFull, RetryAfter: r.retryAfter(j.Tier)}
 		}
 	}
-	r.touch(j.Tier)
-	r.lift(m)
+	r.advanceStartRate(j.Tier)
+	r.liftCounter(m)
 	r.arrivals++
 	r.jobs = append(r.jobs, n)
-	r.demand(c)
+	r.markUnserved(c)
 	return sched.Verdict{Admitted: true}
 }
 
-// tooLate says whether at is at or after by; the zero time never comes.
+// tooLate reports whether at is at or after by; a zero by is never reached.
 func tooLate(at, by time.Time) bool { return !by.IsZero() && !at.Before(by) }
 
-// startBy is two runs before the deadline, or halfway to it if that is later.
+// startBy returns two mean run times before the deadline, or halfway to the
+// deadline if that is later.
 func (r *Reference) startBy(j sched.Job, c *refClass) time.Time {
 	if j.Deadline.IsZero() {
 		return j.Deadline
@@ -51,7 +52,7 @@
 	return j.Deadline.Add(-min(runs, half))
 }
 
-// admitBy is when the job has to be expected to start at the latest.
+// admitBy returns the time before which the job must be expected to start.
 func (r *Reference) admitBy(j *refJob, c *refClass) time.Time {
 	if !r.cfg.RefuseLateFirstToken || j.FirstTokenBy.IsZero() {
 		return j.startBy
@@ -63,10 +64,10 @@
 	return j.startBy
 }
 
-// expectedWait is the time in which the jobs ahead and one more get slots, or
-// in which those of its own tier start, if that is longer.
+// expectedWait returns the time in which the jobs ahead and this one get slots,
+// or in which those of its own tier start if that is longer.
 func (r *Reference) expectedWait(j sched.Job) time.Duration {
-	r.touch(j.Tier)
+	r.advanceStartRate(j.Tier)
 	higher := r.count(func(o *refJob) bool { return o.waits() && o.Tier < j.Tier })
 	tier := r.count(func(o *refJob) bool { return o.waits() && o.Tier == j.Tier })
 	ofTeam := func(o *refJob) bool { return o.waits() && o.Tier == j.Tier && o.Team == j.Team }
@@ -83,17 +84,17 @@
 	}
 	own = min(tier, own+others*(own+1))
 	ahead := higher + own
-	open := r.cfg.Slots - r.busy()
+	freeable := r.cfg.Slots - r.busy()
 	if r.cfg.Preempt {
-		open += r.count(func(o *refJob) bool { return r.mayStop(o, j.Tier) })
+		freeable += r.count(func(o *refJob) bool { return r.mayPreempt(o, j.Tier) })
 	}
-	if ahead+1-open <= 0 {
+	if ahead+1-freeable <= 0 {
 		return 0
 	}
-	return max(r.meter.Wait(r.cfg.Slots, ahead+1-open), r.starts[j.Tier].Wait(1, own))
+	return max(r.meter.Wait(r.cfg.Slots, ahead+1-freeable), r.startRate[j.Tier].Wait(1, own))
 }
 
-// byDeadline orders by deadline, none last, then by arrival.
+// byDeadline orders by deadline, jobs without one last, then by arrival.
 func byDeadline(a, b *refJob) bool {
 	switch {
 	case a.Deadline.Equal(b.Deadline):
@@ -107,19 +108,19 @@
 	}
 }
 
-// inRoom says whether the job counts towards the bounds of the queue: it waits,
-// hasn't begun, and isn't the first such one of its class.
-func (r *Reference) inRoom(j *refJob) bool {
-	fresh := func(o *refJob) bool { return o.waits() && !o.begun && o.Class == j.Class }
+// bounded reports whether the job counts towards the queue's limits: it waits,
+// has never started, and isn't the oldest such job of its class.
+func (r *Reference) bounded(j *refJob) bool {
+	fresh := func(o *refJob) bool { return o.waits() && !o.started && o.Class == j.Class }
 	return fresh(j) && r.best(fresh, earlier) != j
 }
 
-// makeRoom displaces the newest jobs of the lowest tiers until the job fits.
-func (r *Reference) makeRoom(j sched.Job) bool {
+// displaceLowerTiers displaces the newest jobs of the lowest tiers until the job fits.
+func (r *Reference) displaceLowerTiers(j sched.Job) bool {
 	var displaced []*refJob
 	for !r.fits(j, displaced) {
 		next := r.best(func(o *refJob) bool {
-			return r.inRoom(o) && o.Tier > j.Tier && !contains(displaced, o)
+			return r.bounded(o) && o.Tier > j.Tier && !contains(displaced, o)
 		}, func(a, b *refJob) bool {
 			return a.Tier > b.Tier || a.Tier == b.Tier && a.arrival > b.arrival
 		})
@@ -129,16 +130,16 @@
 		displaced = append(displaced, next)
 	}
 	for _, o := range displaced {
-		r.condemn(o, sched.ReasonDisplaced)
+		r.markDropped(o, sched.ReasonDisplaced)
 	}
 	return true
 }
 
-// fits says whether the job has room once the displaced ones are gone.
+// fits reports whether the job fits into the queue without the displaced jobs.
 func (r *Reference) fits(j sched.Job, displaced []*refJob) bool {
 	entries, bytes := 0, j.Bytes
 	for _, o := range r.jobs {
-		if r.inRoom(o) && !contains(displaced, o) {
+		if r.bounded(o) && !contains(displaced, o) {
 			entries++
 			bytes += o.Bytes
 		}
@@ -158,17 +159,18 @@
 	return false
 }
 
-// condemn takes a waiting job out of the queue, to be dropped.
-func (r *Reference) condemn(j *refJob, why sched.Reason) {
-	r.touch(j.Tier)
+// markDropped removes a waiting job from the queue and schedules its drop.
+func (r *Reference) markDropped(j *refJob, why sched.Reason) {
+	r.advanceStartRate(j.Tier)
 	j.phase = phaseDropping
 	j.reason = why
-	j.condemned = r.drops
-	r.drops++
-	r.noteLeft(j)
+	j.dropOrder = r.nextDropOrder
+	r.nextDropOrder++
+	r.recordLastTeam(j)
 }
 
-// retryAfter is when the higher tiers' jobs and one more have gone.
+// retryAfter returns the expected time until the waiting jobs of higher tiers
+// and one more job have finished.
 func (r *Reference) retryAfter(tier int) time.Duration {
 	higher := r.count(func(o *refJob) bool { return o.waits() && o.Tier < tier })
 	return r.meter.RetryAfter(r.cfg.Slots, higher+1)
--- a/internal/sched/tiered/account.go
+++ b/internal/sched/tiered/account.go
@@ -1,28 +1,28 @@
 package tiered
 
-// leastCharge is what a job costs its team at least, so that jobs that produce
-// no tokens are shared fairly by number.
-const leastCharge = 1
+// minCharge is the least number of tokens charged for a job, so that jobs that
+// produce no tokens are shared fairly by count.
+const minCharge = 1
 
-// startCharge is what the team pays when the job starts: the estimated length
-// of the answer, since the true one isn't known beforehand.
+// startCharge returns the tokens charged when the job starts: the estimated
+// length of the answer, since the actual length isn't known yet.
 func (s *Scheduler) startCharge(it *item) int64 {
-	if s.cfg.Off.Estimate {
+	if s.cfg.Off.StartCharge {
 		return 0
 	}
-	return it.class.estimate()
+	return it.class.estimatedTokens()
 }
 
-// chargeUpTo raises what the job has cost its team to the given tokens.
+// chargeUpTo raises the job's charge to the given number of tokens.
 func (s *Scheduler) chargeUpTo(it *item, tokens int64) {
 	if tokens > it.charged {
 		s.setCharge(it, tokens)
 	}
 }
 
-// settle corrects what the job has cost to what it has produced.
-func (s *Scheduler) settle(it *item) {
-	s.setCharge(it, max(it.produced, leastCharge))
+// settleCharge replaces the estimated charge by the tokens actually produced.
+func (s *Scheduler) settleCharge(it *item) {
+	s.setCharge(it, max(it.produced, minCharge))
 }
 
 func (s *Scheduler) setCharge(it *item, tokens int64) {
--- a/internal/sched/tiered/admit.go
+++ b/internal/sched/tiered/admit.go
@@ -9,8 +9,8 @@
 )
 
 // Offer admits the job, displacing waiting jobs of lower tiers if the queue is
-// full, or refuses it. A tier out of range counts as the nearest one; a job
-// whose id is already held is refused without a reason.
+// full, or refuses it. An out-of-range tier is clamped. A job whose id is
+// already known is refused without a reason.
 func (s *Scheduler) Offer(now time.Time, j sched.Job) sched.Verdict {
 	s.advance(now)
 	if _, held := s.items[j.ID]; held {
@@ -19,12 +19,12 @@
 	j.Tier = min(max(j.Tier, 0), load.MaxTiers-1)
 	c := s.class(j.Class)
 	startBy := s.startBy(now, c, j)
-	if s.late(now.UnixNano(), startBy) {
+	if s.tooLate(now.UnixNano(), startBy) {
 		return refusal(sched.ReasonTooLate, s.retryAfter(j.Tier))
 	}
 	m := s.tiers[j.Tier].team(j.Team)
-	if !s.sheltered(c) {
-		if v, refused := s.crowdedOut(now, j, c, m, startBy); refused {
+	if !s.protected(c) {
+		if v, refused := s.refuseIfQueueTooLong(now, j, c, m, startBy); refused {
 			return v
 		}
 	}
@@ -34,15 +34,16 @@
 	return sched.Verdict{Admitted: true}
 }
 
-// crowdedOut refuses a job that the queue leaves no time or no room for.
-func (s *Scheduler) crowdedOut(now time.Time, j sched.Job, c *class, m *team, startBy int64) (sched.Verdict, bool) {
+// refuseIfQueueTooLong refuses a job that is expected to wait too long or that
+// exceeds the queue's limits.
+func (s *Scheduler) refuseIfQueueTooLong(now time.Time, j sched.Job, c *class, m *team, startBy int64) (sched.Verdict, bool) {
 	wait := s.expectedWait(now, j, c, m)
 	by := s.admitBy(c, j, startBy)
-	if s.late(now.UnixNano()+int64(wait), by) {
-		over := wait - time.Duration(by-now.UnixNano())
-		return refusal(sched.ReasonTooLate, drain.Clamp(over)), true
+	if s.tooLate(now.UnixNano()+int64(wait), by) {
+		excess := wait - time.Duration(by-now.UnixNano())
+		return refusal(sched.ReasonTooLate, drain.Clamp(excess)), true
 	}
-	if !s.makeRoom(now, j) {
+	if !s.displaceLowerTiers(now, j) {
 		return refusal(sched.ReasonQueueFull, s.retryAfter(j.Tier)), true
 	}
 	return sched.Verdict{}, false
@@ -52,22 +53,23 @@
 	return sched.Verdict{Reason: why, RetryAfter: retryAfter}
 }
 
-// late says whether a start at the given moment is too late.
-func (s *Scheduler) late(at, by int64) bool {
+// tooLate reports whether a start at the given time misses the limit by.
+func (s *Scheduler) tooLate(at, by int64) bool {
 	return by != never && at >= by && !s.cfg.Off.EarlyRefusal
 }
 
-// startBy is when the job's answer can hardly be finished by its deadline any
-// more as far as is known of its class.
+// startBy returns the time after which the job is unlikely to finish by its
+// deadline, given the run times of its class.
 func (s *Scheduler) startBy(now time.Time, c *class, j sched.Job) int64 {
 	deadline := unixNano(j.Deadline)
-	if deadline == never || s.cfg.Off.GivingUp {
+	if deadline == never || s.cfg.Off.LateDrop {
 		return deadline
 	}
-	return deadline - c.margin(deadline-now.UnixNano())
+	return deadline - c.deadlineMargin(deadline-now.UnixNano())
 }
 
-// admitBy is the moment before which the job has to be expected to start.
+// admitBy returns the time before which the job must be expected to start in
+// order to be admitted.
 func (s *Scheduler) admitBy(c *class, j sched.Job, startBy int64) int64 {
 	if !s.cfg.RefuseLateFirstToken || j.FirstTokenBy.IsZero() {
 		return startBy
@@ -75,10 +77,10 @@
 	return min(startBy, unixNano(j.FirstTokenBy)-c.firstToken.mean())
 }
 
-// expectedWait is how long the job will wait: what the endpoint takes to finish
-// as many jobs as go before it, or what its tier takes to start those of its
-// own, which allows for higher tiers' jobs yet to come. It is 0 as long as
-// nothing has been measured, and rather errs to the low side.
+// expectedWait estimates the job's queueing time: the longer of the time in
+// which the endpoint finishes as many jobs as are ahead, and the time in which
+// the tier starts those of its own, which accounts for later arrivals of higher
+// tiers. It is 0 without a measurement and tends to underestimate.
 func (s *Scheduler) expectedWait(now time.Time, j sched.Job, c *class, m *team) time.Duration {
 	t := &s.tiers[j.Tier]
 	t.advance(now)
@@ -87,19 +89,20 @@
 	for i := range j.Tier {
 		ahead += s.tiers[i].queued
 	}
-	open := s.cfg.Slots - len(s.running) + s.victimsBelow(j.Tier)
-	need := ahead + 1 - open
-	if need <= 0 {
+	freeable := s.cfg.Slots - len(s.running) + s.victimsBelow(j.Tier)
+	needed := ahead + 1 - freeable
+	if needed <= 0 {
 		return 0
 	}
-	return max(s.meter.Wait(s.cfg.Slots, need), t.starts.Wait(1, own))
+	return max(s.meter.Wait(s.cfg.Slots, needed), t.startRate.Wait(1, own))
 }
 
-// ahead is how many of the tier's waiting jobs go before a new one of the team
-// and class. Of the team's own those of the class count, unless the new one is
-// the most urgent; every other team gets at most as many turns as this one.
+// ahead returns how many of the tier's waiting jobs start before a new one of
+// the team and class. Of the team's own jobs those of the same class count,
+// unless the new job has the earliest deadline. Each other team is assumed to
+// start at most as many jobs as this one.
 func (t *tier) ahead(m *team, c *class, deadline int64) int {
-	own := m.ofClass(c)
+	own := m.waitingOfClass(c)
 	if len(m.jobs) > 0 && deadline < m.jobs[0].key {
 		own = 0
 	}
@@ -110,28 +113,29 @@
 	return min(t.queued, own+others*(own+1))
 }
 
-// makeRoom displaces waiting jobs of lower tiers, the lowest tier's newest
-// first, until the job fits. It displaces none if that isn't enough.
-func (s *Scheduler) makeRoom(now time.Time, j sched.Job) bool {
-	if s.fits(j.Bytes, s.roomEntries, s.roomBytes) {
+// displaceLowerTiers displaces waiting jobs of lower tiers, the newest of the
+// lowest tier first, until the job fits into the queue. If displacing all of
+// them isn't enough, it displaces none and returns false.
+func (s *Scheduler) displaceLowerTiers(now time.Time, j sched.Job) bool {
+	if s.fits(j.Bytes, s.boundedEntries, s.boundedBytes) {
 		return true
 	}
-	entries, bytes := s.roomEntries, s.roomBytes
+	entries, bytes := s.boundedEntries, s.boundedBytes
 	for i := j.Tier + 1; i < len(s.tiers); i++ {
-		entries -= s.tiers[i].roomEntries
-		bytes -= s.tiers[i].roomBytes
+		entries -= s.tiers[i].boundedEntries
+		bytes -= s.tiers[i].boundedBytes
 	}
 	if s.cfg.Off.Displacement || !s.fits(j.Bytes, entries, bytes) {
 		return false
 	}
-	for !s.fits(j.Bytes, s.roomEntries, s.roomBytes) {
-		s.condemn(now, s.lowestNewest(), sched.ReasonDisplaced)
+	for !s.fits(j.Bytes, s.boundedEntries, s.boundedBytes) {
+		s.markDropped(now, s.displaceable(), sched.ReasonDisplaced)
 	}
 	return true
 }
 
-// fits says whether a job of the given size fits beside the given entries and
-// bytes.
+// fits reports whether a job of the given size can be added to a queue with the
+// given number of entries and bytes.
 func (s *Scheduler) fits(size, entries, bytes int) bool {
 	if s.cfg.QueueEntries > 0 && entries >= s.cfg.QueueEntries {
 		return false
@@ -139,18 +143,20 @@
 	return s.cfg.QueueBytes <= 0 || bytes+size <= s.cfg.QueueBytes
 }
 
-// lowestNewest is the newest job in the room of the lowest tier that has one.
-func (s *Scheduler) lowestNewest() *item {
+// displaceable returns the next job to displace: the newest of the lowest tier
+// that has jobs counting towards the queue's limits.
+func (s *Scheduler) displaceable() *item {
 	for i := len(s.tiers) - 1; i >= 0; i-- {
-		if it := s.tiers[i].room.tail; it != nil {
+		if it := s.tiers[i].bounded.tail; it != nil {
 			return it
 		}
 	}
 	return nil
 }
 
-// retryAfter is when a job of the tier may find room: after those of the
-// higher tiers, which would take it first, and one more have gone.
+// retryAfter returns the expected time until the queue accepts a job of the
+// tier: until all waiting jobs of higher tiers, which go first, and one more
+// job have finished.
 func (s *Scheduler) retryAfter(tier int) time.Duration {
 	n := 1
 	for i := range tier {
--- a/internal/sched/tiered/bench_test.go
+++ b/internal/sched/tiered/bench_test.go
@@ -16,7 +16,7 @@
 	benchClasses = 6
 )
 
-// benchJob spreads ids over tiers, teams and classes.
+// benchJob distributes ids over tiers, teams and classes.
 func benchJob(now time.Time, id uint64, names []string) sched.Job {
 	mix := id * 0x9e3779b97f4a7c15 >> 33
 	return sched.Job{
@@ -31,9 +31,9 @@
 	}
 }
 
-// BenchmarkScheduler measures one round of an agent at a steady depth of the
-// queue: a job arrives, a running one produces its tokens and ends, and Next is
-// asked until it has no more to do.
+// BenchmarkScheduler measures one scheduling round at a constant queue depth: a
+// job arrives, a running one produces its tokens and finishes, and Next is
+// called until it returns ActionNone.
 func BenchmarkScheduler(b *testing.B) {
 	for _, queued := range []int{100, 1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("queued=%d", queued), func(b *testing.B) {
@@ -46,15 +46,16 @@
 	}
 }
 
-// TestNoAllocation holds a round at 10,000 queued to no allocation.
-func TestNoAllocation(t *testing.T) {
+// TestSchedulingRoundDoesNotAllocate checks that a round with 10,000 waiting jobs
+// allocates no memory.
+func TestSchedulingRoundDoesNotAllocate(t *testing.T) {
 	if n := testing.AllocsPerRun(1000, rounds(t, 10_000)); n > 0 {
 		t.Errorf("%v allocations a round, want none", n)
 	}
 }
 
-// rounds fills a scheduler to the given depth and returns a function that runs
-// one round on it.
+// rounds fills a scheduler to the given queue depth and returns a function that
+// runs one round on it.
 func rounds(b testing.TB, queued int) func() {
 	names := make([]string, benchTeams)
 	for i := range names {
--- a/internal/sched/tiered/class.go
+++ b/internal/sched/tiered/class.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// defaultTokens is the estimated length of an answer of a class of which none
-// has been seen.
+// defaultTokens is the estimated length of an answer until one of the class has
+// finished.
 const defaultTokens = 256
 
-// runsLeft is how many mean run times a job must have left to be started.
-const runsLeft = 2
+// marginRuns is how many mean run times must be left before a job's deadline
+// when it starts.
+const marginRuns = 2
 
-// average is an exponentially weighted mean in which a new value has a weight
-// of one in averageWeight. It counts in integers, so that it is exact.
+// average is an exponentially weighted moving average in which a new value has
+// the weight 1/averageWeight. It uses integer arithmetic, so that results are
+// exactly reproducible.
 type average struct {
-	scaled int64 // the mean times averageWeight
+	scaled int64 // mean multiplied by averageWeight
 	seen   bool
 }
 
@@ -29,61 +31,65 @@
 
 func (a *average) mean() int64 { return a.scaled / averageWeight }
 
-// class is what the scheduler knows of a request class.
+// class holds the scheduler's state and statistics of a request class.
 type class struct {
 	index int
-	// fresh holds the waiting jobs that haven't begun, by arrival. Its head
-	// is protected: it takes up no room and is never displaced.
-	fresh list
+	// unstarted holds the waiting jobs that have never held a slot, in order
+	// of arrival. Its head is protected: it doesn't count towards the queue's
+	// limits and is never displaced.
+	unstarted list
 
-	tokens     average // of a whole answer
-	runTime    average // nanoseconds of slot time of a whole answer
+	tokens     average // of a complete answer
+	runTime    average // nanoseconds of slot time of a complete answer
 	firstToken average // nanoseconds from the start to the first token
 
-	// hungry says that the class's oldest job hasn't been served since the
-	// moment given; turn orders hungry classes by that moment.
-	hungry bool
-	since  time.Time
-	turn   uint64
+	// unserved reports whether the class has a waiting job and its oldest one
+	// hasn't been started since unservedSince. serviceOrder orders unserved
+	// classes by that time.
+	unserved      bool
+	unservedSince time.Time
+	serviceOrder  uint64
 }
 
-// estimate is the expected length of an answer in tokens, at least 1.
-func (c *class) estimate() int64 {
+// estimatedTokens returns the expected length of an answer in tokens, at least
+// 1.
+func (c *class) estimatedTokens() int64 {
 	if !c.tokens.seen {
 		return defaultTokens
 	}
 	return max(c.tokens.mean(), 1)
 }
 
-// margin is the time before its deadline at which a job offered now is given
-// up: runsLeft mean run times, since the lengths of answers differ widely, but
-// at most half of the time that it has, so that no measurement, right or wrong,
-// shuts a class out. It is 0 without a measurement.
-func (c *class) margin(timeLeft int64) int64 {
-	return min(runsLeft*c.runTime.mean(), timeLeft/2)
+// deadlineMargin returns how long before its deadline a job offered now is
+// dropped if it hasn't started: marginRuns mean run times, since the lengths of
+// answers vary widely, but at most half of the time left, so that no
+// measurement, right or wrong, locks a class out. It is 0 without a
+// measurement.
+func (c *class) deadlineMargin(timeLeft int64) int64 {
+	return min(marginRuns*c.runTime.mean(), timeLeft/2)
 }
 
-// learn takes in a job that gave its slot back for good.
-func (c *class) learn(it *item) {
-	c.runTime.add(int64(it.ran))
+// recordFinished updates the averages with a job that finished.
+func (c *class) recordFinished(it *item) {
+	c.runTime.add(int64(it.runTime))
 	c.tokens.add(it.produced)
 }
 
-// class returns the class of that name, new if it hasn't been seen.
+// class returns the class with the name, creating it if necessary.
 func (s *Scheduler) class(name string) *class {
 	c, ok := s.classes[name]
 	if ok {
 		return c
 	}
-	c = &class{index: len(s.classList), fresh: list{kind: classList}}
+	c = &class{index: len(s.classList), unstarted: list{kind: classList}}
 	s.classes[name] = c
 	s.classList = append(s.classList, c)
 	return c
 }
 
-// oldest returns the class's waiting job that arrived first, nil if none.
+// oldest returns the class's waiting job that arrived first, or nil.
 func (s *Scheduler) oldest(c *class) *item {
-	first := c.fresh.head
+	first := c.unstarted.head
 	for _, it := range s.resumed {
 		if it.class != c {
 			continue
@@ -95,24 +101,24 @@
 	return first
 }
 
-// demand notes that the class has a waiting job.
-func (s *Scheduler) demand(now time.Time, c *class) {
-	if c.hungry {
+// markUnserved records that the class has a waiting job.
+func (s *Scheduler) markUnserved(now time.Time, c *class) {
+	if c.unserved {
 		return
 	}
-	c.hungry = true
-	s.renew(now, c)
+	c.unserved = true
+	s.moveToServiceEnd(now, c)
 }
 
-// served notes that the class's oldest job has started.
-func (s *Scheduler) served(now time.Time, c *class) {
-	c.hungry = s.oldest(c) != nil
-	s.renew(now, c)
+// markServed records that the class's oldest job has started.
+func (s *Scheduler) markServed(now time.Time, c *class) {
+	c.unserved = s.oldest(c) != nil
+	s.moveToServiceEnd(now, c)
 }
 
-// renew moves the class behind all others in the order of hunger.
-func (s *Scheduler) renew(now time.Time, c *class) {
-	c.since = now
-	c.turn = s.turns
-	s.turns++
+// moveToServiceEnd moves the class to the end of the reserve's service order.
+func (s *Scheduler) moveToServiceEnd(now time.Time, c *class) {
+	c.unservedSince = now
+	c.serviceOrder = s.nextServiceOrder
+	s.nextServiceOrder++
 }
--- a/internal/sched/tiered/config.go
+++ b/internal/sched/tiered/config.go
@@ -9,54 +9,54 @@
 	DefaultMaxPreemptions = 10
 )
 
-// Config holds the endpoint's size, the bounds of its queue and the policy's
-// choices.
+// Config holds the endpoint's concurrency, the limits of its queue and the
+// policy's options.
 type Config struct {
-	// Slots is how many jobs run at once.
+	// Slots is the number of jobs that run concurrently.
 	Slots int
-	// QueueEntries and QueueBytes bound the room of the waiting jobs; 0 means
-	// no bound. Each class's oldest job and preempted jobs wait outside it.
+	// QueueEntries and QueueBytes limit the waiting jobs; 0 means unlimited.
+	// Each class's oldest unstarted job and preempted jobs don't count.
 	QueueEntries int
 	QueueBytes   int
-	// Preempt lets a job stop a preemptible one of a lower tier.
+	// Preempt lets a job preempt a preemptible job of a lower tier.
 	Preempt bool
-	// MaxPreemptions bounds how often one job is stopped; 0 means
+	// MaxPreemptions limits how often one job is preempted; 0 means
 	// DefaultMaxPreemptions.
 	MaxPreemptions int
-	// ReserveShare is the part of the slots' time, up to 1, that classes may
-	// use out of turn so as not to starve, counted in thousandths, at least
-	// one; 0 means DefaultReserveShare.
+	// ReserveShare is the share of slot time, at most 1, reserved for jobs
+	// started out of order to prevent starvation of a class. It is rounded to
+	// thousandths, at least one; 0 means DefaultReserveShare.
 	ReserveShare float64
-	// ReserveAfter is how long a class has to go without service before the
-	// reserve serves it; 0 means DefaultReserveAfter.
+	// ReserveAfter is how long a class must go without service before the
+	// reserve may start its oldest job; 0 means DefaultReserveAfter.
 	ReserveAfter time.Duration
 	// RefuseLateFirstToken also refuses a job that is expected to miss its
-	// first-token target though not its deadline.
+	// first-token target but not its deadline.
 	RefuseLateFirstToken bool
-	// Off switches mechanisms off. It is meant for tests only.
+	// Disabled turns off single mechanisms. It is for tests only.
 	Off Switches
 }
 
-// Switches names mechanisms to switch off, so that tests can show that each
-// one matters. They are not for use in service.
+// Mechanisms lists mechanisms to turn off, so that tests can show that each of
+// them is effective. Don't turn any off in production.
 type Switches struct {
-	Fairness     bool // charge no tokens
-	Lift         bool // let a team bank credit while it idles
-	Estimate     bool // charge nothing at the start
-	Reserve      bool // never start out of turn
-	Protection   bool // protect no class's oldest job
-	Displacement bool // refuse rather than displace a lower tier
-	EarlyRefusal bool // admit what can't be served in time
-	GivingUp     bool // keep a job until its deadline has passed
-	Expiry       bool // keep a job beyond its deadline, too
-	Worth        bool // preempt though that doesn't save the first token
-	Shielding    bool // preempt jobs that the reserve started
-	Earmark      bool // let the reserve use slots freed by preemption
-	PreemptBound bool // preempt a job however often it was
-	OneByOne     bool // begin a preemption while another is under way
+	Fairness           bool // charge no tokens
+	CounterLift        bool // let an idle team save up service
+	StartCharge        bool // charge nothing when a job starts
+	Reserve            bool // never start a job out of order
+	OldestProtection   bool // count each class's oldest job towards the queue's limits
+	Displacement       bool // refuse a job instead of displacing a lower tier's
+	EarlyRefusal       bool // admit jobs that can't be served in time
+	LateDrop           bool // keep a job until its deadline has passed
+	Expiry             bool // keep a job beyond its deadline, too
+	PreemptionBenefit  bool // preempt even if that doesn't save a first-token target
+	ReservedProtection bool // preempt jobs that the reserve started
+	Earmark            bool // let the reserve use slots freed by preemption
+	PreemptionLimit    bool // ignore MaxPreemptions
+	SinglePreemption   bool // allow concurrent preemptions
 }
 
-// withDefaults fills in what was left zero.
+// withDefaults replaces zero fields by their defaults.
 func (c Config) withDefaults() Config {
 	if c.ReserveShare == 0 {
 		c.ReserveShare = DefaultReserveShare
--- a/internal/sched/tiered/heap.go
+++ b/internal/sched/tiered/heap.go
@@ -1,7 +1,7 @@
 package tiered
 
-// node is an entry of an indexHeap. It keeps its keys, so that comparing needs
-// no look at the value, and writes its index to *pos.
+// node is an entry of an indexHeap. It stores its keys, so that comparisons
+// don't access the value, and the heap keeps its index in *pos.
 type node[T any] struct {
 	key int64
 	tie uint64
@@ -9,9 +9,9 @@
 	val T
 }
 
-// indexHeap is a binary heap, lowest key first, whose entries know their index
-// and can so be removed or moved. Unlike container/heap it doesn't box values,
-// which would allocate.
+// indexHeap is a binary min-heap that tracks the index of each entry, so that
+// entries can be removed and their keys changed. Unlike container/heap it
+// doesn't box values, which would allocate.
 type indexHeap[T any] []node[T]
 
 // absent is the index of a value that isn't in a heap.
@@ -30,7 +30,7 @@
 	*h[j].pos = j
 }
 
-// add puts a new entry in.
+// add inserts an entry.
 func (h *indexHeap[T]) add(n node[T]) {
 	last := len(*h)
 	*h = append(*h, n)
@@ -38,7 +38,7 @@
 	h.up(last)
 }
 
-// remove takes the entry at index i out.
+// remove removes the entry at index i.
 func (h *indexHeap[T]) remove(i int) {
 	old := *h
 	last := len(old) - 1
@@ -74,7 +74,7 @@
 	}
 }
 
-// down reports whether the entry moved.
+// down moves the entry at index i down and reports whether it moved.
 func (h indexHeap[T]) down(i int) bool {
 	from := i
 	for {
--- a/internal/sched/tiered/item.go
+++ b/internal/sched/tiered/item.go
@@ -7,17 +7,17 @@
 	"coveferry/internal/sched"
 )
 
-// state is where a job is between its admission and its end.
+// state is the state of an admitted job.
 type state uint8
 
 const (
-	waiting  state = iota
-	running        // holds a slot
-	stopping       // holds a slot until the preemption is done
-	dropping       // left the queue; the agent has yet to be told
+	waiting    state = iota
+	running          // holds a slot
+	preempting       // holds a slot until the preemption completes
+	dropping         // left the queue; ActionDrop hasn't been returned yet
 )
 
-// item is a job that the scheduler holds.
+// item is a waiting, running or dropped job.
 type item struct {
 	job     sched.Job
 	arrival uint64
@@ -25,34 +25,35 @@
 	class   *class
 	team    *team
 
-	// startBy is when starting the job becomes pointless, in Unix nanoseconds.
+	// startBy is the latest useful start time in Unix nanoseconds.
 	startBy int64
-	// begun says that the job has held a slot, so it can't be dropped any more.
-	begun bool
-	// inRoom says that the job takes up bounded room of the queue.
-	inRoom bool
-	// reserved says that the reserve started it.
+	// started reports whether the job has ever held a slot; such a job isn't
+	// dropped any more.
+	started bool
+	// bounded reports whether the job counts towards the queue's limits.
+	bounded bool
+	// reserved reports whether the reserve started the job.
 	reserved bool
-	// reason is why it is being dropped.
+	// reason is set in the dropping state.
 	reason sched.Reason
 
 	preemptions int
 	produced    int64 // tokens
-	charged     int64 // tokens on the team's account
+	charged     int64 // tokens charged to the team
 	startedAt   time.Time
-	stopAskedAt time.Time
-	ran         time.Duration // in earlier runs
+	preemptedAt time.Time
+	runTime     time.Duration // total of earlier runs
 
 	teamPos   int // in the team's heap
-	expiryPos int // in the scheduler's heap of moments to give up
-	runPos    int // in the scheduler's running jobs
+	expiryPos int // in Scheduler.expiry
+	runPos    int // in Scheduler.running
 	links     [listKinds]link
 }
 
-// never is the moment of something that doesn't come.
+// never is a time in Unix nanoseconds that is never reached.
 const never = math.MaxInt64
 
-// unixNano returns the moment in Unix nanoseconds, or never for the zero time.
+// unixNano returns t in Unix nanoseconds, or never for the zero time.
 func unixNano(t time.Time) int64 {
 	if t.IsZero() {
 		return never
@@ -60,19 +61,19 @@
 	return t.UnixNano()
 }
 
-// listKind tells the lists apart that an item can be in at the same time.
+// listKind identifies the links of an item that a list uses. An item can be in
+// one list of each kind at the same time.
 type listKind int
 
 const (
-	classList listKind = iota // waiting jobs of a class, or the jobs to drop
-	roomList                  // waiting jobs of a tier that take up room
+	classList   listKind = iota // class.unstarted or Scheduler.drops
+	boundedList                 // tier.bounded
 	listKinds
 )
 
 type link struct{ prev, next *item }
 
-// list is a doubly linked list through the items themselves, in order of
-// arrival.
+// list is an intrusive doubly linked list of items.
 type list struct {
 	head, tail *item
 	kind       listKind
@@ -103,13 +104,13 @@
 	it.links[l.kind] = link{}
 }
 
-// newItem takes an item from the free list, or allocates one.
+// newItem reuses an item from the free list or allocates one.
 func (s *Scheduler) newItem(j sched.Job) *item {
-	it := s.spare
+	it := s.freeList
 	if it == nil {
 		it = &item{}
 	} else {
-		s.spare = it.links[classList].next
+		s.freeList = it.links[classList].next
 	}
 	*it = item{job: j, arrival: s.arrivals, teamPos: absent, expiryPos: absent, runPos: absent}
 	s.arrivals++
@@ -117,10 +118,11 @@
 	return it
 }
 
-// forget returns an item that is in no structure any more to the free list.
-func (s *Scheduler) forget(it *item) {
+// recycle returns an item to the free list. The item must have been removed
+// from all queues and lists.
+func (s *Scheduler) recycle(it *item) {
 	delete(s.items, it.job.ID)
 	*it = item{}
-	it.links[classList].next = s.spare
-	s.spare = it
+	it.links[classList].next = s.freeList
+	s.freeList = it
 }
--- a/internal/sched/tiered/mechanism_test.go
+++ b/internal/sched/tiered/mechanism_test.go
@@ -10,20 +10,21 @@
 	"coveferry/internal/sched/tiered"
 )
 
-// Each entry holds with its mechanism on and fails with it switched off.
-var _ = DescribeTable("a mechanism does what it is for",
+// The condition of each entry holds with its mechanism enabled and fails with it
+// disabled.
+var _ = DescribeTable("a mechanism has its effect",
 	func(off tiered.Switches, holds func(off tiered.Switches) bool) {
-		Expect(holds(tiered.Switches{})).To(BeTrue(), "switched on")
-		Expect(holds(off)).To(BeFalse(), "switched off")
+		Expect(holds(tiered.Switches{})).To(BeTrue(), "enabled")
+		Expect(holds(off)).To(BeFalse(), "disabled")
 	},
 	Entry("fairness", tiered.Switches{Fairness: true}, func(off tiered.Switches) bool {
-		return startsOfQuiet(off, 0) >= 4
+		return quietTeamStarts(off, 0) >= 4
 	}),
-	Entry("lift", tiered.Switches{Lift: true}, func(off tiered.Switches) bool {
-		return startsOfQuiet(off, 50) <= 6
+	Entry("lift", tiered.Switches{CounterLift: true}, func(off tiered.Switches) bool {
+		return quietTeamStarts(off, 50) <= 6
 	}),
-	Entry("estimate", tiered.Switches{Estimate: true}, func(off tiered.Switches) bool {
-		b := newBed(tiered.Config{Slots: 4, Off: off})
+	Entry("estimate", tiered.Switches{StartCharge: true}, func(off tiered.Switches) bool {
+		b := newSchedulerTest(tiered.Config{Slots: 4, Off: off})
 		quiet := map[sched.JobID]bool{}
 		for range 4 {
 			b.add(0, sched.Job{Team: "busy"})
@@ -32,12 +33,12 @@
 		return countOf(b.starts(0), quiet) == 2
 	}),
 	Entry("reserve", tiered.Switches{Reserve: true}, func(off tiered.Switches) bool {
-		b := newBed(tiered.Config{Slots: 1, ReserveAfter: time.Second, Off: off})
+		b := newSchedulerTest(tiered.Config{Slots: 1, ReserveAfter: time.Second, Off: off})
 		low := b.add(0, sched.Job{Tier: 1})
 		return startsWithin(b, low, 2)
 	}),
-	Entry("protection", tiered.Switches{Protection: true}, func(off tiered.Switches) bool {
-		b := newBed(tiered.Config{Slots: 1, QueueEntries: 2, Off: off})
+	Entry("protection", tiered.Switches{OldestProtection: true}, func(off tiered.Switches) bool {
+		b := newSchedulerTest(tiered.Config{Slots: 1, QueueEntries: 2, Off: off})
 		b.offer(0, sched.Job{Tier: 1})
 		b.offer(0, sched.Job{Tier: 1})
 		for range 4 {
@@ -46,7 +47,7 @@
 		return b.Load(at(0)).Queued[1] == 1
 	}),
 	Entry("displacement", tiered.Switches{Displacement: true}, func(off tiered.Switches) bool {
-		b := newBed(tiered.Config{Slots: 1, QueueEntries: 1, Off: off})
+		b := newSchedulerTest(tiered.Config{Slots: 1, QueueEntries: 1, Off: off})
 		b.add(0, sched.Job{})
 		b.add(0, sched.Job{Tier: 1})
 		b.add(0, sched.Job{Tier: 1})
@@ -54,7 +55,7 @@
 		return v.Admitted
 	}),
 	Entry("early refusal", tiered.Switches{EarlyRefusal: true}, func(off tiered.Switches) bool {
-		b := newBed(tiered.Config{Slots: 1, Off: off})
+		b := newSchedulerTest(tiered.Config{Slots: 1, Off: off})
 		b.run(0, 1000, "x", 1)
 		for range 5 {
 			b.add(1000, sched.Job{})
@@ -63,29 +64,29 @@
 		_, v := b.offer(1000, sched.Job{Tier: 1, Deadline: at(3000)})
 		return v.Reason == sched.ReasonTooLate && v.RetryAfter > 2*time.Second
 	}),
-	Entry("giving up", tiered.Switches{GivingUp: true}, func(off tiered.Switches) bool {
-		return dropAt(off, 3500).Reason == sched.ReasonTooLate
+	Entry("giving up", tiered.Switches{LateDrop: true}, func(off tiered.Switches) bool {
+		return decisionAt(off, 3500).Reason == sched.ReasonTooLate
 	}),
 	Entry("expiry", tiered.Switches{Expiry: true}, func(off tiered.Switches) bool {
-		return dropAt(off, 5000).Reason == sched.ReasonExpired
+		return decisionAt(off, 5000).Reason == sched.ReasonExpired
 	}),
-	Entry("worth", tiered.Switches{Worth: true}, func(off tiered.Switches) bool {
-		b := newBed(tiered.Config{Slots: 1, Preempt: true, Off: off})
+	Entry("worth", tiered.Switches{PreemptionBenefit: true}, func(off tiered.Switches) bool {
+		b := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, Off: off})
 		b.run(0, 100, "x", 1)
 		b.add(100, sched.Job{Tier: 1, Preemptible: true})
 		b.starts(100)
 		b.add(100, sched.Job{FirstTokenBy: at(9000)})
 		return b.Next(at(100)).Action == sched.ActionNone
 	}),
-	Entry("shielding", tiered.Switches{Shielding: true}, func(off tiered.Switches) bool {
-		b := newBed(tiered.Config{Slots: 1, Preempt: true, ReserveAfter: 1, Off: off})
+	Entry("shielding", tiered.Switches{ReservedProtection: true}, func(off tiered.Switches) bool {
+		b := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, ReserveAfter: 1, Off: off})
 		b.add(0, sched.Job{Tier: 1, Preemptible: true})
 		b.add(0, sched.Job{FirstTokenBy: at(500)})
 		Expect(b.Next(at(1)).Action).To(Equal(sched.ActionStart))
 		return b.Next(at(2)).Action == sched.ActionNone
 	}),
 	Entry("earmark", tiered.Switches{Earmark: true}, func(off tiered.Switches) bool {
-		b := newBed(tiered.Config{Slots: 1, Preempt: true, ReserveAfter: 5 * time.Millisecond, Off: off})
+		b := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, ReserveAfter: 5 * time.Millisecond, Off: off})
 		low := b.add(0, sched.Job{Tier: 1, Preemptible: true})
 		b.starts(0)
 		b.add(0, sched.Job{Tier: 2})
@@ -94,8 +95,8 @@
 		b.Requeue(at(11), low)
 		return b.Next(at(11)) == startOf(high)
 	}),
-	Entry("bound of preemptions", tiered.Switches{PreemptBound: true}, func(off tiered.Switches) bool {
-		b := newBed(tiered.Config{Slots: 1, Preempt: true, MaxPreemptions: 1, Off: off})
+	Entry("bound of preemptions", tiered.Switches{PreemptionLimit: true}, func(off tiered.Switches) bool {
+		b := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, MaxPreemptions: 1, Off: off})
 		low := b.add(0, sched.Job{Tier: 1, Preemptible: true})
 		b.starts(0)
 		high := b.add(0, sched.Job{FirstTokenBy: at(500)})
@@ -107,8 +108,8 @@
 		b.add(301, sched.Job{FirstTokenBy: at(500)})
 		return b.Next(at(301)).Action == sched.ActionNone
 	}),
-	Entry("one preemption at a time", tiered.Switches{OneByOne: true}, func(off tiered.Switches) bool {
-		b := newBed(tiered.Config{Slots: 2, Preempt: true, Off: off})
+	Entry("one preemption at a time", tiered.Switches{SinglePreemption: true}, func(off tiered.Switches) bool {
+		b := newSchedulerTest(tiered.Config{Slots: 2, Preempt: true, Off: off})
 		b.add(0, sched.Job{Tier: 1, Preemptible: true})
 		b.add(0, sched.Job{Tier: 1, Preemptible: true})
 		b.starts(0)
@@ -117,17 +118,18 @@
 	}),
 )
 
-// startsOfQuiet lets a busy team run alone, then adds a quiet one, and returns
-// how many of the next ten starts are the quiet team's.
-func startsOfQuiet(off tiered.Switches, alone int) int {
-	b := newBed(tiered.Config{Slots: 1, Off: off})
+// quietTeamStarts runs a busy team alone, then adds a quiet one, and returns how
+// many of the next ten starts are the quiet team's, or with busyRuns 0 the busy
+// team's.
+func quietTeamStarts(off tiered.Switches, busyRuns int) int {
+	b := newSchedulerTest(tiered.Config{Slots: 1, Off: off})
 	quiet := map[sched.JobID]bool{}
 	quiet[b.add(0, sched.Job{Team: "quiet"})] = true
 	runAll(b, 0)
-	for range alone + 20 {
+	for range busyRuns + 20 {
 		b.add(0, sched.Job{Team: "busy"})
 	}
-	for range alone {
+	for range busyRuns {
 		runNext(b)
 	}
 	for range 20 {
@@ -137,21 +139,21 @@
 	for range 10 {
 		ids = append(ids, runNext(b))
 	}
-	if alone == 0 {
-		return 10 - countOf(ids, quiet) // the one that would starve is the other
+	if busyRuns == 0 {
+		return 10 - countOf(ids, quiet) // without fairness the busy team would starve
 	}
 	return countOf(ids, quiet)
 }
 
-// runNext runs the next job for a hundred tokens.
-func runNext(b *bed) sched.JobID {
+// runNext runs the next job to completion with a hundred tokens.
+func runNext(b *schedulerTest) sched.JobID {
 	id := b.Next(at(0)).Job
 	b.Tokens(at(0), id, 100)
 	b.Finish(at(0), id)
 	return id
 }
 
-func runAll(b *bed, ms int) {
+func runAll(b *schedulerTest, ms int) {
 	for b.Load(at(ms)).TotalQueued() > 0 {
 		runNext(b)
 	}
@@ -167,9 +169,9 @@
 	return n
 }
 
-// startsWithin keeps one slot busy with the highest tier, in runs of a second,
-// and says whether the job starts within the given number of them.
-func startsWithin(b *bed, id sched.JobID, runs int) bool {
+// startsWithin keeps one slot busy with one-second runs of the highest tier and
+// reports whether the job starts within the given number of runs.
+func startsWithin(b *schedulerTest, id sched.JobID, runs int) bool {
 	b.add(0, sched.Job{})
 	for i := range runs {
 		b.add(i*1000, sched.Job{})
@@ -182,11 +184,12 @@
 	return b.Next(at(runs*1000)).Job == id
 }
 
-// dropAt learns that a class runs for a second, lets a job wait behind a
-// running one with five seconds to go, and returns the decision at that time.
-func dropAt(off tiered.Switches, ms int) sched.Decision {
-	off.GivingUp = off.GivingUp || ms >= 5000
-	b := newBed(tiered.Config{Slots: 1, Off: off})
+// decisionAt queues a job with a five-second deadline behind a running one, for
+// a class with a measured run time of one second, and returns the decision at
+// the given time.
+func decisionAt(off tiered.Switches, ms int) sched.Decision {
+	off.LateDrop = off.LateDrop || ms >= 5000
+	b := newSchedulerTest(tiered.Config{Slots: 1, Off: off})
 	b.run(-1000, 1000, "a", 1)
 	b.add(0, sched.Job{Class: "x"})
 	b.starts(0)
--- a/internal/sched/tiered/preempt.go
+++ b/internal/sched/tiered/preempt.go
@@ -6,17 +6,17 @@
 	"coveferry/internal/sched"
 )
 
-// mayStop says whether a running job may be preempted.
-func (s *Scheduler) mayStop(it *item) bool {
-	spent := it.preemptions >= s.cfg.MaxPreemptions && !s.cfg.Off.PreemptBound
-	if !it.job.Preemptible || spent {
+// mayPreempt reports whether a running job may be preempted.
+func (s *Scheduler) mayPreempt(it *item) bool {
+	limitReached := it.preemptions >= s.cfg.MaxPreemptions && !s.cfg.Off.PreemptionLimit
+	if !it.job.Preemptible || limitReached {
 		return false
 	}
-	return !it.reserved || s.cfg.Off.Shielding
+	return !it.reserved || s.cfg.Off.ReservedProtection
 }
 
-// victimsBelow is the number of running jobs of lower tiers that a job of the
-// given tier could preempt.
+// victimsBelow returns the number of running jobs of lower tiers that a job of
+// the given tier could preempt.
 func (s *Scheduler) victimsBelow(tier int) int {
 	if !s.cfg.Preempt {
 		return 0
@@ -28,93 +28,96 @@
 	return n
 }
 
-// preempt stops a running job if the job next in turn needs that.
+// preempt preempts a running job if that lets the next job meet its first-token
+// target.
 func (s *Scheduler) preempt(now time.Time) sched.Decision {
 	head := s.preemptor()
-	if head == nil || !s.worth(now, head) {
+	if head == nil || !s.preemptionHelps(now, head) {
 		return sched.Decision{}
 	}
 	it := s.victim(head.job.Tier)
 	s.tiers[it.job.Tier].victims--
 	it.preemptions++
-	it.state = stopping
-	it.stopAskedAt = now
-	s.stopping++
+	it.state = preempting
+	it.preemptedAt = now
+	s.preempting++
 	return sched.Decision{Action: sched.ActionPreempt, Job: it.job.ID}
 }
 
-// preemptor returns the job next in turn if there is a job that it may
-// preempt, else nil. One preemption has to end before the next may begin, and
-// at most as many preempted jobs wait as there are slots.
+// preemptor returns the next job to start if there is a job that it may
+// preempt, else nil. Only one preemption is in progress at a time, and the
+// number of waiting preempted jobs is limited to the number of slots.
 func (s *Scheduler) preemptor() *item {
-	pending := s.stopping > 0 && !s.cfg.Off.OneByOne
+	pending := s.preempting > 0 && !s.cfg.Off.SinglePreemption
 	if !s.cfg.Preempt || pending || len(s.resumed) >= s.cfg.Slots {
 		return nil
 	}
 	head := s.head()
-	if head == nil || head.begun || s.victimsBelow(head.job.Tier) == 0 {
+	if head == nil || head.started || s.victimsBelow(head.job.Tier) == 0 {
 		return nil
 	}
 	return head
 }
 
-// worth says whether the next job in turn, or its tier's newest behind it,
-// would miss its first-token target if no slot were freed now, and can still
-// keep it if one is.
-func (s *Scheduler) worth(now time.Time, head *item) bool {
-	if s.cfg.Off.Worth {
+// preemptionHelps reports whether the next job, or the newest job of its tier,
+// is expected to miss its first-token target without a preemption now and to
+// meet it with one.
+func (s *Scheduler) preemptionHelps(now time.Time, head *item) bool {
+	if s.cfg.Off.PreemptionBenefit {
 		return true
 	}
-	first, newest := s.windows(head)
+	first, newest := s.preemptWindows(head)
 	at := now.UnixNano()
 	return first.contains(at) || newest.contains(at)
 }
 
-// window is the span of time, in Unix nanoseconds, in which a preemption saves
-// a job's first token. Before, slots are expected to become free in time;
-// after, it's too late.
-type window struct{ first, last int64 }
+// preemptionWindow is the period, in Unix nanoseconds, in which a preemption
+// lets a job meet its first-token target. Before it, slots are expected to
+// become free in time; after it, a preemption comes too late.
+type preemptionWindow struct{ first, last int64 }
 
-func (w window) contains(at int64) bool { return at >= w.first && at <= w.last }
+func (w preemptionWindow) contains(at int64) bool { return at >= w.first && at <= w.last }
 
-// opens is the window's first moment if that lies ahead, else never.
-func (w window) opens(now int64) int64 {
+// nextOpening returns the start of the window if it is in the future, else
+// never.
+func (w preemptionWindow) nextOpening(now int64) int64 {
 	if w.first > now && w.first <= w.last {
 		return w.first
 	}
 	return never
 }
 
-// windows returns that of the next job in turn, which needs one slot, and that
-// of its tier's newest job in the queue's room, which needs as many as wait.
-func (s *Scheduler) windows(head *item) (first, newest window) {
+// preemptWindows returns the windows of the next job, which needs one slot, and
+// of the newest job of its tier that counts towards the queue's limits, which
+// needs as many slots as jobs of the tier are waiting.
+func (s *Scheduler) preemptWindows(head *item) (first, newest preemptionWindow) {
 	t := &s.tiers[head.job.Tier]
-	first = s.window(head, 1)
-	if t.room.tail == nil {
+	first = s.preemptWindow(head, 1)
+	if t.bounded.tail == nil {
 		return first, first
 	}
-	return first, s.window(t.room.tail, t.queued)
+	return first, s.preemptWindow(t.bounded.tail, t.queued)
 }
 
-// window returns the window of a job that gets the last of the given number of
-// slots to become free. Without a measurement none is expected. The window of
-// a job without a target is empty, and so is that of one for which slots become
-// free sooner than a preemption would free one.
-func (s *Scheduler) window(it *item, slots int) window {
+// preemptWindow returns the window of a job that starts when the given number
+// of slots have become free. Without a measured drain rate no slot is expected
+// to become free. The window is empty for a job without a first-token target
+// and for one that gets a slot sooner without a preemption than with one.
+func (s *Scheduler) preemptWindow(it *item, slots int) preemptionWindow {
 	if it.job.FirstTokenBy.IsZero() {
-		return window{first: never}
+		return preemptionWindow{first: never}
 	}
 	startBy := unixNano(it.job.FirstTokenBy) - it.class.firstToken.mean()
-	last := startBy - s.stopTime.mean()
+	last := startBy - s.preemptTime.mean()
 	wait := int64(s.meter.Wait(s.cfg.Slots, slots))
 	if wait == 0 {
-		return window{last: last}
+		return preemptionWindow{last: last}
 	}
-	return window{first: max(0, startBy-wait+1), last: last}
+	return preemptionWindow{first: max(0, startBy-wait+1), last: last}
 }
 
-// preemptAt is the next moment at which a preemption becomes worth its cost, as
-// far as can be foreseen, or never.
+// preemptAt returns the next time at which a preemption is expected to help, or
+// never.
 func (s *Scheduler) preemptAt() int64 {
 	if len(s.running) < s.cfg.Slots {
 		return never
@@ -123,28 +126,28 @@
 	if head == nil {
 		return never
 	}
-	first, newest := s.windows(head)
-	return min(first.opens(s.now), newest.opens(s.now))
+	first, newest := s.preemptWindows(head)
+	return min(first.nextOpening(s.now), newest.nextOpening(s.now))
 }
 
-// victim returns the job to preempt for one of the given tier: of the lowest
-// tier that has one, the job that produced least, then the one that started
-// last.
+// victim returns the job to preempt for a job of the given tier: in the lowest
+// tier with a candidate, the job that has produced the fewest tokens, then the
+// most recently started.
 func (s *Scheduler) victim(tier int) *item {
 	var best *item
 	for _, it := range s.running {
-		if it.state != running || it.job.Tier <= tier || !s.mayStop(it) {
+		if it.state != running || it.job.Tier <= tier || !s.mayPreempt(it) {
 			continue
 		}
-		if best == nil || cheaper(it, best) {
+		if best == nil || lessWorkLost(it, best) {
 			best = it
 		}
 	}
 	return best
 }
 
-// cheaper says whether stopping a loses less than stopping b.
-func cheaper(a, b *item) bool {
+// lessWorkLost reports whether a should be preempted rather than b.
+func lessWorkLost(a, b *item) bool {
 	switch {
 	case a.job.Tier != b.job.Tier:
 		return a.job.Tier > b.job.Tier
--- a/internal/sched/tiered/queue.go
+++ b/internal/sched/tiered/queue.go
@@ -7,88 +7,88 @@
 	"coveferry/internal/sched"
 )
 
-// enqueue puts an admitted job in the queue.
+// enqueue adds an admitted job to the queue.
 func (s *Scheduler) enqueue(now time.Time, it *item) {
-	if !s.sheltered(it.class) {
-		s.takeRoom(it)
+	if !s.protected(it.class) {
+		s.addBounded(it)
 	}
-	it.class.fresh.append(it)
+	it.class.unstarted.append(it)
 	if it.startBy != never && !s.cfg.Off.Expiry {
 		s.expiry.add(node[*item]{key: it.startBy, tie: it.arrival, pos: &it.expiryPos, val: it})
 	}
-	s.tiers[it.job.Tier].push(now, it, !s.cfg.Off.Lift)
-	s.demand(now, it.class)
+	s.tiers[it.job.Tier].push(now, it, !s.cfg.Off.CounterLift)
+	s.markUnserved(now, it.class)
 }
 
-// sheltered says whether the class's next job would be its oldest that hasn't
-// begun, and so be admitted outside the room.
-func (s *Scheduler) sheltered(c *class) bool {
-	return c.fresh.head == nil && !s.cfg.Off.Protection
+// protected reports whether a new job of the class would be its oldest that
+// hasn't started. Such a job doesn't count towards the queue's limits.
+func (s *Scheduler) protected(c *class) bool {
+	return c.unstarted.head == nil && !s.cfg.Off.OldestProtection
 }
 
-// dequeue takes a waiting job out of the queue. The class's next job leaves
-// the room if it is its oldest now.
+// dequeue removes a waiting job from the queue. If another job becomes the
+// oldest of its class, that job no longer counts towards the queue's limits.
 func (s *Scheduler) dequeue(now time.Time, it *item) {
-	s.tiers[it.job.Tier].pull(now, it)
-	if it.begun {
+	s.tiers[it.job.Tier].remove(now, it)
+	if it.started {
 		s.resumed = slices.DeleteFunc(s.resumed, func(r *item) bool { return r == it })
 		return
 	}
-	if it.inRoom {
-		s.leaveRoom(it)
+	if it.bounded {
+		s.removeBounded(it)
 	}
 	if it.expiryPos != absent {
 		s.expiry.remove(it.expiryPos)
 	}
-	it.class.fresh.remove(it)
-	if next := it.class.fresh.head; next != nil && next.inRoom && !s.cfg.Off.Protection {
-		s.leaveRoom(next)
+	it.class.unstarted.remove(it)
+	if next := it.class.unstarted.head; next != nil && next.bounded && !s.cfg.Off.OldestProtection {
+		s.removeBounded(next)
 	}
 }
 
-// takeRoom counts the job towards the bounds of the queue.
-func (s *Scheduler) takeRoom(it *item) {
-	it.inRoom = true
-	s.roomEntries++
-	s.roomBytes += it.job.Bytes
+// addBounded counts the job towards the queue's limits.
+func (s *Scheduler) addBounded(it *item) {
+	it.bounded = true
+	s.boundedEntries++
+	s.boundedBytes += it.job.Bytes
 	t := &s.tiers[it.job.Tier]
-	t.room.append(it)
-	t.roomEntries++
-	t.roomBytes += it.job.Bytes
+	t.bounded.append(it)
+	t.boundedEntries++
+	t.boundedBytes += it.job.Bytes
 }
 
-// leaveRoom undoes takeRoom.
-func (s *Scheduler) leaveRoom(it *item) {
-	it.inRoom = false
-	s.roomEntries--
-	s.roomBytes -= it.job.Bytes
+// removeBounded undoes addBounded.
+func (s *Scheduler) removeBounded(it *item) {
+	it.bounded = false
+	s.boundedEntries--
+	s.boundedBytes -= it.job.Bytes
 	t := &s.tiers[it.job.Tier]
-	t.room.remove(it)
-	t.roomEntries--
-	t.roomBytes -= it.job.Bytes
+	t.bounded.remove(it)
+	t.boundedEntries--
+	t.boundedBytes -= it.job.Bytes
 }
 
-// condemn takes a waiting job out of the queue, to be dropped.
-func (s *Scheduler) condemn(now time.Time, it *item, why sched.Reason) {
+// markDropped removes a waiting job from the queue and schedules its drop.
+func (s *Scheduler) markDropped(now time.Time, it *item, why sched.Reason) {
 	s.dequeue(now, it)
 	it.state = dropping
 	it.reason = why
 	s.drops.append(it)
 }
 
-// giveUp condemns the jobs that can't be answered in time any more.
-func (s *Scheduler) giveUp(now time.Time) {
+// dropLate marks for dropping the jobs that can no longer be answered in time.
+func (s *Scheduler) dropLate(now time.Time) {
 	for len(s.expiry) > 0 && s.expiry[0].key <= now.UnixNano() {
 		it := s.expiry[0].val
 		why := sched.ReasonTooLate
 		if !now.Before(it.job.Deadline) {
 			why = sched.ReasonExpired
 		}
-		s.condemn(now, it, why)
+		s.markDropped(now, it, why)
 	}
 }
 
-// drop hands out the drop of a condemned job and forgets it.
+// drop returns the decision to drop a job and removes the job.
 func (s *Scheduler) drop(it *item) sched.Decision {
 	s.drops.remove(it)
 	d := sched.Decision{
@@ -97,12 +97,12 @@
 		Reason:     it.reason,
 		RetryAfter: s.retryAfter(it.job.Tier),
 	}
-	s.forget(it)
+	s.recycle(it)
 	return d
 }
 
-// higherWaits says whether a job of a higher tier is waiting.
-func (s *Scheduler) higherWaits(tier int) bool {
+// higherTierWaiting reports whether a job of a higher tier is waiting.
+func (s *Scheduler) higherTierWaiting(tier int) bool {
 	for i := range tier {
 		if s.tiers[i].queued > 0 {
 			return true
--- a/internal/sched/tiered/reserve.go
+++ b/internal/sched/tiered/reserve.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// perMille is the scale of the reserve's share.
+// perMille is the scale of reserve.share.
 const perMille = 1000
 
-// reserve accounts for the slot time used out of turn. It earns a share of all
-// busy slot time and spends what its own jobs use, and it saves nothing, so
-// over any time it uses no more than its share and one run for each of its
-// slots.
+// reserve accounts for the slot time of jobs started out of order to prevent
+// starvation. It earns a share of all busy slot time, spends what its own jobs
+// use, and doesn't accumulate a positive balance. Over any time it therefore
+// uses at most its share plus one run for each of its slots.
 type reserve struct {
 	share int64 // per mille of slot time
-	// slots is how many of its jobs may run at once.
+	// slots is the number of reserve jobs that may run concurrently.
 	slots   int
 	running int
-	// account is in per mille of slot microseconds, never above zero.
-	account int64
+	// balance is in per mille of slot microseconds and never positive.
+	balance int64
 	last    int64 // Unix microseconds
 }
 
@@ -30,11 +30,12 @@
 	}
 }
 
-// advance accounts for the time up to now, with busy slots in use.
+// advance accounts for the time since the previous call, during which busy
+// slots were in use.
 func (r *reserve) advance(now time.Time, busy int) {
 	micros := now.UnixMicro()
-	passed := micros - r.last
-	if passed <= 0 {
+	elapsed := micros - r.last
+	if elapsed <= 0 {
 		return
 	}
 	first := r.last == 0
@@ -42,35 +43,35 @@
 	if first {
 		return
 	}
-	earned := r.share * int64(busy) * passed
-	spent := perMille * int64(r.running) * passed
-	r.account = min(0, r.account+earned-spent)
+	earned := r.share * int64(busy) * elapsed
+	spent := perMille * int64(r.running) * elapsed
+	r.balance = min(0, r.balance+earned-spent)
 }
 
-// open says whether the reserve may start a job.
-func (r *reserve) open() bool { return r.account >= 0 && r.running < r.slots }
+// available reports whether the reserve may start a job.
+func (r *reserve) available() bool { return r.balance >= 0 && r.running < r.slots }
 
-// reserveHead returns the oldest job of the class that has gone without
-// service for longest, nil if the reserve mustn't start one. Slots freed by
-// preemption belong to the tier they were freed for.
-func (s *Scheduler) reserveHead(now time.Time, free int) *item {
+// nextReserved returns the oldest job of the class that has waited longest for
+// service, or nil if the reserve may not start one. Slots freed by preemption
+// are earmarked for the tier that preempted and not used by the reserve.
+func (s *Scheduler) nextReserved(now time.Time, free int) *item {
 	if s.cfg.Off.Earmark {
-		free += s.owed
+		free += s.earmarked
 	}
-	if s.cfg.Off.Reserve || free <= s.owed || !s.reserve.open() {
+	if s.cfg.Off.Reserve || free <= s.earmarked || !s.reserve.available() {
 		return nil
 	}
-	var neediest *class
+	var longestUnserved *class
 	var oldest *item
 	for _, c := range s.classList {
-		if !c.hungry || now.Sub(c.since) < s.cfg.ReserveAfter {
+		if !c.unserved || now.Sub(c.unservedSince) < s.cfg.ReserveAfter {
 			continue
 		}
-		if neediest != nil && neediest.turn < c.turn {
+		if longestUnserved != nil && longestUnserved.serviceOrder < c.serviceOrder {
 			continue
 		}
 		if it := s.oldest(c); it != nil {
-			neediest, oldest = c, it
+			longestUnserved, oldest = c, it
 		}
 	}
 	return oldest
--- a/internal/sched/tiered/resize.go
+++ b/internal/sched/tiered/resize.go
@@ -8,8 +8,9 @@
 
 var _ sched.Resizer = (*Scheduler)(nil)
 
-// Resize changes the bounds. Jobs that run beyond fewer slots go on; waiting
-// ones beyond less room stay until they run or are displaced.
+// Resize changes the bounds. Running jobs beyond the new number of slots
+// continue; waiting jobs beyond the new limits stay until they start or are
+// displaced.
 func (s *Scheduler) Resize(now time.Time, b sched.Bounds) {
 	s.advance(now)
 	s.cfg.Slots, s.cfg.QueueEntries, s.cfg.QueueBytes = b.Slots, b.QueueEntries, b.QueueBytes
--- a/internal/sched/tiered/scheduler.go
+++ b/internal/sched/tiered/scheduler.go
@@ -1,8 +1,8 @@
-// Package tiered is the scheduling policy of an agent. Tiers go strictly
-// before one another; within a tier, teams share by tokens served; within a
-// team, the earliest deadline goes first. A reserve keeps every class from
-// starving, and admission refuses early what can't be served in time. The
-// rules and their bounds are stated in docs/design/0002-scheduling.md.
+// Package tiered implements the scheduling policy of an agent. Tiers have
+// strict priority; within a tier, teams share service fairly by tokens served;
+// within a team, the earliest deadline goes first. A reserve prevents the
+// starvation of any class, and admission refuses early what can't be served in
+// time. docs/design/0002-scheduling.md states the rules and their bounds.
 package tiered
 
 import (
@@ -13,35 +13,35 @@
 	"coveferry/internal/sched/drain"
 )
 
-// Scheduler is the policy. It must be made by New.
+// Scheduler is the tiered policy. Use New to create one.
 type Scheduler struct {
-	cfg   Config
-	items map[sched.JobID]*item
-	spare *item // free list
+	cfg      Config
+	items    map[sched.JobID]*item
+	freeList *item
 
 	tiers     [load.MaxTiers]tier
 	classes   map[string]*class
 	classList []*class
 
-	expiry  indexHeap[*item] // waiting jobs that haven't begun, by startBy
-	resumed []*item          // waiting jobs that have begun
-	drops   list             // jobs whose drop the agent has yet to be told
-
-	running  []*item // those stopping included
-	stopping int
-	stopTime average // nanoseconds that a preemption takes
-	// owed is the number of slots freed by preemption for a higher tier and
-	// not used yet.
-	owed int
-
-	roomEntries int
-	roomBytes   int
-
-	reserve  reserve
-	now      int64 // of the last call, Unix nanoseconds
-	meter    drain.Meter
-	arrivals uint64
-	turns    uint64
+	expiry  indexHeap[*item] // waiting jobs that have never held a slot, by startBy
+	resumed []*item          // waiting jobs that were preempted
+	drops   list             // jobs to drop, in order
+
+	running     []*item // includes the jobs being preempted
+	preempting  int
+	preemptTime average // duration of a preemption in nanoseconds
+	// earmarked is the number of slots freed by preemption that a higher tier
+	// hasn't used yet.
+	earmarked int
+
+	boundedEntries int
+	boundedBytes   int
+
+	reserve          reserve
+	now              int64 // time of the last call in Unix nanoseconds
+	meter            drain.Meter
+	arrivals         uint64
+	nextServiceOrder uint64
 }
 
 var _ sched.Policy = (*Scheduler)(nil)
@@ -58,23 +58,23 @@
 	}
 	for i := range s.tiers {
 		s.tiers[i].teams = make(map[string]*team)
-		s.tiers[i].room.kind = roomList
+		s.tiers[i].bounded.kind = boundedList
 	}
 	return s
 }
 
-// advance accounts for the time that passed since the last call.
+// advance accounts for the time since the previous call.
 func (s *Scheduler) advance(now time.Time) {
 	s.meter.Advance(now, len(s.running))
 	s.reserve.advance(now, len(s.running))
 	s.now = now.UnixNano()
 }
 
-// Next returns the next step: first what has to be dropped, then a start while
-// a slot is free, then a preemption.
+// Next returns the next decision: first drops, then a start if a slot is free,
+// else a preemption.
 func (s *Scheduler) Next(now time.Time) sched.Decision {
 	s.advance(now)
-	s.giveUp(now)
+	s.dropLate(now)
 	if it := s.drops.head; it != nil {
 		return s.drop(it)
 	}
@@ -83,17 +83,17 @@
 		return s.preempt(now)
 	}
 	head := s.head()
-	if it := s.reserveHead(now, free); it != nil && it != head {
+	if it := s.nextReserved(now, free); it != nil && it != head {
 		return s.startReserved(now, it)
 	}
 	if head == nil {
 		return sched.Decision{}
 	}
-	s.owed = max(0, s.owed-1)
+	s.earmarked = max(0, s.earmarked-1)
 	return s.start(now, head)
 }
 
-// head returns the waiting job that is next in turn, nil if none waits.
+// head returns the next job to start, or nil if none waits.
 func (s *Scheduler) head() *item {
 	for i := range s.tiers {
 		if it := s.tiers[i].head(); it != nil {
@@ -109,32 +109,32 @@
 	return s.start(now, it)
 }
 
-// start takes a waiting job out of the queue and gives it a slot.
+// start moves a waiting job from the queue to a slot.
 func (s *Scheduler) start(now time.Time, it *item) sched.Decision {
 	wasOldest := s.oldest(it.class) == it
 	s.dequeue(now, it)
 	if wasOldest {
-		s.served(now, it.class)
+		s.markServed(now, it.class)
 	}
 	t := &s.tiers[it.job.Tier]
-	if !it.begun {
-		t.starts.Finished()
+	if !it.started {
+		t.startRate.Finished()
 	}
 	it.state = running
-	it.begun = true
+	it.started = true
 	it.startedAt = now
 	it.runPos = len(s.running)
 	s.running = append(s.running, it)
 	t.running++
-	if s.mayStop(it) {
+	if s.mayPreempt(it) {
 		t.victims++
 	}
 	s.chargeUpTo(it, s.startCharge(it))
 	return sched.Decision{Action: sched.ActionStart, Job: it.job.ID}
 }
 
-// Tokens charges produced tokens to the job's team. Numbers below one and
-// jobs that aren't running are ignored.
+// Tokens charges produced tokens to the job's team. Calls with a number below
+// one or for a job that isn't running are ignored.
 func (s *Scheduler) Tokens(now time.Time, id sched.JobID, n int) {
 	s.advance(now)
 	it, held := s.items[id]
@@ -148,29 +148,29 @@
 	s.chargeUpTo(it, it.produced)
 }
 
-// Requeue puts a job that gave its slot back in the queue, at the place of its
-// original arrival. It isn't dropped any more, since it has begun.
+// Requeue returns a preempted job to the queue at its original position. The
+// job won't be dropped, since it has started.
 func (s *Scheduler) Requeue(now time.Time, id sched.JobID) {
 	s.advance(now)
 	it, held := s.items[id]
 	if !held || it.runPos == absent {
 		return
 	}
-	if it.state == stopping {
-		s.stopTime.add(int64(now.Sub(it.stopAskedAt)))
-		if s.higherWaits(it.job.Tier) {
-			s.owed++
+	if it.state == preempting {
+		s.preemptTime.add(int64(now.Sub(it.preemptedAt)))
+		if s.higherTierWaiting(it.job.Tier) {
+			s.earmarked++
 		}
 	}
 	s.release(now, it)
-	s.settle(it)
+	s.settleCharge(it)
 	it.state = waiting
 	s.resumed = append(s.resumed, it)
-	s.tiers[it.job.Tier].push(now, it, !s.cfg.Off.Lift)
-	s.demand(now, it.class)
+	s.tiers[it.job.Tier].push(now, it, !s.cfg.Off.CounterLift)
+	s.markUnserved(now, it.class)
 }
 
-// Finish forgets a job, waiting or running.
+// Finish removes a waiting or running job.
 func (s *Scheduler) Finish(now time.Time, id sched.JobID) {
 	s.advance(now)
 	it, held := s.items[id]
@@ -182,29 +182,29 @@
 		s.dequeue(now, it)
 	case dropping:
 		s.drops.remove(it)
-	case running, stopping:
+	case running, preempting:
 		s.release(now, it)
-		s.settle(it)
+		s.settleCharge(it)
 		s.meter.Finished()
-		it.class.learn(it)
+		it.class.recordFinished(it)
 	}
-	s.forget(it)
+	s.recycle(it)
 }
 
-// release takes the job's slot back.
+// release frees the job's slot.
 func (s *Scheduler) release(now time.Time, it *item) {
 	t := &s.tiers[it.job.Tier]
 	t.running--
-	if it.state == stopping {
-		s.stopping--
-	} else if s.mayStop(it) {
+	if it.state == preempting {
+		s.preempting--
+	} else if s.mayPreempt(it) {
 		t.victims--
 	}
 	if it.reserved {
 		it.reserved = false
 		s.reserve.running--
 	}
-	it.ran += now.Sub(it.startedAt)
+	it.runTime += now.Sub(it.startedAt)
 	last := s.running[len(s.running)-1]
 	s.running[it.runPos] = last
 	last.runPos = it.runPos
@@ -213,7 +213,7 @@
 	it.runPos = absent
 }
 
-// Load reports the present queue.
+// Load reports the current queue.
 func (s *Scheduler) Load(now time.Time) load.Report {
 	s.advance(now)
 	r := load.Report{Slots: s.cfg.Slots, DrainPerSecond: s.meter.PerSecond(s.cfg.Slots)}
@@ -224,8 +224,8 @@
 	return r
 }
 
-// Wake is the earlier of the moments at which a waiting job is to be given up
-// and at which a preemption becomes worth its cost.
+// Wake returns the next time at which a waiting job must be dropped or a
+// preemption is expected to help, or the zero time.
 func (s *Scheduler) Wake() time.Time {
 	at := int64(never)
 	if len(s.expiry) > 0 {
--- a/internal/sched/tiered/tier.go
+++ b/internal/sched/tiered/tier.go
@@ -6,39 +6,40 @@
 	"coveferry/internal/sched/drain"
 )
 
-// tier holds the waiting jobs of one tier, by team.
+// tier holds the waiting jobs of one priority tier, by team.
 type tier struct {
 	teams map[string]*team
-	// active holds the teams with waiting jobs, least served first.
+	// active holds the teams with waiting jobs, ordered by tokens served.
 	active indexHeap[*team]
-	// last is the team whose last waiting job left most recently.
-	last *team
+	// lastActive is the team that most recently left active.
+	lastActive *team
 
-	// room holds the waiting jobs that take up room of the queue.
-	room        list
-	roomEntries int
-	roomBytes   int
+	// bounded holds the waiting jobs that count towards the queue's limits.
+	bounded        list
+	boundedEntries int
+	boundedBytes   int
 
-	// starts measures how fast waiting jobs get their first slot, over the time
-	// in which some wait. Jobs of higher tiers that come later slow it down.
-	starts drain.Meter
+	// startRate measures the rate at which waiting jobs start for the first
+	// time, over the time in which any wait. Later arrivals of higher tiers
+	// lower it.
+	startRate drain.Meter
 
 	queued  int
 	running int
 	victims int // running jobs that may be preempted
 }
 
-// team is what one tier knows of a team.
+// team is the state of a team within one tier.
 type team struct {
-	// served is the team's virtual counter in tokens.
+	// served is the team's virtual token counter.
 	served  int64
 	index   uint64
 	pos     int // in tier.active
 	jobs    indexHeap[*item]
-	byClass []int // waiting jobs by the class's index
+	byClass []int // number of waiting jobs by class.index
 }
 
-// team returns the team of that name, new if it hasn't been seen.
+// team returns the team with the name, creating it if necessary.
 func (t *tier) team(name string) *team {
 	m, ok := t.teams[name]
 	if ok {
@@ -50,49 +51,51 @@
 }
 
 // advance accounts for the time since the number of waiting jobs last changed.
-func (t *tier) advance(now time.Time) { t.starts.Advance(now, min(t.queued, 1)) }
+func (t *tier) advance(now time.Time) { t.startRate.Advance(now, min(t.queued, 1)) }
 
-// push puts a waiting job in its team's queue.
+// push adds a waiting job to its team's queue. With lift it raises the counter
+// of a team that becomes active to at least minServed.
 func (t *tier) push(now time.Time, it *item, lift bool) {
 	t.advance(now)
 	m := it.team
 	if m.pos == absent {
 		if lift {
-			m.served = max(m.served, t.present())
+			m.served = max(m.served, t.minServed())
 		}
 		t.active.add(node[*team]{key: m.served, tie: m.index, pos: &m.pos, val: m})
 	}
 	m.jobs.add(node[*item]{key: unixNano(it.job.Deadline), tie: it.arrival, pos: &it.teamPos, val: it})
-	m.count(it.class, 1)
+	m.addWaiting(it.class, 1)
 	t.queued++
 }
 
-// present is the least counter of the teams that wait, or that of the team
-// that waited last. A team that comes back starts no lower.
-func (t *tier) present() int64 {
+// minServed returns the lowest counter of the active teams, or the counter of
+// the last active team if there are none. A team that becomes active again
+// doesn't start below it, so that it can't save up service while it is idle.
+func (t *tier) minServed() int64 {
 	if len(t.active) > 0 {
 		return t.active[0].key
 	}
-	if t.last != nil {
-		return t.last.served
+	if t.lastActive != nil {
+		return t.lastActive.served
 	}
 	return 0
 }
 
-// pull takes a waiting job out of its team's queue.
-func (t *tier) pull(now time.Time, it *item) {
+// remove removes a waiting job from its team's queue.
+func (t *tier) remove(now time.Time, it *item) {
 	t.advance(now)
 	m := it.team
 	m.jobs.remove(it.teamPos)
-	m.count(it.class, -1)
+	m.addWaiting(it.class, -1)
 	t.queued--
 	if len(m.jobs) == 0 {
 		t.active.remove(m.pos)
-		t.last = m
+		t.lastActive = m
 	}
 }
 
-// charge adds tokens to the team's counter, or takes them off if negative.
+// charge adds tokens, which may be negative, to the team's counter.
 func (t *tier) charge(m *team, tokens int64) {
 	m.served += tokens
 	if m.pos != absent {
@@ -100,7 +103,7 @@
 	}
 }
 
-// head returns the tier's job that is next in turn, nil if none waits.
+// head returns the tier's next job to start, or nil if none waits.
 func (t *tier) head() *item {
 	if len(t.active) == 0 {
 		return nil
@@ -108,15 +111,15 @@
 	return t.active[0].val.jobs[0].val
 }
 
-func (m *team) count(c *class, n int) {
+func (m *team) addWaiting(c *class, n int) {
 	for len(m.byClass) <= c.index {
 		m.byClass = append(m.byClass, 0)
 	}
 	m.byClass[c.index] += n
 }
 
-// ofClass is the number of the team's waiting jobs of that class.
-func (m *team) ofClass(c *class) int {
+// waitingOfClass returns the number of the team's waiting jobs of the class.
+func (m *team) waitingOfClass(c *class) int {
 	if c.index >= len(m.byClass) {
 		return 0
 	}
