--- a/internal/credit/credit.go
+++ b/internal/credit/credit.go
@@ -1,23 +1,23 @@
-// Package credit holds a team's rate limit, in requests or tokens a second,
-// across routers. One router is the home of a limit: it makes credits at the
-// limit's rate and leases them out in batches. The others hold leases and spend
-// them. All state is soft: what is lost with a process is made again at the
-// rate of the limit, never faster.
+// Package credit enforces a team's limit on requests or tokens per second across
+// routers. One router is the owner of a limit: it issues credits at the limit's
+// rate and leases them in batches. All routers hold leases and spend them. All
+// state is soft: credits lost with a process are issued again at the rate of the
+// limit, never faster.
 //
 // Over any time T, what all holders spend together is at most
 //
 //	Rate * (T + TTL + Period)
 //
-// with Rate * TTL and Rate * Period taken as one if they are less, as long as
-// all agree on the home: the home leases no more than Rate * TTL at once and
-// keeps no more than Rate * Period. While two homes are at work, each
-// makes credits: for the time D until holders agree again, or until the home
-// and the holders it can't reach know of each other's absence, the bound grows
-// by Rate * D for each home besides the first, and by the fair shares of the
-// holders that fall back.
+// where Rate * TTL and Rate * Period count as one if they are less, as long as
+// all agree on the owner: the owner has at most Rate * TTL leased at a time and
+// accumulates at most Rate * Period. While there are two owners, both issue
+// credits: for the time D until all holders agree again, or until the owner and
+// the holders that it can't reach have detected each other's absence, the bound
+// grows by Rate * D for each additional owner and by the fair shares of the
+// holders that fall back to them.
 //
-// Charge spends what wasn't known beforehand and may overdraw; the debt is
-// paid from later credits, and the bound grows by what is overdrawn.
+// Charge spends units whose number wasn't known in advance and may go into debt;
+// the debt is paid from later credits, and the bound grows by the debt.
 package credit
 
 import (
@@ -35,13 +35,13 @@
 	defaultTTL    = time.Second
 )
 
-// Config holds what home and holders of a limit must agree on. Each field that
-// is zero takes its default.
+// Config holds the settings that must be the same at the owner and all holders
+// of a limit. Zero fields except Rate are replaced by defaults.
 type Config struct {
-	// Rate is the limit, in units a second.
+	// Rate is the limit in units per second.
 	Rate float64
-	// Period is the time between two asks of a holder, and TTL how long the
-	// credits of a grant are good.
+	// Period is the time between two requests of a holder, and TTL is how long
+	// the credits of a grant are valid.
 	Period time.Duration
 	TTL    time.Duration
 }
@@ -52,25 +52,26 @@
 	return c
 }
 
-// over is how many units the limit allows in a time.
-func (c Config) over(d time.Duration) float64 { return c.Rate * d.Seconds() }
+// unitsIn returns the number of units that the limit allows in d.
+func (c Config) unitsIn(d time.Duration) float64 { return c.Rate * d.Seconds() }
 
 // Kind is what a limit counts.
 type Kind string
 
-// The kinds of limits that credits can hold.
+// The kinds of limits that credits can enforce.
 const (
 	KindRequests Kind = "requests"
 	KindTokens   Kind = "tokens"
 )
 
-// Key names a limit.
+// Key identifies a limit.
 type Key struct {
 	Team string
 	Kind Kind
 }
 
-// Wants is how many units a holder can use in the next period, by tier.
+// Demand is the number of units that a holder can use in the next period, by
+// tier.
 type Wants [load.MaxTiers]float64
 
 func (w Wants) total() float64 {
@@ -81,7 +82,7 @@
 	return sum
 }
 
-// above is the sum over the tiers that come before one.
+// above returns the sum over the tiers that are higher than the given one.
 func (w Wants) above(tier int) float64 {
 	sum := 0.0
 	for _, n := range w[:tier] {
@@ -90,36 +91,36 @@
 	return sum
 }
 
-// Ask is what a holder sends to the home.
+// LeaseRequest is sent by a holder to the owner.
 type Ask struct {
 	Holder string
-	// Seq numbers the holder's asks; the grant repeats it.
+	// Seq is the sequence number of the request; the grant repeats it.
 	Seq  uint64
 	Want Wants
-	// Return is what the holder gives back of earlier grants.
+	// Return is the unused amount of earlier grants that the holder returns.
 	Return float64
 }
 
-// Grant answers an Ask. Its credits are good for the TTL from when the ask was
-// sent, by the holder's own clock.
+// Grant is the answer to a LeaseRequest. Its credits are valid for the TTL from
+// when the request was sent, by the holder's clock.
 type Grant struct {
 	Seq    uint64
 	Amount float64
 }
 
-// HomeOf returns the router that is the home of a limit: the one with the
-// highest rendezvous hash. It returns false if there are no routers.
-func HomeOf(key Key, routers []string) (string, bool) {
+// OwnerOf returns the router that owns a limit: the one with the highest
+// rendezvous hash. It returns false if there are no routers.
+func OwnerOf(key Key, routers []string) (string, bool) {
 	limit := xxhash.Sum64String(key.Team + "\x00" + string(key.Kind))
-	home, found := "", false
+	owner, found := "", false
 	var best uint64
 	for _, r := range routers {
 		rank := mix(limit ^ xxhash.Sum64String(r))
 		if !found || rank > best {
-			home, best, found = r, rank, true
+			owner, best, found = r, rank, true
 		}
 	}
-	return home, found
+	return owner, found
 }
 
 // mix is the finalizer of SplitMix64.
--- a/internal/credit/credit_test.go
+++ b/internal/credit/credit_test.go
@@ -11,20 +11,20 @@
 
 const rate = 1000.0
 
-func TestFallBackKeepsTheFairShareFlowing(t *testing.T) {
+func TestHolderUsesFairShareWithoutGrants(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := NewHolder("a", 4, Config{Rate: rate})
 	got := 0
 	for now := epoch; now.Sub(epoch) < 5*time.Second; now = now.Add(10 * time.Millisecond) {
-		got += takeUpTo(h, now, 0, 50)
-		h.Next(now) // and no grant ever comes
+		got += spendUpTo(h, now, 0, 50)
+		h.Next(now) // never answered
 	}
 	// A quarter of the limit for the four seconds after the first TTL.
 	g.Expect(got).To(gomega.BeNumerically("~", 4*rate/4, 10))
 }
 
-// takeUpTo takes single units, n at most, and returns how many it got.
-func takeUpTo(h *Holder, now time.Time, tier, n int) int {
+// spendUpTo spends up to n single units and returns how many it could spend.
+func spendUpTo(h *Holder, now time.Time, tier, n int) int {
 	got := 0
 	for range n {
 		if h.Take(now, tier, 1) {
@@ -34,7 +34,7 @@
 	return got
 }
 
-func granted(want Wants) (*Holder, Grant) {
+func requestedHolder(want Wants) (*Holder, Grant) {
 	h := NewHolder("a", 2, Config{Rate: rate})
 	for tier, n := range want {
 		for range int(n) {
@@ -45,40 +45,40 @@
 	return h, Grant{Seq: a.Seq, Amount: 30}
 }
 
-func TestCreditsEndWithTheirLeaseAndCountOnce(t *testing.T) {
+func TestCreditsExpireWithLeaseAndCountOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h, grant := granted(Wants{10})
+	h, grant := requestedHolder(Wants{10})
 	h.Granted(epoch, grant)
 	h.Granted(epoch, grant)
 	g.Expect(h.leased()).To(gomega.Equal(30.0))
-	g.Expect(h.Take(epoch.Add(defaultTTL), 0, 1)).To(gomega.BeFalse(), "it paused and woke up late")
+	g.Expect(h.Take(epoch.Add(defaultTTL), 0, 1)).To(gomega.BeFalse(), "the lease expired while the process was paused")
 
-	late, grant := granted(Wants{10})
+	late, grant := requestedHolder(Wants{10})
 	late.Granted(epoch.Add(defaultTTL), grant)
 	g.Expect(late.leased()).To(gomega.BeZero())
 }
 
-func TestHigherTiersCreditsAreLeftForThem(t *testing.T) {
+func TestCreditsAreReservedForHigherTiers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h, grant := granted(Wants{20, 20})
+	h, grant := requestedHolder(Wants{20, 20})
 	h.Granted(epoch, grant)
-	low := takeUpTo(h, epoch, 1, 50)
-	high := takeUpTo(h, epoch, 0, 50)
+	low := spendUpTo(h, epoch, 1, 50)
+	high := spendUpTo(h, epoch, 0, 50)
 	g.Expect([]int{low, high}).To(gomega.Equal([]int{10, 20}))
 }
 
-func TestHomeGrantsHigherTiersFirstAndFairlyWithin(t *testing.T) {
+func TestOwnerGrantsHigherTiersFirstAndFairlyWithinATier(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := NewHome(epoch, Config{Rate: rate})
 	now := epoch.Add(defaultPeriod) // 250 credits
-	h.asks["b"] = lastAsk{want: Wants{100, 500}, at: now}
-	h.asks["c"] = lastAsk{want: Wants{0, 20}, at: now}
+	h.requests["b"] = holderDemand{want: Wants{100, 500}, requestedAt: now}
+	h.requests["c"] = holderDemand{want: Wants{0, 20}, requestedAt: now}
 	got := h.Ask(now, Ask{Holder: "a", Want: Wants{0, 300}})
-	// Tier 0 takes 100; c takes its 20 of the other 150; a and b share 130.
+	// Tier 0 gets 100; c gets its 20 of the other 150; a and b share 130.
 	g.Expect(got.Amount).To(gomega.BeNumerically("~", 65, 1e-9))
 }
 
-func TestHomeBoundsWhatIsLeasedAndTakesBackOnlyItsOwn(t *testing.T) {
+func TestOwnerLimitsLeasesAndAcceptsOnlyItsOwnBack(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := NewHome(epoch, Config{Rate: rate, TTL: 2 * time.Second, Period: time.Second})
 	leased := 0.0
@@ -94,7 +94,7 @@
 	g.Expect(h.leased()).To(gomega.BeNumerically("~", 1500, 1))
 }
 
-func TestHomeHoardsNoMoreThanAPeriodMakes(t *testing.T) {
+func TestOwnerAccumulatesAtMostOnePeriodOfCredits(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := NewHome(epoch, Config{Rate: rate})
 	now := epoch.Add(time.Minute)
@@ -102,33 +102,33 @@
 	g.Expect(h.Ask(now, Ask{Holder: "b", Want: Wants{5000}}).Amount).To(gomega.BeZero())
 }
 
-func TestHomeLeavesOutTheSharesOfThoseItCantReach(t *testing.T) {
+func TestOwnerWithholdsFairSharesOfUnreachableRouters(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := NewHome(epoch, Config{Rate: rate})
-	h.asks["b"] = lastAsk{want: Wants{5000}, at: epoch.Add(defaultPeriod)}
+	h.requests["b"] = holderDemand{want: Wants{5000}, requestedAt: epoch.Add(defaultPeriod)}
 	h.SetReach(epoch, 1, 2)
 	got := h.Ask(epoch.Add(defaultPeriod), Ask{Holder: "a", Want: Wants{5000}})
-	// Half of the limit is left to lease, and b asks for as much.
+	// Half of the limit is left to lease, and b wants as much as a.
 	g.Expect(got.Amount).To(gomega.BeNumerically("~", 62.5, 1e-9))
-	// Once b has been silent, a gets all of it.
+	// When b stops sending requests, a gets all of it.
 	got = h.Ask(epoch.Add(4*defaultPeriod), Ask{Holder: "a", Want: Wants{5000}})
 	g.Expect(got.Amount).To(gomega.BeNumerically("~", 125, 1e-9))
 }
 
-func TestChargeIsOwedAndPaidFirst(t *testing.T) {
+func TestDebtIsPaidFromNextGrant(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h, grant := granted(Wants{10})
+	h, grant := requestedHolder(Wants{10})
 	h.Charge(epoch, 0, 25)
 	h.Granted(epoch, grant)
 	g.Expect(h.leased()).To(gomega.Equal(5.0))
-	g.Expect(h.Solvent(epoch, 0)).To(gomega.BeTrue())
+	g.Expect(h.HasCredit(epoch, 0)).To(gomega.BeTrue())
 	h.Charge(epoch, 0, 6)
-	g.Expect(h.Solvent(epoch, 0)).To(gomega.BeFalse())
+	g.Expect(h.HasCredit(epoch, 0)).To(gomega.BeFalse())
 }
 
-func TestCreditIsKeptForRequestsThatComeLessOftenThanAsks(t *testing.T) {
+func TestHolderKeepsCreditForInfrequentRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h, grant := granted(Wants{1})
+	h, grant := requestedHolder(Wants{1})
 	h.Granted(epoch, grant)
 	returned := 0.0
 	for n := 1; n <= 3; n++ {
@@ -139,9 +139,10 @@
 	g.Expect(h.Take(epoch.Add(3*defaultPeriod), 0, 1)).To(gomega.BeTrue())
 }
 
-// The home as it was lent a lower tier its whole share at each of several asks
-// in a period, and the higher tier's next ask found too little.
-func TestHomeKeepsBackWhatAHigherTierWillAskForNext(t *testing.T) {
+// Guards against an owner that grants a lower tier its whole share at each of
+// several requests in a period, so that too little is left for the higher tier's
+// next request.
+func TestOwnerWithholdsExpectedDemandOfHigherTiers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := NewHome(epoch, Config{Rate: rate})
 	const high = 150.0 // of the 250 credits that a period makes
@@ -155,10 +156,10 @@
 			g.Expect(got).To(gomega.Equal(high), "period %d", n)
 		}
 	}
-	g.Expect(low).To(gomega.BeNumerically(">=", 7*(250-high)), "the rest isn't left unused")
+	g.Expect(low).To(gomega.BeNumerically(">=", 7*(250-high)), "the rest is granted to the lower tier")
 }
 
-func TestHomeKeepsNothingBackForWhoStoppedAsking(t *testing.T) {
+func TestOwnerWithholdsNothingForInactiveHolders(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := NewHome(epoch, Config{Rate: rate})
 	now := epoch.Add(defaultPeriod)
@@ -167,13 +168,13 @@
 	g.Expect(h.Ask(now, Ask{Holder: "low", Want: Wants{0, 5000}}).Amount).To(gomega.Equal(250.0))
 }
 
-func TestAHolderThatAsksSoonerCountsDemandByThePeriod(t *testing.T) {
+func TestEarlyRequestsCountDemandPerPeriod(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := NewHolder("a", 2, Config{Rate: rate})
 	var a Ask
 	for n := range 20 {
 		now := epoch.Add(time.Duration(n) * defaultPeriod / 2)
-		takeUpTo(h, now, 0, 10)
+		spendUpTo(h, now, 0, 10)
 		a, _ = h.Next(now)
 		h.Granted(now, Grant{Seq: a.Seq})
 	}
--- a/internal/credit/lab/lab_test.go
+++ b/internal/credit/lab/lab_test.go
@@ -10,15 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// leastServed is the least part of the higher tier's demand that a trial with
-// tiers serves, the second in which the home begins included.
-const leastServed = 0.95
+// minServedShare is the least share of the higher tier's demand that a trial
+// with tiers must serve, including the first second of the owner.
+const minServedShare = 0.95
 
 var printTable = flag.Bool("table", false, "print the table of the design note")
 
-// TestMain fixes the seed of the property tests, so that every run gives the
-// same verdict: served and used shares are statistics of a trial, and a rare one
-// lies at the edge. Pass -rapid.seed for others.
+// TestMain sets a fixed seed for the property tests, so that results are
+// reproducible: served and used shares are statistics of a trial, and rare ones
+// are close to the thresholds. Pass -rapid.seed for other seeds.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
@@ -53,33 +53,34 @@
 	})
 }
 
-// What a lower tier floods some holders with doesn't cost a higher at others.
-func TestAHigherTierIsServedFirstAcrossHolders(t *testing.T) {
+// Overload by a lower tier at some holders doesn't reduce what a higher tier gets
+// at others.
+func TestHigherTierIsServedFirstAcrossHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTrial(t)
 		tr.Tiers, tr.Fault = true, NoFault
 		f := tr.Rates()
-		if served := f.Served / f.Wanted; served < leastServed {
+		if served := f.Served / f.Wanted; served < minServedShare {
 			t.Fatalf("%+v: %.3f of the higher tier's demand served", tr, served)
 		}
 	})
 }
 
-func TestHoldersThatDontNoticeAPartitionBreakTheBound(t *testing.T) {
+func TestUndetectedPartitionExceedsTheBound(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tr := Trial{Holders: 32, Fault: Partition, Unnoticed: true}
+	tr := Trial{Holders: 32, Fault: Partition, Undetected: true}
 	g.Expect(tr.Rates().Excess).To(gomega.BeNumerically(">", tr.Allowance()))
 }
 
-func TestPermitsKeepToTheLimit(t *testing.T) {
+func TestPermitsStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := drawTrial(t)
 		r := tr.Permits()
-		most := Limit
+		maxRunning := Limit
 		if tr.Fault != NoFault {
-			most = 2 * Limit
+			maxRunning = 2 * Limit
 		}
-		if r.Most > most || r.Settled > Limit {
+		if r.Peak > maxRunning || r.Settled > Limit {
 			t.Fatalf("%+v: %+v", tr, r)
 		}
 		if r.Mean < 0.75*Limit {
--- a/internal/credit/lab/permits.go
+++ b/internal/credit/lab/permits.go
@@ -9,47 +9,47 @@
 )
 
 const (
-	// Limit is the limit of the trials of concurrency.
+	// Limit is the limit in trials of concurrency.
 	Limit = 64
 
-	shortest = 2 // ticks that a request runs
-	longest  = 200
-	tries    = 2               // to start a request, a tick and holder
-	settled  = 4 * time.Second // after the fault is known
+	minRunTicks   = 2 // run time of a request in ticks
+	maxRunTicks   = 200
+	startsPerTick = 2               // attempts to start a request, per tick and holder
+	settleTime    = 4 * time.Second // after the fault is detected
 )
 
-// Running is how many requests a trial of concurrency had at once: at most,
-// at most once the fault was settled, and on average.
-type Running struct {
-	Most, Settled int
+// PermitResult is the number of concurrent requests in a trial of concurrency:
+// the maximum, the maximum after settleTime, and the mean.
+type PermitResult struct {
+	Peak, Settled int
 	Mean          float64
 }
 
-// Permits plays a limit on concurrency whose holders always want more.
-func (tr Trial) Permits() Running {
+// Permits simulates a concurrency limit whose holders always want more permits.
+func (tr Trial) Permits() PermitResult {
 	rnd := rand.New(rand.NewPCG(tr.Seed, 0))
 	cfg := credit.PermitConfig{Limit: Limit}
-	newHome := func(now time.Time) *credit.PermitHome {
-		home := credit.NewPermitHome(now, cfg)
-		home.SetReach(tr.Holders, tr.Holders)
-		return home
+	newOwner := func(now time.Time) *credit.PermitOwner {
+		owner := credit.NewPermitOwner(now, cfg)
+		owner.SetReach(tr.Holders, tr.Holders)
+		return owner
 	}
-	home := newHome(epoch)
+	owner := newOwner(epoch)
 	holders := make([]*credit.PermitHolder, tr.Holders)
 	for i := range holders {
 		holders[i] = credit.NewPermitHolder(fmt.Sprint(i), tr.Holders, cfg)
 	}
-	grants, due := make([]credit.PermitGrant, tr.Holders), make([]time.Time, tr.Holders)
+	grants, grantAt := make([]credit.PermitGrant, tr.Holders), make([]time.Time, tr.Holders)
 	ending := make(map[time.Time][]int) // holders whose requests end
 	count := 0
-	var r Running
+	var r PermitResult
 	for now := epoch; now.Sub(epoch) < Length; now = now.Add(tick) {
-		since := now.Sub(epoch) - quiet
-		if since == noticed && tr.Fault == HomeDies {
-			home = newHome(now)
+		since := now.Sub(epoch) - faultDelay
+		if since == detectionDelay && tr.Fault == OwnerFails {
+			owner = newOwner(now)
 		}
-		if since == noticed && tr.Fault == Partition {
-			home.SetReach(tr.Holders-tr.cut(), tr.Holders)
+		if since == detectionDelay && tr.Fault == Partition {
+			owner.SetReach(tr.Holders-tr.partitioned(), tr.Holders)
 		}
 		for _, i := range ending[now] {
 			holders[i].End(0)
@@ -57,28 +57,28 @@
 		count -= len(ending[now])
 		delete(ending, now)
 		for i, h := range holders {
-			for range tries {
+			for range startsPerTick {
 				if h.Start(now, 0) {
-					end := now.Add(time.Duration(shortest+rnd.IntN(longest-shortest)) * tick)
+					end := now.Add(time.Duration(minRunTicks+rnd.IntN(maxRunTicks-minRunTicks)) * tick)
 					ending[end] = append(ending[end], i)
 					count++
 				}
 			}
-			if a, ok := h.Next(now); ok && tr.reaches(i, since) {
-				grants[i], due[i] = home.Ask(now, a), now.Add(2*trip)
+			if a, ok := h.NextRequest(now); ok && tr.reaches(i, since) {
+				grants[i], grantAt[i] = owner.Grant(now, a), now.Add(2*oneWayDelay)
 			}
-			if now.Equal(due[i]) {
-				h.Granted(now, grants[i])
+			if now.Equal(grantAt[i]) {
+				h.ApplyGrant(now, grants[i])
 			}
 		}
-		r.note(count, since)
+		r.record(count, since)
 	}
 	return r
 }
 
-func (r *Running) note(count int, since time.Duration) {
-	r.Most = max(r.Most, count)
-	if since > noticed+settled {
+func (r *PermitResult) record(count int, since time.Duration) {
+	r.Peak = max(r.Peak, count)
+	if since > detectionDelay+settleTime {
 		r.Settled = max(r.Settled, count)
 	}
 	r.Mean += float64(count) * tick.Seconds() / Length.Seconds()
--- a/internal/credit/lab/trial.go
+++ b/internal/credit/lab/trial.go
@@ -1,5 +1,5 @@
-// Package lab plays the homes and holders of a team's limits in virtual time,
-// with skewed demand, a home that dies and a partition. Only tests use it; run
+// Package lab simulates the owner and holders of a team's limits in virtual time,
+// with skewed demand, a failing owner and a partition. Only tests use it; run
 //
 //	go test ./internal/credit/lab -run Table -v -table
 //
@@ -16,33 +16,35 @@
 )
 
 const (
-	tick = 10 * time.Millisecond
-	trip = 5 * time.Millisecond // of an ask or a grant
-	// Rate is the limit of the trials of rates, in units a second.
+	tick        = 10 * time.Millisecond
+	oneWayDelay = 5 * time.Millisecond // of a request or a grant
+	// Rate is the limit in trials of rates, in units per second.
 	Rate = 1000.0
-	// Length is how long a trial lasts.
+	// Length is the duration of a trial.
 	Length = 12 * time.Second
 
-	quiet   = 2 * time.Second // before a fault
-	noticed = 2 * time.Second // until routers know of a fault
-	// most is the share of the demand that one holder has if it is skewed,
-	// and pressure the demand of all, in limits.
-	most     = 0.8
-	pressure = 2.0
-	// upper is the demand of the higher tier of a trial with tiers, in limits.
-	upper = 0.6
+	faultDelay     = 2 * time.Second // before a fault
+	detectionDelay = 2 * time.Second // until routers detect a fault
+	// skewedShare is the share of the demand at one holder if the demand is
+	// skewed, and totalDemand the demand at all holders as a multiple of the
+	// limit.
+	skewedShare = 0.8
+	totalDemand = 2.0
+	// higherTierDemand is the demand of the higher tier in a trial with tiers, as
+	// a multiple of the limit.
+	higherTierDemand = 0.6
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Fault is what happens to the routers after the quiet time.
+// Fault is the fault injected after faultDelay.
 type Fault int
 
 // The faults.
 const (
 	NoFault Fault = iota
-	HomeDies
-	// Partition: a third of the holders can't reach the home, nor it them.
+	OwnerFails
+	// Partition cuts the connection between the owner and a third of the holders.
 	Partition
 )
 
@@ -50,83 +52,82 @@
 type Trial struct {
 	Holders int
 	Skewed  bool
-	// Tiers says that every second holder, evenly, meets requests of a higher
-	// tier, and the others those of a lower one.
+	// Tiers gives every second holder requests of a higher tier, evenly, and the
+	// others requests of a lower one.
 	Tiers bool
 	Fault Fault
-	// Unnoticed says that the routers never learn of a partition.
-	Unnoticed bool
-	Seed      uint64
+	// Undetected means that the owner never detects a partition.
+	Undetected bool
+	Seed       uint64
 }
 
-// Flow is what a trial of a rate admitted.
-type Flow struct {
+// RateResult is the result of a trial of a rate limit.
+type RateResult struct {
 	Admitted float64
-	// Wanted and Served are the demand of the highest tier and what was
-	// admitted of it.
+	// Wanted is the demand of the highest tier, and Served the part admitted.
 	Wanted, Served float64
-	// Excess is the most that any stretch of time had above the rate.
+	// Excess is the largest number of units above the rate in any interval.
 	Excess float64
 }
 
-// Rates plays a limit on a rate.
-func (tr Trial) Rates() Flow {
+// Rates simulates a rate limit.
+func (tr Trial) Rates() RateResult {
 	rnd := rand.New(rand.NewPCG(tr.Seed, 0))
 	cfg := credit.Config{Rate: Rate}
 	holders := make([]*credit.Holder, tr.Holders)
 	for i := range holders {
 		holders[i] = credit.NewHolder(fmt.Sprint(i), tr.Holders, cfg)
 	}
-	home := credit.NewHome(epoch, cfg)
-	grants, due := make([]credit.Grant, tr.Holders), make([]time.Time, tr.Holders)
-	var f Flow
-	stretch := 0.0
+	owner := credit.NewHome(epoch, cfg)
+	grants, grantAt := make([]credit.Grant, tr.Holders), make([]time.Time, tr.Holders)
+	var f RateResult
+	excess := 0.0
 	for now := epoch; now.Sub(epoch) < Length; now = now.Add(tick) {
-		since := now.Sub(epoch) - quiet
-		if since == noticed && tr.Fault == HomeDies {
-			home = credit.NewHome(now, cfg)
+		since := now.Sub(epoch) - faultDelay
+		if since == detectionDelay && tr.Fault == OwnerFails {
+			owner = credit.NewHome(now, cfg)
 		}
-		if since == noticed && tr.Fault == Partition && !tr.Unnoticed {
-			home.SetReach(now, tr.Holders-tr.cut(), tr.Holders)
+		if since == detectionDelay && tr.Fault == Partition && !tr.Undetected {
+			owner.SetReach(now, tr.Holders-tr.partitioned(), tr.Holders)
 		}
 		admitted := 0.0
 		for i, h := range holders {
 			n := tr.demand(i, rnd)
-			got := take(h, now, tr.tier(i), n)
+			got := spendUnits(h, now, tr.tier(i), n)
 			admitted += got
 			if tr.tier(i) == 0 {
 				f.Wanted += float64(n)
 				f.Served += got
 			}
 			if a, ok := h.Next(now); ok && tr.reaches(i, since) {
-				grants[i], due[i] = home.Ask(now, a), now.Add(2*trip)
+				grants[i], grantAt[i] = owner.Ask(now, a), now.Add(2*oneWayDelay)
 			}
-			if now.Equal(due[i]) {
+			if now.Equal(grantAt[i]) {
 				h.Granted(now, grants[i])
 			}
 		}
 		f.Admitted += admitted
-		stretch = max(0, stretch+admitted-Rate*tick.Seconds())
-		f.Excess = max(f.Excess, stretch)
+		excess = max(0, excess+admitted-Rate*tick.Seconds())
+		f.Excess = max(f.Excess, excess)
 	}
 	return f
 }
 
-// cut is how many holders a partition cuts off.
-func (tr Trial) cut() int { return tr.Holders / 3 }
+// partitioned returns the number of holders that a partition cuts off.
+func (tr Trial) partitioned() int { return tr.Holders / 3 }
 
 func (tr Trial) reaches(holder int, since time.Duration) bool {
 	switch {
 	case since < 0 || tr.Fault == NoFault:
 		return true
-	case tr.Fault == HomeDies:
-		return since >= noticed
+	case tr.Fault == OwnerFails:
+		return since >= detectionDelay
 	default:
-		return holder >= tr.cut()
+		return holder >= tr.partitioned()
 	}
 }
 
-// tier is that of the requests that a holder meets.
+// tier returns the tier of the requests at a holder.
 func (tr Trial) tier(holder int) int {
 	if !tr.Tiers {
 		return 0
@@ -134,29 +135,29 @@
 	return 1 - holder%2
 }
 
-// demand is how many units a holder wants in one tick.
+// demand returns the number of units that a holder wants in one tick.
 func (tr Trial) demand(holder int, rnd *rand.Rand) int {
-	return int(math.Floor(tr.limits(holder)*Rate*tick.Seconds() + rnd.Float64()))
+	return int(math.Floor(tr.demandShare(holder)*Rate*tick.Seconds() + rnd.Float64()))
 }
 
-// limits is the demand of a holder, in limits.
-func (tr Trial) limits(holder int) float64 {
+// demandShare returns the demand of a holder as a multiple of the limit.
+func (tr Trial) demandShare(holder int) float64 {
 	n := float64(tr.Holders)
 	switch {
 	case tr.Tiers && tr.tier(holder) == 0:
-		return upper / (n / 2)
+		return higherTierDemand / (n / 2)
 	case tr.Tiers:
-		return pressure / (n / 2)
+		return totalDemand / (n / 2)
 	case !tr.Skewed:
-		return pressure / n
+		return totalDemand / n
 	case holder == tr.Holders-1:
-		return pressure * most
+		return totalDemand * skewedShare
 	default:
-		return pressure * (1 - most) / (n - 1)
+		return totalDemand * (1 - skewedShare) / (n - 1)
 	}
 }
 
-func take(h *credit.Holder, now time.Time, tier, n int) float64 {
+func spendUnits(h *credit.Holder, now time.Time, tier, n int) float64 {
 	got := 0.0
 	for range n {
 		if h.Take(now, tier, 1) {
@@ -166,13 +167,14 @@
 	return got
 }
 
-// Allowance is how far the stated bound on any stretch lies above the rate.
+// Allowance returns the number of units above the rate that the documented bound
+// allows in any interval.
 func (tr Trial) Allowance() float64 {
 	bound := Rate * (time.Second + 250*time.Millisecond).Seconds()
 	if tr.Fault == Partition {
-		// Until the fault is known the cut-off holders use shares that the
-		// home leases out too.
-		bound += Rate*noticed.Seconds()/3 + float64(tr.Holders)
+		// Until the fault is detected, the cut-off holders use fair shares that
+		// the owner also leases out.
+		bound += Rate*detectionDelay.Seconds()/3 + float64(tr.Holders)
 	}
 	return bound
 }
--- a/internal/credit/permit.go
+++ b/internal/credit/permit.go
@@ -7,18 +7,19 @@
 	"coveferry/internal/load"
 )
 
-// KindConcurrency limits how many of a team's requests run at once. It is held
-// by permits: a holder may run as many requests as its quota, which the home
-// renews while the holder asks.
+// KindConcurrency limits how many of a team's requests run concurrently. It is
+// enforced by permits: a holder may run as many requests as its quota, which the
+// owner renews with each request of the holder.
 const KindConcurrency Kind = "concurrency"
 
-// PermitConfig holds what home and holders of a concurrency limit must agree
-// on. Period and TTL that are zero take their defaults.
+// PermitConfig holds the settings that must be the same at the owner and all
+// holders of a concurrency limit. A zero Period or TTL is replaced by its
+// default.
 type PermitConfig struct {
-	// Limit is how many requests may run at once.
+	// Limit is the number of requests that may run concurrently.
 	Limit  int
 	Period time.Duration
-	// TTL is how long a quota is good after it was asked for.
+	// TTL is how long a quota is valid after it was requested.
 	TTL time.Duration
 }
 
@@ -28,10 +29,10 @@
 	return c
 }
 
-// Places counts requests by tier.
-type Places [load.MaxTiers]int
+// TierCounts holds numbers of requests by tier.
+type TierCounts [load.MaxTiers]int
 
-func (p Places) total() int {
+func (p TierCounts) total() int {
 	sum := 0
 	for _, n := range p {
 		sum += n
@@ -39,108 +40,110 @@
 	return sum
 }
 
-// PermitAsk is what a holder of a concurrency limit sends to the home.
-type PermitAsk struct {
+// PermitRequest is sent by a holder of a concurrency limit to the owner.
+type PermitRequest struct {
 	Holder string
 	Seq    uint64
-	// Quota is what the holder goes by now, and Running how many requests
-	// run there, which may be more.
+	// Quota is the holder's current quota, and Running the number of requests
+	// that run there, which may be higher.
 	Quota   int
 	Running int
-	// Want is the most that it would have run at once lately, by tier.
-	Want Places
+	// Want is the highest number of concurrent requests wanted recently.
+	Want TierCounts
 }
 
-// PermitGrant sets the holder's quota, from now until the TTL after the ask.
+// PermitGrant sets the holder's quota until a TTL after the request was sent.
 type PermitGrant struct {
 	Seq   uint64
 	Quota int
 }
 
-// PermitHome shares out one concurrency limit. It isn't safe for concurrent
-// use.
+// PermitOwner divides one concurrency limit between holders. It isn't safe for
+// concurrent use.
 //
-// Without faults no more than the limit run. When holders lose the home, what
-// runs goes on and each may start requests up to its fair share, so that until
-// what ran before has ended up to twice the limit may run. A new home grants
-// nothing new for a TTL, so that it first hears what runs.
-type PermitHome struct {
-	cfg     PermitConfig
-	opens   time.Time
-	reached int
-	all     int
-	holders map[string]permits
+// Without faults no more requests than the limit run. When holders can't reach
+// the owner, running requests continue and each holder may start requests up to
+// its fair share, so that up to twice the limit may run until the earlier
+// requests have ended. A new owner doesn't raise quotas for a TTL, so that it
+// first learns of the running requests.
+type PermitOwner struct {
+	cfg        PermitConfig
+	grantsFrom time.Time
+	reachable  int
+	routers    int
+	holders    map[string]holderPermits
 }
 
-// permits is what the home knows of one holder.
-type permits struct {
-	want Places
-	// committed is the most that the holder may go by or run: both the quota
-	// that it had when it asked and the one that it was granted.
+// holderPermits is the owner's state of one holder.
+type holderPermits struct {
+	want TierCounts
+	// committed is the most that the holder may use: the maximum of the
+	// requests running and of its quota before and after the grant.
 	committed int
 	at        time.Time
 }
 
-// NewPermitHome returns a home that begins now.
-func NewPermitHome(now time.Time, cfg PermitConfig) *PermitHome {
+// NewPermitOwner returns an owner that starts now.
+func NewPermitOwner(now time.Time, cfg PermitConfig) *PermitOwner {
 	cfg = cfg.withDefaults()
-	return &PermitHome{cfg: cfg, opens: now.Add(cfg.TTL), reached: 1, all: 1, holders: make(map[string]permits)}
+	return &PermitOwner{cfg: cfg, grantsFrom: now.Add(cfg.TTL), reachable: 1, routers: 1, holders: make(map[string]holderPermits)}
 }
 
-// SetReach tells how many of all routers, itself included, the home reaches.
-// The fair shares of the others aren't granted.
-func (h *PermitHome) SetReach(reached, all int) {
-	h.all = max(all, 1)
-	h.reached = min(reached, h.all)
+// SetReach sets how many of all routers, itself included, the owner reaches. The
+// fair shares of the others aren't granted.
+func (h *PermitOwner) SetReach(reached, all int) {
+	h.routers = max(all, 1)
+	h.reachable = min(reached, h.routers)
 }
 
-// Ask answers a holder with its quota: higher tiers before lower ones, within
-// a tier fairly between the holders.
-func (h *PermitHome) Ask(now time.Time, a PermitAsk) PermitGrant {
+// Grant returns the quota of a holder: higher tiers go before lower ones, and
+// within a tier holders share fairly.
+func (h *PermitOwner) Grant(now time.Time, a PermitRequest) PermitGrant {
 	for holder, p := range h.holders {
 		if now.Sub(p.at) >= h.cfg.TTL {
 			delete(h.holders, holder)
 		}
 	}
-	has := max(a.Quota, a.Running)
-	h.holders[a.Holder] = permits{want: a.Want, committed: has, at: now}
-	quota := min(h.share(a.Holder), a.Quota+h.free())
-	if now.Before(h.opens) {
+	inUse := max(a.Quota, a.Running)
+	h.holders[a.Holder] = holderPermits{want: a.Want, committed: inUse, at: now}
+	quota := min(h.share(a.Holder), a.Quota+h.uncommitted())
+	if now.Before(h.grantsFrom) {
 		quota = min(quota, a.Quota)
 	}
 	quota = max(quota, 0)
-	h.holders[a.Holder] = permits{want: a.Want, committed: max(has, quota), at: now}
+	h.holders[a.Holder] = holderPermits{want: a.Want, committed: max(inUse, quota), at: now}
 	return PermitGrant{Seq: a.Seq, Quota: quota}
 }
 
-// limit is what the holders in reach share, without the fair shares of the
-// others.
-func (h *PermitHome) limit() int {
-	away := h.all - h.reached
-	return h.cfg.Limit - away*fairPermits(h.cfg.Limit, h.all)
+// sharedLimit returns the limit less the fair shares of unreachable routers.
+func (h *PermitOwner) sharedLimit() int {
+	unreachable := h.routers - h.reachable
+	return h.cfg.Limit - unreachable*fairPermits(h.cfg.Limit, h.routers)
 }
 
-// free is what is committed to no holder; it is negative after a cut.
-func (h *PermitHome) free() int {
-	left := h.limit()
+// uncommitted returns the permits not committed to any holder. It is negative
+// after the limit was lowered.
+func (h *PermitOwner) uncommitted() int {
+	left := h.sharedLimit()
 	for _, p := range h.holders {
 		left -= p.committed
 	}
 	return left
 }
 
-// share is the holder's part of the limit by what all want.
-func (h *PermitHome) share(holder string) int {
-	left := float64(h.limit())
+// share returns the holder's fair share of sharedLimit given all holders'
+// demands.
+func (h *PermitOwner) share(holder string) int {
+	left := float64(h.sharedLimit())
 	share := 0.0
 	wants := make([]float64, 0, len(h.holders))
-	for tier, own := range h.holders[holder].want {
+	for tier, want := range h.holders[holder].want {
 		wants = wants[:0]
 		for _, p := range h.holders {
 			wants = append(wants, float64(p.want[tier]))
 		}
-		level := fairLevel(wants, left)
-		share += min(float64(own), level)
+		level := maxMinLevel(wants, left)
+		share += min(float64(want), level)
 		for _, w := range wants {
 			left -= min(w, level)
 		}
@@ -148,6 +151,7 @@
 	return int(share)
 }
 
-// fairPermits is one router's fair share: rounded down, so that all shares
-// together keep to the limit. A limit below the number of routers leaves none.
+// fairPermits returns one router's fair share, rounded down so that the sum of
+// all shares doesn't exceed the limit. It is 0 if the limit is less than the
+// number of routers.
 func fairPermits(limit, routers int) int { return limit / max(routers, 1) }
--- a/internal/credit/permitholder.go
+++ b/internal/credit/permitholder.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// PermitHolder holds one router's part of a concurrency limit. While the home
-// stays silent for a TTL it starts requests within its fair share only. It
-// isn't safe for concurrent use.
+// PermitHolder enforces one router's quota of a concurrency limit. When the
+// owner hasn't answered for a TTL, it starts requests only within its fair
+// share. It isn't safe for concurrent use.
 type PermitHolder struct {
-	name    string
-	cfg     PermitConfig
-	routers int
-	quota   int
-	ends    time.Time // of the quota
-	running Places
-	most    Places // wanted at once since the last ask, by tier
-	last    Places // the same in the period before
-	seq     uint64
-	asked   time.Time
-	waiting bool
-	unheard time.Time // when the first ask without answer was sent
-	refused bool
+	name            string
+	cfg             PermitConfig
+	routers         int
+	quota           int
+	expires         time.Time // of the quota
+	running         TierCounts
+	peak            TierCounts // most concurrent requests wanted in this period
+	previousPeak    TierCounts // the same for the previous period
+	seq             uint64
+	requestedAt     time.Time
+	pending         bool
+	unansweredSince time.Time // when the first unanswered request was sent
+	refused         bool
 }
 
-// NewPermitHolder returns a holder without permits. routers is how many share
-// the limit.
+// NewPermitHolder returns a holder without permits. routers is the number of
+// routers that share the limit.
 func NewPermitHolder(name string, routers int, cfg PermitConfig) *PermitHolder {
 	return &PermitHolder{name: name, cfg: cfg.withDefaults(), routers: max(routers, 1)}
 }
 
-// SetRouters changes how many routers share the limit.
+// SetRouters changes the number of routers that share the limit.
 func (h *PermitHolder) SetRouters(routers int) { h.routers = max(routers, 1) }
 
-// Start says whether a request of the tier may run, and counts it if so; End
-// follows. Permits that higher tiers are likely to want are left for them.
+// Start reports whether a request of the tier may run and counts it if so; the
+// caller must then call End. Permits that higher tiers are expected to need are
+// reserved for them.
 func (h *PermitHolder) Start(now time.Time, tier int) bool {
-	h.most[tier] = max(h.most[tier], h.running[tier]+1)
-	if h.running.total()+h.reserve(tier) >= h.usable(now) {
+	h.peak[tier] = max(h.peak[tier], h.running[tier]+1)
+	if h.running.total()+h.reservedAbove(tier) >= h.effectiveLimit(now) {
 		h.refused = true
 		return false
 	}
@@ -42,80 +43,81 @@
 	return true
 }
 
-// End counts a request of the tier that Start let run as ended.
+// End releases the permit of a request of the tier that Start admitted.
 func (h *PermitHolder) End(tier int) {
 	h.running[tier] = max(h.running[tier]-1, 0)
 }
 
-// Next returns the ask to send to the home, false if none is due.
-func (h *PermitHolder) Next(now time.Time) (PermitAsk, bool) {
+// NextRequest returns the request to send to the owner, or false if none is due.
+func (h *PermitHolder) NextRequest(now time.Time) (PermitRequest, bool) {
 	if !h.due(now) {
-		return PermitAsk{}, false
+		return PermitRequest{}, false
 	}
 	want := h.want()
-	if now.Sub(h.asked) >= h.cfg.Period {
-		h.last, h.most = h.most, h.running
+	if now.Sub(h.requestedAt) >= h.cfg.Period {
+		h.previousPeak, h.peak = h.peak, h.running
 	}
-	h.asked, h.waiting, h.refused = now, true, false
+	h.requestedAt, h.pending, h.refused = now, true, false
 	h.seq++
-	if h.unheard.IsZero() {
-		h.unheard = now
+	if h.unansweredSince.IsZero() {
+		h.unansweredSince = now
 	}
-	return PermitAsk{Holder: h.name, Seq: h.seq, Quota: h.held(now), Running: h.running.total(), Want: want}, true
+	return PermitRequest{Holder: h.name, Seq: h.seq, Quota: h.validQuota(now), Running: h.running.total(), Want: want}, true
 }
 
-// Granted takes in the home's answer. Only that to the last ask counts.
-func (h *PermitHolder) Granted(now time.Time, g PermitGrant) {
-	ends := h.asked.Add(h.cfg.TTL)
-	if !h.waiting || g.Seq != h.seq || !now.Before(ends) {
+// ApplyGrant applies the owner's answer. Answers to earlier requests than the
+// last one are ignored.
+func (h *PermitHolder) ApplyGrant(now time.Time, g PermitGrant) {
+	ends := h.requestedAt.Add(h.cfg.TTL)
+	if !h.pending || g.Seq != h.seq || !now.Before(ends) {
 		return
 	}
-	h.waiting = false
-	h.unheard = time.Time{}
-	h.quota, h.ends = g.Quota, ends
+	h.pending = false
+	h.unansweredSince = time.Time{}
+	h.quota, h.expires = g.Quota, ends
 }
 
-// due says whether to ask now: each period while permits are held or wanted,
-// and sooner after a refusal.
+// due reports whether to send a request now: each period while permits are held
+// or wanted, and earlier after a refusal.
 func (h *PermitHolder) due(now time.Time) bool {
-	since := now.Sub(h.asked)
-	if h.refused && !h.waiting && since >= h.cfg.Period/hurry {
+	since := now.Sub(h.requestedAt)
+	if h.refused && !h.pending && since >= h.cfg.Period/earlyRequestDivisor {
 		return true
 	}
-	idle := h.want() == Places{} && h.held(now) == 0
+	idle := h.want() == TierCounts{} && h.validQuota(now) == 0
 	return since >= h.cfg.Period && !idle
 }
 
-func (h *PermitHolder) want() Places {
-	want := h.most
-	for tier, n := range h.last {
+func (h *PermitHolder) want() TierCounts {
+	want := h.peak
+	for tier, n := range h.previousPeak {
 		want[tier] = max(want[tier], n)
 	}
 	return want
 }
 
-// held is the quota while it is good.
-func (h *PermitHolder) held(now time.Time) int {
-	if !now.Before(h.ends) {
+// validQuota returns the quota, or 0 if it has expired.
+func (h *PermitHolder) validQuota(now time.Time) int {
+	if !now.Before(h.expires) {
 		return 0
 	}
 	return h.quota
 }
 
-// usable is how many requests may run now.
-func (h *PermitHolder) usable(now time.Time) int {
-	if h.alone(now) {
+// effectiveLimit returns the number of requests that may run now.
+func (h *PermitHolder) effectiveLimit(now time.Time) int {
+	if h.onFairShare(now) {
 		return fairPermits(h.cfg.Limit, h.routers)
 	}
-	return h.held(now)
+	return h.validQuota(now)
 }
 
-// reserve is what the tiers above wanted in the last period beyond what they
-// run now.
-func (h *PermitHolder) reserve(tier int) int {
+// reservedAbove returns how many more requests than now the higher tiers wanted
+// to run in the previous period.
+func (h *PermitHolder) reservedAbove(tier int) int {
 	sum := 0
 	for t := range tier {
-		sum += max(0, h.last[t]-h.running[t])
+		sum += max(0, h.previousPeak[t]-h.running[t])
 	}
 	return sum
 }
--- a/internal/limits/channel.go
+++ b/internal/limits/channel.go
@@ -7,28 +7,28 @@
 	"coveferry/internal/identity"
 )
 
-// methodAsk asks the home of limits for credits and permits.
-var methodAsk = control.NewMethod[Asks, Grants]("limits.ask", identity.RoleRouter)
+// methodAsk requests credits and permits from the owner of limits.
+var methodAsk = control.NewMethod[LeaseRequests, Grants]("limits.ask", identity.RoleRouter)
 
-// Register has a server answer the asks of other routers. Who asks is told by
-// its certificate.
+// Register registers the handler of other routers' requests with a server. The
+// certificate identifies the requesting router.
 func (l *Limiter) Register(srv *control.Server) {
-	control.Register(srv, methodAsk, func(_ context.Context, peer identity.Peer, asks Asks) (Grants, error) {
-		return l.Answer(peer.Name, asks), nil
+	control.Register(srv, methodAsk, func(_ context.Context, peer identity.Peer, requests LeaseRequests) (Grants, error) {
+		return l.HandleRequests(peer.Name, requests), nil
 	})
 }
 
-// NewSender returns a sender over the control channel. The pool should keep as
-// many connections as there are routers.
-func NewSender(pool *control.Pool) Sender { return channel{pool} }
+// NewSender returns a Sender that uses the control channel. The pool should keep
+// as many connections as there are routers.
+func NewSender(pool *control.Pool) Sender { return controlSender{pool} }
 
-type channel struct{ pool *control.Pool }
+type controlSender struct{ pool *control.Pool }
 
-// Ask implements Sender.
-func (c channel) Ask(ctx context.Context, to Peer, asks Asks) (Grants, error) {
+// Request implements Sender.
+func (c controlSender) Request(ctx context.Context, to Peer, requests LeaseRequests) (Grants, error) {
 	client := c.pool.Client(control.Target{
 		Address: to.Address,
 		Peer:    identity.Peer{Role: identity.RoleRouter, Name: to.Name},
 	})
-	return control.Call(ctx, client, methodAsk, asks)
+	return control.Call(ctx, client, methodAsk, requests)
 }
--- a/internal/limits/errors.go
+++ b/internal/limits/errors.go
@@ -6,11 +6,11 @@
 	"coveferry/internal/credit"
 )
 
-// Reached is a request beyond a limit of its team.
+// ExceededError reports that a request exceeds a limit of its team.
 type Reached struct {
-	// Kind is the limit that was reached.
+	// Kind is the kind of the limit.
 	Kind credit.Kind
-	// RetryAfter is when there may be room again.
+	// RetryAfter is the estimated time until a request can be admitted.
 	RetryAfter time.Duration
 }
 
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,12 +1,13 @@
-// Package limits holds teams to the limits of their bundle. With several
-// routers in the bundle a limit holds across all of them: a router is the home
-// of some teams' limits, found by rendezvous hash, and leases credits and
-// permits (package credit) from the homes of the teams that its callers use.
-// All asks for one home travel in one message a period. A request is decided
-// on with what the router holds at that moment; it never waits for a message.
+// Package limits enforces the limits that a bundle sets for teams. With several
+// routers in the bundle a limit holds across all of them: each router is the
+// owner of some teams' limits, chosen by rendezvous hash, and leases credits and
+// permits (package credit) from the owners of the limits of the teams that it
+// serves. All lease requests to one owner share one message per period. A
+// caller's request is admitted or refused with the credits that the router holds
+// at that time; it never waits for a message.
 //
-// With one router, without routers in the bundle, or without a Sender each
-// limit is enforced whole at this router, without messages.
+// With one router, without routers in the bundle, or without a Sender this
+// router enforces the whole of each limit without messages.
 package limits
 
 import (
@@ -28,79 +29,82 @@
 	defaultTTL    = time.Second
 )
 
-// Mode says how limits hold where there are several routers.
+// Mode selects how limits are enforced with several routers.
 type Mode string
 
-// The modes. All but Shared are there to compare with.
+// The modes. All except Shared exist for comparison.
 const (
-	// Shared leases credits from homes; it is the default.
+	// Shared leases credits from owners; it is the default.
 	Shared Mode = ""
-	// Alone enforces each limit whole at each router.
+	// PerRouter enforces the whole of each limit at each router.
 	Alone Mode = "alone"
-	// FairShare enforces the limit divided by the routers at each.
+	// FairShare enforces the limit divided by the number of routers at each.
 	FairShare Mode = "fair-share"
 )
 
-// Config is what a Limiter needs. Its zero value limits at this router alone.
+// Config configures a Limiter. The zero value enforces limits at this router
+// only.
 type Config struct {
-	// Name is the router's own in the bundle's list.
+	// Name is this router's name in the bundle.
 	Name string
 	Mode Mode
-	// Sender carries asks to homes; nil limits at this router alone.
+	// Sender sends requests to owners. If it is nil, limits are enforced at this
+	// router only.
 	Sender Sender
-	// Period is the time between two asks, TTL how long a grant is good; all
-	// routers must have the same. 0 is 250 ms and 1 s.
+	// Period is the time between two requests and TTL is how long a grant is
+	// valid; all routers must use the same values. The defaults are 250 ms and
+	// 1 s.
 	Period, TTL time.Duration
 	Log         zerolog.Logger
 	// Metrics may be nil.
 	Metrics prometheus.Registerer
 }
 
-// Limiter holds teams to their limits. It is safe for concurrent use.
+// Limiter enforces the limits of teams. It is safe for concurrent use.
 type Limiter struct {
 	cfg Config
-	// following serializes changes of the topology.
-	following sync.Mutex
+	// topologyMu serializes changes of the topology.
+	topologyMu sync.Mutex
 
-	topology atomic.Pointer[topology]
-	holders  holders
-	homes    homes
-	peers    peers
-	calls    calls
-	metrics  *metrics
+	topology    atomic.Pointer[topology]
+	holders     holders
+	owned       ownedLimits
+	peerTracker peerTracker
+	calls       calls
+	metrics     *metrics
 }
 
-// New returns a limiter that follows no bundle yet.
+// New returns a limiter without a bundle.
 func New(cfg Config) *Limiter {
 	cfg.Period = cmp.Or(cfg.Period, defaultPeriod)
 	cfg.TTL = cmp.Or(cfg.TTL, defaultTTL)
 	l := &Limiter{cfg: cfg, metrics: newMetrics(cfg.Metrics)}
 	l.holders.init()
-	l.homes.init()
-	l.peers.init()
+	l.owned.init()
+	l.peerTracker.init()
 	l.calls.init()
 	return l
 }
 
-// Follow puts a bundle's limits and list of routers in force.
+// Follow applies the limits and the list of routers of a bundle.
 func (l *Limiter) Follow(b *bundle.Bundle) {
-	l.following.Lock()
-	defer l.following.Unlock()
+	l.topologyMu.Lock()
+	defer l.topologyMu.Unlock()
 	t := newTopology(l.cfg, b)
 	l.topology.Store(t)
-	l.homes.follow(time.Now(), t)
-	l.peers.follow(t)
+	l.owned.update(time.Now(), t)
+	l.peerTracker.update(t)
 }
 
-// Ticket is a request that was let in; its End follows.
+// Ticket is an admitted request. The caller must call End.
 type Ticket struct {
-	shard  *holderShard
-	places places
-	tokens bucket
-	tier   int
+	shard       *holderShard
+	concurrency concurrencyLimit
+	tokens      rateLimit
+	tier        int
 }
 
-// Admit lets a request of the team at a tier in. The error is a *Reached.
+// Admit admits a request of the team at a tier. The error is a *ExceededError.
 func (l *Limiter) Admit(now time.Time, team *bundle.Team, tier int) (Ticket, error) {
 	sh := l.holders.shard(team.Name)
 	sh.mu.Lock()
@@ -118,12 +122,12 @@
 	return ticket, nil
 }
 
-// End ends a request that was let in, and charges the tokens that it produced.
+// End ends an admitted request and charges the tokens that it produced.
 func (t Ticket) End(now time.Time, tokens int) {
 	t.shard.mu.Lock()
 	defer t.shard.mu.Unlock()
-	if t.places != nil {
-		t.places.end(t.tier)
+	if t.concurrency != nil {
+		t.concurrency.end(t.tier)
 	}
 	if t.tokens != nil && tokens > 0 {
 		t.tokens.charge(now, t.tier, float64(tokens))
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -20,19 +20,19 @@
 const (
 	team      = "registry"
 	perSecond = 400.0 // requests a second
-	beat      = 5 * time.Millisecond
+	tick      = 5 * time.Millisecond
 )
 
-// world is a set of routers that share the limits of one team, over the control
-// channel on a network in memory, in fake time.
-type world struct {
+// cluster is a set of routers that share the limits of one team over the control
+// channel, on an in-memory network in fake time.
+type cluster struct {
 	*gomega.WithT
 	ca      *identity.Authority
 	net     *memnet.Net
 	mode    Mode
 	bundle  *bundle.Bundle
 	routers []*node
-	// tiers are those of the requests that reach each router; 0 by default.
+	// tiers is the tier of the requests at each router; 0 by default.
 	tiers map[int]int
 }
 
@@ -45,10 +45,10 @@
 func name(i int) string    { return fmt.Sprintf("router-%d", i) }
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:7430", i+1) }
 
-func play(t *testing.T, routers int, mode Mode, limits bundle.TeamLimits, scene func(w *world)) {
+func runCluster(t *testing.T, routers int, mode Mode, limits bundle.TeamLimits, run func(w *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{WithT: gomega.NewWithT(t), net: memnet.New(), mode: mode}
+		w := &cluster{WithT: gomega.NewWithT(t), net: memnet.New(), mode: mode}
 		ca, err := identity.Ephemeral(identity.WithClock(time.Now))
 		w.Expect(err).NotTo(gomega.HaveOccurred())
 		w.ca = ca
@@ -64,12 +64,12 @@
 				n.stop()
 			}
 		}()
-		time.Sleep(2 * time.Second) // fake time, in which the homes open
-		scene(w)
+		time.Sleep(2 * time.Second) // fake time; owners start to grant after a TTL
+		run(w)
 	})
 }
 
-func (w *world) start(i int) *node {
+func (w *cluster) start(i int) *node {
 	id, err := w.ca.Identity(identity.RoleRouter, name(i))
 	w.Expect(err).NotTo(gomega.HaveOccurred())
 	l, err := w.net.Listen(address(i))
@@ -95,42 +95,44 @@
 	}}
 }
 
-func (w *world) team() *bundle.Team { return &w.bundle.Teams[0] }
+func (w *cluster) team() *bundle.Team { return &w.bundle.Teams[0] }
 
-// home is the number of the router that is the home of the team.
-func (w *world) home() int {
-	home := w.routers[0].limiter.topology.Load().homes[team]
-	return slices.IndexFunc(w.routers, func(n *node) bool { return n.name == home })
+// owner returns the index of the router that owns the team's limits.
+func (w *cluster) owner() int {
+	owner := w.routers[0].limiter.topology.Load().owners[team]
+	return slices.IndexFunc(w.routers, func(n *node) bool { return n.name == owner })
 }
 
-// demand is how many requests a second arrive at each router.
+// demand is the number of requests per second that arrive at each router.
 type demand []float64
 
-// skewed gives one router, which isn't the home, 0.8 of the demand.
-func (w *world) skewed(total float64) demand {
+// skewed returns a demand of which one router, not the owner, gets a share of
+// 0.8.
+func (w *cluster) skewed(total float64) demand {
 	d := make(demand, len(w.routers))
 	for i := range d {
 		d[i] = 0.2 * total / float64(len(d)-1)
 	}
-	d[(w.home()+1)%len(d)] = 0.8 * total
+	d[(w.owner()+1)%len(d)] = 0.8 * total
 	return d
 }
 
-// send lets requests arrive for a time and returns how many each router admits.
-func (w *world) send(d demand, length time.Duration) []int {
-	got := make([]int, len(w.routers))
-	owed := make([]float64, len(w.routers))
-	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(beat) {
+// send sends requests for the given time and returns how many each router
+// admits.
+func (w *cluster) send(d demand, duration time.Duration) []int {
+	admitted := make([]int, len(w.routers))
+	pending := make([]float64, len(w.routers))
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(tick) {
 		for i, n := range w.routers {
-			for owed[i] += d[i] * beat.Seconds(); owed[i] >= 1; owed[i]-- {
+			for pending[i] += d[i] * tick.Seconds(); pending[i] >= 1; pending[i]-- {
 				if ticket, err := n.limiter.Admit(time.Now(), w.team(), w.tiers[i]); err == nil {
 					ticket.End(time.Now(), 0)
-					got[i]++
+					admitted[i]++
 				}
 			}
 		}
 	}
-	return got
+	return admitted
 }
 
 func sum(counts []int) float64 {
@@ -141,40 +143,42 @@
 	return float64(total)
 }
 
-// within is the bound of package credit on what a limit admits over a time.
-func within(length time.Duration) float64 {
-	return perSecond * (length + defaultTTL + 2*defaultPeriod).Seconds()
+// admissionBound returns the bound of package credit on the requests admitted
+// over the given time.
+func admissionBound(duration time.Duration) float64 {
+	return perSecond * (duration + defaultTTL + 2*defaultPeriod).Seconds()
 }
 
-const long = 20 * time.Second
+const trialLength = 20 * time.Second
 
-var limited = bundle.TeamLimits{RequestsPerSecond: perSecond}
+var requestLimit = bundle.TeamLimits{RequestsPerSecond: perSecond}
 
-func TestALimitHoldsAcrossRouters(t *testing.T) {
+func TestLimitHoldsAcrossRouters(t *testing.T) {
 	for _, routers := range []int{2, 8} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
-			play(t, routers, Shared, limited, func(w *world) {
-				got := sum(w.send(w.skewed(2*perSecond), long))
-				w.Expect(got).To(gomega.BeNumerically("<=", within(long)))
-				w.Expect(got).To(gomega.BeNumerically("~", perSecond*long.Seconds(), 0.05*perSecond*long.Seconds()))
+			runCluster(t, routers, Shared, requestLimit, func(w *cluster) {
+				got := sum(w.send(w.skewed(2*perSecond), trialLength))
+				w.Expect(got).To(gomega.BeNumerically("<=", admissionBound(trialLength)))
+				w.Expect(got).To(gomega.BeNumerically("~", perSecond*trialLength.Seconds(), 0.05*perSecond*trialLength.Seconds()))
 			})
 		})
 	}
 }
 
-// The ways to compare with break what the test before holds.
-func TestAloneAdmitsTooMuchAndAFairShareTooLittle(t *testing.T) {
-	play(t, 8, Alone, limited, func(w *world) {
-		w.Expect(sum(w.send(w.skewed(4*perSecond), long))).To(gomega.BeNumerically(">", within(long)))
+// The other modes fail what TestLimitHoldsAcrossRouters checks: PerRouter exceeds
+// the bound and FairShare leaves much of the limit unused under skewed demand.
+func TestPerRouterModeAdmitsTooMuchAndFairShareTooLittle(t *testing.T) {
+	runCluster(t, 8, Alone, requestLimit, func(w *cluster) {
+		w.Expect(sum(w.send(w.skewed(4*perSecond), trialLength))).To(gomega.BeNumerically(">", admissionBound(trialLength)))
 	})
-	play(t, 8, FairShare, limited, func(w *world) {
-		w.Expect(sum(w.send(w.skewed(2*perSecond), long))).To(gomega.BeNumerically("<", 0.6*perSecond*long.Seconds()))
+	runCluster(t, 8, FairShare, requestLimit, func(w *cluster) {
+		w.Expect(sum(w.send(w.skewed(2*perSecond), trialLength))).To(gomega.BeNumerically("<", 0.6*perSecond*trialLength.Seconds()))
 	})
 }
 
-func TestAQuietTeamsFirstRequestsAreLetIn(t *testing.T) {
-	all := bundle.TeamLimits{RequestsPerSecond: 2, TokensPerSecond: 100, Concurrency: 8}
-	play(t, 8, Shared, all, func(w *world) {
+func TestFirstRequestsAfterIdleTimeAreAdmitted(t *testing.T) {
+	allLimits := bundle.TeamLimits{RequestsPerSecond: 2, TokensPerSecond: 100, Concurrency: 8}
+	runCluster(t, 8, Shared, allLimits, func(w *cluster) {
 		for i := range 20 {
 			n := w.routers[i%len(w.routers)]
 			ticket, err := n.limiter.Admit(time.Now(), w.team(), i%2)
@@ -185,58 +189,59 @@
 	})
 }
 
-// What a lower tier takes at one router isn't missing for a higher at another.
-func TestAHigherTierIsServedBeforeALowerAtAnotherRouter(t *testing.T) {
-	play(t, 2, Shared, limited, func(w *world) {
+// Demand of a lower tier at one router doesn't reduce what a higher tier at
+// another router gets.
+func TestHigherTierGoesBeforeLowerTierAtAnotherRouter(t *testing.T) {
+	runCluster(t, 2, Shared, requestLimit, func(w *cluster) {
 		const higher = 0.6 * perSecond
 		w.tiers = map[int]int{0: 1}
 		d := demand{2 * perSecond, higher}
 		w.send(d, 2*time.Second)
-		got := w.send(d, long)
-		w.Expect(got[1]).To(gomega.BeNumerically(">=", 0.97*higher*long.Seconds()))
+		got := w.send(d, trialLength)
+		w.Expect(got[1]).To(gomega.BeNumerically(">=", 0.97*higher*trialLength.Seconds()))
 		w.Expect(got[0]).To(gomega.BeNumerically(">", 0))
-		w.Expect(sum(got)).To(gomega.BeNumerically("<=", within(long)))
+		w.Expect(sum(got)).To(gomega.BeNumerically("<=", admissionBound(trialLength)))
 	})
 }
 
-func TestADeadHomeLeavesTheFairShareAndComesBack(t *testing.T) {
-	play(t, 2, Shared, limited, func(w *world) {
+func TestRouterUsesFairShareWhileOwnerIsDown(t *testing.T) {
+	runCluster(t, 2, Shared, requestLimit, func(w *cluster) {
 		w.send(w.skewed(2*perSecond), 2*time.Second)
-		home, other := w.home(), 1-w.home()
-		w.routers[home].stop()
+		owner, other := w.owner(), 1-w.owner()
+		w.routers[owner].stop()
 		d := demand{0, 0}
 		d[other] = 2 * perSecond
-		w.send(d, 2*time.Second) // until it notices
-		w.Expect(sum(w.send(d, long))).To(gomega.BeNumerically("~", perSecond/2*long.Seconds(), 0.05*perSecond*long.Seconds()))
-		w.routers[home] = w.start(home)
-		w.send(d, 10*time.Second) // until it dials again
-		w.Expect(sum(w.send(d, long))).To(gomega.BeNumerically("~", perSecond*long.Seconds(), 0.05*perSecond*long.Seconds()))
+		w.send(d, 2*time.Second) // until the other router detects the failure
+		w.Expect(sum(w.send(d, trialLength))).To(gomega.BeNumerically("~", perSecond/2*trialLength.Seconds(), 0.05*perSecond*trialLength.Seconds()))
+		w.routers[owner] = w.start(owner)
+		w.send(d, 10*time.Second) // until it reconnects
+		w.Expect(sum(w.send(d, trialLength))).To(gomega.BeNumerically("~", perSecond*trialLength.Seconds(), 0.05*perSecond*trialLength.Seconds()))
 	})
 }
 
-func TestAPartitionKeepsToTheLimitAndHeals(t *testing.T) {
-	play(t, 8, Shared, limited, func(w *world) {
-		even := slices.Repeat(demand{perSecond / 4}, 8)
-		w.send(even, 2*time.Second)
-		home := w.home()
+func TestLimitHoldsDuringPartitionAndRecovers(t *testing.T) {
+	runCluster(t, 8, Shared, requestLimit, func(w *cluster) {
+		evenDemand := slices.Repeat(demand{perSecond / 4}, 8)
+		w.send(evenDemand, 2*time.Second)
+		owner := w.owner()
 		for i := 1; i <= 3; i++ {
-			w.net.Cut(name((home+i)%8), address(home))
+			w.net.Cut(name((owner+i)%8), address(owner))
 		}
-		cut := w.send(even, long)
-		w.Expect(sum(cut)).To(gomega.BeNumerically("<=", within(long)+3*perSecond/8*defaultTTL.Seconds()))
-		w.Expect(cut[(home+1)%8]).To(gomega.BeNumerically("~", perSecond/8*long.Seconds(), 0.1*perSecond/8*long.Seconds()))
+		admitted := w.send(evenDemand, trialLength)
+		w.Expect(sum(admitted)).To(gomega.BeNumerically("<=", admissionBound(trialLength)+3*perSecond/8*defaultTTL.Seconds()))
+		w.Expect(admitted[(owner+1)%8]).To(gomega.BeNumerically("~", perSecond/8*trialLength.Seconds(), 0.1*perSecond/8*trialLength.Seconds()))
 		for i := 1; i <= 3; i++ {
-			w.net.Heal(name((home+i)%8), address(home))
+			w.net.Heal(name((owner+i)%8), address(owner))
 		}
-		w.send(even, 10*time.Second) // until they dial again
+		w.send(evenDemand, 10*time.Second) // until they reconnect
 		d := make(demand, 8)
-		d[(home+1)%8] = 2 * perSecond
-		w.Expect(sum(w.send(d, long))).To(gomega.BeNumerically("~", perSecond*long.Seconds(), 0.1*perSecond*long.Seconds()))
+		d[(owner+1)%8] = 2 * perSecond
+		w.Expect(sum(w.send(d, trialLength))).To(gomega.BeNumerically("~", perSecond*trialLength.Seconds(), 0.1*perSecond*trialLength.Seconds()))
 	})
 }
 
-func TestAChangedLimitTakesEffect(t *testing.T) {
-	play(t, 2, Shared, limited, func(w *world) {
+func TestChangedLimitTakesEffect(t *testing.T) {
+	runCluster(t, 2, Shared, requestLimit, func(w *cluster) {
 		w.send(w.skewed(2*perSecond), 2*time.Second)
 		next := *w.bundle
 		next.Teams = []bundle.Team{{Name: team, Limits: bundle.TeamLimits{RequestsPerSecond: perSecond / 4}}}
@@ -244,37 +249,37 @@
 		for _, n := range w.routers {
 			n.limiter.Follow(&next)
 		}
-		w.send(w.skewed(2*perSecond), 2*time.Second) // leases of the old rate end
-		w.Expect(sum(w.send(w.skewed(2*perSecond), long))).To(gomega.BeNumerically("~", perSecond/4*long.Seconds(), 0.05*perSecond*long.Seconds()))
+		w.send(w.skewed(2*perSecond), 2*time.Second) // leases at the old rate expire
+		w.Expect(sum(w.send(w.skewed(2*perSecond), trialLength))).To(gomega.BeNumerically("~", perSecond/4*trialLength.Seconds(), 0.05*perSecond*trialLength.Seconds()))
 	})
 }
 
-// What runs at all routers together stays within the limit, but for one request
-// at each router that hasn't heard of its home.
+// The number of requests running at all routers stays within the limit plus one
+// request for each router with a cold holder.
 func TestConcurrencyHoldsAcrossRouters(t *testing.T) {
-	const limit, lasts = 20, 50 // requests, beats
-	play(t, 2, Shared, bundle.TeamLimits{Concurrency: limit}, func(w *world) {
-		var open [][]Ticket // of the last beats, the oldest first
-		running, most := 0, 0
+	const limit, ticksPerRequest = 20, 50 // requests, ticks
+	runCluster(t, 2, Shared, bundle.TeamLimits{Concurrency: limit}, func(w *cluster) {
+		var open [][]Ticket // by tick, the oldest first
+		running, peak := 0, 0
 		for range 2000 {
-			var let []Ticket
+			var admitted []Ticket
 			for _, n := range w.routers {
 				if ticket, err := n.limiter.Admit(time.Now(), w.team(), 0); err == nil {
-					let = append(let, ticket)
+					admitted = append(admitted, ticket)
 				}
 			}
-			open = append(open, let)
-			running += len(let)
-			most = max(most, running)
-			if len(open) == lasts {
+			open = append(open, admitted)
+			running += len(admitted)
+			peak = max(peak, running)
+			if len(open) == ticksPerRequest {
 				for _, ticket := range open[0] {
 					ticket.End(time.Now(), 0)
 				}
 				running -= len(open[0])
 				open = open[1:]
 			}
-			time.Sleep(beat)
+			time.Sleep(tick)
 		}
-		w.Expect(most).To(gomega.And(gomega.BeNumerically(">=", limit-2), gomega.BeNumerically("<=", limit+len(w.routers))))
+		w.Expect(peak).To(gomega.And(gomega.BeNumerically(">=", limit-2), gomega.BeNumerically("<=", limit+len(w.routers))))
 	})
 }
--- a/internal/limits/message.go
+++ b/internal/limits/message.go
@@ -9,80 +9,82 @@
 	"coveferry/internal/load"
 )
 
-// mostTeams bounds a message.
-const mostTeams = 10_000
+// maxTeams limits the number of teams in a message.
+const maxTeams = 10_000
 
-// Asks is what a router asks of one home, for all teams at once. Without teams
-// it says that the router uses none of the home's limits any more.
-type Asks struct {
-	Teams []TeamAsk `json:"teams,omitempty"`
+// LeaseRequests is the message of a router to one owner, for all teams at once.
+// Without teams it tells the owner that the router no longer uses its limits.
+type LeaseRequests struct {
+	Teams []TeamRequest `json:"teams,omitempty"`
 }
 
-// TeamAsk asks for the limits of one team; those that aren't asked for are nil.
-type TeamAsk struct {
-	Team     string     `json:"t"`
-	Requests *RateAsk   `json:"r,omitempty"`
-	Tokens   *RateAsk   `json:"k,omitempty"`
-	Permits  *PlacesAsk `json:"p,omitempty"`
+// TeamRequest requests credits and permits for one team. Limits that aren't
+// requested are nil.
+type TeamRequest struct {
+	Team     string         `json:"t"`
+	Requests *RateRequest   `json:"r,omitempty"`
+	Tokens   *RateRequest   `json:"k,omitempty"`
+	Permits  *PermitRequest `json:"p,omitempty"`
 }
 
-// RateAsk is a credit.Ask on the wire. Want may be shorter than the tiers.
-type RateAsk struct {
+// RateRequest is the wire format of a credit.LeaseRequest. Want may be shorter
+// than the number of tiers.
+type RateRequest struct {
 	Seq    uint64    `json:"s"`
 	Want   []float64 `json:"w,omitempty"`
 	Return float64   `json:"b,omitempty"`
 }
 
-// PlacesAsk is a credit.PermitAsk on the wire.
-type PlacesAsk struct {
+// PermitRequest is the wire format of a credit.PermitRequest.
+type PermitRequest struct {
 	Seq     uint64 `json:"s"`
 	Quota   int    `json:"q,omitempty"`
 	Running int    `json:"n,omitempty"`
 	Want    []int  `json:"w,omitempty"`
 }
 
-// Grants answers Asks.
+// Grants is the answer to LeaseRequests.
 type Grants struct {
 	Teams []TeamGrant `json:"teams,omitempty"`
 }
 
-// TeamGrant is what a team's holder may spend; what the home doesn't know is
-// nil.
+// TeamGrant holds the grants for one team. Limits that the owner doesn't know
+// are nil.
 type TeamGrant struct {
 	Team     string       `json:"t"`
 	Requests *RateGrant   `json:"r,omitempty"`
 	Tokens   *RateGrant   `json:"k,omitempty"`
-	Permits  *PlacesGrant `json:"p,omitempty"`
+	Permits  *PermitGrant `json:"p,omitempty"`
 }
 
-// RateGrant is a credit.Grant on the wire.
+// RateGrant is the wire format of a credit.Grant.
 type RateGrant struct {
 	Seq    uint64  `json:"s"`
 	Amount float64 `json:"a,omitempty"`
 }
 
-// PlacesGrant is a credit.PermitGrant on the wire.
-type PlacesGrant struct {
+// PermitGrant is the wire format of a credit.PermitGrant.
+type PermitGrant struct {
 	Seq   uint64 `json:"s"`
 	Quota int    `json:"q,omitempty"`
 }
 
-var errBadAsk = errors.New("limits: an ask's numbers are out of range")
+var errBadRequest = errors.New("limits: an ask's numbers are out of range")
 
 // Check implements control.Checker.
-func (a Asks) Check() error {
-	if len(a.Teams) > mostTeams {
-		return errors.Newf("limits: %d teams in a message, %d at most", len(a.Teams), mostTeams)
+func (a LeaseRequests) Check() error {
+	if len(a.Teams) > maxTeams {
+		return errors.Newf("limits: %d teams in a message, %d at most", len(a.Teams), maxTeams)
 	}
 	for _, t := range a.Teams {
 		if !t.Requests.valid() || !t.Tokens.valid() || !t.Permits.valid() {
-			return errors.Wrapf(errBadAsk, "team %q", t.Team)
+			return errors.Wrapf(errBadRequest, "team %q", t.Team)
 		}
 	}
 	return nil
 }
 
-func (a *RateAsk) valid() bool {
+func (a *RateRequest) valid() bool {
 	if a == nil {
 		return true
 	}
@@ -93,7 +95,7 @@
 	return ok
 }
 
-func (a *PlacesAsk) valid() bool {
+func (a *PermitRequest) valid() bool {
 	if a == nil {
 		return true
 	}
@@ -106,28 +108,28 @@
 
 func valid(n float64) bool { return n >= 0 && !math.IsInf(n, 0) }
 
-func newRateAsk(a credit.Ask) *RateAsk {
-	return &RateAsk{Seq: a.Seq, Want: trim(a.Want[:]), Return: a.Return}
+func newRateRequest(a credit.Ask) *RateRequest {
+	return &RateRequest{Seq: a.Seq, Want: trimZeros(a.Want[:]), Return: a.Return}
 }
 
-func (a *RateAsk) of(holder string) credit.Ask {
+func (a *RateRequest) toCredit(holder string) credit.Ask {
 	out := credit.Ask{Holder: holder, Seq: a.Seq, Return: a.Return}
 	copy(out.Want[:], a.Want)
 	return out
 }
 
-func newPlacesAsk(a credit.PermitAsk) *PlacesAsk {
-	return &PlacesAsk{Seq: a.Seq, Quota: a.Quota, Running: a.Running, Want: trim(a.Want[:])}
+func newPermitRequest(a credit.PermitRequest) *PermitRequest {
+	return &PermitRequest{Seq: a.Seq, Quota: a.Quota, Running: a.Running, Want: trimZeros(a.Want[:])}
 }
 
-func (a *PlacesAsk) of(holder string) credit.PermitAsk {
-	out := credit.PermitAsk{Holder: holder, Seq: a.Seq, Quota: a.Quota, Running: a.Running}
+func (a *PermitRequest) toCredit(holder string) credit.PermitRequest {
+	out := credit.PermitRequest{Holder: holder, Seq: a.Seq, Quota: a.Quota, Running: a.Running}
 	copy(out.Want[:], a.Want)
 	return out
 }
 
-// trim leaves out the lowest tiers that want nothing.
-func trim[N int | float64](want []N) []N {
+// trimZeros removes trailing zeros, the lowest tiers without demand.
+func trimZeros[N int | float64](want []N) []N {
 	for len(want) > 0 && want[len(want)-1] == 0 {
 		want = want[:len(want)-1]
 	}
--- a/internal/limits/metrics.go
+++ b/internal/limits/metrics.go
@@ -2,17 +2,17 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// How an ask ended.
+// Results of requests to owners.
 const (
 	resultAnswered = "answered"
 	resultFailed   = "failed"
 )
 
 type metrics struct {
-	refused  *prometheus.CounterVec
-	asks     *prometheus.CounterVec
-	answered prometheus.Counter
-	away     prometheus.Gauge
+	refused     *prometheus.CounterVec
+	requests    *prometheus.CounterVec
+	answered    prometheus.Counter
+	unreachable prometheus.Gauge
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -21,7 +21,7 @@
 			Name: "coveferry_limit_refused_total",
 			Help: "Requests refused because of a limit of their team, by what it counts.",
 		}, []string{"kind"}),
-		asks: prometheus.NewCounterVec(prometheus.CounterOpts{
+		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "coveferry_limit_asks_total",
 			Help: "Messages sent to homes of limits, by result: answered or failed.",
 		}, []string{"result"}),
@@ -29,13 +29,13 @@
 			Name: "coveferry_limit_home_asks_total",
 			Help: "Messages answered as the home of limits, this router's own included.",
 		}),
-		away: prometheus.NewGauge(prometheus.GaugeOpts{
+		unreachable: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "coveferry_limit_away_routers",
 			Help: "Routers that fell silent while they used limits of this home.",
 		}),
 	}
 	if reg != nil {
-		reg.MustRegister(m.refused, m.asks, m.answered, m.away)
+		reg.MustRegister(m.refused, m.requests, m.answered, m.unreachable)
 	}
 	return m
 }
--- a/internal/limits/peers.go
+++ b/internal/limits/peers.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// forget is after how long a home gives the share of a silent holder to the
-// others. It may have died, or live on its fair share behind a partition, which
-// the home can't tell apart.
-const forget = 30 * time.Second
+// forgetAfter is the time after which an owner grants the share of a silent
+// holder to the others. The holder may have failed or may be using its fair
+// share behind a partition, which the owner can't distinguish.
+const forgetAfter = 30 * time.Second
 
-// peers are the holders that this router has heard as their home.
-type peers struct {
-	mu    sync.Mutex
-	all   int
-	heard map[string]sign
+// peerTracker tracks the holders that send requests to this router as owner.
+type peerTracker struct {
+	mu          sync.Mutex
+	routerCount int
+	contacts    map[string]contact
 }
 
-// sign is the last that was heard of a holder.
-type sign struct {
+// contact is the last request of a holder.
+type contact struct {
 	at time.Time
-	// using says that it asked for something and not that it uses nothing.
+	// using reports whether the request was for any team. An empty request means
+	// that the holder uses no limits of this owner.
 	using bool
 }
 
-func (p *peers) init() { p.heard = make(map[string]sign) }
+func (p *peerTracker) init() { p.contacts = make(map[string]contact) }
 
-func (p *peers) follow(t *topology) {
+func (p *peerTracker) update(t *topology) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.all = t.all
+	p.routerCount = t.routerCount
 }
 
-// hear notes an ask of a holder and returns how many routers are in reach: a
-// holder that asked and then fell silent for a TTL without saying that it uses
-// nothing any more is on its fair share.
-func (p *peers) hear(now time.Time, name string, using bool, ttl time.Duration) reach {
+// recordContact records a request of a holder and returns how many routers are
+// reachable. A holder that has been silent for a TTL after a non-empty request
+// is using its fair share and counts as unreachable.
+func (p *peerTracker) recordContact(now time.Time, name string, using bool, ttl time.Duration) reachability {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard[name] = sign{at: now, using: using}
-	away := 0
-	for peer, s := range p.heard {
-		silent := now.Sub(s.at)
+	p.contacts[name] = contact{at: now, using: using}
+	unreachable := 0
+	for peer, s := range p.contacts {
+		silence := now.Sub(s.at)
 		switch {
-		case silent >= forget:
-			delete(p.heard, peer)
-		case silent >= ttl && s.using:
-			away++
+		case silence >= forgetAfter:
+			delete(p.contacts, peer)
+		case silence >= ttl && s.using:
+			unreachable++
 		}
 	}
-	return reach{reached: max(p.all-away, 1), all: p.all}
+	return reachability{reachable: max(p.routerCount-unreachable, 1), total: p.routerCount}
 }
--- a/internal/limits/runner.go
+++ b/internal/limits/runner.go
@@ -7,117 +7,119 @@
 	"time"
 )
 
-// steps is into how many steps a period is divided. Urgent asks go with the
-// next step, those of teams that had to be refused twice a period, and all
-// others each period.
+// stepsPerPeriod is the number of steps in a period. Urgent requests are sent
+// with the next step, those of teams with refusals twice a period, and all
+// others once a period.
 const (
-	steps   = 8
-	pressed = steps / 2
+	stepsPerPeriod         = 8
+	stepsPerRefusedRequest = stepsPerPeriod / 2
 )
 
-// quietPeriods is after how many periods without asks a home is told that
-// nothing of it is used. A holder that just asked may leave one out.
-const quietPeriods = 2
+// idlePeriods is the number of periods without requests after which an owner is
+// notified that this router doesn't use its limits. It is more than one because
+// a holder that has just sent an early request may skip a period.
+const idlePeriods = 2
 
-// due says which asks go with a step.
+// due selects the requests that are sent in a step.
 type due int
 
 const (
 	dueUrgent due = iota
-	duePressed
+	dueRefused
 	dueAll
 )
 
-// dueAfter returns what is due at step n, when step last was the one before;
-// steps that were left out count.
-func dueAfter(last, n int) due {
+// dueAtStep returns what is due at step n if the previous step was last. Skipped
+// steps are taken into account.
+func dueAtStep(last, n int) due {
 	switch {
-	case n/steps > last/steps:
+	case n/stepsPerPeriod > last/stepsPerPeriod:
 		return dueAll
-	case n/pressed > last/pressed:
-		return duePressed
+	case n/stepsPerRefusedRequest > last/stepsPerRefusedRequest:
+		return dueRefused
 	default:
 		return dueUrgent
 	}
 }
 
-// Sender carries asks to the home of limits.
+// Sender sends requests to the owners of limits.
 type Sender interface {
-	// Ask sends asks to a router and waits for its grants, for a TTL at most.
-	Ask(ctx context.Context, to Peer, asks Asks) (Grants, error)
+	// Request sends requests to a router and waits for its grants, for at most a
+	// TTL.
+	Request(ctx context.Context, to Peer, requests LeaseRequests) (Grants, error)
 }
 
-// Peer is a router to ask.
+// Peer is a router that owns limits.
 type Peer struct{ Name, Address string }
 
-// calls are the calls that are under way, one at most to each home, and the
-// homes that believe that this router uses limits of theirs.
+// calls tracks the calls in flight, at most one to each owner, and the owners
+// that count this router as a user of their limits.
 type calls struct {
-	mu   sync.Mutex
-	open map[string]bool
-	// using counts the periods since something was asked of a home.
-	using map[string]int
+	mu       sync.Mutex
+	inFlight map[string]bool
+	// idleFor is the number of periods since the last request, by owner.
+	idleFor map[string]int
 }
 
 func (c *calls) init() {
-	c.open = make(map[string]bool)
-	c.using = make(map[string]int)
+	c.inFlight = make(map[string]bool)
+	c.idleFor = make(map[string]int)
 }
 
-func (c *calls) begin(home string) {
+func (c *calls) begin(owner string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open[home] = true
+	c.inFlight[owner] = true
 }
 
-// busy returns the homes to which a call is under way. They are asked again
-// when it has ended, since a grant counts only for the last ask.
+// busy returns the owners with a call in flight. No further request is sent to
+// them until it has ended, since a grant is valid only for the last request.
 func (c *calls) busy() map[string]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return maps.Clone(c.open)
+	return maps.Clone(c.inFlight)
 }
 
-func (c *calls) end(home string) {
+func (c *calls) end(owner string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.open, home)
+	delete(c.inFlight, owner)
 }
 
-// note keeps whom asks go to.
-func (c *calls) note(batches map[string]Asks) {
+// recordRequests records the owners that requests are sent to.
+func (c *calls) recordRequests(batches map[string]LeaseRequests) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for home := range batches {
-		c.using[home] = 0
+	for owner := range batches {
+		c.idleFor[owner] = 0
 	}
 }
 
-// quiet returns, once a period, the homes that are to be told that nothing of
-// theirs is used any more.
-func (c *calls) quiet() []string {
+// takeIdleOwners returns the owners to notify that their limits are no longer
+// used, and forgets them. It must be called once a period.
+func (c *calls) takeIdleOwners() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var quiet []string
-	for home, periods := range c.using {
-		c.using[home]++
-		if periods >= quietPeriods && !c.open[home] {
-			quiet = append(quiet, home)
-			delete(c.using, home)
+	var idle []string
+	for owner, periods := range c.idleFor {
+		c.idleFor[owner]++
+		if periods >= idlePeriods && !c.inFlight[owner] {
+			idle = append(idle, owner)
+			delete(c.idleFor, owner)
 		}
 	}
-	return quiet
+	return idle
 }
 
-// Run carries asks and grants until the context ends, and returns when all
-// calls have.
+// Run exchanges requests and grants until the context ends. It returns when all
+// calls have ended.
 func (l *Limiter) Run(ctx context.Context) {
 	start := time.Now()
-	step := l.cfg.Period / steps
+	step := l.cfg.Period / stepsPerPeriod
 	ticker := time.NewTicker(step)
 	defer ticker.Stop()
-	var open sync.WaitGroup
-	defer open.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	last := 0
 	for {
 		select {
@@ -125,116 +127,117 @@
 			return
 		case <-ticker.C:
 		}
-		// The exact moment of the step, so that a timer that is late once
-		// and early the next time doesn't put an ask off for a period.
+		// Use the nominal time of the step, so that a timer that fires late once
+		// and early the next time doesn't delay a request by a period.
 		n := int(time.Since(start) / step)
 		now := start.Add(time.Duration(n) * step)
-		l.step(ctx, now, dueAfter(last, n), &open)
+		l.step(ctx, now, dueAtStep(last, n), &inFlight)
 		last = n
 	}
 }
 
-// step sends what is due.
-func (l *Limiter) step(ctx context.Context, now time.Time, d due, open *sync.WaitGroup) {
+// step sends the requests that are due.
+func (l *Limiter) step(ctx context.Context, now time.Time, d due, inFlight *sync.WaitGroup) {
 	t := l.topology.Load()
 	if t == nil || t.mode != Shared {
 		return
 	}
 	batches := l.collect(now, t, d)
-	l.calls.note(batches)
+	l.calls.recordRequests(batches)
 	if d == dueAll {
-		for _, home := range l.calls.quiet() {
-			batches[home] = Asks{}
+		for _, owner := range l.calls.takeIdleOwners() {
+			batches[owner] = LeaseRequests{}
 		}
 	}
-	for home, asks := range batches {
-		if home == t.self {
-			l.settle(l.Answer(t.self, asks))
+	for owner, requests := range batches {
+		if owner == t.self {
+			l.applyGrants(l.HandleRequests(t.self, requests))
 			continue
 		}
-		l.calls.begin(home)
-		open.Go(func() { l.call(ctx, t, home, asks) })
+		l.calls.begin(owner)
+		inFlight.Go(func() { l.call(ctx, t, owner, requests) })
 	}
 }
 
-// collect gathers the asks for each home.
-func (l *Limiter) collect(now time.Time, t *topology, d due) map[string]Asks {
-	r := round{now: now, topology: t, due: d, busy: l.calls.busy(), batches: make(map[string]Asks)}
+// collect returns the requests that are due, by owner.
+func (l *Limiter) collect(now time.Time, t *topology, d due) map[string]LeaseRequests {
+	r := collection{now: now, topology: t, due: d, busy: l.calls.busy(), batches: make(map[string]LeaseRequests)}
 	for i := range l.holders {
 		l.holders[i].collect(r)
 	}
 	return r.batches
 }
 
-// round is one collection of asks.
-type round struct {
+// collection holds the parameters and the result of collecting requests.
+type collection struct {
 	now      time.Time
 	topology *topology
 	due      due
 	busy     map[string]bool
-	batches  map[string]Asks
+	batches  map[string]LeaseRequests
 }
 
-func (sh *holderShard) collect(r round) {
+func (sh *holderShard) collect(r collection) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for team, u := range sh.teams {
 		limits, limited := r.topology.teams[team]
-		home := r.topology.homes[team]
+		owner := r.topology.owners[team]
 		switch {
 		case !limited:
-			delete(sh.teams, team) // its bundle is gone
-		case r.busy[home] || !u.isDue(r.due):
+			delete(sh.teams, team) // the team isn't in the bundle any more or has no limits
+		case r.busy[owner] || !u.isDue(r.due):
 		default:
-			u.follow(r.now, r.topology, limits)
-			r.add(home, team, u)
+			u.update(r.now, r.topology, limits)
+			r.add(owner, team, u)
 		}
 	}
 }
 
 func (u *usage) isDue(d due) bool {
-	return d == dueAll || u.urgent || d == duePressed && u.pressed
+	return d == dueAll || u.urgent || d == dueRefused && u.refused
 }
 
-func (r round) add(home, team string, u *usage) {
-	u.urgent, u.pressed = false, false
-	if a, due := u.ask(r.now, team); due {
-		r.batches[home] = Asks{Teams: append(r.batches[home].Teams, a)}
+func (r collection) add(owner, team string, u *usage) {
+	u.urgent, u.refused = false, false
+	if a, due := u.leaseRequest(r.now, team); due {
+		r.batches[owner] = LeaseRequests{Teams: append(r.batches[owner].Teams, a)}
 	}
 }
 
-func (l *Limiter) call(ctx context.Context, t *topology, home string, asks Asks) {
-	defer l.calls.end(home)
+func (l *Limiter) call(ctx context.Context, t *topology, owner string, requests LeaseRequests) {
+	defer l.calls.end(owner)
 	ctx, cancel := context.WithTimeout(ctx, l.cfg.TTL)
 	defer cancel()
-	grants, err := l.cfg.Sender.Ask(ctx, Peer{Name: home, Address: t.routers[home].ControlAddress}, asks)
+	grants, err := l.cfg.Sender.Request(ctx, Peer{Name: owner, Address: t.routers[owner].ControlAddress}, requests)
 	if err != nil {
-		l.metrics.asks.WithLabelValues(resultFailed).Inc()
-		l.cfg.Log.Debug().Err(err).Str("home", home).Msg("asks for team limits stay without answer")
+		l.metrics.requests.WithLabelValues(resultFailed).Inc()
+		l.cfg.Log.Debug().Err(err).Str("home", owner).Msg("request to the owner of team limits failed")
 		return
 	}
-	l.metrics.asks.WithLabelValues(resultAnswered).Inc()
-	l.settle(grants)
+	l.metrics.requests.WithLabelValues(resultAnswered).Inc()
+	l.applyGrants(grants)
 }
 
-// settle gives grants to their holders.
-func (l *Limiter) settle(g Grants) {
+// applyGrants passes grants to their holders.
+func (l *Limiter) applyGrants(g Grants) {
 	now := time.Now()
 	for _, grant := range g.Teams {
 		sh := l.holders.shard(grant.Team)
 		sh.mu.Lock()
 		if u := sh.teams[grant.Team]; u != nil {
-			u.granted(now, grant)
+			u.applyGrant(now, grant)
 		}
 		sh.mu.Unlock()
 	}
 }
 
-// Answer grants what a router asks of this one as home.
-func (l *Limiter) Answer(holder string, asks Asks) Grants {
+// HandleRequests answers the requests of a router for limits that this router
+// owns.
+func (l *Limiter) HandleRequests(holder string, requests LeaseRequests) Grants {
 	now := time.Now()
-	r := l.peers.hear(now, holder, len(asks.Teams) > 0, l.cfg.TTL)
-	l.metrics.away.Set(float64(r.all - r.reached))
+	r := l.peerTracker.recordContact(now, holder, len(requests.Teams) > 0, l.cfg.TTL)
+	l.metrics.unreachable.Set(float64(r.total - r.reachable))
 	l.metrics.answered.Add(1)
-	return l.homes.answer(now, holder, asks, r)
+	return l.owned.grant(now, holder, requests, r)
 }
--- a/internal/limits/topology.go
+++ b/internal/limits/topology.go
@@ -5,23 +5,24 @@
 	"coveferry/internal/credit"
 )
 
-// topology is what a bundle says of limits and routers. It is immutable.
+// topology holds the limits and routers of a bundle. It is immutable.
 type topology struct {
 	mode    Mode
 	self    string
 	cfg     Config
 	teams   map[string]bundle.TeamLimits // those with limits
-	homes   map[string]string            // of these teams; empty unless shared
+	owners  map[string]string            // by team; empty unless the mode is Shared
 	routers map[string]bundle.Router
-	// all counts the routers that share limits, this one included.
-	all int
+	// routerCount is the number of routers that share limits, including this
+	// one.
+	routerCount int
 }
 
 func newTopology(cfg Config, b *bundle.Bundle) *topology {
 	t := &topology{
 		mode: cfg.Mode, self: cfg.Name, cfg: cfg,
 		teams:   make(map[string]bundle.TeamLimits),
-		homes:   make(map[string]string),
+		owners:  make(map[string]string),
 		routers: make(map[string]bundle.Router, len(b.Routers)),
 	}
 	names := make([]string, len(b.Routers))
@@ -29,11 +30,11 @@
 		names[i] = r.Name
 		t.routers[r.Name] = r
 	}
-	t.all = len(names)
+	t.routerCount = len(names)
 	if _, listed := t.routers[t.self]; !listed {
-		t.all++ // the others don't know of this one, but it uses limits too
+		t.routerCount++ // this router uses limits, too, although it isn't in the bundle
 	}
-	if t.all == 1 || (t.mode == Shared && cfg.Sender == nil) {
+	if t.routerCount == 1 || (t.mode == Shared && cfg.Sender == nil) {
 		t.mode = Alone
 	}
 	for i := range b.Teams {
@@ -50,14 +51,15 @@
 	if t.mode != Shared {
 		return
 	}
-	// All limits of a team have one home, so that they share a message.
-	if home, ok := credit.HomeOf(credit.Key{Team: team.Name}, routers); ok {
-		t.homes[team.Name] = home
+	// All limits of a team have the same owner, so that they share a message.
+	if owner, ok := credit.OwnerOf(credit.Key{Team: team.Name}, routers); ok {
+		t.owners[team.Name] = owner
 	}
 }
 
-// limitsOf returns the limits in force of a team. A request that began with an
-// earlier bundle may be of a team that is gone; it keeps its limits.
+// limitsOf returns the current limits of a team. For a team that was removed
+// while a request of an earlier bundle is in progress, it returns the limits of
+// that bundle.
 func (t *topology) limitsOf(team *bundle.Team) bundle.TeamLimits {
 	if t == nil {
 		return team.Limits
@@ -69,10 +71,10 @@
 	return limits
 }
 
-func (t *topology) rates(perSecond float64) credit.Config {
+func (t *topology) creditConfig(perSecond float64) credit.Config {
 	return credit.Config{Rate: perSecond, Period: t.cfg.Period, TTL: t.cfg.TTL}
 }
 
-func (t *topology) permits(limit int) credit.PermitConfig {
+func (t *topology) permitConfig(limit int) credit.PermitConfig {
 	return credit.PermitConfig{Limit: limit, Period: t.cfg.Period, TTL: t.cfg.TTL}
 }
--- a/internal/limits/traffic_test.go
+++ b/internal/limits/traffic_test.go
@@ -11,15 +11,15 @@
 	"coveferry/internal/bundle"
 )
 
-// All limits of all teams that have one home share its message.
-func TestAsksForAHomeShareAMessage(t *testing.T) {
+// Requests for all limits of all teams with the same owner share one message.
+func TestRequestsToOneOwnerShareAMessage(t *testing.T) {
 	const teams = 50
-	all := bundle.TeamLimits{RequestsPerSecond: 1000, TokensPerSecond: 1000, Concurrency: 100}
+	allLimits := bundle.TeamLimits{RequestsPerSecond: 1000, TokensPerSecond: 1000, Concurrency: 100}
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		b := &bundle.Bundle{Routers: []bundle.Router{{Name: "home"}, {Name: "other"}}}
 		for i := range teams {
-			b.Teams = append(b.Teams, bundle.Team{Name: fmt.Sprint("team-", i), Limits: all})
+			b.Teams = append(b.Teams, bundle.Team{Name: fmt.Sprint("team-", i), Limits: allLimits})
 		}
 		l := New(Config{Name: "other", Sender: NewSender(nil)})
 		l.Follow(b)
@@ -38,15 +38,15 @@
 	})
 }
 
-func TestAnAskWithBadNumbersIsRefused(t *testing.T) {
+func TestOutOfRangeRequestIsRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
-	for _, a := range []TeamAsk{
-		{Requests: &RateAsk{Want: []float64{-1}}},
-		{Tokens: &RateAsk{Return: -1}},
-		{Tokens: &RateAsk{Want: make([]float64, 9)}},
-		{Permits: &PlacesAsk{Running: -1}},
-		{Permits: &PlacesAsk{Want: []int{-1}}},
+	for _, a := range []TeamRequest{
+		{Requests: &RateRequest{Want: []float64{-1}}},
+		{Tokens: &RateRequest{Return: -1}},
+		{Tokens: &RateRequest{Want: make([]float64, 9)}},
+		{Permits: &PermitRequest{Running: -1}},
+		{Permits: &PermitRequest{Want: []int{-1}}},
 	} {
-		g.Expect(Asks{Teams: []TeamAsk{a}}.Check()).To(gomega.MatchError(errBadAsk))
+		g.Expect(LeaseRequests{Teams: []TeamRequest{a}}.Check()).To(gomega.MatchError(errBadRequest))
 	}
 }
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -1,7 +1,7 @@
-// Package throttle lets a router refuse requests before it sends them, in
-// proportion to what the endpoints refuse or don't answer in time (adaptive
-// throttling). The lowest tier is refused first: a tier is refused only once
-// all of the tiers below it are.
+// Package throttle implements adaptive throttling: a router refuses requests
+// before sending them, in proportion to those that the endpoints refuse or don't
+// answer in time. The lowest tier is refused first: a tier is refused only if
+// all requests of the tiers below it are.
 package throttle
 
 import (
@@ -14,52 +14,54 @@
 
 // Defaults of a Config.
 const (
-	defaultWindow  = 2 * time.Second
-	defaultHeadway = 2
-	defaultMin     = 20
+	defaultWindow           = 2 * time.Second
+	defaultAcceptMultiplier = 2
+	defaultMinRequests      = 20
 )
 
-// Config sets up a Throttle. Each field that is zero takes its default.
+// Config configures a Throttle. Zero fields are replaced by defaults.
 type Config struct {
 	// Window is the time over which requests and accepts are compared.
 	Window time.Duration
-	// Headway is how many times the accepted requests may be sent: above 1,
-	// so that a recovery is noticed; the less, the earlier requests are
-	// refused here.
-	Headway float64
-	// MinRequests in the window come before any refusal.
+	// AcceptMultiplier is the multiple of the accepted requests that may be
+	// sent. It must be above 1, so that a recovery is detected. Lower values
+	// make the throttle refuse requests earlier.
+	AcceptMultiplier float64
+	// MinRequests is the number of requests in the window below which none is
+	// refused.
 	MinRequests int
-	// Off turns the throttle off, for comparison.
+	// Disabled turns the throttle off, for comparison.
 	Off bool
 }
 
-// Throttle watches one group of endpoints, such as those of one model. It is
-// safe for concurrent use.
+// Throttle throttles requests to one group of endpoints, such as those of one
+// model. It is safe for concurrent use.
 type Throttle struct {
 	cfg Config
-	// tiers count the requests that were accepted or refused (Total) and the
-	// accepted ones (Part).
+	// tiers counts the requests that were accepted or refused (Total) and those
+	// that were accepted (Part).
 	tiers *window.Tiers
 }
 
-// New returns a throttle that has seen nothing and refuses nothing.
+// New returns a throttle without counts. It doesn't refuse any requests yet.
 func New(cfg Config) *Throttle {
 	cfg.Window = cmp.Or(cfg.Window, defaultWindow)
-	cfg.Headway = cmp.Or(cfg.Headway, defaultHeadway)
-	cfg.MinRequests = cmp.Or(cfg.MinRequests, defaultMin)
+	cfg.AcceptMultiplier = cmp.Or(cfg.AcceptMultiplier, defaultAcceptMultiplier)
+	cfg.MinRequests = cmp.Or(cfg.MinRequests, defaultMinRequests)
 	return &Throttle{cfg: cfg, tiers: window.NewTiers(cfg.Window)}
 }
 
-// Allow says whether to send a request of the tier. draw is a random number
-// from [0, 1). A caller that gets false may refuse the request only if
-// balance.Pool.MayRefuse allows it, and sends it otherwise. Whatever becomes
-// of the request, the caller says so with Accepted or Refused; one still on
-// its way counts for neither, so that slow answers don't look like refusals.
+// Allow reports whether to send a request of the tier. draw is a random number
+// in [0, 1). If the result is false, the caller refuses the request if
+// balance.Pool.MayRefuse allows it and sends it otherwise. In all cases the
+// caller reports the outcome with Accepted or Refused. Requests in flight aren't
+// counted, so that slow answers don't look like refusals.
 func (t *Throttle) Allow(now time.Time, tier int, draw float64) bool {
 	return draw >= t.Probability(now, tier)
 }
 
-// Accepted counts a request that an endpoint took and began to answer in time.
+// Accepted counts a request that an endpoint accepted and started to answer in
+// time.
 func (t *Throttle) Accepted(now time.Time, tier int) {
 	t.tiers.Add(now, tier, window.Counts{Total: 1, Part: 1})
 }
@@ -70,17 +72,17 @@
 	t.tiers.Add(now, tier, window.Counts{Total: 1})
 }
 
-// Probability is the part of the tier's requests that is refused now.
+// Probability returns the share of the tier's requests to refuse now.
 func (t *Throttle) Probability(now time.Time, tier int) float64 {
 	if t.cfg.Off {
 		return 0
 	}
-	return refusal(t.tiers.Sums(now), tier, t.cfg)
+	return refusalProbability(t.tiers.Sums(now), tier, t.cfg)
 }
 
-// refusal spreads the requests that are too many over the tiers, from the
-// lowest up, and returns the part of the given tier's that it takes.
-func refusal(counts [load.MaxTiers]window.Counts, tier int, cfg Config) float64 {
+// refusalProbability assigns the excess requests to the tiers, starting with the
+// lowest, and returns the share of the given tier's requests to refuse.
+func refusalProbability(counts [load.MaxTiers]window.Counts, tier int, cfg Config) float64 {
 	var all window.Counts
 	for _, c := range counts {
 		all.Total += c.Total
@@ -89,10 +91,11 @@
 	if all.Total < cfg.MinRequests {
 		return 0
 	}
-	excess := float64(all.Total) - cfg.Headway*float64(all.Part)
+	excess := float64(all.Total) - cfg.AcceptMultiplier*float64(all.Part)
 	for i := load.MaxTiers - 1; i > tier; i-- {
 		excess -= float64(counts[i].Total)
 	}
-	// The one more keeps a few requests flowing where all of them fail.
+	// Adding one to the total keeps the result below 1, so that a few requests
+	// are still sent if all of them fail.
 	return min(1, max(0, excess)/float64(counts[tier].Total+1))
 }
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -13,17 +13,17 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func feed(t *Throttle, tier, requests, accepted int) {
+func addCounts(t *Throttle, tier, requests, accepted int) {
 	t.tiers.Add(epoch, tier, window.Counts{Total: requests, Part: accepted})
 }
 
 func TestRefusesTheLowestTierFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
-	th := New(Config{Headway: 1.5})
-	feed(th, 0, 100, 100)
-	feed(th, 1, 100, 40)
-	feed(th, 2, 100, 0)
-	// 300 - 1.5*140 = 90 are too many: all of them are tier 2's.
+	th := New(Config{AcceptMultiplier: 1.5})
+	addCounts(th, 0, 100, 100)
+	addCounts(th, 1, 100, 40)
+	addCounts(th, 2, 100, 0)
+	// The excess is 300 - 1.5*140 = 90 requests, all of which tier 2 covers.
 	g.Expect(th.Probability(epoch, 2)).To(gomega.BeNumerically("~", 90.0/101, 1e-9))
 	g.Expect(th.Probability(epoch, 1)).To(gomega.BeZero())
 	g.Expect(th.Probability(epoch, 0)).To(gomega.BeZero())
@@ -31,7 +31,7 @@
 	g.Expect(th.Allow(epoch, 2, 0.95)).To(gomega.BeTrue())
 }
 
-func TestForgetsAfterTheWindow(t *testing.T) {
+func TestRefusalsExpireWithTheWindow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	th := New(Config{})
 	for range 100 {
@@ -41,18 +41,18 @@
 	g.Expect(th.Probability(epoch.Add(defaultWindow), 0)).To(gomega.BeZero())
 }
 
-func TestNoTierIsRefusedWhileALowerOneIsSent(t *testing.T) {
+func TestTierIsRefusedOnlyIfLowerTiersAre(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var counts [load.MaxTiers]window.Counts
 		for i := range counts {
 			counts[i].Total = rapid.IntRange(0, 500).Draw(t, "requests")
 			counts[i].Part = rapid.IntRange(0, counts[i].Total).Draw(t, "accepted")
 		}
-		cfg := Config{Headway: rapid.Float64Range(1, 3).Draw(t, "headway"), MinRequests: 1}
+		cfg := Config{AcceptMultiplier: rapid.Float64Range(1, 3).Draw(t, "headway"), MinRequests: 1}
 		for tier := range load.MaxTiers - 1 {
-			lower := refusal(counts, tier+1, cfg)
+			lower := refusalProbability(counts, tier+1, cfg)
 			sent := (1 - lower) * float64(counts[tier+1].Total)
-			if refusal(counts, tier, cfg) > 0 && sent > 1 {
+			if refusalProbability(counts, tier, cfg) > 0 && sent > 1 {
 				t.Fatalf("tier %d is refused while %.1f requests of tier %d are sent", tier, sent, tier+1)
 			}
 		}
--- a/internal/throttle/window/tiers.go
+++ b/internal/throttle/window/tiers.go
@@ -7,17 +7,17 @@
 	"coveferry/internal/load"
 )
 
-// Tiers is a window for each tier, each under its own lock. It is safe for
-// concurrent use. Ranks beyond the last tier count as the last: configurations
-// from outside may know more of them.
-type Tiers struct{ tiers [load.MaxTiers]locked }
+// Tiers holds a window for each tier, each with its own lock. It is safe for
+// concurrent use. Ranks beyond the last tier count as the last, since external
+// configurations may define more tiers.
+type Tiers struct{ tiers [load.MaxTiers]lockedRing }
 
-type locked struct {
+type lockedRing struct {
 	mu   sync.Mutex
 	ring Ring
 }
 
-// NewTiers returns empty windows of a length.
+// NewTiers returns empty windows of the given length.
 func NewTiers(length time.Duration) *Tiers {
 	t := &Tiers{}
 	for i := range t.tiers {
@@ -26,7 +26,7 @@
 	return t
 }
 
-func (t *Tiers) of(tier int) *locked {
+func (t *Tiers) of(tier int) *lockedRing {
 	return &t.tiers[min(max(tier, 0), load.MaxTiers-1)]
 }
 
--- a/internal/throttle/window/window.go
+++ b/internal/throttle/window/window.go
@@ -1,30 +1,32 @@
-// Package window counts events over a sliding window of time, for ratios such
-// as retries to first attempts or accepted to sent requests.
+// Package window counts events over a sliding time window, for ratios such as
+// retries to first attempts or accepted to sent requests.
 package window
 
 import "time"
 
 const (
-	// parts is how many parts of its length the window slides by.
-	parts = 10
-	// buckets hold one more, as neither the oldest nor the newest need be whole.
-	buckets = parts + 1
+	// slicesPerWindow is the number of time slices in a window.
+	slicesPerWindow = 10
+	// buckets is one more, since the oldest and the newest slice may be partial.
+	buckets = slicesPerWindow + 1
 )
 
-// Counts holds a total and the part of it, or beside it, that is compared.
+// Counts holds a total and a count to compare with it. Part may be, but need not
+// be, included in Total.
 type Counts struct {
 	Total int
 	Part  int
 }
 
-// Ring counts over the last Length of time. An event counts for that long at the least, so
-// that what is bounded in a window can't be used again before it is over, and for up to a
-// tenth more where others follow it. It isn't safe for concurrent use. The zero value is
-// invalid; see New.
+// Ring counts events over a sliding window. An event counts for at least the
+// window's length, so that a budget per window can't be spent again within one,
+// and for up to a tenth longer if other events follow it. It isn't safe for
+// concurrent use. The zero value is invalid; see New.
 type Ring struct {
 	length time.Duration
-	// origin is when it was first used. Times count from there by the clock that keeps
-	// running: a time of day that is set would end the window, or begin it again.
+	// origin is the time of the first use. Times are measured from it with the
+	// monotonic clock, since a change of the wall clock would end the window or
+	// restart it.
 	origin  time.Time
 	buckets [buckets]bucket
 }
@@ -35,18 +37,18 @@
 	counts Counts
 }
 
-// New returns an empty ring. A length under ten nanoseconds is taken as ten.
+// New returns an empty ring. A length below ten nanoseconds is raised to ten.
 func New(length time.Duration) Ring {
-	return Ring{length: max(length, parts)}
+	return Ring{length: max(length, slicesPerWindow)}
 }
 
-// Add counts c at the given time.
+// Add adds c at the given time.
 func (r *Ring) Add(now time.Time, c Counts) {
 	if r.origin.IsZero() {
 		r.origin = now
 	}
 	at := now.Sub(r.origin)
-	tick := int64(at / (r.length / parts))
+	tick := int64(at / (r.length / slicesPerWindow))
 	b := &r.buckets[((tick%buckets)+buckets)%buckets]
 	if b.tick != tick {
 		*b = bucket{tick: tick}
--- a/internal/throttle/window/window_test.go
+++ b/internal/throttle/window/window_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestAWindowHoldsAllOfItsLengthAndLittleMore(t *testing.T) {
+func TestWindowCoversItsLengthAndAtMostATenthMore(t *testing.T) {
 	g := NewWithT(t)
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	const length = 10 * time.Second
@@ -17,6 +17,6 @@
 		r.Add(start.Add(offset), Counts{Total: 1})
 		end := start.Add(offset + length)
 		g.Expect(r.Sum(end.Add(-time.Nanosecond)).Total).To(Equal(1), "%s", offset)
-		g.Expect(r.Sum(end.Add(length/parts)).Total).To(BeZero(), "%s", offset)
+		g.Expect(r.Sum(end.Add(length/slicesPerWindow)).Total).To(BeZero(), "%s", offset)
 	}
 }
