--- a/internal/credit/cold.go
+++ b/internal/credit/cold.go
@@ -18,7 +18,7 @@
 	if !h.mayOverdraw(now, tier) {
 		return false
 	}
-	h.current.taken[tier]++
+	h.current.spent[tier]++
 	h.spend(1)
 	return true
 }
--- a/internal/credit/holder.go
+++ b/internal/credit/holder.go
@@ -53,7 +53,7 @@
 // usage counts the units demanded and spent at each tier within a period.
 type usage struct {
 	demand Wants
-	taken  Wants
+	spent  Wants
 }
 
 // NewHolder returns a holder without credits. routers is the number of routers
@@ -84,7 +84,7 @@
 		h.refused = true
 		return false
 	}
-	h.current.taken[tier] += n
+	h.current.spent[tier] += n
 	h.spend(n)
 	return true
 }
@@ -95,7 +95,7 @@
 func (h *Holder) Charge(now time.Time, tier int, n float64) {
 	h.advance(now)
 	h.current.demand[tier] += n
-	h.current.taken[tier] += n
+	h.current.spent[tier] += n
 	h.spend(n)
 }
 
@@ -222,7 +222,7 @@
 func (h *Holder) reservedAbove(tier int) float64 {
 	sum := 0.0
 	for t := range tier {
-		sum += max(0, h.previous.demand[t]-h.current.taken[t])
+		sum += max(0, h.previous.demand[t]-h.current.spent[t])
 	}
 	return sum
 }
--- a/internal/limits/channel.go
+++ b/internal/limits/channel.go
@@ -7,13 +7,13 @@
 	"coveferry/internal/identity"
 )
 
-// methodAsk requests credits and permits from the owner of limits.
-var methodAsk = control.NewMethod[LeaseRequests, Grants]("limits.ask", identity.RoleRouter)
+// methodLease requests credits and permits from the owner of limits.
+var methodLease = control.NewMethod[LeaseRequests, Grants]("limits.ask", identity.RoleRouter)
 
 // Register registers the handler of other routers' requests with a server. The
 // certificate identifies the requesting router.
 func (l *Limiter) Register(srv *control.Server) {
-	control.Register(srv, methodAsk, func(_ context.Context, peer identity.Peer, requests LeaseRequests) (Grants, error) {
+	control.Register(srv, methodLease, func(_ context.Context, peer identity.Peer, requests LeaseRequests) (Grants, error) {
 		return l.HandleRequests(peer.Name, requests), nil
 	})
 }
@@ -30,5 +30,5 @@
 		Address: to.Address,
 		Peer:    identity.Peer{Role: identity.RoleRouter, Name: to.Name},
 	})
-	return control.Call(ctx, client, methodAsk, requests)
+	return control.Call(ctx, client, methodLease, requests)
 }
--- a/internal/limits/owner.go
+++ b/internal/limits/owner.go
@@ -35,7 +35,7 @@
 // passes before they are needed.
 func (h *ownedLimits) update(now time.Time, t *topology) {
 	for i := range h {
-		h[i].dropDisowned(t)
+		h[i].removeUnowned(t)
 	}
 	for team, limits := range t.teams {
 		if t.owners[team] == t.self {
@@ -44,7 +44,7 @@
 	}
 }
 
-func (sh *ownerShard) dropDisowned(t *topology) {
+func (sh *ownerShard) removeUnowned(t *topology) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for team := range sh.teams {
--- a/internal/limits/runner.go
+++ b/internal/limits/runner.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// stepsPerPeriod is the number of steps in a period. Urgent requests are sent
-// with the next step, those of teams with refusals twice a period, and all
-// others once a period.
+// stepsPerPeriod is the number of steps in a period, and refusedStepInterval how
+// many of them pass between requests of teams with refusals. Urgent requests go
+// out with the next step and all others once a period.
 const (
-	stepsPerPeriod         = 8
-	stepsPerRefusedRequest = stepsPerPeriod / 2
+	stepsPerPeriod      = 8
+	refusedStepInterval = stepsPerPeriod / 2
 )
 
 // idlePeriods is the number of periods without requests after which an owner is
@@ -35,7 +35,7 @@
 	switch {
 	case n/stepsPerPeriod > last/stepsPerPeriod:
 		return dueAll
-	case n/stepsPerRefusedRequest > last/stepsPerRefusedRequest:
+	case n/refusedStepInterval > last/refusedStepInterval:
 		return dueRefused
 	default:
 		return dueUrgent
