--- a/internal/credit/cold.go
+++ b/internal/credit/cold.go
@@ -7,7 +7,7 @@
 // requests after each idle time it then goes into debt: by at most what its fair
 // share yields in a period, and at least one unit. The debt is paid from later
 // credits, so the rate holds; the bound over any time grows by the larger of
-// Rate * Period and one unit for each holder.
+// Rate * Period and the number of holders.
 
 // Admit spends a unit for a request of the tier like TrySpend. A cold holder
 // goes into debt for it unless a higher tier recently demanded units.
@@ -15,7 +15,7 @@
 	if h.Take(now, tier, 1) {
 		return true
 	}
-	if !h.mayOverdraw(now, tier) {
+	if !h.mayGoIntoDebt(now, tier) {
 		return false
 	}
 	h.current.spent[tier]++
@@ -26,7 +26,7 @@
 // MayStart is HasCredit for a holder that may be cold. If it returns false, the
 // holder sends an early request for credits.
 func (h *Holder) MayStart(now time.Time, tier int) bool {
-	if h.HasCredit(now, tier) || h.mayOverdraw(now, tier) {
+	if h.HasCredit(now, tier) || h.mayGoIntoDebt(now, tier) {
 		return true
 	}
 	h.refused = true
@@ -51,7 +51,7 @@
 	return untilRequest + time.Duration(missing/rate*float64(time.Second))
 }
 
-func (h *Holder) mayOverdraw(now time.Time, tier int) bool {
+func (h *Holder) mayGoIntoDebt(now time.Time, tier int) bool {
 	maxDebt := max(1, h.cfg.unitsIn(h.cfg.Period)/float64(h.routers))
 	return h.Cold(now) && h.reservedAbove(tier) == 0 && h.debt+1 <= maxDebt
 }
@@ -89,4 +89,4 @@
 
 // SetLimit changes the limit. Quotas granted earlier stay valid until their
 // holders send the next request.
-func (h *PermitOwner) SetLimit(limit int) { h.cfg.Limit = limit }
+func (o *PermitOwner) SetLimit(limit int) { o.cfg.Limit = limit }
--- a/internal/credit/credit.go
+++ b/internal/credit/credit.go
@@ -1,8 +1,9 @@
 // Package credit enforces a team's limit on requests or tokens per second across
 // routers. One router is the owner of a limit: it issues credits at the limit's
-// rate and leases them in batches. All routers hold leases and spend them. All
-// state is soft: credits lost with a process are issued again at the rate of the
-// limit, never faster.
+// rate and leases them in batches. A credit is the right to use one unit, a
+// request or a token. All routers hold leases and spend them. All state is soft:
+// credits lost with a process are issued again at the rate of the limit, never
+// faster.
 //
 // Over any time T, what all holders spend together is at most
 //
@@ -70,8 +71,7 @@
 	Kind Kind
 }
 
-// Demand is the number of units that a holder can use in the next period, by
-// tier.
+// TierUnits holds numbers of units by tier.
 type Wants [load.MaxTiers]float64
 
 func (w Wants) total() float64 {
@@ -95,7 +95,8 @@
 type Ask struct {
 	Holder string
 	// Seq is the sequence number of the request; the grant repeats it.
-	Seq  uint64
+	Seq uint64
+	// Want is the number of units requested, by tier.
 	Want Wants
 	// Return is the unused amount of earlier grants that the holder returns.
 	Return float64
--- a/internal/credit/credit_test.go
+++ b/internal/credit/credit_test.go
@@ -34,7 +34,9 @@
 	return got
 }
 
-func requestedHolder(want Wants) (*Holder, Grant) {
+// holderWithPendingRequest returns a holder that demanded want and has sent a
+// request, and a grant of 30 units that answers it.
+func holderWithPendingRequest(want Wants) (*Holder, Grant) {
 	h := NewHolder("a", 2, Config{Rate: rate})
 	for tier, n := range want {
 		for range int(n) {
@@ -47,20 +49,20 @@
 
 func TestCreditsExpireWithLeaseAndCountOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h, grant := requestedHolder(Wants{10})
+	h, grant := holderWithPendingRequest(Wants{10})
 	h.Granted(epoch, grant)
 	h.Granted(epoch, grant)
 	g.Expect(h.leased()).To(gomega.Equal(30.0))
 	g.Expect(h.Take(epoch.Add(defaultTTL), 0, 1)).To(gomega.BeFalse(), "the lease expired while the process was paused")
 
-	late, grant := requestedHolder(Wants{10})
+	late, grant := holderWithPendingRequest(Wants{10})
 	late.Granted(epoch.Add(defaultTTL), grant)
 	g.Expect(late.leased()).To(gomega.BeZero())
 }
 
 func TestCreditsAreReservedForHigherTiers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h, grant := requestedHolder(Wants{20, 20})
+	h, grant := holderWithPendingRequest(Wants{20, 20})
 	h.Granted(epoch, grant)
 	low := spendUpTo(h, epoch, 1, 50)
 	high := spendUpTo(h, epoch, 0, 50)
@@ -106,7 +108,7 @@
 	g := gomega.NewWithT(t)
 	h := NewHome(epoch, Config{Rate: rate})
 	h.requests["b"] = holderDemand{want: Wants{5000}, requestedAt: epoch.Add(defaultPeriod)}
-	h.SetReach(epoch, 1, 2)
+	h.SetReachable(epoch, 1, 2)
 	got := h.Ask(epoch.Add(defaultPeriod), Ask{Holder: "a", Want: Wants{5000}})
 	// Half of the limit is left to lease, and b wants as much as a.
 	g.Expect(got.Amount).To(gomega.BeNumerically("~", 62.5, 1e-9))
@@ -117,7 +119,7 @@
 
 func TestDebtIsPaidFromNextGrant(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h, grant := requestedHolder(Wants{10})
+	h, grant := holderWithPendingRequest(Wants{10})
 	h.Charge(epoch, 0, 25)
 	h.Granted(epoch, grant)
 	g.Expect(h.leased()).To(gomega.Equal(5.0))
@@ -128,7 +130,7 @@
 
 func TestHolderKeepsCreditForInfrequentRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	h, grant := requestedHolder(Wants{1})
+	h, grant := holderWithPendingRequest(Wants{1})
 	h.Granted(epoch, grant)
 	returned := 0.0
 	for n := 1; n <= 3; n++ {
@@ -145,7 +147,7 @@
 func TestOwnerWithholdsExpectedDemandOfHigherTiers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	h := NewHome(epoch, Config{Rate: rate})
-	const high = 150.0 // of the 250 credits that a period makes
+	const high = 150.0 // of the 250 credits that are issued in a period
 	low := 0.0
 	for n := 1; n <= 8; n++ {
 		now := epoch.Add(time.Duration(n) * defaultPeriod)
--- a/internal/credit/lab/lab_test.go
+++ b/internal/credit/lab/lab_test.go
@@ -11,14 +11,14 @@
 )
 
 // minServedShare is the least share of the higher tier's demand that a trial
-// with tiers must serve, including the first second of the owner.
+// with tiers must serve, including the first second after the owner starts.
 const minServedShare = 0.95
 
 var printTable = flag.Bool("table", false, "print the table of the design note")
 
 // TestMain sets a fixed seed for the property tests, so that results are
-// reproducible: served and used shares are statistics of a trial, and rare ones
-// are close to the thresholds. Pass -rapid.seed for other seeds.
+// reproducible: served and used shares are statistics of a trial, and in rare
+// trials they are close to a threshold. Pass -rapid.seed for other seeds.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
--- a/internal/credit/lab/permits.go
+++ b/internal/credit/lab/permits.go
@@ -31,7 +31,7 @@
 	cfg := credit.PermitConfig{Limit: Limit}
 	newOwner := func(now time.Time) *credit.PermitOwner {
 		owner := credit.NewPermitOwner(now, cfg)
-		owner.SetReach(tr.Holders, tr.Holders)
+		owner.SetReachable(tr.Holders, tr.Holders)
 		return owner
 	}
 	owner := newOwner(epoch)
@@ -49,7 +49,7 @@
 			owner = newOwner(now)
 		}
 		if since == detectionDelay && tr.Fault == Partition {
-			owner.SetReach(tr.Holders-tr.partitioned(), tr.Holders)
+			owner.SetReachable(tr.Holders-tr.partitioned(), tr.Holders)
 		}
 		for _, i := range ending[now] {
 			holders[i].End(0)
--- a/internal/credit/lab/trial.go
+++ b/internal/credit/lab/trial.go
@@ -80,7 +80,7 @@
 	}
 	owner := credit.NewHome(epoch, cfg)
 	grants, grantAt := make([]credit.Grant, tr.Holders), make([]time.Time, tr.Holders)
-	var f RateResult
+	var r RateResult
 	excess := 0.0
 	for now := epoch; now.Sub(epoch) < Length; now = now.Add(tick) {
 		since := now.Sub(epoch) - faultDelay
@@ -88,7 +88,7 @@
 			owner = credit.NewHome(now, cfg)
 		}
 		if since == detectionDelay && tr.Fault == Partition && !tr.Undetected {
-			owner.SetReach(now, tr.Holders-tr.partitioned(), tr.Holders)
+			owner.SetReachable(now, tr.Holders-tr.partitioned(), tr.Holders)
 		}
 		admitted := 0.0
 		for i, h := range holders {
@@ -96,8 +96,8 @@
 			got := spendUnits(h, now, tr.tier(i), n)
 			admitted += got
 			if tr.tier(i) == 0 {
-				f.Wanted += float64(n)
-				f.Served += got
+				r.Wanted += float64(n)
+				r.Served += got
 			}
 			if a, ok := h.Next(now); ok && tr.reaches(i, since) {
 				grants[i], grantAt[i] = owner.Ask(now, a), now.Add(2*oneWayDelay)
@@ -106,11 +106,11 @@
 				h.Granted(now, grants[i])
 			}
 		}
-		f.Admitted += admitted
+		r.Admitted += admitted
 		excess = max(0, excess+admitted-Rate*tick.Seconds())
-		f.Excess = max(f.Excess, excess)
+		r.Excess = max(r.Excess, excess)
 	}
-	return f
+	return r
 }
 
 // partitioned returns the number of holders that a partition cuts off.
--- a/internal/credit/permit.go
+++ b/internal/credit/permit.go
@@ -89,43 +89,43 @@
 	return &PermitOwner{cfg: cfg, grantsFrom: now.Add(cfg.TTL), reachable: 1, routers: 1, holders: make(map[string]holderPermits)}
 }
 
-// SetReach sets how many of all routers, itself included, the owner reaches. The
-// fair shares of the others aren't granted.
-func (h *PermitOwner) SetReach(reached, all int) {
-	h.routers = max(all, 1)
-	h.reachable = min(reached, h.routers)
+// SetReachable sets how many of all routers, itself included, the owner reaches.
+// The fair shares of the others aren't granted.
+func (o *PermitOwner) SetReachable(reached, all int) {
+	o.routers = max(all, 1)
+	o.reachable = min(reached, o.routers)
 }
 
 // Grant returns the quota of a holder: higher tiers go before lower ones, and
 // within a tier holders share fairly.
-func (h *PermitOwner) Grant(now time.Time, a PermitRequest) PermitGrant {
-	for holder, p := range h.holders {
-		if now.Sub(p.at) >= h.cfg.TTL {
-			delete(h.holders, holder)
+func (o *PermitOwner) Grant(now time.Time, a PermitRequest) PermitGrant {
+	for holder, p := range o.holders {
+		if now.Sub(p.at) >= o.cfg.TTL {
+			delete(o.holders, holder)
 		}
 	}
 	inUse := max(a.Quota, a.Running)
-	h.holders[a.Holder] = holderPermits{want: a.Want, committed: inUse, at: now}
-	quota := min(h.share(a.Holder), a.Quota+h.uncommitted())
-	if now.Before(h.grantsFrom) {
+	o.holders[a.Holder] = holderPermits{want: a.Want, committed: inUse, at: now}
+	quota := min(o.share(a.Holder), a.Quota+o.uncommitted())
+	if now.Before(o.grantsFrom) {
 		quota = min(quota, a.Quota)
 	}
 	quota = max(quota, 0)
-	h.holders[a.Holder] = holderPermits{want: a.Want, committed: max(inUse, quota), at: now}
+	o.holders[a.Holder] = holderPermits{want: a.Want, committed: max(inUse, quota), at: now}
 	return PermitGrant{Seq: a.Seq, Quota: quota}
 }
 
 // sharedLimit returns the limit less the fair shares of unreachable routers.
-func (h *PermitOwner) sharedLimit() int {
-	unreachable := h.routers - h.reachable
-	return h.cfg.Limit - unreachable*fairPermits(h.cfg.Limit, h.routers)
+func (o *PermitOwner) sharedLimit() int {
+	unreachable := o.routers - o.reachable
+	return o.cfg.Limit - unreachable*fairPermits(o.cfg.Limit, o.routers)
 }
 
 // uncommitted returns the permits not committed to any holder. It is negative
 // after the limit was lowered.
-func (h *PermitOwner) uncommitted() int {
-	left := h.sharedLimit()
-	for _, p := range h.holders {
+func (o *PermitOwner) uncommitted() int {
+	left := o.sharedLimit()
+	for _, p := range o.holders {
 		left -= p.committed
 	}
 	return left
@@ -133,13 +133,13 @@
 
 // share returns the holder's fair share of sharedLimit given all holders'
 // demands.
-func (h *PermitOwner) share(holder string) int {
-	left := float64(h.sharedLimit())
+func (o *PermitOwner) share(holder string) int {
+	left := float64(o.sharedLimit())
 	share := 0.0
-	wants := make([]float64, 0, len(h.holders))
-	for tier, want := range h.holders[holder].want {
+	wants := make([]float64, 0, len(o.holders))
+	for tier, want := range o.holders[holder].want {
 		wants = wants[:0]
-		for _, p := range h.holders {
+		for _, p := range o.holders {
 			wants = append(wants, float64(p.want[tier]))
 		}
 		level := maxMinLevel(wants, left)
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -67,7 +67,7 @@
 	topologyMu sync.Mutex
 
 	topology    atomic.Pointer[topology]
-	holders     holders
+	usages      teamUsages
 	owned       ownedLimits
 	peerTracker peerTracker
 	calls       calls
@@ -79,7 +79,7 @@
 	cfg.Period = cmp.Or(cfg.Period, defaultPeriod)
 	cfg.TTL = cmp.Or(cfg.TTL, defaultTTL)
 	l := &Limiter{cfg: cfg, metrics: newMetrics(cfg.Metrics)}
-	l.holders.init()
+	l.usages.init()
 	l.owned.init()
 	l.peerTracker.init()
 	l.calls.init()
@@ -98,23 +98,24 @@
 
 // Ticket is an admitted request. The caller must call End.
 type Ticket struct {
-	shard       *holderShard
+	shard       *usageShard
 	concurrency concurrencyLimit
 	tokens      rateLimit
 	tier        int
 }
 
-// Admit admits a request of the team at a tier. The error is a *ExceededError.
+// Admit admits a request of the team at a tier. The error is an
+// *ExceededError.
 func (l *Limiter) Admit(now time.Time, team *bundle.Team, tier int) (Ticket, error) {
-	sh := l.holders.shard(team.Name)
+	sh := l.usages.shard(team.Name)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	u := sh.usage(now, l.topology.Load(), team)
 	ticket, err := u.admit(now, tier)
 	if err != nil {
-		var reached *Reached
-		if errors.As(err, &reached) {
-			l.metrics.refused.WithLabelValues(string(reached.Kind)).Inc()
+		var exceeded *Reached
+		if errors.As(err, &exceeded) {
+			l.metrics.refused.WithLabelValues(string(exceeded.Kind)).Inc()
 		}
 		return Ticket{}, err
 	}
--- a/internal/limits/owner.go
+++ b/internal/limits/owner.go
@@ -24,22 +24,22 @@
 	permits  *credit.PermitOwner
 }
 
-func (h *ownedLimits) init() {
-	for i := range h {
-		h[i].teams = make(map[string]*teamOwner)
+func (o *ownedLimits) init() {
+	for i := range o {
+		o[i].teams = make(map[string]*teamOwner)
 	}
 }
 
 // update adds, changes and removes owners. They are created with the bundle and
 // not on the first request, so that the time in which a new owner grants nothing
 // passes before they are needed.
-func (h *ownedLimits) update(now time.Time, t *topology) {
-	for i := range h {
-		h[i].removeUnowned(t)
+func (o *ownedLimits) update(now time.Time, t *topology) {
+	for i := range o {
+		o[i].removeUnowned(t)
 	}
 	for team, limits := range t.teams {
 		if t.owners[team] == t.self {
-			h[shardOf(team)].update(now, t, team, limits)
+			o[shardOf(team)].update(now, t, team, limits)
 		}
 	}
 }
@@ -57,35 +57,35 @@
 func (sh *ownerShard) update(now time.Time, t *topology, team string, limits bundle.TeamLimits) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	h := sh.teams[team]
-	if h == nil {
-		h = &teamOwner{}
-		sh.teams[team] = h
+	o := sh.teams[team]
+	if o == nil {
+		o = &teamOwner{}
+		sh.teams[team] = o
 	}
-	h.requests = updateRate(now, t, h.requests, limits.RequestsPerSecond)
-	h.tokens = updateRate(now, t, h.tokens, limits.TokensPerSecond)
-	h.updatePermits(now, t, limits.Concurrency)
+	o.requests = updateRate(now, t, o.requests, limits.RequestsPerSecond)
+	o.tokens = updateRate(now, t, o.tokens, limits.TokensPerSecond)
+	o.updatePermits(now, t, limits.Concurrency)
 }
 
-func updateRate(now time.Time, t *topology, h *credit.Home, perSecond float64) *credit.Home {
+func updateRate(now time.Time, t *topology, o *credit.Home, perSecond float64) *credit.Home {
 	switch {
 	case perSecond <= 0:
 		return nil
-	case h == nil:
+	case o == nil:
 		return credit.NewHome(now, t.creditConfig(perSecond))
 	}
-	h.SetRate(now, perSecond)
-	return h
+	o.SetRate(now, perSecond)
+	return o
 }
 
-func (h *teamOwner) updatePermits(now time.Time, t *topology, limit int) {
+func (o *teamOwner) updatePermits(now time.Time, t *topology, limit int) {
 	switch {
 	case limit == 0:
-		h.permits = nil
-	case h.permits == nil:
-		h.permits = credit.NewPermitOwner(now, t.permitConfig(limit))
+		o.permits = nil
+	case o.permits == nil:
+		o.permits = credit.NewPermitOwner(now, t.permitConfig(limit))
 	default:
-		h.permits.SetLimit(limit)
+		o.permits.SetLimit(limit)
 	}
 }
 
@@ -95,10 +95,10 @@
 
 // grant answers the requests of a holder. Teams whose limits this router doesn't
 // own are left out, so that the holder continues as if the owner didn't answer.
-func (h *ownedLimits) grant(now time.Time, holder string, requests LeaseRequests, r reachability) Grants {
+func (o *ownedLimits) grant(now time.Time, holder string, requests LeaseRequests, r reachability) Grants {
 	var out Grants
 	for _, a := range requests.Teams {
-		sh := &h[shardOf(a.Team)]
+		sh := &o[shardOf(a.Team)]
 		if g, ok := sh.grant(now, holder, a, r); ok {
 			out.Teams = append(out.Teams, g)
 		}
@@ -109,26 +109,26 @@
 func (sh *ownerShard) grant(now time.Time, holder string, a TeamRequest, r reachability) (TeamGrant, bool) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	h := sh.teams[a.Team]
-	if h == nil {
+	o := sh.teams[a.Team]
+	if o == nil {
 		return TeamGrant{}, false
 	}
 	g := TeamGrant{Team: a.Team}
-	g.Requests = grantRate(now, h.requests, holder, a.Requests, r)
-	g.Tokens = grantRate(now, h.tokens, holder, a.Tokens, r)
-	if h.permits != nil && a.Permits != nil {
-		h.permits.SetReach(r.reachable, r.total)
-		grant := h.permits.Grant(now, a.Permits.toCredit(holder))
+	g.Requests = grantRate(now, o.requests, holder, a.Requests, r)
+	g.Tokens = grantRate(now, o.tokens, holder, a.Tokens, r)
+	if o.permits != nil && a.Permits != nil {
+		o.permits.SetReachable(r.reachable, r.total)
+		grant := o.permits.Grant(now, a.Permits.toCredit(holder))
 		g.Permits = &PermitGrant{Seq: grant.Seq, Quota: grant.Quota}
 	}
 	return g, true
 }
 
-func grantRate(now time.Time, h *credit.Home, holder string, a *RateRequest, r reachability) *RateGrant {
-	if h == nil || a == nil {
+func grantRate(now time.Time, o *credit.Home, holder string, a *RateRequest, r reachability) *RateGrant {
+	if o == nil || a == nil {
 		return nil
 	}
-	h.SetReach(now, r.reachable, r.total)
-	grant := h.Ask(now, a.toCredit(holder))
+	o.SetReachable(now, r.reachable, r.total)
+	grant := o.Ask(now, a.toCredit(holder))
 	return &RateGrant{Seq: grant.Seq, Amount: grant.Amount}
 }
--- a/internal/limits/peers.go
+++ b/internal/limits/peers.go
@@ -41,12 +41,12 @@
 	defer p.mu.Unlock()
 	p.contacts[name] = contact{at: now, using: using}
 	unreachable := 0
-	for peer, s := range p.contacts {
-		silence := now.Sub(s.at)
+	for peer, c := range p.contacts {
+		silence := now.Sub(c.at)
 		switch {
 		case silence >= forgetAfter:
 			delete(p.contacts, peer)
-		case silence >= ttl && s.using:
+		case silence >= ttl && c.using:
 			unreachable++
 		}
 	}
--- a/internal/limits/runner.go
+++ b/internal/limits/runner.go
@@ -20,18 +20,18 @@
 // a holder that has just sent an early request may skip a period.
 const idlePeriods = 2
 
-// due selects the requests that are sent in a step.
-type due int
+// dueSet selects the requests that are sent in a step.
+type dueSet int
 
 const (
-	dueUrgent due = iota
+	dueUrgent dueSet = iota
 	dueRefused
 	dueAll
 )
 
-// dueAtStep returns what is due at step n if the previous step was last. Skipped
-// steps are taken into account.
-func dueAtStep(last, n int) due {
+// dueAtStep returns what is due at step n when step last was the previous one
+// handled. What the skipped steps between them would have sent is included.
+func dueAtStep(last, n int) dueSet {
 	switch {
 	case n/stepsPerPeriod > last/stepsPerPeriod:
 		return dueAll
@@ -137,7 +137,7 @@
 }
 
 // step sends the requests that are due.
-func (l *Limiter) step(ctx context.Context, now time.Time, d due, inFlight *sync.WaitGroup) {
+func (l *Limiter) step(ctx context.Context, now time.Time, d dueSet, inFlight *sync.WaitGroup) {
 	t := l.topology.Load()
 	if t == nil || t.mode != Shared {
 		return
@@ -160,10 +160,10 @@
 }
 
 // collect returns the requests that are due, by owner.
-func (l *Limiter) collect(now time.Time, t *topology, d due) map[string]LeaseRequests {
+func (l *Limiter) collect(now time.Time, t *topology, d dueSet) map[string]LeaseRequests {
 	r := collection{now: now, topology: t, due: d, busy: l.calls.busy(), batches: make(map[string]LeaseRequests)}
-	for i := range l.holders {
-		l.holders[i].collect(r)
+	for i := range l.usages {
+		l.usages[i].collect(r)
 	}
 	return r.batches
 }
@@ -172,12 +172,12 @@
 type collection struct {
 	now      time.Time
 	topology *topology
-	due      due
+	due      dueSet
 	busy     map[string]bool
 	batches  map[string]LeaseRequests
 }
 
-func (sh *holderShard) collect(r collection) {
+func (sh *usageShard) collect(r collection) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for team, u := range sh.teams {
@@ -194,7 +194,7 @@
 	}
 }
 
-func (u *usage) isDue(d due) bool {
+func (u *usage) isDue(d dueSet) bool {
 	return d == dueAll || u.urgent || d == dueRefused && u.refused
 }
 
@@ -223,7 +223,7 @@
 func (l *Limiter) applyGrants(g Grants) {
 	now := time.Now()
 	for _, grant := range g.Teams {
-		sh := l.holders.shard(grant.Team)
+		sh := l.usages.shard(grant.Team)
 		sh.mu.Lock()
 		if u := sh.teams[grant.Team]; u != nil {
 			u.applyGrant(now, grant)
--- a/internal/limits/shared.go
+++ b/internal/limits/shared.go
@@ -10,18 +10,18 @@
 // useShared configures the usage for limits that hold across routers. Credits
 // and counts of running requests are kept when a limit changes.
 func (u *usage) useShared(now time.Time, t *topology, limits bundle.TeamLimits) {
-	u.requests = updateSharedBucket(now, t, u.requests, limits.RequestsPerSecond)
-	u.tokens = updateSharedBucket(now, t, u.tokens, limits.TokensPerSecond)
+	u.requests = updateSharedRate(now, t, u.requests, limits.RequestsPerSecond)
+	u.tokens = updateSharedRate(now, t, u.tokens, limits.TokensPerSecond)
 	u.concurrency = updateSharedConcurrency(t, u.concurrency, limits.Concurrency)
 }
 
-func updateSharedBucket(now time.Time, t *topology, old rateLimit, perSecond float64) rateLimit {
+func updateSharedRate(now time.Time, t *topology, old rateLimit, perSecond float64) rateLimit {
 	if perSecond <= 0 {
 		return nil
 	}
-	b, kept := old.(sharedBucket)
+	b, kept := old.(sharedRate)
 	if !kept {
-		return sharedBucket{credit.NewHolder(t.self, t.routerCount, t.creditConfig(perSecond))}
+		return sharedRate{credit.NewHolder(t.self, t.routerCount, t.creditConfig(perSecond))}
 	}
 	b.SetRate(now, perSecond)
 	b.SetRouters(now, t.routerCount)
@@ -46,21 +46,21 @@
 	if u.urgent || u.topology == nil || u.topology.mode != Shared {
 		return
 	}
-	r, hasRequests := u.requests.(sharedBucket)
-	t, hasTokens := u.tokens.(sharedBucket)
-	p, hasPlaces := u.concurrency.(sharedConcurrency)
-	u.urgent = hasRequests && r.Cold(now) || hasTokens && t.Cold(now) || hasPlaces && p.Cold(now)
+	r, hasRequests := u.requests.(sharedRate)
+	t, hasTokens := u.tokens.(sharedRate)
+	p, hasConcurrency := u.concurrency.(sharedConcurrency)
+	u.urgent = hasRequests && r.Cold(now) || hasTokens && t.Cold(now) || hasConcurrency && p.Cold(now)
 }
 
-type sharedBucket struct{ *credit.Holder }
+type sharedRate struct{ *credit.Holder }
 
-func (b sharedBucket) allow(now time.Time, tier int) bool { return b.Admit(now, tier) }
+func (b sharedRate) allow(now time.Time, tier int) bool { return b.Admit(now, tier) }
 
-func (b sharedBucket) ready(now time.Time, tier int) bool { return b.MayStart(now, tier) }
+func (b sharedRate) ready(now time.Time, tier int) bool { return b.MayStart(now, tier) }
 
-func (b sharedBucket) charge(now time.Time, tier int, n float64) { b.Charge(now, tier, n) }
+func (b sharedRate) charge(now time.Time, tier int, n float64) { b.Charge(now, tier, n) }
 
-func (b sharedBucket) retryAfter(now time.Time) time.Duration { return b.RetryAfter(now) }
+func (b sharedRate) retryAfter(now time.Time) time.Duration { return b.RetryAfter(now) }
 
 type sharedConcurrency struct{ *credit.PermitHolder }
 
@@ -83,7 +83,7 @@
 }
 
 func rateRequest(now time.Time, b rateLimit) *RateRequest {
-	h, ok := b.(sharedBucket)
+	h, ok := b.(sharedRate)
 	if !ok {
 		return nil
 	}
@@ -96,10 +96,10 @@
 
 // applyGrant applies the owner's grants to the team's holders.
 func (u *usage) applyGrant(now time.Time, g TeamGrant) {
-	if h, ok := u.requests.(sharedBucket); ok && g.Requests != nil {
+	if h, ok := u.requests.(sharedRate); ok && g.Requests != nil {
 		h.Granted(now, credit.Grant{Seq: g.Requests.Seq, Amount: g.Requests.Amount})
 	}
-	if h, ok := u.tokens.(sharedBucket); ok && g.Tokens != nil {
+	if h, ok := u.tokens.(sharedRate); ok && g.Tokens != nil {
 		h.Granted(now, credit.Grant{Seq: g.Tokens.Seq, Amount: g.Tokens.Amount})
 	}
 	if p, ok := u.concurrency.(sharedConcurrency); ok && g.Permits != nil {
--- a/internal/limits/usage.go
+++ b/internal/limits/usage.go
@@ -36,21 +36,21 @@
 // which can't be estimated from a rate.
 const concurrencyRetryAfter = time.Second
 
-// holders is the usage of all teams at this router.
-type holders [shardCount]holderShard
+// teamUsages is the usage of all teams at this router.
+type teamUsages [shardCount]usageShard
 
-type holderShard struct {
+type usageShard struct {
 	mu    sync.Mutex
 	teams map[string]*usage
 }
 
-func (h *holders) init() {
+func (h *teamUsages) init() {
 	for i := range h {
 		h[i].teams = make(map[string]*usage)
 	}
 }
 
-func (h *holders) shard(team string) *holderShard { return &h[shardOf(team)] }
+func (h *teamUsages) shard(team string) *usageShard { return &h[shardOf(team)] }
 
 // usage is the state of one team's limits at this router. A limit that isn't set
 // is nil.
@@ -70,7 +70,7 @@
 
 // usage returns a team's usage and applies changes of its limits. The caller
 // holds sh.mu.
-func (sh *holderShard) usage(now time.Time, t *topology, team *bundle.Team) *usage {
+func (sh *usageShard) usage(now time.Time, t *topology, team *bundle.Team) *usage {
 	u, known := sh.teams[team.Name]
 	if !known {
 		u = &usage{}
--- a/internal/sched/drain/drain.go
+++ b/internal/sched/drain/drain.go
@@ -29,9 +29,9 @@
 	slotTime float64 // seconds
 }
 
-// Advance accounts for the time since the previous call, during which busy
-// slots were in use. Call it before each change of that number. A call with an
-// earlier time than the previous one is ignored.
+// Advance accounts for the time since the previous call; busy is the number of
+// slots in use during that time. Call it before each change of that number. A
+// call with an earlier time than the previous one is ignored.
 func (m *Meter) Advance(now time.Time, busy int) {
 	elapsed := now.Sub(m.last)
 	if elapsed <= 0 {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -40,7 +40,9 @@
 const (
 	ReasonNone      Reason = ""
 	ReasonQueueFull Reason = "queue_full"
-	ReasonTooLate   Reason = "too_late"  // the target can no longer be met
+	// ReasonTooLate means that the job is expected to miss its deadline or, if
+	// the policy is configured so, its first-token target.
+	ReasonTooLate   Reason = "too_late"
 	ReasonDisplaced Reason = "displaced" // removed for a job of a higher tier
 	ReasonExpired   Reason = "expired"   // the deadline passed in the queue
 )
@@ -79,7 +81,8 @@
 	RetryAfter time.Duration
 }
 
-// Bounds holds the limits of a queue that a new bundle can change.
+// Bounds holds the concurrency and the queue limits, which a new bundle can
+// change.
 type Bounds struct {
 	// Slots is the number of jobs that run concurrently. When it is lowered,
 	// running jobs above the new number continue.
--- a/internal/sched/schedtest/comparison_test.go
+++ b/internal/sched/schedtest/comparison_test.go
@@ -88,77 +88,77 @@
 }
 
 // chooseID chooses the id of a job that may be unknown to the policy.
-func (m *comparison) chooseID() sched.JobID { return sched.JobID(1 + m.pick(int(m.lastID)+1)) }
+func (c *comparison) chooseID() sched.JobID { return sched.JobID(1 + c.pick(int(c.lastID)+1)) }
 
 // step applies one chosen step and compares the resulting decisions.
-func (m *comparison) step() {
-	m.now = m.now.Add([]time.Duration{0, time.Microsecond, 7 * time.Millisecond, 400 * time.Millisecond}[m.pick(4)])
-	switch m.pick(8) {
+func (c *comparison) step() {
+	c.now = c.now.Add([]time.Duration{0, time.Microsecond, 7 * time.Millisecond, 400 * time.Millisecond}[c.pick(4)])
+	switch c.pick(8) {
 	case 0, 1, 2:
-		m.offer()
+		c.offer()
 	case 3:
-		m.both(func(p sched.Policy) { p.Requeue(m.now, m.tracker.preempting) })
-		m.tracker.requeue()
+		c.both(func(p sched.Policy) { p.Requeue(c.now, c.tracker.beingPreempted) })
+		c.tracker.requeue()
 	case 4:
-		id := m.chooseID()
-		m.both(func(p sched.Policy) { p.Finish(m.now, id) })
-		m.tracker.finish(id)
+		id := c.chooseID()
+		c.both(func(p sched.Policy) { p.Finish(c.now, id) })
+		c.tracker.finish(id)
 	case 5:
-		if id, ok := m.tracker.chooseRunning(m.pick); ok {
-			m.both(func(p sched.Policy) { p.Finish(m.now, id) })
-			m.tracker.finish(id)
+		if id, ok := c.tracker.chooseRunning(c.pick); ok {
+			c.both(func(p sched.Policy) { p.Finish(c.now, id) })
+			c.tracker.finish(id)
 		}
 	case 6:
-		if wake := m.reference.Wake(); wake.After(m.now) {
-			m.now = wake
+		if wake := c.reference.Wake(); wake.After(c.now) {
+			c.now = wake
 		}
 	default:
-		id, n := m.chooseID(), m.pick(200)
-		m.both(func(p sched.Policy) { p.Tokens(m.now, id, n) })
+		id, n := c.chooseID(), c.pick(200)
+		c.both(func(p sched.Policy) { p.Tokens(c.now, id, n) })
 	}
-	m.applyDecisions()
+	c.applyDecisions()
 }
 
-func (m *comparison) both(do func(sched.Policy)) {
-	do(m.policy)
-	do(m.reference)
+func (c *comparison) both(do func(sched.Policy)) {
+	do(c.policy)
+	do(c.reference)
 }
 
-func (m *comparison) offer() {
-	m.lastID++
-	j := m.pick.job(m.now, m.lastID)
-	got, want := m.policy.Offer(m.now, j), m.reference.Offer(m.now, j)
+func (c *comparison) offer() {
+	c.lastID++
+	j := c.pick.job(c.now, c.lastID)
+	got, want := c.policy.Offer(c.now, j), c.reference.Offer(c.now, j)
 	if got != want {
-		m.fail("Offer(%+v) = %+v, want %+v", j, got, want)
+		c.fail("Offer(%+v) = %+v, want %+v", j, got, want)
 	}
-	if err := m.tracker.applyVerdict(j, got); err != nil {
-		m.fail("Offer(%+v) = %+v: %v", j, got, err)
+	if err := c.tracker.applyVerdict(j, got); err != nil {
+		c.fail("Offer(%+v) = %+v: %v", j, got, err)
 	}
 }
 
 // applyDecisions compares decisions until there are none, then loads and
 // wakeup times.
-func (m *comparison) applyDecisions() {
+func (c *comparison) applyDecisions() {
 	for {
-		got, want := m.policy.Next(m.now), m.reference.Next(m.now)
+		got, want := c.policy.Next(c.now), c.reference.Next(c.now)
 		if got != want {
-			m.fail("Next = %+v, want %+v", got, want)
+			c.fail("Next = %+v, want %+v", got, want)
 		}
 		if got.Action == sched.ActionNone {
 			break
 		}
-		if err := m.tracker.applyDecision(got); err != nil {
-			m.fail("%+v: %v", got, err)
+		if err := c.tracker.applyDecision(got); err != nil {
+			c.fail("%+v: %v", got, err)
 		}
 	}
-	if got, want := m.policy.Load(m.now), m.reference.Load(m.now); got != want {
-		m.fail("Load = %+v, want %+v", got, want)
+	if got, want := c.policy.Load(c.now), c.reference.Load(c.now); got != want {
+		c.fail("Load = %+v, want %+v", got, want)
 	}
-	if got, want := m.policy.Wake(), m.reference.Wake(); !got.Equal(want) {
-		m.fail("Wake = %v, want %v", got, want)
+	if got, want := c.policy.Wake(), c.reference.Wake(); !got.Equal(want) {
+		c.fail("Wake = %v, want %v", got, want)
 	}
-	if err := m.tracker.check(m.policy.Load(m.now)); err != nil {
-		m.fail("%v", err)
+	if err := c.tracker.check(c.policy.Load(c.now)); err != nil {
+		c.fail("%v", err)
 	}
 }
 
@@ -166,9 +166,9 @@
 // the invariants of jobTracker.
 func TestAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newComparison(fromRapid(t), t.Fatalf)
+		c := newComparison(fromRapid(t), t.Fatalf)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			m.step()
+			c.step()
 		}
 	})
 }
@@ -185,12 +185,12 @@
 			data = data[2:]
 			return n % limit
 		}
-		m := newComparison(pick, t.Fatalf)
+		c := newComparison(pick, t.Fatalf)
 		for range 400 {
 			if len(data) < 2 {
 				return
 			}
-			m.step()
+			c.step()
 		}
 	})
 }
--- a/internal/sched/schedtest/engine.go
+++ b/internal/sched/schedtest/engine.go
@@ -11,21 +11,22 @@
 // tick is the interval at which a running job reports produced tokens.
 const tick = 100 * time.Millisecond
 
-// Workload is a job with the properties that the policy doesn't know in advance.
-type Workload struct {
+// SimJob is a job to simulate, with the properties that the policy doesn't know
+// in advance.
+type SimJob struct {
 	Job sched.Job
 	// At is when the job is offered.
 	At time.Time
-	// Run is the slot time from the first token to the end, during which the
+	// RunTime is the slot time from the first token to the end, during which the
 	// job produces Tokens.
-	Run    time.Duration
-	Tokens int
+	RunTime time.Duration
+	Tokens  int
 }
 
-// Outcome is the result of a Workload. Times of events that didn't happen are
+// Outcome is the result of a SimJob. Times of events that didn't happen are
 // zero.
 type Outcome struct {
-	Workload
+	SimJob
 	Verdict     sched.Verdict
 	Dropped     sched.Reason
 	Started     time.Time // first start
@@ -52,8 +53,8 @@
 	// Prefill is the slot time before a job's first token, spent again when a
 	// preempted job resumes.
 	Prefill time.Duration
-	// PreemptTime is the duration of a preemption.
-	PreemptTime time.Duration
+	// PreemptionDuration is the duration of a preemption.
+	PreemptionDuration time.Duration
 	// Observe, if set, is called after each event.
 	Observe func(now time.Time, running []*Run)
 
@@ -67,15 +68,15 @@
 	Outcome
 	Produced         int
 	generatingFrom   time.Time     // end of the prefill in the current slot
-	generated        time.Duration // part of Workload.Run done before generatingFrom
+	generated        time.Duration // part of SimJob.RunTime done before generatingFrom
 	nextTick         time.Time
 	preemptionEndsAt time.Time // zero unless being preempted
 }
 
-// Simulate offers the workloads, which must be sorted by At, and returns their
+// Simulate offers the jobs, which must be sorted by At, and returns their
 // progress at the given time. It panics if the policy requests a wakeup in the
 // past, since an agent would then spin.
-func (e *Engine) Simulate(work []Workload, until time.Time) []*Run {
+func (e *Engine) Simulate(work []SimJob, until time.Time) []*Run {
 	e.byID = make(map[sched.JobID]*Run)
 	all := make([]*Run, 0, len(work))
 	for {
@@ -97,7 +98,7 @@
 }
 
 // nextEvent returns the time of the next event, at least a nanosecond from now.
-func (e *Engine) nextEvent(work []Workload) time.Time {
+func (e *Engine) nextEvent(work []SimJob) time.Time {
 	var at time.Time
 	consider := func(t time.Time) {
 		if !t.IsZero() && (at.IsZero() || t.Before(at)) {
@@ -112,7 +113,7 @@
 	}
 	wake := e.Policy.Wake()
 	if !wake.IsZero() && !e.now.IsZero() && !wake.After(e.now) {
-		panic(errors.AssertionFailedf("Wake stays at %v though Next was asked at %v", wake, e.now))
+		panic(errors.AssertionFailedf("Wake returned %v, which isn't after the last call of Next at %v", wake, e.now))
 	}
 	consider(wake)
 	if !at.IsZero() && !at.After(e.now) {
@@ -133,7 +134,7 @@
 }
 
 // completesAt returns when the job completes if it isn't interrupted.
-func (r *Run) completesAt() time.Time { return r.generatingFrom.Add(r.Workload.Run - r.generated) }
+func (r *Run) completesAt() time.Time { return r.generatingFrom.Add(r.SimJob.RunTime - r.generated) }
 
 // releasesAt returns when the job releases its slot: when it completes, or at
 // the deadline, when its caller cancels.
@@ -145,8 +146,8 @@
 	return by
 }
 
-func (e *Engine) offer(w Workload) *Run {
-	r := &Run{Outcome: Outcome{Workload: w}}
+func (e *Engine) offer(w SimJob) *Run {
+	r := &Run{Outcome: Outcome{SimJob: w}}
 	r.Verdict = e.Policy.Offer(e.now, w.Job)
 	if r.Verdict.Admitted {
 		e.byID[w.Job.ID] = r
@@ -190,10 +191,10 @@
 	for !r.nextTick.After(e.now) {
 		r.nextTick = r.nextTick.Add(tick)
 	}
-	ran := min(r.Workload.Run, r.generated+e.now.Sub(r.generatingFrom))
+	ran := min(r.SimJob.RunTime, r.generated+e.now.Sub(r.generatingFrom))
 	due := r.Tokens
-	if r.Workload.Run > 0 {
-		due = max(1, int(int64(r.Tokens)*int64(ran)/int64(r.Workload.Run)))
+	if r.SimJob.RunTime > 0 {
+		due = max(1, int(int64(r.Tokens)*int64(ran)/int64(r.SimJob.RunTime)))
 	}
 	if n := due - r.Produced; n > 0 {
 		r.Produced = due
@@ -213,7 +214,7 @@
 			e.start(r)
 		case sched.ActionPreempt:
 			r.Preemptions++
-			r.preemptionEndsAt = e.now.Add(e.PreemptTime)
+			r.preemptionEndsAt = e.now.Add(e.PreemptionDuration)
 		case sched.ActionDrop:
 			r.Dropped = d.Reason
 		}
--- a/internal/sched/schedtest/overload_test.go
+++ b/internal/sched/schedtest/overload_test.go
@@ -20,13 +20,13 @@
 // trafficClass is a class of a traffic mix. Its index in the mix is its tier.
 type trafficClass struct {
 	class                string
-	load                 float64 // share of the endpoint's slot time at load 1
+	share                float64 // share of the endpoint's slot time at load 1
 	run                  time.Duration
 	tokens               int
 	firstToken, deadline time.Duration
 }
 
-// registryMix models the traffic of the registry team: receipts, queries and
+// registryMix is modelled on the registry's traffic: receipts, queries and
 // reviews, which together use the whole capacity.
 var registryMix = []trafficClass{
 	{"receipt", 0.2, 400 * time.Millisecond, 20, 300 * time.Millisecond, 3 * time.Second},
@@ -36,18 +36,18 @@
 
 // arrivals generates the mix at a multiple of the capacity, with Poisson
 // arrivals and exponential run times.
-func arrivals(mix []trafficClass, load float64, seed uint64) []schedtest.Workload {
+func arrivals(mix []trafficClass, load float64, seed uint64) []schedtest.SimJob {
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	next := make([]time.Time, len(mix))
 	draw := func(i int) {
-		gap := float64(mix[i].run) / (mix[i].load * load * overloadSlots)
+		gap := float64(mix[i].run) / (mix[i].share * load * overloadSlots)
 		next[i] = next[i].Add(time.Duration(rnd.ExpFloat64() * gap))
 	}
 	for i := range next {
 		next[i] = epoch
 		draw(i)
 	}
-	var work []schedtest.Workload
+	var work []schedtest.SimJob
 	for {
 		first := 0
 		for i := range next {
@@ -58,21 +58,21 @@
 		if next[first].Sub(epoch) > overloadTime {
 			return work
 		}
-		work = append(work, newWorkload(mix[first], first, next[first], rnd, len(work)+1))
+		work = append(work, newSimJob(mix[first], first, next[first], rnd, len(work)+1))
 		draw(first)
 	}
 }
 
-func newWorkload(k trafficClass, tier int, at time.Time, rnd *rand.Rand, id int) schedtest.Workload {
+func newSimJob(k trafficClass, tier int, at time.Time, rnd *rand.Rand, id int) schedtest.SimJob {
 	length := rnd.ExpFloat64()
-	return schedtest.Workload{
+	return schedtest.SimJob{
 		Job: sched.Job{
 			ID: sched.JobID(id), Team: fmt.Sprint("team", rnd.IntN(5)), Class: k.class, Tier: tier,
 			FirstTokenBy: at.Add(k.firstToken), Deadline: at.Add(k.deadline), Preemptible: true,
 		},
-		At:     at,
-		Run:    time.Duration(length * float64(k.run)),
-		Tokens: 1 + int(length*float64(k.tokens)),
+		At:      at,
+		RunTime: time.Duration(length * float64(k.run)),
+		Tokens:  1 + int(length*float64(k.tokens)),
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	add("preempt=off", tiered.Config{})
 	add("refuselate=on", tiered.Config{Preempt: true, RefuseLateFirstToken: true})
-	add("givingup=off", tiered.Config{Preempt: true, Off: tiered.Switches{LateDrop: true}})
+	add("latedrop=off", tiered.Config{Preempt: true, Off: tiered.Switches{LateDrop: true}})
 	add("earlyrefusal=off", tiered.Config{Preempt: true, Off: tiered.Switches{EarlyRefusal: true}})
 	for _, load := range []float64{1, 2} {
 		for name, policy := range policies {
@@ -110,7 +110,7 @@
 	var used, wasted float64
 	for b.Loop() {
 		for seed := range uint64(3) {
-			e := schedtest.Engine{Policy: policy(), Prefill: 100 * time.Millisecond, PreemptTime: 20 * time.Millisecond}
+			e := schedtest.Engine{Policy: policy(), Prefill: 100 * time.Millisecond, PreemptionDuration: 20 * time.Millisecond}
 			for _, r := range e.Simulate(arrivals(registryMix, load, seed), epoch.Add(2*overloadTime)) {
 				offered[r.Job.Tier]++
 				if r.MetTarget() {
--- a/internal/sched/schedtest/property_test.go
+++ b/internal/sched/schedtest/property_test.go
@@ -17,12 +17,12 @@
 
 // flood generates one class for each tier, each of which alone exceeds the
 // capacity of the slots.
-func flood(pick chooser, tiers, slots int, duration time.Duration) []schedtest.Workload {
-	var work []schedtest.Workload
+func flood(pick chooser, tiers, slots int, duration time.Duration) []schedtest.SimJob {
+	var work []schedtest.SimJob
 	every := longestRun / time.Duration(4*slots)
 	for now := time.Duration(0); now < duration; now += every {
 		for tier := range tiers {
-			work = append(work, schedtest.Workload{
+			work = append(work, schedtest.SimJob{
 				Job: sched.Job{
 					ID:           sched.JobID(len(work) + 1),
 					Team:         fmt.Sprint("team", pick(2)),
@@ -31,17 +31,17 @@
 					FirstTokenBy: epoch.Add(now + time.Duration(pick(3000))*time.Millisecond),
 					Preemptible:  pick(2) == 0,
 				},
-				At:     epoch.Add(now),
-				Run:    longestRun * time.Duration(1+pick(8)) / 8,
-				Tokens: 1 + pick(400),
+				At:      epoch.Add(now),
+				RunTime: longestRun * time.Duration(1+pick(8)) / 8,
+				Tokens:  1 + pick(400),
 			})
 		}
 	}
 	return work
 }
 
-// starvationBound returns the longest time without service of a class, as stated
-// in docs/design/0002-scheduling.md.
+// starvationBound returns the bound on the time that a class goes without
+// service, as stated in docs/design/0002-scheduling.md.
 func starvationBound(cfg tiered.Config, classes, tiers int, run time.Duration) time.Duration {
 	slotWait := run
 	if cfg.Preempt {
@@ -90,8 +90,8 @@
 		Slots: 1 + pick(4), Preempt: pick(2) == 0, QueueEntries: 1 + pick(50), MaxPreemptions: 2,
 		ReserveShare: []float64{0.1, 0.3}[pick(2)], ReserveAfter: time.Second, Off: off,
 	}
-	e := schedtest.Engine{Policy: tiered.New(cfg), Prefill: 50 * time.Millisecond, PreemptTime: 20 * time.Millisecond}
-	slotTime := longestRun + e.Prefill + e.PreemptTime + time.Millisecond
+	e := schedtest.Engine{Policy: tiered.New(cfg), Prefill: 50 * time.Millisecond, PreemptionDuration: 20 * time.Millisecond}
+	slotTime := longestRun + e.Prefill + e.PreemptionDuration + time.Millisecond
 	limit = starvationBound(cfg, tiers, tiers, slotTime)
 	duration := 2 * limit
 	runs := e.Simulate(flood(pick, tiers, cfg.Slots, duration), epoch.Add(duration))
--- a/internal/sched/schedtest/reference.go
+++ b/internal/sched/schedtest/reference.go
@@ -20,7 +20,7 @@
 const (
 	phaseWaiting phase = iota
 	phaseRunning
-	phasePreempting
+	phaseBeingPreempted
 	phaseDropping
 )
 
@@ -74,20 +74,20 @@
 // Reference is a simple implementation of the policy of tiered.Scheduler. It
 // ignores Config.Disabled.
 type Reference struct {
-	cfg              tiered.Config
-	jobs             []*refJob // in order of arrival
-	teams            []*refTeam
-	classes          []*refClass
-	lastTeam         [load.MaxTiers]*refTeam
-	meter            drain.Meter
-	startRate        [load.MaxTiers]drain.Meter // of first starts while jobs of the tier wait
-	now              time.Time
-	preemptTime      refMean
-	balance          int64 // of the reserve, in per mille of slot microseconds
-	earmarked        int
-	arrivals         int
-	nextServiceOrder int
-	nextDropOrder    int
+	cfg                tiered.Config
+	jobs               []*refJob // in order of arrival
+	teams              []*refTeam
+	classes            []*refClass
+	lastTeam           [load.MaxTiers]*refTeam
+	meter              drain.Meter
+	startRate          [load.MaxTiers]drain.Meter // of first starts while jobs of the tier wait
+	now                time.Time
+	preemptionDuration refMean
+	balance            int64 // of the reserve, in per mille of slot microseconds
+	earmarked          int
+	arrivals           int
+	nextServiceOrder   int
+	nextDropOrder      int
 }
 
 var _ sched.Policy = (*Reference)(nil)
@@ -119,7 +119,7 @@
 }
 
 func (j *refJob) waits() bool     { return j.phase == phaseWaiting }
-func (j *refJob) holdsSlot() bool { return j.phase == phaseRunning || j.phase == phasePreempting }
+func (j *refJob) holdsSlot() bool { return j.phase == phaseRunning || j.phase == phaseBeingPreempted }
 
 func earlier(a, b *refJob) bool { return a.arrival < b.arrival }
 
@@ -217,11 +217,11 @@
 	if j == nil || !j.holdsSlot() {
 		return
 	}
-	if j.phase == phasePreempting {
-		r.preemptTime.add(int64(now.Sub(j.preemptedAt)))
+	if j.phase == phaseBeingPreempted {
+		r.preemptionDuration.add(int64(now.Sub(j.preemptedAt)))
 	}
 	higher := r.count(func(o *refJob) bool { return o.waits() && o.Tier < j.Tier })
-	if j.phase == phasePreempting && higher > 0 {
+	if j.phase == phaseBeingPreempted && higher > 0 {
 		r.earmarked++
 	}
 	r.advanceStartRate(j.Tier)
@@ -315,11 +315,11 @@
 func (r *Reference) markUnserved(c *refClass) {
 	if !c.unserved {
 		c.unserved = true
-		r.moveToServiceEnd(c)
+		r.moveToBack(c)
 	}
 }
 
-func (r *Reference) moveToServiceEnd(c *refClass) {
+func (r *Reference) moveToBack(c *refClass) {
 	c.unservedSince = r.now
 	c.serviceOrder = r.nextServiceOrder
 	r.nextServiceOrder++
--- a/internal/sched/schedtest/reference_admit.go
+++ b/internal/sched/schedtest/reference_admit.go
@@ -21,8 +21,8 @@
 		return sched.Verdict{Reason: sched.ReasonTooLate, RetryAfter: r.retryAfter(j.Tier)}
 	}
 	m := r.team(j.Tier, j.Team)
-	fresh := r.count(func(o *refJob) bool { return o.waits() && !o.started && o.Class == j.Class })
-	if fresh > 0 {
+	unstarted := r.count(func(o *refJob) bool { return o.waits() && !o.started && o.Class == j.Class })
+	if unstarted > 0 {
 		if wait, by := r.expectedWait(j), r.admitBy(n, c); tooLate(now.Add(wait), by) {
 			return sched.Verdict{Reason: sched.ReasonTooLate, RetryAfter: drain.Clamp(wait - by.Sub(now))}
 		}
@@ -38,8 +38,9 @@
 	return sched.Verdict{Admitted: true}
 }
 
-// tooLate reports whether at is at or after by; a zero by is never reached.
-func tooLate(at, by time.Time) bool { return !by.IsZero() && !at.Before(by) }
+// tooLate reports whether start is at or after limit; a zero limit is never
+// reached.
+func tooLate(limit, by time.Time) bool { return !by.IsZero() && !limit.Before(by) }
 
 // startBy returns two mean run times before the deadline, or halfway to the
 // deadline if that is later.
@@ -86,7 +87,7 @@
 	ahead := higher + own
 	freeable := r.cfg.Slots - r.busy()
 	if r.cfg.Preempt {
-		freeable += r.count(func(o *refJob) bool { return r.mayPreempt(o, j.Tier) })
+		freeable += r.count(func(o *refJob) bool { return r.mayBePreempted(o, j.Tier) })
 	}
 	if ahead+1-freeable <= 0 {
 		return 0
@@ -111,8 +112,8 @@
 // bounded reports whether the job counts towards the queue's limits: it waits,
 // has never started, and isn't the oldest such job of its class.
 func (r *Reference) bounded(j *refJob) bool {
-	fresh := func(o *refJob) bool { return o.waits() && !o.started && o.Class == j.Class }
-	return fresh(j) && r.best(fresh, earlier) != j
+	unstarted := func(o *refJob) bool { return o.waits() && !o.started && o.Class == j.Class }
+	return unstarted(j) && r.best(unstarted, earlier) != j
 }
 
 // displaceLowerTiers displaces the newest jobs of the lowest tiers until the job fits.
--- a/internal/sched/schedtest/reference_next.go
+++ b/internal/sched/schedtest/reference_next.go
@@ -101,7 +101,7 @@
 	r.recordLastTeam(j)
 	if wasOldest {
 		c.unserved = r.oldest(j.Class) != nil
-		r.moveToServiceEnd(c)
+		r.moveToBack(c)
 	}
 	r.charge(j, max(j.charged, c.estimate()))
 	return sched.Decision{Action: sched.ActionStart, Job: j.ID}
@@ -115,21 +115,21 @@
 	return max(1, c.tokens.eighths/8)
 }
 
-// mayPreempt reports whether a job of the given tier may preempt j.
-func (r *Reference) mayPreempt(j *refJob, tier int) bool {
+// mayBePreempted reports whether a job of the given tier may preempt j.
+func (r *Reference) mayBePreempted(j *refJob, tier int) bool {
 	return j.phase == phaseRunning && j.Tier > tier && j.Preemptible &&
 		!j.reserved && j.preemptions < r.cfg.MaxPreemptions
 }
 
 // preemptor returns the next job to start if it may preempt another.
 func (r *Reference) preemptor() *refJob {
-	stopping := r.count(func(j *refJob) bool { return j.phase == phasePreempting })
+	beingPreempted := r.count(func(j *refJob) bool { return j.phase == phaseBeingPreempted })
 	resumed := r.count(func(j *refJob) bool { return j.waits() && j.started })
 	head := r.head()
-	if !r.cfg.Preempt || stopping > 0 || resumed >= r.cfg.Slots || head == nil {
+	if !r.cfg.Preempt || beingPreempted > 0 || resumed >= r.cfg.Slots || head == nil {
 		return nil
 	}
-	victims := r.count(func(j *refJob) bool { return r.mayPreempt(j, head.Tier) })
+	victims := r.count(func(j *refJob) bool { return r.mayBePreempted(j, head.Tier) })
 	if head.started || victims == 0 {
 		return nil
 	}
@@ -143,15 +143,15 @@
 	if head == nil {
 		return sched.Decision{}
 	}
-	worth := false
+	helps := false
 	for _, w := range r.preemptionWindows(head) {
-		worth = worth || !r.now.Before(w.from) && !r.now.After(w.until)
+		helps = helps || !r.now.Before(w.from) && !r.now.After(w.until)
 	}
-	if !worth {
+	if !helps {
 		return sched.Decision{}
 	}
-	v := r.best(func(j *refJob) bool { return r.mayPreempt(j, head.Tier) }, lessWorkLost)
-	v.phase = phasePreempting
+	v := r.best(func(j *refJob) bool { return r.mayBePreempted(j, head.Tier) }, lessWorkLost)
+	v.phase = phaseBeingPreempted
 	v.preemptedAt = r.now
 	v.preemptions++
 	return sched.Decision{Action: sched.ActionPreempt, Job: v.ID}
@@ -178,7 +178,7 @@
 		}
 		first := time.Duration(r.class(need.job.Class).firstToken.eighths / 8)
 		startBy := need.job.FirstTokenBy.Add(-first)
-		w := refWindow{until: startBy.Add(-time.Duration(r.preemptTime.eighths / 8))}
+		w := refWindow{until: startBy.Add(-time.Duration(r.preemptionDuration.eighths / 8))}
 		if wait := r.meter.Wait(r.cfg.Slots, need.slots); wait > 0 {
 			w.from = startBy.Add(-wait + 1)
 		}
--- a/internal/sched/schedtest/tracker_test.go
+++ b/internal/sched/schedtest/tracker_test.go
@@ -13,13 +13,13 @@
 // jobTracker tracks each job from its admission to its end from the decisions
 // alone, independently of how they are made, and checks invariants.
 type jobTracker struct {
-	cfg         tiered.Config
-	waiting     map[sched.JobID]sched.Job
-	running     map[sched.JobID]sched.Job
-	started     map[sched.JobID]bool
-	preemptions map[sched.JobID]int
-	preempting  sched.JobID // 0 if none
-	classes     map[string]bool
+	cfg            tiered.Config
+	waiting        map[sched.JobID]sched.Job
+	running        map[sched.JobID]sched.Job
+	started        map[sched.JobID]bool
+	preemptions    map[sched.JobID]int
+	beingPreempted sched.JobID // 0 if none
+	classes        map[string]bool
 }
 
 func newJobTracker(cfg tiered.Config) *jobTracker {
@@ -35,59 +35,59 @@
 
 // applyVerdict records the result of an offer, or returns the violated
 // invariant.
-func (l *jobTracker) applyVerdict(j sched.Job, v sched.Verdict) error {
+func (t *jobTracker) applyVerdict(j sched.Job, v sched.Verdict) error {
 	if v.Admitted {
-		l.waiting[j.ID] = j
-		l.classes[j.Class] = true
+		t.waiting[j.ID] = j
+		t.classes[j.Class] = true
 		return nil
 	}
-	if v.Reason == sched.ReasonQueueFull && l.fitsByDisplacement(j) {
+	if v.Reason == sched.ReasonQueueFull && t.fitsByDisplacement(j) {
 		return errors.New("refused as queue_full although displacing lower tiers would have been enough")
 	}
 	return nil
 }
 
 // fitsByDisplacement reports whether the job would fit if all waiting jobs of
-// lower tiers were displaced, except for preempted jobs and the oldest
-// unstarted job of each class.
-func (l *jobTracker) fitsByDisplacement(j sched.Job) bool {
+// lower tiers were displaced. Preempted jobs and the oldest unstarted job of
+// each class don't count.
+func (t *jobTracker) fitsByDisplacement(j sched.Job) bool {
 	entries, bytes := 0, j.Bytes
-	for _, o := range l.waiting {
-		first := !l.anyJob(l.waiting, func(p sched.Job) bool {
-			return p.Class == o.Class && p.ID < o.ID && !l.started[p.ID]
+	for _, o := range t.waiting {
+		first := !t.anyJob(t.waiting, func(p sched.Job) bool {
+			return p.Class == o.Class && p.ID < o.ID && !t.started[p.ID]
 		})
-		if o.Tier <= j.Tier && !l.started[o.ID] && !first {
+		if o.Tier <= j.Tier && !t.started[o.ID] && !first {
 			entries++
 			bytes += o.Bytes
 		}
 	}
-	return (l.cfg.QueueEntries <= 0 || entries < l.cfg.QueueEntries) &&
-		(l.cfg.QueueBytes <= 0 || bytes <= l.cfg.QueueBytes)
+	return (t.cfg.QueueEntries <= 0 || entries < t.cfg.QueueEntries) &&
+		(t.cfg.QueueBytes <= 0 || bytes <= t.cfg.QueueBytes)
 }
 
-func (l *jobTracker) requeue() {
-	if j, ok := l.running[l.preempting]; ok {
-		delete(l.running, j.ID)
-		l.waiting[j.ID] = j
+func (t *jobTracker) requeue() {
+	if j, ok := t.running[t.beingPreempted]; ok {
+		delete(t.running, j.ID)
+		t.waiting[j.ID] = j
 	}
-	l.preempting = 0
+	t.beingPreempted = 0
 }
 
-func (l *jobTracker) finish(id sched.JobID) {
-	delete(l.waiting, id)
-	delete(l.running, id)
-	if l.preempting == id {
-		l.preempting = 0
+func (t *jobTracker) finish(id sched.JobID) {
+	delete(t.waiting, id)
+	delete(t.running, id)
+	if t.beingPreempted == id {
+		t.beingPreempted = 0
 	}
 }
 
 // chooseRunning chooses a running job.
-func (l *jobTracker) chooseRunning(pick chooser) (sched.JobID, bool) {
-	if len(l.running) == 0 {
+func (t *jobTracker) chooseRunning(pick chooser) (sched.JobID, bool) {
+	if len(t.running) == 0 {
 		return 0, false
 	}
 	var ids []sched.JobID
-	for id := range l.running {
+	for id := range t.running {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
@@ -95,62 +95,62 @@
 }
 
 // applyDecision applies a decision, or returns the violated invariant.
-func (l *jobTracker) applyDecision(d sched.Decision) error {
+func (t *jobTracker) applyDecision(d sched.Decision) error {
 	switch d.Action {
 	case sched.ActionStart:
-		return l.start(d.Job)
+		return t.start(d.Job)
 	case sched.ActionDrop:
-		return l.drop(d)
+		return t.drop(d)
 	default:
-		return l.preempt(d.Job)
+		return t.preempt(d.Job)
 	}
 }
 
-func (l *jobTracker) start(id sched.JobID) error {
-	j, ok := l.waiting[id]
+func (t *jobTracker) start(id sched.JobID) error {
+	j, ok := t.waiting[id]
 	if !ok {
 		return errors.New("started a job that isn't waiting")
 	}
-	delete(l.waiting, id)
-	l.running[id] = j
-	l.started[id] = true
-	if len(l.running) > l.cfg.Slots {
+	delete(t.waiting, id)
+	t.running[id] = j
+	t.started[id] = true
+	if len(t.running) > t.cfg.Slots {
 		return errors.New("more running jobs than slots")
 	}
 	return nil
 }
 
-func (l *jobTracker) drop(d sched.Decision) error {
-	j, ok := l.waiting[d.Job]
+func (t *jobTracker) drop(d sched.Decision) error {
+	j, ok := t.waiting[d.Job]
 	if !ok {
 		return errors.New("dropped a job that isn't waiting")
 	}
-	if l.started[d.Job] {
+	if t.started[d.Job] {
 		return errors.New("dropped a job that has started")
 	}
-	delete(l.waiting, d.Job)
-	if d.Reason == sched.ReasonDisplaced && !l.anyJob(l.waiting, func(o sched.Job) bool { return o.Tier < j.Tier }) {
+	delete(t.waiting, d.Job)
+	if d.Reason == sched.ReasonDisplaced && !t.anyJob(t.waiting, func(o sched.Job) bool { return o.Tier < j.Tier }) {
 		return errors.New("displaced without a higher tier waiting")
 	}
 	return nil
 }
 
-func (l *jobTracker) preempt(id sched.JobID) error {
-	j, ok := l.running[id]
-	l.preemptions[id]++
+func (t *jobTracker) preempt(id sched.JobID) error {
+	j, ok := t.running[id]
+	t.preemptions[id]++
 	switch {
-	case !ok || l.preempting != 0:
+	case !ok || t.beingPreempted != 0:
 		return errors.New("preempted a job that isn't running, or during another preemption")
-	case !j.Preemptible || l.preemptions[id] > l.cfg.MaxPreemptions:
+	case !j.Preemptible || t.preemptions[id] > t.cfg.MaxPreemptions:
 		return errors.New("preempted a job that isn't preemptible, or more than MaxPreemptions times")
-	case !l.anyJob(l.waiting, func(o sched.Job) bool { return o.Tier < j.Tier }):
+	case !t.anyJob(t.waiting, func(o sched.Job) bool { return o.Tier < j.Tier }):
 		return errors.New("preempted without a higher tier waiting")
 	}
-	l.preempting = id
+	t.beingPreempted = id
 	return nil
 }
 
-func (l *jobTracker) anyJob(jobs map[sched.JobID]sched.Job, ok func(sched.Job) bool) bool {
+func (t *jobTracker) anyJob(jobs map[sched.JobID]sched.Job, ok func(sched.Job) bool) bool {
 	for _, j := range jobs {
 		if ok(j) {
 			return true
@@ -160,22 +160,25 @@
 }
 
 // check compares the report with the tracked jobs and the queue's limits.
-func (l *jobTracker) check(r load.Report) error {
-	if r.TotalQueued() != len(l.waiting) || r.TotalRunning() != len(l.running) {
-		return errors.Newf("reported job count is off by %d", total(r)-len(l.waiting)-len(l.running))
+func (t *jobTracker) check(r load.Report) error {
+	if r.TotalQueued() != len(t.waiting) || r.TotalRunning() != len(t.running) {
+		return errors.Newf("reported job count is off by %d", total(r)-len(t.waiting)-len(t.running))
 	}
-	if len(l.waiting) > 0 && len(l.running) < l.cfg.Slots {
+	if len(t.waiting) > 0 && len(t.running) < t.cfg.Slots {
 		return errors.New("a slot is idle while a job waits")
 	}
-	outside := len(l.classes) + l.cfg.Slots
-	if l.cfg.QueueEntries > 0 && len(l.waiting) > l.cfg.QueueEntries+outside {
+	// Each class's oldest job and preempted jobs, of which at most as many wait
+	// as there are slots, don't count towards the limits. chooser.job makes jobs
+	// of at most 15 bytes.
+	exempt := len(t.classes) + t.cfg.Slots
+	if t.cfg.QueueEntries > 0 && len(t.waiting) > t.cfg.QueueEntries+exempt {
 		return errors.New("more waiting jobs than the queue's entry limit allows")
 	}
 	bytes := 0
-	for _, j := range l.waiting {
+	for _, j := range t.waiting {
 		bytes += j.Bytes
 	}
-	if l.cfg.QueueBytes > 0 && bytes > l.cfg.QueueBytes+outside*15 {
+	if t.cfg.QueueBytes > 0 && bytes > t.cfg.QueueBytes+exempt*15 {
 		return errors.New("more waiting bytes than the queue's byte limit allows")
 	}
 	return nil
--- a/internal/sched/tiered/admit.go
+++ b/internal/sched/tiered/admit.go
@@ -53,9 +53,9 @@
 	return sched.Verdict{Reason: why, RetryAfter: retryAfter}
 }
 
-// tooLate reports whether a start at the given time misses the limit by.
-func (s *Scheduler) tooLate(at, by int64) bool {
-	return by != never && at >= by && !s.cfg.Off.EarlyRefusal
+// tooLate reports whether a start at the given time is at or after the limit.
+func (s *Scheduler) tooLate(limit, by int64) bool {
+	return by != never && limit >= by && !s.cfg.Off.EarlyRefusal
 }
 
 // startBy returns the time after which the job is unlikely to finish by its
@@ -129,7 +129,7 @@
 		return false
 	}
 	for !s.fits(j.Bytes, s.boundedEntries, s.boundedBytes) {
-		s.markDropped(now, s.displaceable(), sched.ReasonDisplaced)
+		s.markDropped(now, s.nextToDisplace(), sched.ReasonDisplaced)
 	}
 	return true
 }
@@ -143,9 +143,9 @@
 	return s.cfg.QueueBytes <= 0 || bytes+size <= s.cfg.QueueBytes
 }
 
-// displaceable returns the next job to displace: the newest of the lowest tier
+// nextToDisplace returns the next job to displace: the newest of the lowest tier
 // that has jobs counting towards the queue's limits.
-func (s *Scheduler) displaceable() *item {
+func (s *Scheduler) nextToDisplace() *item {
 	for i := len(s.tiers) - 1; i >= 0; i-- {
 		if it := s.tiers[i].bounded.tail; it != nil {
 			return it
--- a/internal/sched/tiered/class.go
+++ b/internal/sched/tiered/class.go
@@ -107,17 +107,17 @@
 		return
 	}
 	c.unserved = true
-	s.moveToServiceEnd(now, c)
+	s.moveToBack(now, c)
 }
 
 // markServed records that the class's oldest job has started.
 func (s *Scheduler) markServed(now time.Time, c *class) {
 	c.unserved = s.oldest(c) != nil
-	s.moveToServiceEnd(now, c)
+	s.moveToBack(now, c)
 }
 
-// moveToServiceEnd moves the class to the end of the reserve's service order.
-func (s *Scheduler) moveToServiceEnd(now time.Time, c *class) {
+// moveToBack moves the class to the end of the reserve's service order.
+func (s *Scheduler) moveToBack(now time.Time, c *class) {
 	c.unservedSince = now
 	c.serviceOrder = s.nextServiceOrder
 	s.nextServiceOrder++
--- a/internal/sched/tiered/config.go
+++ b/internal/sched/tiered/config.go
@@ -38,7 +38,8 @@
 }
 
 // Mechanisms lists mechanisms to turn off, so that tests can show that each of
-// them is effective. Don't turn any off in production.
+// them is effective. Setting a field turns that mechanism off; the field's
+// comment states the resulting behaviour. Don't set any in production.
 type Switches struct {
 	Fairness           bool // charge no tokens
 	CounterLift        bool // let an idle team save up service
--- a/internal/sched/tiered/item.go
+++ b/internal/sched/tiered/item.go
@@ -11,10 +11,10 @@
 type state uint8
 
 const (
-	waiting    state = iota
-	running          // holds a slot
-	preempting       // holds a slot until the preemption completes
-	dropping         // left the queue; ActionDrop hasn't been returned yet
+	waiting        state = iota
+	running              // holds a slot
+	beingPreempted       // holds a slot until the preemption completes
+	dropping             // left the queue; ActionDrop hasn't been returned yet
 )
 
 // item is a waiting, running or dropped job.
--- a/internal/sched/tiered/mechanism_test.go
+++ b/internal/sched/tiered/mechanism_test.go
@@ -20,101 +20,101 @@
 	Entry("fairness", tiered.Switches{Fairness: true}, func(off tiered.Switches) bool {
 		return quietTeamStarts(off, 0) >= 4
 	}),
-	Entry("lift", tiered.Switches{CounterLift: true}, func(off tiered.Switches) bool {
+	Entry("counter lift", tiered.Switches{CounterLift: true}, func(off tiered.Switches) bool {
 		return quietTeamStarts(off, 50) <= 6
 	}),
-	Entry("estimate", tiered.Switches{StartCharge: true}, func(off tiered.Switches) bool {
-		b := newSchedulerTest(tiered.Config{Slots: 4, Off: off})
+	Entry("start charge", tiered.Switches{StartCharge: true}, func(off tiered.Switches) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 4, Off: off})
 		quiet := map[sched.JobID]bool{}
 		for range 4 {
-			b.add(0, sched.Job{Team: "busy"})
-			quiet[b.add(0, sched.Job{Team: "quiet"})] = true
+			s.add(0, sched.Job{Team: "busy"})
+			quiet[s.add(0, sched.Job{Team: "quiet"})] = true
 		}
-		return countOf(b.starts(0), quiet) == 2
+		return countOf(s.starts(0), quiet) == 2
 	}),
 	Entry("reserve", tiered.Switches{Reserve: true}, func(off tiered.Switches) bool {
-		b := newSchedulerTest(tiered.Config{Slots: 1, ReserveAfter: time.Second, Off: off})
-		low := b.add(0, sched.Job{Tier: 1})
-		return startsWithin(b, low, 2)
+		s := newSchedulerTest(tiered.Config{Slots: 1, ReserveAfter: time.Second, Off: off})
+		low := s.add(0, sched.Job{Tier: 1})
+		return startsWithin(s, low, 2)
 	}),
-	Entry("protection", tiered.Switches{OldestProtection: true}, func(off tiered.Switches) bool {
-		b := newSchedulerTest(tiered.Config{Slots: 1, QueueEntries: 2, Off: off})
-		b.offer(0, sched.Job{Tier: 1})
-		b.offer(0, sched.Job{Tier: 1})
+	Entry("oldest protection", tiered.Switches{OldestProtection: true}, func(off tiered.Switches) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 1, QueueEntries: 2, Off: off})
+		s.offer(0, sched.Job{Tier: 1})
+		s.offer(0, sched.Job{Tier: 1})
 		for range 4 {
-			b.offer(0, sched.Job{})
+			s.offer(0, sched.Job{})
 		}
-		return b.Load(at(0)).Queued[1] == 1
+		return s.Load(at(0)).Queued[1] == 1
 	}),
 	Entry("displacement", tiered.Switches{Displacement: true}, func(off tiered.Switches) bool {
-		b := newSchedulerTest(tiered.Config{Slots: 1, QueueEntries: 1, Off: off})
-		b.add(0, sched.Job{})
-		b.add(0, sched.Job{Tier: 1})
-		b.add(0, sched.Job{Tier: 1})
-		_, v := b.offer(0, sched.Job{})
+		s := newSchedulerTest(tiered.Config{Slots: 1, QueueEntries: 1, Off: off})
+		s.add(0, sched.Job{})
+		s.add(0, sched.Job{Tier: 1})
+		s.add(0, sched.Job{Tier: 1})
+		_, v := s.offer(0, sched.Job{})
 		return v.Admitted
 	}),
 	Entry("early refusal", tiered.Switches{EarlyRefusal: true}, func(off tiered.Switches) bool {
-		b := newSchedulerTest(tiered.Config{Slots: 1, Off: off})
-		b.run(0, 1000, "x", 1)
+		s := newSchedulerTest(tiered.Config{Slots: 1, Off: off})
+		s.run(0, 1000, "x", 1)
 		for range 5 {
-			b.add(1000, sched.Job{})
+			s.add(1000, sched.Job{})
 		}
-		b.add(1000, sched.Job{Tier: 1})
-		_, v := b.offer(1000, sched.Job{Tier: 1, Deadline: at(3000)})
+		s.add(1000, sched.Job{Tier: 1})
+		_, v := s.offer(1000, sched.Job{Tier: 1, Deadline: at(3000)})
 		return v.Reason == sched.ReasonTooLate && v.RetryAfter > 2*time.Second
 	}),
-	Entry("giving up", tiered.Switches{LateDrop: true}, func(off tiered.Switches) bool {
+	Entry("late drop", tiered.Switches{LateDrop: true}, func(off tiered.Switches) bool {
 		return decisionAt(off, 3500).Reason == sched.ReasonTooLate
 	}),
 	Entry("expiry", tiered.Switches{Expiry: true}, func(off tiered.Switches) bool {
 		return decisionAt(off, 5000).Reason == sched.ReasonExpired
 	}),
-	Entry("worth", tiered.Switches{PreemptionBenefit: true}, func(off tiered.Switches) bool {
-		b := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, Off: off})
-		b.run(0, 100, "x", 1)
-		b.add(100, sched.Job{Tier: 1, Preemptible: true})
-		b.starts(100)
-		b.add(100, sched.Job{FirstTokenBy: at(9000)})
-		return b.Next(at(100)).Action == sched.ActionNone
+	Entry("preemption benefit", tiered.Switches{PreemptionBenefit: true}, func(off tiered.Switches) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, Off: off})
+		s.run(0, 100, "x", 1)
+		s.add(100, sched.Job{Tier: 1, Preemptible: true})
+		s.starts(100)
+		s.add(100, sched.Job{FirstTokenBy: at(9000)})
+		return s.Next(at(100)).Action == sched.ActionNone
 	}),
-	Entry("shielding", tiered.Switches{ReservedProtection: true}, func(off tiered.Switches) bool {
-		b := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, ReserveAfter: 1, Off: off})
-		b.add(0, sched.Job{Tier: 1, Preemptible: true})
-		b.add(0, sched.Job{FirstTokenBy: at(500)})
-		Expect(b.Next(at(1)).Action).To(Equal(sched.ActionStart))
-		return b.Next(at(2)).Action == sched.ActionNone
+	Entry("reserved protection", tiered.Switches{ReservedProtection: true}, func(off tiered.Switches) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, ReserveAfter: 1, Off: off})
+		s.add(0, sched.Job{Tier: 1, Preemptible: true})
+		s.add(0, sched.Job{FirstTokenBy: at(500)})
+		Expect(s.Next(at(1)).Action).To(Equal(sched.ActionStart))
+		return s.Next(at(2)).Action == sched.ActionNone
 	}),
 	Entry("earmark", tiered.Switches{Earmark: true}, func(off tiered.Switches) bool {
-		b := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, ReserveAfter: 5 * time.Millisecond, Off: off})
-		low := b.add(0, sched.Job{Tier: 1, Preemptible: true})
-		b.starts(0)
-		b.add(0, sched.Job{Tier: 2})
-		high := b.add(10, sched.Job{FirstTokenBy: at(500)})
-		b.Next(at(10))
-		b.Requeue(at(11), low)
-		return b.Next(at(11)) == startOf(high)
+		s := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, ReserveAfter: 5 * time.Millisecond, Off: off})
+		low := s.add(0, sched.Job{Tier: 1, Preemptible: true})
+		s.starts(0)
+		s.add(0, sched.Job{Tier: 2})
+		high := s.add(10, sched.Job{FirstTokenBy: at(500)})
+		s.Next(at(10))
+		s.Requeue(at(11), low)
+		return s.Next(at(11)) == startOf(high)
 	}),
-	Entry("bound of preemptions", tiered.Switches{PreemptionLimit: true}, func(off tiered.Switches) bool {
-		b := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, MaxPreemptions: 1, Off: off})
-		low := b.add(0, sched.Job{Tier: 1, Preemptible: true})
-		b.starts(0)
-		high := b.add(0, sched.Job{FirstTokenBy: at(500)})
-		b.starts(0)
-		b.Requeue(at(1), low)
-		b.starts(1)
-		b.Finish(at(300), high)
-		b.starts(300)
-		b.add(301, sched.Job{FirstTokenBy: at(500)})
-		return b.Next(at(301)).Action == sched.ActionNone
+	Entry("preemption limit", tiered.Switches{PreemptionLimit: true}, func(off tiered.Switches) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, MaxPreemptions: 1, Off: off})
+		low := s.add(0, sched.Job{Tier: 1, Preemptible: true})
+		s.starts(0)
+		high := s.add(0, sched.Job{FirstTokenBy: at(500)})
+		s.starts(0)
+		s.Requeue(at(1), low)
+		s.starts(1)
+		s.Finish(at(300), high)
+		s.starts(300)
+		s.add(301, sched.Job{FirstTokenBy: at(500)})
+		return s.Next(at(301)).Action == sched.ActionNone
 	}),
 	Entry("one preemption at a time", tiered.Switches{SinglePreemption: true}, func(off tiered.Switches) bool {
-		b := newSchedulerTest(tiered.Config{Slots: 2, Preempt: true, Off: off})
-		b.add(0, sched.Job{Tier: 1, Preemptible: true})
-		b.add(0, sched.Job{Tier: 1, Preemptible: true})
-		b.starts(0)
-		b.add(0, sched.Job{FirstTokenBy: at(500)})
-		return b.Next(at(0)).Action == sched.ActionPreempt && b.Next(at(0)).Action == sched.ActionNone
+		s := newSchedulerTest(tiered.Config{Slots: 2, Preempt: true, Off: off})
+		s.add(0, sched.Job{Tier: 1, Preemptible: true})
+		s.add(0, sched.Job{Tier: 1, Preemptible: true})
+		s.starts(0)
+		s.add(0, sched.Job{FirstTokenBy: at(500)})
+		return s.Next(at(0)).Action == sched.ActionPreempt && s.Next(at(0)).Action == sched.ActionNone
 	}),
 )
 
@@ -122,22 +122,22 @@
 // many of the next ten starts are the quiet team's, or with busyRuns 0 the busy
 // team's.
 func quietTeamStarts(off tiered.Switches, busyRuns int) int {
-	b := newSchedulerTest(tiered.Config{Slots: 1, Off: off})
+	s := newSchedulerTest(tiered.Config{Slots: 1, Off: off})
 	quiet := map[sched.JobID]bool{}
-	quiet[b.add(0, sched.Job{Team: "quiet"})] = true
-	runAll(b, 0)
+	quiet[s.add(0, sched.Job{Team: "quiet"})] = true
+	runAll(s, 0)
 	for range busyRuns + 20 {
-		b.add(0, sched.Job{Team: "busy"})
+		s.add(0, sched.Job{Team: "busy"})
 	}
 	for range busyRuns {
-		runNext(b)
+		runNext(s)
 	}
 	for range 20 {
-		quiet[b.add(0, sched.Job{Team: "quiet"})] = true
+		quiet[s.add(0, sched.Job{Team: "quiet"})] = true
 	}
 	var ids []sched.JobID
 	for range 10 {
-		ids = append(ids, runNext(b))
+		ids = append(ids, runNext(s))
 	}
 	if busyRuns == 0 {
 		return 10 - countOf(ids, quiet) // without fairness the busy team would starve
@@ -146,16 +146,16 @@
 }
 
 // runNext runs the next job to completion with a hundred tokens.
-func runNext(b *schedulerTest) sched.JobID {
-	id := b.Next(at(0)).Job
-	b.Tokens(at(0), id, 100)
-	b.Finish(at(0), id)
+func runNext(s *schedulerTest) sched.JobID {
+	id := s.Next(at(0)).Job
+	s.Tokens(at(0), id, 100)
+	s.Finish(at(0), id)
 	return id
 }
 
-func runAll(b *schedulerTest, ms int) {
-	for b.Load(at(ms)).TotalQueued() > 0 {
-		runNext(b)
+func runAll(s *schedulerTest, ms int) {
+	for s.Load(at(ms)).TotalQueued() > 0 {
+		runNext(s)
 	}
 }
 
@@ -171,17 +171,17 @@
 
 // startsWithin keeps one slot busy with one-second runs of the highest tier and
 // reports whether the job starts within the given number of runs.
-func startsWithin(b *schedulerTest, id sched.JobID, runs int) bool {
-	b.add(0, sched.Job{})
+func startsWithin(s *schedulerTest, id sched.JobID, runs int) bool {
+	s.add(0, sched.Job{})
 	for i := range runs {
-		b.add(i*1000, sched.Job{})
-		started := b.Next(at(i * 1000)).Job
+		s.add(i*1000, sched.Job{})
+		started := s.Next(at(i * 1000)).Job
 		if started == id {
 			return true
 		}
-		b.Finish(at(i*1000+1000), started)
+		s.Finish(at(i*1000+1000), started)
 	}
-	return b.Next(at(runs*1000)).Job == id
+	return s.Next(at(runs*1000)).Job == id
 }
 
 // decisionAt queues a job with a five-second deadline behind a running one, for
@@ -189,10 +189,10 @@
 // the given time.
 func decisionAt(off tiered.Switches, ms int) sched.Decision {
 	off.LateDrop = off.LateDrop || ms >= 5000
-	b := newSchedulerTest(tiered.Config{Slots: 1, Off: off})
-	b.run(-1000, 1000, "a", 1)
-	b.add(0, sched.Job{Class: "x"})
-	b.starts(0)
-	b.add(0, sched.Job{Deadline: at(5000)})
-	return b.Next(at(ms))
+	s := newSchedulerTest(tiered.Config{Slots: 1, Off: off})
+	s.run(-1000, 1000, "a", 1)
+	s.add(0, sched.Job{Class: "x"})
+	s.starts(0)
+	s.add(0, sched.Job{Deadline: at(5000)})
+	return s.Next(at(ms))
 }
--- a/internal/sched/tiered/preempt.go
+++ b/internal/sched/tiered/preempt.go
@@ -6,8 +6,8 @@
 	"coveferry/internal/sched"
 )
 
-// mayPreempt reports whether a running job may be preempted.
-func (s *Scheduler) mayPreempt(it *item) bool {
+// mayBePreempted reports whether a running job may be preempted.
+func (s *Scheduler) mayBePreempted(it *item) bool {
 	limitReached := it.preemptions >= s.cfg.MaxPreemptions && !s.cfg.Off.PreemptionLimit
 	if !it.job.Preemptible || limitReached {
 		return false
@@ -38,9 +38,9 @@
 	it := s.victim(head.job.Tier)
 	s.tiers[it.job.Tier].victims--
 	it.preemptions++
-	it.state = preempting
+	it.state = beingPreempted
 	it.preemptedAt = now
-	s.preempting++
+	s.preemptionsInProgress++
 	return sched.Decision{Action: sched.ActionPreempt, Job: it.job.ID}
 }
 
@@ -48,7 +48,7 @@
 // preempt, else nil. Only one preemption is in progress at a time, and the
 // number of waiting preempted jobs is limited to the number of slots.
 func (s *Scheduler) preemptor() *item {
-	pending := s.preempting > 0 && !s.cfg.Off.SinglePreemption
+	pending := s.preemptionsInProgress > 0 && !s.cfg.Off.SinglePreemption
 	if !s.cfg.Preempt || pending || len(s.resumed) >= s.cfg.Slots {
 		return nil
 	}
@@ -66,7 +66,7 @@
 	if s.cfg.Off.PreemptionBenefit {
 		return true
 	}
-	first, newest := s.preemptWindows(head)
+	first, newest := s.preemptionWindows(head)
 	at := now.UnixNano()
 	return first.contains(at) || newest.contains(at)
 }
@@ -87,28 +87,28 @@
 	return never
 }
 
-// preemptWindows returns the windows of the next job, which needs one slot, and
+// preemptionWindows returns the windows of the next job, which needs one slot, and
 // of the newest job of its tier that counts towards the queue's limits, which
 // needs as many slots as jobs of the tier are waiting.
-func (s *Scheduler) preemptWindows(head *item) (first, newest preemptionWindow) {
+func (s *Scheduler) preemptionWindows(head *item) (first, newest preemptionWindow) {
 	t := &s.tiers[head.job.Tier]
-	first = s.preemptWindow(head, 1)
+	first = s.preemptionWindowOf(head, 1)
 	if t.bounded.tail == nil {
 		return first, first
 	}
-	return first, s.preemptWindow(t.bounded.tail, t.queued)
+	return first, s.preemptionWindowOf(t.bounded.tail, t.queued)
 }
 
-// preemptWindow returns the window of a job that starts when the given number
+// preemptionWindowOf returns the window of a job that starts when the given number
 // of slots have become free. Without a measured drain rate no slot is expected
 // to become free. The window is empty for a job without a first-token target
 // and for one that gets a slot sooner without a preemption than with one.
-func (s *Scheduler) preemptWindow(it *item, slots int) preemptionWindow {
+func (s *Scheduler) preemptionWindowOf(it *item, slots int) preemptionWindow {
 	if it.job.FirstTokenBy.IsZero() {
 		return preemptionWindow{first: never}
 	}
 	startBy := unixNano(it.job.FirstTokenBy) - it.class.firstToken.mean()
-	last := startBy - s.preemptTime.mean()
+	last := startBy - s.preemptionDuration.mean()
 	wait := int64(s.meter.Wait(s.cfg.Slots, slots))
 	if wait == 0 {
 		return preemptionWindow{last: last}
@@ -126,7 +126,7 @@
 	if head == nil {
 		return never
 	}
-	first, newest := s.preemptWindows(head)
+	first, newest := s.preemptionWindows(head)
 	return min(first.nextOpening(s.now), newest.nextOpening(s.now))
 }
 
@@ -136,7 +136,7 @@
 func (s *Scheduler) victim(tier int) *item {
 	var best *item
 	for _, it := range s.running {
-		if it.state != running || it.job.Tier <= tier || !s.mayPreempt(it) {
+		if it.state != running || it.job.Tier <= tier || !s.mayBePreempted(it) {
 			continue
 		}
 		if best == nil || lessWorkLost(it, best) {
--- a/internal/sched/tiered/reserve.go
+++ b/internal/sched/tiered/reserve.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// advance accounts for the time since the previous call, during which busy
-// slots were in use.
+// advance accounts for the time since the previous call; busy is the number of
+// slots in use during that time.
 func (r *reserve) advance(now time.Time, busy int) {
 	micros := now.UnixMicro()
 	elapsed := micros - r.last
--- a/internal/sched/tiered/scheduler.go
+++ b/internal/sched/tiered/scheduler.go
@@ -27,9 +27,9 @@
 	resumed []*item          // waiting jobs that were preempted
 	drops   list             // jobs to drop, in order
 
-	running     []*item // includes the jobs being preempted
-	preempting  int
-	preemptTime average // duration of a preemption in nanoseconds
+	running               []*item // includes the jobs being preempted
+	preemptionsInProgress int
+	preemptionDuration    average // duration of a preemption in nanoseconds
 	// earmarked is the number of slots freed by preemption that a higher tier
 	// hasn't used yet.
 	earmarked int
@@ -126,7 +126,7 @@
 	it.runPos = len(s.running)
 	s.running = append(s.running, it)
 	t.running++
-	if s.mayPreempt(it) {
+	if s.mayBePreempted(it) {
 		t.victims++
 	}
 	s.chargeUpTo(it, s.startCharge(it))
@@ -156,8 +156,8 @@
 	if !held || it.runPos == absent {
 		return
 	}
-	if it.state == preempting {
-		s.preemptTime.add(int64(now.Sub(it.preemptedAt)))
+	if it.state == beingPreempted {
+		s.preemptionDuration.add(int64(now.Sub(it.preemptedAt)))
 		if s.higherTierWaiting(it.job.Tier) {
 			s.earmarked++
 		}
@@ -182,7 +182,7 @@
 		s.dequeue(now, it)
 	case dropping:
 		s.drops.remove(it)
-	case running, preempting:
+	case running, beingPreempted:
 		s.release(now, it)
 		s.settleCharge(it)
 		s.meter.Finished()
@@ -195,9 +195,9 @@
 func (s *Scheduler) release(now time.Time, it *item) {
 	t := &s.tiers[it.job.Tier]
 	t.running--
-	if it.state == preempting {
-		s.preempting--
-	} else if s.mayPreempt(it) {
+	if it.state == beingPreempted {
+		s.preemptionsInProgress--
+	} else if s.mayBePreempted(it) {
 		t.victims--
 	}
 	if it.reserved {
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -57,7 +57,7 @@
 // caller reports the outcome with Accepted or Refused. Requests in flight aren't
 // counted, so that slow answers don't look like refusals.
 func (t *Throttle) Allow(now time.Time, tier int, draw float64) bool {
-	return draw >= t.Probability(now, tier)
+	return draw >= t.RefusalProbability(now, tier)
 }
 
 // Accepted counts a request that an endpoint accepted and started to answer in
@@ -72,8 +72,8 @@
 	t.tiers.Add(now, tier, window.Counts{Total: 1})
 }
 
-// Probability returns the share of the tier's requests to refuse now.
-func (t *Throttle) Probability(now time.Time, tier int) float64 {
+// RefusalProbability returns the share of the tier's requests to refuse now.
+func (t *Throttle) RefusalProbability(now time.Time, tier int) float64 {
 	if t.cfg.Off {
 		return 0
 	}
@@ -95,7 +95,7 @@
 	for i := load.MaxTiers - 1; i > tier; i-- {
 		excess -= float64(counts[i].Total)
 	}
-	// Adding one to the total keeps the result below 1, so that a few requests
-	// are still sent if all of them fail.
+	// The added one keeps the highest tier's result below 1, so that a few
+	// requests are still sent if all of them fail.
 	return min(1, max(0, excess)/float64(counts[tier].Total+1))
 }
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -24,9 +24,9 @@
 	addCounts(th, 1, 100, 40)
 	addCounts(th, 2, 100, 0)
 	// The excess is 300 - 1.5*140 = 90 requests, all of which tier 2 covers.
-	g.Expect(th.Probability(epoch, 2)).To(gomega.BeNumerically("~", 90.0/101, 1e-9))
-	g.Expect(th.Probability(epoch, 1)).To(gomega.BeZero())
-	g.Expect(th.Probability(epoch, 0)).To(gomega.BeZero())
+	g.Expect(th.RefusalProbability(epoch, 2)).To(gomega.BeNumerically("~", 90.0/101, 1e-9))
+	g.Expect(th.RefusalProbability(epoch, 1)).To(gomega.BeZero())
+	g.Expect(th.RefusalProbability(epoch, 0)).To(gomega.BeZero())
 	g.Expect(th.Allow(epoch, 2, 0.5)).To(gomega.BeFalse())
 	g.Expect(th.Allow(epoch, 2, 0.95)).To(gomega.BeTrue())
 }
@@ -37,8 +37,8 @@
 	for range 100 {
 		th.Refused(epoch, 0)
 	}
-	g.Expect(th.Probability(epoch, 0)).To(gomega.BeNumerically(">", 0.9))
-	g.Expect(th.Probability(epoch.Add(defaultWindow), 0)).To(gomega.BeZero())
+	g.Expect(th.RefusalProbability(epoch, 0)).To(gomega.BeNumerically(">", 0.9))
+	g.Expect(th.RefusalProbability(epoch.Add(defaultWindow), 0)).To(gomega.BeZero())
 }
 
 func TestTierIsRefusedOnlyIfLowerTiersAre(t *testing.T) {
@@ -48,7 +48,7 @@
 			counts[i].Total = rapid.IntRange(0, 500).Draw(t, "requests")
 			counts[i].Part = rapid.IntRange(0, counts[i].Total).Draw(t, "accepted")
 		}
-		cfg := Config{AcceptMultiplier: rapid.Float64Range(1, 3).Draw(t, "headway"), MinRequests: 1}
+		cfg := Config{AcceptMultiplier: rapid.Float64Range(1, 3).Draw(t, "accept multiplier"), MinRequests: 1}
 		for tier := range load.MaxTiers - 1 {
 			lower := refusalProbability(counts, tier+1, cfg)
 			sent := (1 - lower) * float64(counts[tier+1].Total)
--- a/internal/throttle/window/tiers.go
+++ b/internal/throttle/window/tiers.go
@@ -8,8 +8,8 @@
 )
 
 // Tiers holds a window for each tier, each with its own lock. It is safe for
-// concurrent use. Ranks beyond the last tier count as the last, since external
-// configurations may define more tiers.
+// concurrent use. An out-of-range tier is clamped, since external configurations
+// may define more tiers.
 type Tiers struct{ tiers [load.MaxTiers]lockedRing }
 
 type lockedRing struct {
--- a/internal/throttle/window/window.go
+++ b/internal/throttle/window/window.go
@@ -7,8 +7,8 @@
 const (
 	// slicesPerWindow is the number of time slices in a window.
 	slicesPerWindow = 10
-	// buckets is one more, since the oldest and the newest slice may be partial.
-	buckets = slicesPerWindow + 1
+	// bucketCount is one more, since the oldest and the newest slice may be partial.
+	bucketCount = slicesPerWindow + 1
 )
 
 // Counts holds a total and a count to compare with it. Part may be, but need not
@@ -28,11 +28,11 @@
 	// monotonic clock, since a change of the wall clock would end the window or
 	// restart it.
 	origin  time.Time
-	buckets [buckets]bucket
+	buckets [bucketCount]bucket
 }
 
 type bucket struct {
-	tick   int64
+	slice  int64
 	last   time.Duration // when it was last added to
 	counts Counts
 }
@@ -48,10 +48,10 @@
 		r.origin = now
 	}
 	at := now.Sub(r.origin)
-	tick := int64(at / (r.length / slicesPerWindow))
-	b := &r.buckets[((tick%buckets)+buckets)%buckets]
-	if b.tick != tick {
-		*b = bucket{tick: tick}
+	slice := int64(at / (r.length / slicesPerWindow))
+	b := &r.buckets[((slice%bucketCount)+bucketCount)%bucketCount]
+	if b.slice != slice {
+		*b = bucket{slice: slice}
 	}
 	b.last = max(b.last, at)
 	b.counts.Total += c.Total
