--- a/internal/router/bundleroutes.go
+++ b/internal/router/bundleroutes.go
@@ -10,9 +10,9 @@
 	"coveferry/internal/upstream"
 )
 
-// BundleRouting serves the routes of the bundle in force from its direct
-// endpoints, which the client reaches. A bundle is signed and never taken back,
-// so its keys are trusted while it is in force.
+// BundleRouting returns a Routing that serves the bundle's routes from its direct endpoints
+// through client. Bundles are signed and never revoked, so their keys stay trusted while the
+// bundle is in force.
 func BundleRouting(inForce func() *bundle.Snapshot, client *http.Client) *Routing {
 	return &Routing{
 		Table: func() *route.Table { return inForce().Routes() },
@@ -26,8 +26,8 @@
 	}
 }
 
-// routesFirst has requests served by the route table that a route answers for,
-// and others by next.
+// routesFirst serves requests that match a route by the route table and passes all others to
+// next.
 func (rt *Router) routesFirst(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		path, _, _ := strings.Cut(req.RequestURI, "?")
--- a/internal/router/bundleroutes_test.go
+++ b/internal/router/bundleroutes_test.go
@@ -29,7 +29,7 @@
 	return b
 }
 
-func TestABundlesRoutesAreServedBesideItsModels(t *testing.T) {
+func TestBundleRoutesAreServedAlongsideModels(t *testing.T) {
 	var endpoint *server.Server
 	var direct *http.Client
 	serve(t, func(cfg *router.Config) {
@@ -44,7 +44,7 @@
 		cfg.Snapshot = snapshot
 		cfg.Routing = router.BundleRouting(func() *bundle.Snapshot { return snapshot }, direct)
 	}, func(g *WithT, client *http.Client) {
-		got := call(g, client, "POST", "/receipts/7", "x", "Authorization", "Bearer "+key)
+		got := call(g, client, "POST", "/receipts/7", "x", "Authorization", "Bearer "+testKey)
 		g.Expect(got.status).To(Equal(200))
 		g.Expect(got.body).To(Equal("filed for free"))
 		g.Expect(call(g, client, "POST", "/receipts/7", "x", "Authorization", "Bearer no").status).To(Equal(401))
@@ -56,7 +56,7 @@
 	})
 }
 
-// startPlain answers as any HTTP service might.
+// startPlain starts a plain HTTP service that knows nothing of the router's protocol.
 func startPlain(l net.Listener) *server.Server {
 	srv := server.New(server.Config{Listener: l, Grace: time.Minute, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = w.Write([]byte("filed for " + r.Header.Get("Coveferry-Team")))
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -11,34 +11,33 @@
 	"coveferry/internal/wire"
 )
 
-// errEnded is the cause with which open requests are ended at a router's stop.
-var errEnded = errors.New("the router is stopping")
+// errAborted is the cancellation cause of requests that are still open when the router stops.
+var errAborted = errors.New("the router is stopping")
 
-// drain is how far a router's planned stop has come.
+// drain is the state of a planned stop.
 type drain struct {
-	leaving atomic.Bool
-	// refusing says that new requests are refused.
-	refusing atomic.Bool
-	// over ends when open requests are to end.
-	over context.Context
-	end  context.CancelCauseFunc
+	closeConns atomic.Bool
+	refuseNew  atomic.Bool
+	// abortCtx is canceled to abort the requests that are still open.
+	abortCtx context.Context
+	abort    context.CancelCauseFunc
 }
 
 func newDrain() *drain {
-	over, end := context.WithCancelCause(context.Background())
-	return &drain{over: over, end: end}
+	ctx, cancel := context.WithCancelCause(context.Background())
+	return &drain{abortCtx: ctx, abort: cancel}
 }
 
-// Leave makes the connections of callers close behind their next answer, so
-// that the balancer opens new ones elsewhere and none is idle when the router
-// stops: a request sent on an idle connection as it closes would be lost.
-func (rt *Router) Leave() { rt.drain.leaving.Store(true) }
+// CloseCallerConnections closes each caller connection after its next answer. The load balancer
+// then opens new ones to other routers, and no idle connection is left when the router stops: a
+// request sent on an idle connection while it closes would be lost.
+func (rt *Router) Leave() { rt.drain.closeConns.Store(true) }
 
-// Refuse has new requests refused from now on, so that what is under way has the
-// rest of the time of a planned stop.
-func (rt *Router) Refuse() { rt.drain.refusing.Store(true) }
+// RefuseNewRequests refuses new requests from now on, which leaves the rest of the drain time
+// to the open ones.
+func (rt *Router) Refuse() { rt.drain.refuseNew.Store(true) }
 
-// stoppingError is a request that came when the router took no more.
+// stoppingError is returned for requests that arrive after RefuseNewRequests.
 type stoppingError struct{}
 
 func (stoppingError) Error() string { return "router: stopping, takes no new requests" }
@@ -47,48 +46,49 @@
 func (stoppingError) API() *api.Error {
 	return &api.Error{
 		Status: http.StatusServiceUnavailable, Type: api.TypeUnavailable, Code: "router_stopping",
-		Message: "this router is stopping; others serve on", Run: wire.RunNot, RetryAfter: retryAfterFull,
+		Message: "this router is stopping; others serve on", Run: wire.RunNot, RetryAfter: retryAfterCapacity,
 	}
 }
 
-// EndOpen ends the requests still open with a typed error, for what the time of
-// a planned stop doesn't suffice.
-func (rt *Router) EndOpen() { rt.drain.end(errEnded) }
+// AbortOpenRequests aborts the requests that didn't finish within the drain time, with a typed
+// error.
+func (rt *Router) EndOpen() { rt.drain.abort(errAborted) }
 
-// follow ends ctx when open requests are to end. The function it returns must
-// be called once the request has ended.
-func (d *drain) follow(ctx context.Context) (context.Context, func()) {
+// withAbort returns a context that is canceled with errAborted when open requests are aborted.
+// The returned function must be called once the request has ended.
+func (d *drain) withAbort(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	stop := context.AfterFunc(d.over, func() { cancel(errEnded) })
+	stop := context.AfterFunc(d.abortCtx, func() { cancel(errAborted) })
 	return ctx, func() {
 		stop()
 		cancel(nil)
 	}
 }
 
-// announce tells the caller's connection to close behind the answer.
-func (rt *Router) announce(w http.ResponseWriter) {
-	if rt.drain.leaving.Load() || rt.turnsAway() {
+// announceClose sets "Connection: close" on the answer while caller connections are being
+// closed.
+func (rt *Router) announceClose(w http.ResponseWriter) {
+	if rt.drain.closeConns.Load() || rt.closesConnections() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-func (rt *Router) turnsAway() bool {
+func (rt *Router) closesConnections() bool {
 	c := rt.cfg.Routing
 	return c != nil && c.TurnAway != nil && c.TurnAway()
 }
 
-// endedError is a request that was cut off by the router's stop. It doesn't
-// unwrap to its cause, which looks like a caller that left.
-type endedError struct{ cause error }
+// abortError is returned for a request that the router's stop aborted. It doesn't unwrap to
+// its cause, because a canceled context looks like a caller that disconnected.
+type abortError struct{ cause error }
 
-func (e *endedError) Error() string { return "router: ended by the router's stop: " + e.cause.Error() }
+func (e *abortError) Error() string { return "router: ended by the router's stop: " + e.cause.Error() }
 
 // API implements api.Convertible.
-func (e *endedError) API() *api.Error {
+func (e *abortError) API() *api.Error {
 	return &api.Error{
 		Status: http.StatusServiceUnavailable, Type: api.TypeUnavailable, Code: "router_stopping",
 		Message: "the router stopped before the answer was whole; the request may have run",
-		Run:     wire.RunUnknown, RetryAfter: retryAfterFull,
+		Run:     wire.RunUnknown, RetryAfter: retryAfterCapacity,
 	}
 }
--- a/internal/router/errors.go
+++ b/internal/router/errors.go
@@ -12,10 +12,10 @@
 	"coveferry/internal/wire"
 )
 
-// retryAfterFull is when to come back to a router that has no room.
-const retryAfterFull = time.Second
+// retryAfterCapacity is the Retry-After of a router that is at capacity or stopping.
+const retryAfterCapacity = time.Second
 
-// receiveError is a request that the router could not take in.
+// receiveError is returned for a request that the router couldn't read or accept.
 type receiveError struct {
 	status  int
 	code    string
@@ -34,7 +34,7 @@
 	}
 	if e.status == http.StatusServiceUnavailable {
 		out.Type = api.TypeOverloaded
-		out.RetryAfter = retryAfterFull
+		out.RetryAfter = retryAfterCapacity
 	}
 	return out
 }
@@ -53,7 +53,7 @@
 	}
 }
 
-// bodyError turns the error of reading a body.
+// bodyError converts an error from reading the body to a receiveError.
 func bodyError(err error, limit int64) error {
 	var large *http.MaxBytesError
 	var received *receiveError
@@ -75,7 +75,7 @@
 	}
 }
 
-func noRoom(what string) error {
+func capacityExceeded(what string) error {
 	return &receiveError{
 		status: http.StatusServiceUnavailable, code: "router_full",
 		message: "this router holds all the " + what + " it may",
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -16,21 +16,21 @@
 	"coveferry/internal/wire"
 )
 
-// Results of a request besides the codes of errors.
+// Values of the result label other than error codes.
 const (
 	resultComplete   = "complete"
 	resultCallerGone = "caller_gone"
 )
 
-// metrics counts how requests ended.
+// metrics holds the router's Prometheus metrics.
 type metrics struct {
-	requests   *prometheus.CounterVec
-	attempts   prometheus.Counter
-	lost       prometheus.Counter
-	limited    prometheus.Counter
-	again      prometheus.Counter
-	tokens     *prometheus.CounterVec
-	firstToken *prometheus.HistogramVec
+	requests         *prometheus.CounterVec
+	attempts         prometheus.Counter
+	endpointsLost    prometheus.Counter
+	limitAnswers     prometheus.Counter
+	extraConnections prometheus.Counter
+	tokens           *prometheus.CounterVec
+	firstToken       *prometheus.HistogramVec
 }
 
 func newMetrics(reg prometheus.Registerer) *metrics {
@@ -43,15 +43,15 @@
 			Name: "coveferry_router_attempts_total",
 			Help: "Attempts sent to agents.",
 		}),
-		lost: prometheus.NewCounter(prometheus.CounterOpts{
+		endpointsLost: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "coveferry_router_endpoints_lost_total",
 			Help: "Attempts that ended with the endpoint that they had reached: its connection broke, or its agent says that the engine did.",
 		}),
-		limited: prometheus.NewCounter(prometheus.CounterOpts{
+		limitAnswers: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "coveferry_router_limit_answers_total",
 			Help: "Attempts whose endpoint named in its answer how many requests a second it takes from all routers.",
 		}),
-		again: prometheus.NewCounter(prometheus.CounterOpts{
+		extraConnections: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "coveferry_router_connections_again_total",
 			Help: "Connections beyond the first on which an attempt was sent to its endpoint.",
 		}),
@@ -66,23 +66,23 @@
 		}, []string{"class"}),
 	}
 	if reg != nil {
-		reg.MustRegister(m.requests, m.attempts, m.lost, m.limited, m.again, m.tokens, m.firstToken)
+		reg.MustRegister(m.requests, m.attempts, m.endpointsLost, m.limitAnswers, m.extraConnections, m.tokens, m.firstToken)
 	}
 	return m
 }
 
 // record counts and logs how a request ended.
 func (rt *Router) record(r *request.Request, err error) {
-	class, team := names(r)
+	class, team := classAndTeam(r)
 	if r.Route != nil {
-		class = kindOf(r.Route)
+		class = routeKind(r.Route)
 	}
 	result := resultOf(err)
 	rt.metrics.requests.WithLabelValues(class, result).Inc()
 	rt.metrics.attempts.Add(float64(len(r.Tried)))
-	rt.metrics.lost.Add(float64(r.Lost))
-	rt.metrics.limited.Add(float64(limitedSteps(r.Trail)))
-	rt.metrics.again.Add(float64(connectionsAgain(r.Trail)))
+	rt.metrics.endpointsLost.Add(float64(r.Lost))
+	rt.metrics.limitAnswers.Add(float64(countLimitAnswers(r.Trail)))
+	rt.metrics.extraConnections.Add(float64(countExtraConnections(r.Trail)))
 	if r.Delivered.Tokens > 0 {
 		rt.metrics.tokens.WithLabelValues(class).Add(float64(r.Delivered.Tokens))
 		rt.metrics.firstToken.WithLabelValues(class).Observe(r.Delivered.FirstToken.Sub(r.Arrived).Seconds())
@@ -91,16 +91,16 @@
 		rt.logRouted(r, err, result)
 		return
 	}
-	rt.recordService(r, err)
+	rt.recordSLO(r, err)
 	log := rt.cfg.Log.Debug().Err(err).Str("request", r.ID).Str("team", team).Str("class", class).
-		Str("result", result).Stringers("trail", trail(r)).Int("tokens", r.Delivered.Tokens).
+		Str("result", result).Stringers("trail", trailStringers(r)).Int("tokens", r.Delivered.Tokens).
 		Dur("took", time.Since(r.Arrived))
-	logLost(log, r)
+	addLostEndpoints(log, r)
 	log.Msg("request ended")
 }
 
-// limitedSteps is in how many attempts the endpoint named a limit.
-func limitedSteps(trail []request.Step) int {
+// countLimitAnswers counts the attempts whose endpoint stated a rate limit.
+func countLimitAnswers(trail []request.Step) int {
 	n := 0
 	for _, step := range trail {
 		if step.Limit != "" {
@@ -110,8 +110,8 @@
 	return n
 }
 
-// connectionsAgain counts the connections beyond the first of each attempt.
-func connectionsAgain(trail []request.Step) int {
+// countExtraConnections counts the connections beyond the first of each attempt.
+func countExtraConnections(trail []request.Step) int {
 	n := 0
 	for _, step := range trail {
 		n += max(0, step.Connections-1)
@@ -119,28 +119,28 @@
 	return n
 }
 
-// logLost adds, for a request under which endpoints ended, by what it is known again:
-// lines of one identity at several routers are the same request.
-func logLost(log *zerolog.Event, r *request.Request) {
+// addLostEndpoints logs the number of lost endpoints and the request's identity, which is the
+// same at all routers and for all retries by callers.
+func addLostEndpoints(log *zerolog.Event, r *request.Request) {
 	if r.Lost > 0 {
 		log.Int("lost", r.Lost).Stringer(logging.FieldIdentity, r.Identity())
 	}
 }
 
-// recordService counts the request towards its class's objective. One that
-// ended before its class was known was never promised anything.
-func (rt *Router) recordService(r *request.Request, err error) {
+// recordSLO counts the request towards the objective of its class. Requests that end before
+// their class is known have no objective.
+func (rt *Router) recordSLO(r *request.Request, err error) {
 	if rt.cfg.Service == nil || r.Class == nil {
 		return
 	}
 	tier := r.Snapshot.Bundle().Tiers[r.Tier].Name
-	rt.cfg.Service.Record(slo.Key{Class: r.Class.Name, Tier: tier}, outcomeOf(r, err, time.Now()))
+	rt.cfg.Service.Record(slo.Key{Class: r.Class.Name, Tier: tier}, sloOutcome(r, err, time.Now()))
 }
 
-// outcomeOf is how the request, which ends now, counts towards its objective.
-func outcomeOf(r *request.Request, err error, now time.Time) slo.Outcome {
+// sloOutcome returns how a request that ends now counts towards its objective.
+func sloOutcome(r *request.Request, err error, now time.Time) slo.Outcome {
 	first := r.Delivered.FirstToken
-	if first.IsZero() { // a whole answer without a token came when it ended
+	if first.IsZero() { // an answer without tokens arrives when the request ends
 		first = now
 	}
 	return slo.Outcome{
@@ -152,8 +152,8 @@
 	}
 }
 
-// names are empty for a request that ended before they were known.
-func names(r *request.Request) (class, team string) {
+// classAndTeam returns empty strings for requests that ended before these were known.
+func classAndTeam(r *request.Request) (class, team string) {
 	if r.Class != nil {
 		class = r.Class.Name
 	}
@@ -175,7 +175,7 @@
 	}
 }
 
-func trail(r *request.Request) []fmt.Stringer {
+func trailStringers(r *request.Request) []fmt.Stringer {
 	steps := make([]fmt.Stringer, len(r.Trail))
 	for i, step := range r.Trail {
 		steps[i] = step
--- a/internal/router/outcome_test.go
+++ b/internal/router/outcome_test.go
@@ -15,7 +15,7 @@
 	"coveferry/internal/units"
 )
 
-func TestOutcomeCountsHonestly(t *testing.T) {
+func TestSLOOutcome(t *testing.T) {
 	began := time.Unix(100, 0)
 	after := func(d time.Duration) time.Time { return began.Add(d) }
 	for _, c := range []struct {
@@ -38,7 +38,7 @@
 			Class:     &bundle.Class{FirstToken: units.Duration(2 * time.Second)},
 			Delivered: request.Delivered{FirstToken: c.first},
 		}
-		got := slo.Judge(outcomeOf(r, c.err, after(c.ended)))
+		got := slo.Judge(sloOutcome(r, c.err, after(c.ended)))
 		NewWithT(t).Expect(got).To(Equal(c.want), c.name)
 	}
 }
--- a/internal/router/room.go
+++ b/internal/router/room.go
@@ -6,65 +6,65 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// room bounds what a router holds for callers at once.
-type room struct {
-	open  *semaphore.Weighted
-	bytes *semaphore.Weighted
+// capacity bounds the open requests and the memory of their bodies.
+type capacity struct {
+	requests  *semaphore.Weighted
+	bodyBytes *semaphore.Weighted
 }
 
-func newRoom(maxOpen, maxBytes int64) *room {
-	return &room{open: semaphore.NewWeighted(maxOpen), bytes: semaphore.NewWeighted(maxBytes)}
+func newCapacity(maxOpen, maxBytes int64) *capacity {
+	return &capacity{requests: semaphore.NewWeighted(maxOpen), bodyBytes: semaphore.NewWeighted(maxBytes)}
 }
 
-func (r *room) enter() error {
-	if !r.open.TryAcquire(1) {
-		return noRoom("requests")
+func (c *capacity) acquire() error {
+	if !c.requests.TryAcquire(1) {
+		return capacityExceeded("requests")
 	}
 	return nil
 }
 
-func (r *room) leave() { r.open.Release(1) }
+func (c *capacity) release() { c.requests.Release(1) }
 
-// bodyRoom is the room that one request's body has taken so far.
-type bodyRoom struct {
-	room  *room
-	taken int64
+// bodyBudget is the part of capacity.bodyBytes that one request's body holds.
+type bodyBudget struct {
+	capacity *capacity
+	reserved int64
 }
 
-// take has the body take up so many bytes in all.
-func (b *bodyRoom) take(bytes int64) error {
-	more := bytes - b.taken
-	if more <= 0 {
+// reserve grows the budget to the given total.
+func (b *bodyBudget) reserve(total int64) error {
+	additional := total - b.reserved
+	if additional <= 0 {
 		return nil
 	}
-	if !b.room.bytes.TryAcquire(more) {
-		return noRoom("bodies")
+	if !b.capacity.bodyBytes.TryAcquire(additional) {
+		return capacityExceeded("bodies")
 	}
-	b.taken = bytes
+	b.reserved = total
 	return nil
 }
 
-func (b *bodyRoom) free() {
-	b.room.bytes.Release(b.taken)
-	b.taken = 0
+func (b *bodyBudget) release() {
+	b.capacity.bodyBytes.Release(b.reserved)
+	b.reserved = 0
 }
 
-// reader counts a body while it arrives: callers may send slowly, and what they have sent is
-// held all the while.
-func (b *bodyRoom) reader(body io.Reader) io.Reader { return &countedBody{room: b, body: body} }
+// reader grows the budget as the body arrives: a slow caller's body occupies
+// memory long before it is complete.
+func (b *bodyBudget) reader(body io.Reader) io.Reader { return &countedBody{budget: b, body: body} }
 
 type countedBody struct {
-	room *bodyRoom
-	body io.Reader
-	read int64
+	budget *bodyBudget
+	body   io.Reader
+	read   int64
 }
 
 // Read implements io.Reader.
 func (c *countedBody) Read(p []byte) (int, error) {
 	n, err := c.body.Read(p)
 	c.read += int64(n)
-	if full := c.room.take(c.read); full != nil {
-		return n, full
+	if capacityErr := c.budget.reserve(c.read); capacityErr != nil {
+		return n, capacityErr
 	}
 	return n, err
 }
--- a/internal/router/room_test.go
+++ b/internal/router/room_test.go
@@ -1,9 +1,9 @@
 package router_test
 
-// The story: bodies that callers send slowly took memory that nothing bounded: as many as there
-// may be open requests, each as long as a body may be, 8 GB on a VM of 144 MB.
-// The cause: a body took room once it had arrived.
-// The evidence: these tests, in which the second caller's body was read, too.
+// These tests guard against unbounded memory for bodies that callers send slowly. Bodies used to
+// be counted only once they had arrived completely, so that as many as there may be open requests,
+// each of the maximum size, could take 8 GB on a VM of 144 MB. The tests fail if a second body that
+// doesn't fit beside a slow one is read.
 
 import (
 	"context"
@@ -19,17 +19,17 @@
 	. "github.com/onsi/gomega"
 )
 
-// half is more than half of the room that bodies have in these tests.
-const half = 600 << 10
+// overHalfOfBodyBytes is more than half of MaxBodyBytes in these tests.
+const overHalfOfBodyBytes = 600 << 10
 
-// sendSlowly begins a request whose body doesn't come to its end.
-func (w *world) sendSlowly(g *WithT, header string, sent int) net.Conn {
+// sendSlowly starts a request whose body never completes.
+func (w *testWorld) sendSlowly(g *WithT, header string, sent int) net.Conn {
 	conn, err := w.net.Dialer("caller")(context.Background(), "tcp", address)
 	g.Expect(err).NotTo(HaveOccurred())
 	go func() {
 		_, _ = fmt.Fprintf(conn, "POST /once/ HTTP/1.1\r\nHost: %s\r\nId: slow\r\nKey: k\r\n%s\r\n", routeHost, header)
 		if strings.HasPrefix(header, "Transfer") {
-			_, _ = fmt.Fprintf(conn, "%x\r\n", half)
+			_, _ = fmt.Fprintf(conn, "%x\r\n", overHalfOfBodyBytes)
 		}
 		_, _ = io.WriteString(conn, strings.Repeat("x", sent))
 	}()
@@ -38,27 +38,27 @@
 	return conn
 }
 
-func TestBodiesTakeRoomWhileTheyArrive(t *testing.T) {
+func TestBodiesReserveMemoryWhileTheyArrive(t *testing.T) {
 	for name, c := range map[string]struct {
 		header string
 		sent   int
 	}{
-		"of a known length": {fmt.Sprintf("Content-Length: %d\r\n", half), 10},
-		"in chunks":         {"Transfer-Encoding: chunked\r\n", half},
+		"of a known length": {fmt.Sprintf("Content-Length: %d\r\n", overHalfOfBodyBytes), 10},
+		"in chunks":         {"Transfer-Encoding: chunked\r\n", overHalfOfBodyBytes},
 	} {
 		t.Run(name, func(t *testing.T) {
-			playRouted(t, func(g *WithT, w *world, client *http.Client) {
+			runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
 				config := testConfig()
 				config.Limits.BodyBytes = 1 << 20
 				w.table = mustTable(config)
 				slow := w.sendSlowly(g, c.header, c.sent)
-				refused := call(g, client, "POST", "/once/", strings.Repeat("x", half))
+				refused := call(g, client, "POST", "/once/", strings.Repeat("x", overHalfOfBodyBytes))
 				g.Expect(refused.status).To(Equal(503))
 				g.Expect(refused.body).To(ContainSubstring("router_full"))
-				g.Expect(w.count()).To(BeZero())
+				g.Expect(w.receivedCount()).To(BeZero())
 				g.Expect(slow.Close()).To(Succeed())
 				time.Sleep(100 * time.Millisecond)
-				g.Expect(call(g, client, "POST", "/once/", strings.Repeat("x", half)).status).To(Equal(200), "there is room again")
+				g.Expect(call(g, client, "POST", "/once/", strings.Repeat("x", overHalfOfBodyBytes)).status).To(Equal(200), "memory for bodies is available again")
 			})
 		})
 	}
--- a/internal/router/routed.go
+++ b/internal/router/routed.go
@@ -24,44 +24,44 @@
 	"coveferry/internal/wire"
 )
 
-// Routing has a router serve requests by a route table, from endpoints that it
-// reaches without agents.
+// Routing configures a router to serve requests by a route table from endpoints that it reaches
+// without agents.
 type Routing struct {
-	// Table is the table in force, nil while there is none.
+	// Table returns the route table in force; nil if there is none yet.
 	Table     func() *route.Table
 	Endpoints match.Endpoints
-	// Region is that of an endpoint, empty if it isn't known; nil takes the endpoint's own.
+	// Region returns an endpoint's region, empty if unknown; nil uses Endpoint.Region.
 	Region   func(*bundle.Endpoint) string
 	Protocol upstream.Protocol
-	// Client reaches endpoints.
+	// Client sends requests to endpoints.
 	Client *http.Client
-	// KeyAge is how old the knowledge of keys is, and MaxKeyAge the age up to
-	// which keys are trusted; 0 trusts them always.
+	// KeyAge is the age of the router's API key data. Requests that need a key are refused
+	// while it exceeds MaxKeyAge; a MaxKeyAge of 0 accepts any age.
 	KeyAge    func() time.Duration
 	MaxKeyAge func() time.Duration
-	// TurnAway says that callers are better served by other routers, such as
-	// where this one will soon have to refuse their keys: their connections
-	// close behind the next answer. nil is never.
+	// CloseConnections reports whether callers are better served by other routers, for example
+	// because this one will soon have to refuse their keys. Their connections close after the
+	// next answer. nil means never.
 	TurnAway func() bool
 }
 
-// routedRetryAfter is when the caller of a routed request that was refused may
-// come back: by then a queue of a few requests has moved on, and it is short
-// beside the objectives of interactive routes.
+// routedRetryAfter is the Retry-After of refused routed requests. Within 100 ms a queue of a
+// few requests has advanced, and it is short compared with the objectives of interactive
+// routes.
 const routedRetryAfter = 100 * time.Millisecond
 
-// refuseLate is how many times its objective the answer to a routed request may
-// probably take to begin before the request is refused.
-const refuseLate = 1.0
+// refuseLateFactor is the expected time to the first part of the answer, as a multiple of the
+// route's objective, above which a routed request is refused.
+const refuseLateFactor = 1.0
 
-// Lines a second on requests that completed, and on those that didn't. Some
-// hundred bytes each, they stay under 100 KB/s.
+// Log lines per second for completed and for failed requests. At a few hundred bytes per line
+// they stay below 100 KB/s.
 const (
-	completedLines = 50
-	endedLines     = 100
+	completedLinesPerSecond = 50
+	failedLinesPerSecond    = 100
 )
 
-// regionOf tells the regions of endpoints.
+// regionOf returns the function that determines an endpoint's region.
 func (c *Routing) regionOf() func(*bundle.Endpoint) string {
 	if c.Region != nil {
 		return c.Region
@@ -69,42 +69,42 @@
 	return func(e *bundle.Endpoint) string { return e.Region }
 }
 
-// routedPipe is the path of every routed request.
-func (rt *Router) routedPipe() pipeline.Next {
+// routedFilterChain returns the filter chain of routed requests.
+func (rt *Router) routedFilterChain() pipeline.Next {
 	c := rt.cfg.Routing
-	rt.direct = rt.dispatch(rt.cfg.Client)
+	rt.directDispatch = rt.dispatch(rt.cfg.Client)
 	regions := reside.New(c.regionOf())
 	return pipeline.Compose(
-		match.New(c.Protocol, c.Endpoints, rt.cfg.Rand),             // which route does it take?
-		admit.New(admit.Config{Age: c.KeyAge, MaxAge: c.MaxKeyAge}), // may its key use the route?
-		regions, // where may it be served?
-		attempts.New(rt.cfg.Retry, rt.cfg.Rand).CopiesAt(rt.cfg.Pool.TakesWork), // repeat the rest where that is safe
-		rt.quarantine(), // did endpoints end under it?
-		choose.New(choose.Config{ // which endpoint?
-			Pool: rt.cfg.Pool, IgnoreKeys: true, RefuseLate: refuseLate,
+		match.New(c.Protocol, c.Endpoints, rt.cfg.Rand),             // selects the route
+		admit.New(admit.Config{Age: c.KeyAge, MaxAge: c.MaxKeyAge}), // checks the API key
+		regions, // applies residency
+		attempts.New(rt.cfg.Retry, rt.cfg.Rand).CopiesAt(rt.cfg.Pool.TakesWork), // retries where that is safe
+		rt.quarantine(), // refuses quarantined requests
+		choose.New(choose.Config{ // selects the endpoint
+			Pool: rt.cfg.Pool, IgnoreKeys: true, RefuseLate: refuseLateFactor,
 			Latest: func(r *request.Request) []*bundle.Endpoint { return regions.Within(r, c.Endpoints(r.Service)) },
 		}),
-		rt.direct,      // send it there
-		relay.Filter{}, // pass the answer on
+		rt.directDispatch, // sends the request
+		relay.Filter{},    // relays the answer
 	)
 }
 
-// LeaveSilent has the streams at endpoints that are taken for lost go on from their copies,
-// those that have one at an endpoint in use. Nothing is done without Routing.
+// ResumeFromCopies cancels the streams at unresponsive endpoints that have a copy of their run
+// at a usable endpoint, so that they resume from it. Without Routing it does nothing.
 func (rt *Router) LeaveSilent(endpoints []string) {
-	if rt.direct == nil {
+	if rt.directDispatch == nil {
 		return
 	}
 	inUse := func(endpoint string) bool { return rt.cfg.Pool.InUse(time.Now(), endpoint) }
 	for _, endpoint := range endpoints {
-		if left := rt.direct.LeaveSilent(endpoint, inUse); left > 0 {
-			rt.cfg.Log.Info().Str(logging.FieldEndpoint, endpoint).Int("streams", left).
-				Msg("endpoint is silent: streams there go on from their copies")
+		if canceled := rt.directDispatch.LeaveSilent(endpoint, inUse); canceled > 0 {
+			rt.cfg.Log.Info().Str(logging.FieldEndpoint, endpoint).Int("streams", canceled).
+				Msg("endpoint is unresponsive: resuming its streams from their copies")
 		}
 	}
 }
 
-// ServeRouted answers a request by the route table.
+// ServeRouted serves a request by the route table.
 func (rt *Router) ServeRouted(w http.ResponseWriter, req *http.Request) {
 	rt.serve(w, req, &request.Request{
 		Kind:   wire.KindRouted,
@@ -115,7 +115,7 @@
 	})
 }
 
-// notReadyError is a request that came before the first route table.
+// notReadyError is returned for requests that arrive before the first route table.
 type notReadyError struct{}
 
 func (notReadyError) Error() string { return "router: no route table yet" }
@@ -129,41 +129,42 @@
 	}
 }
 
-// answerRouted tells the caller of a routed request how it ended.
+// answerRouted writes a routed request's error to the caller.
 func answerRouted(r *request.Request, err error) {
 	if r.Delivered.Started {
-		panic(http.ErrAbortHandler) // the only sign that the answer isn't whole
+		panic(http.ErrAbortHandler) // the only way to show that the answer is incomplete
 	}
 	var answer *relay.AnswerError
 	if errors.As(err, &answer) {
-		_ = answer.Write(r.Writer) // the caller may have left
+		_ = answer.Write(r.Writer) // the caller may have disconnected
 		return
 	}
 	out := *api.From(err)
 	out.RequestID = r.ID
 	out.Fractions = true
-	out.Status = honestStatus(out.Status, out.Run)
-	if out.Run == wire.RunNot && out.RetryAfter > 0 && !knowsWhen(err) {
+	out.Status = safeStatus(out.Status, out.Run)
+	if out.Run == wire.RunNot && out.RetryAfter > 0 && !hasOwnRetryAfter(err) {
 		out.RetryAfter = min(out.RetryAfter, routedRetryAfter)
 	}
 	out.Write(r.Writer)
 }
 
-// knowsWhen says whether the refusal's own time to come back is the best guess.
-func knowsWhen(err error) bool {
+// hasOwnRetryAfter reports whether the error's own retry time is more accurate than
+// routedRetryAfter.
+func hasOwnRetryAfter(err error) bool {
 	var late *choose.LateError
-	var held *quarantine.HeldError
-	var none *choose.Error
-	if errors.As(err, &none) {
-		_, known := none.FreeIn()
+	var quarantined *quarantine.HeldError
+	var noEndpoint *choose.Error
+	if errors.As(err, &noEndpoint) {
+		_, known := noEndpoint.FreeIn()
 		return known
 	}
-	return errors.As(err, &late) || errors.As(err, &held)
+	return errors.As(err, &late) || errors.As(err, &quarantined)
 }
 
-// honestStatus keeps those statuses which callers take for the promise that a
-// request didn't run from requests of which that isn't certain.
-func honestStatus(status int, run wire.Run) int {
+// safeStatus replaces statuses that callers take as a guarantee that the request didn't run,
+// unless that is certain.
+func safeStatus(status int, run wire.Run) int {
 	if run == wire.RunNot {
 		return status
 	}
@@ -175,29 +176,28 @@
 	return status
 }
 
-// logRouted writes the one line that explains how a routed request ended: what
-// was decided, by which inputs and how old they were. Lines of requests that
-// went well are the first to be left out under load.
+// logRouted writes the log line that explains how a routed request ended: the decisions, their
+// inputs and the age of these. Under load, lines of completed requests are dropped first.
 func (rt *Router) logRouted(r *request.Request, err error, result string) {
-	log := rt.ended.Info()
+	log := rt.failedLog.Info()
 	if err == nil {
-		log = rt.completed.Info()
+		log = rt.completedLog.Info()
 	}
 	log.Err(err).Str(logging.FieldRequest, r.CallerID).Str("route", routeName(r)).
 		Str(logging.FieldResult, result).Uint64("version", versionOf(r.Table)).
 		Dur("key_age", rt.cfg.Routing.KeyAge()).Dur(logging.FieldTook, time.Since(r.Arrived))
 	if r.Route != nil {
-		logChoice(log, r)
+		addSelection(log, r)
 	}
 	log.Msg("request ended")
 }
 
-// logChoice adds what the choice of endpoints rested on and what came of it.
-func logChoice(log *zerolog.Event, r *request.Request) {
+// addSelection logs the inputs of the endpoint selection and its results.
+func addSelection(log *zerolog.Event, r *request.Request) {
 	log.Str(logging.FieldTeam, r.TeamName).Int(logging.FieldTier, r.Tier).
 		Int("candidates", len(r.Candidates)).Array("attempts", trailArray(r.Trail)).
-		Dur("left", time.Until(r.Deadline)).Dur("first", firstAfter(r))
-	logLost(log, r)
+		Dur("left", time.Until(r.Deadline)).Dur("first", timeToFirstPart(r))
+	addLostEndpoints(log, r)
 	if r.Prompt.Tokens > 0 {
 		log.Uint64("home", r.Prompt.Home()).Int("prompt", r.Prompt.Tokens).Bool("tight", r.Tight).Int("kept", r.Kept).
 			Dur("expected", r.Wait).Dur("max_gap", r.Delivered.MaxGap).Int("output", r.Prompt.Output)
@@ -207,9 +207,9 @@
 	}
 }
 
-// kindOf names the kind of a route, by which requests are counted: there may be
+// routeKind returns the kind of a route. Requests are counted by kind because there may be
 // hundreds of routes, and they change.
-func kindOf(r *route.Route) string {
+func routeKind(r *route.Route) string {
 	switch {
 	case r.Stream && r.Resumable:
 		return "resumable_stream"
@@ -221,9 +221,9 @@
 	return "non_idempotent"
 }
 
-// firstAfter is the time from a request's arrival to the first part of its
-// answer, 0 if there was none.
-func firstAfter(r *request.Request) time.Duration {
+// timeToFirstPart is the time from the request's arrival to the first part of its answer; 0 if
+// there was none.
+func timeToFirstPart(r *request.Request) time.Duration {
 	if r.Delivered.FirstToken.IsZero() {
 		return 0
 	}
@@ -244,7 +244,7 @@
 	return t.Version()
 }
 
-// trailArray logs a request's attempts without making a list of strings first.
+// trailArray logs a request's attempts without first allocating a slice of strings.
 type trailArray []request.Step
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
--- a/internal/router/routed_stream_test.go
+++ b/internal/router/routed_stream_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// events writes the given events and ends the stream, or cuts it off.
-func events(conn net.Conn, req *http.Request, whole bool, texts ...string) {
+// writeEvents writes the given events and then completes or breaks the stream.
+func writeEvents(conn net.Conn, req *http.Request, whole bool, texts ...string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: x\r\nTransfer-Encoding: chunked\r\n\r\n", req.Header.Get("Id"))
 	for _, text := range texts {
 		_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text), text)
@@ -24,37 +24,37 @@
 	_ = conn.Close()
 }
 
-func TestABrokenStreamGoesOnBehindTheLastWholeEvent(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
-		w.answer = func(_ string, req *http.Request, conn net.Conn) {
+func TestBrokenStreamResumesAfterLastCompleteEvent(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+		w.handle = func(_ string, req *http.Request, conn net.Conn) {
 			if req.Header.Get("Last") == "2" {
-				events(conn, req, true, "id: 3\ndata: c\n\n")
+				writeEvents(conn, req, true, "id: 3\ndata: c\n\n")
 				return
 			}
-			events(conn, req, false, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 3\nda")
+			writeEvents(conn, req, false, "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 3\nda")
 		}
 		got := call(g, client, "POST", "/resume/", "x")
 		g.Expect(got.err).NotTo(HaveOccurred())
 		g.Expect(got.body).To(Equal("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"))
-		g.Expect(w.count()).To(Equal(2))
-		g.Expect(w.arrived()[1].endpoint).NotTo(Equal(w.arrived()[0].endpoint))
+		g.Expect(w.receivedCount()).To(Equal(2))
+		g.Expect(w.received()[1].endpoint).NotTo(Equal(w.received()[0].endpoint))
 	})
 }
 
-func TestAStreamThatMayNotRunAgainGoesOnFromItsCopy(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
-		w.answer = func(endpoint string, req *http.Request, conn net.Conn) {
+func TestNonResumableStreamResumesFromItsCopy(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+		w.handle = func(endpoint string, req *http.Request, conn net.Conn) {
 			if req.Header.Get("From-Copy") != "" {
-				events(conn, req, true, "id: 2\ndata: b\n\n")
+				writeEvents(conn, req, true, "id: 2\ndata: b\n\n")
 				return
 			}
-			events(conn, req, false, "id: 1\ndata: a\n\n")
+			writeEvents(conn, req, false, "id: 1\ndata: a\n\n")
 		}
 		got := call(g, client, "POST", "/tight/", "x", "Prompt", "1")
 		g.Expect(got.err).NotTo(HaveOccurred())
 		g.Expect(got.body).To(Equal("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"))
-		g.Expect(w.count()).To(Equal(2))
-		first, second := w.arrived()[0].header, w.arrived()[1].header
+		g.Expect(w.receivedCount()).To(Equal(2))
+		first, second := w.received()[0].header, w.received()[1].header
 		g.Expect(first.Get("Copy-To")).NotTo(BeEmpty())
 		g.Expect(second.Get("From-Copy")).To(Equal(first.Get("Copy-To")))
 		g.Expect(second.Get("Last")).To(Equal("1"))
@@ -62,43 +62,43 @@
 	})
 }
 
-func TestWithoutItsCopyAStreamThatMayNotRunAgainIsCutOff(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
-		w.answer = func(endpoint string, req *http.Request, conn net.Conn) {
+func TestNonResumableStreamIsCutOffWithoutItsCopy(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+		w.handle = func(endpoint string, req *http.Request, conn net.Conn) {
 			if req.Header.Get("From-Copy") != "" {
 				writeAnswer(conn, 503, "Id: "+req.Header.Get("Id")+"\r\nNot-Run: 1\r\n", "")
 				return
 			}
-			events(conn, req, false, "id: 1\ndata: a\n\n")
+			writeEvents(conn, req, false, "id: 1\ndata: a\n\n")
 		}
 		got := call(g, client, "POST", "/tight/", "x", "Prompt", "1")
 		g.Expect(got.err).To(HaveOccurred())
-		g.Expect(w.count()).To(Equal(2))
+		g.Expect(w.receivedCount()).To(Equal(2))
 	})
 }
 
-// A copy lies where the operator has evacuated meanwhile: nothing new is sent there, and as
-// the stream may not run again it is cut off.
-func TestAStreamDoesNotGoOnFromACopyWhereNothingMayBeSent(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
-		w.answer = func(endpoint string, req *http.Request, conn net.Conn) {
+// The endpoint that holds the copy is evacuated while the stream runs. It gets no new requests,
+// and the stream can't run again elsewhere, so it is cut off.
+func TestStreamDoesNotResumeFromACopyAtADrainingEndpoint(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+		w.handle = func(endpoint string, req *http.Request, conn net.Conn) {
 			for _, name := range []string{"e1", "e2", "e3"} {
 				w.pool.SetLeaving(name, name != endpoint)
 			}
-			events(conn, req, false, "id: 1\ndata: a\n\n")
+			writeEvents(conn, req, false, "id: 1\ndata: a\n\n")
 		}
 		got := call(g, client, "POST", "/tight/", "x", "Prompt", "1")
 		g.Expect(got.err).To(HaveOccurred())
-		g.Expect(w.count()).To(Equal(1))
-		g.Expect(w.arrived()[0].header.Get("Copy-To")).NotTo(BeEmpty())
+		g.Expect(w.receivedCount()).To(Equal(1))
+		g.Expect(w.received()[0].header.Get("Copy-To")).NotTo(BeEmpty())
 	})
 }
 
-func TestABrokenStreamNeverLooksWhole(t *testing.T) {
+func TestBrokenStreamNeverLooksComplete(t *testing.T) {
 	for _, path := range []string{"/stream/", "/resume/"} {
-		playRouted(t, func(g *WithT, w *world, client *http.Client) {
-			w.answer = func(_ string, req *http.Request, conn net.Conn) {
-				events(conn, req, false, "id: 1\ndata: a\n\n", "id: 2\n")
+		runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+			w.handle = func(_ string, req *http.Request, conn net.Conn) {
+				writeEvents(conn, req, false, "id: 1\ndata: a\n\n", "id: 2\n")
 			}
 			got := call(g, client, "POST", path, "x")
 			g.Expect(got.status).To(Equal(200))
@@ -108,24 +108,25 @@
 	}
 }
 
-func TestAStreamThatEndsInAnEventIsBroken(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
-		w.answer = func(_ string, req *http.Request, conn net.Conn) {
-			events(conn, req, true, "id: 1\ndata: a\n\nid: 2\nda")
+func TestStreamEndingWithinAnEventIsBroken(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+		w.handle = func(_ string, req *http.Request, conn net.Conn) {
+			writeEvents(conn, req, true, "id: 1\ndata: a\n\nid: 2\nda")
 		}
 		g.Expect(call(g, client, "POST", "/stream/", "x").err).To(HaveOccurred())
 	})
 }
 
-// A failure domain fell silent, no connection broke, and the streams there waited until their
-// callers left after 3.2 s, though their runs had been copied elsewhere: 42 of 250 urgent ones.
-func TestAStreamGoesOnFromItsCopyWhereItsEndpointIsLostInSilence(t *testing.T) {
+// Guards against streams that wait at an unresponsive failure domain. No connection broke, so
+// 42 of 250 urgent streams waited until their callers disconnected after 3.2 s, although their
+// runs had been copied elsewhere.
+func TestStreamResumesFromItsCopyWhenEndpointIsUnresponsive(t *testing.T) {
 	for name, inUse := range map[string]bool{"copy in use": true, "copy not in use": false} {
 		t.Run(name, func(t *testing.T) {
-			playRouted(t, func(g *WithT, w *world, client *http.Client) {
-				w.answer = func(endpoint string, req *http.Request, conn net.Conn) {
+			runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+				w.handle = func(endpoint string, req *http.Request, conn net.Conn) {
 					if req.Header.Get("From-Copy") != "" {
-						events(conn, req, true, "id: 2\ndata: b\n\n")
+						writeEvents(conn, req, true, "id: 2\ndata: b\n\n")
 						return
 					}
 					for _, other := range []string{"e1", "e2", "e3"} {
@@ -138,7 +139,7 @@
 					_, _ = io.WriteString(conn, "f\r\nid: 2\ndata: z\n\n\r\n0\r\n\r\n")
 				}
 				got := call(g, client, "POST", "/tight/", "x", "Prompt", "1")
-				time.Sleep(2 * time.Second) // until the first endpoint is done
+				time.Sleep(2 * time.Second) // until the first endpoint has finished
 				g.Expect(got.err).NotTo(HaveOccurred())
 				last := map[bool]string{true: "b", false: "z"}[inUse]
 				g.Expect(got.body).To(Equal("id: 1\ndata: a\n\nid: 2\ndata: " + last + "\n\n"))
@@ -147,17 +148,17 @@
 	}
 }
 
-// Without a copy it waits on: the endpoint may be back.
-func TestAStreamWithoutACopyWaitsWhereItsEndpointIsLostInSilence(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
-		w.answer = func(endpoint string, req *http.Request, conn net.Conn) {
+// A stream without a copy keeps waiting, since the endpoint may recover.
+func TestStreamWithoutACopyWaitsForUnresponsiveEndpoint(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+		w.handle = func(endpoint string, req *http.Request, conn net.Conn) {
 			w.router.LeaveSilent([]string{endpoint})
 			time.Sleep(time.Second)
 			w.router.LeaveSilent([]string{endpoint})
-			events(conn, req, true, "id: 1\ndata: a\n\n")
+			writeEvents(conn, req, true, "id: 1\ndata: a\n\n")
 		}
 		got := call(g, client, "POST", "/resume/", "x")
 		g.Expect(got.body).To(Equal("id: 1\ndata: a\n\n"))
-		g.Expect(w.count()).To(Equal(1))
+		g.Expect(w.receivedCount()).To(Equal(1))
 	})
 }
--- a/internal/router/routed_test.go
+++ b/internal/router/routed_test.go
@@ -29,7 +29,7 @@
 	"coveferry/internal/upstream"
 )
 
-// plainProtocol names things on the wire for these tests.
+// plainProtocol is the upstream.Protocol of these tests.
 type plainProtocol struct{}
 
 func (plainProtocol) Incoming(h http.Header) upstream.Incoming {
@@ -62,11 +62,11 @@
 	return upstream.Reply{
 		ID: resp.Header.Get("Id"), NotRun: resp.Header.Get("Not-Run") != "",
 		Moved: resp.StatusCode == http.StatusMisdirectedRequest, Signed: resp.Header.Get("Signed") != "",
-		RateLimit: limitOf(resp.Header.Get("Limit")),
+		RateLimit: parseRateLimit(resp.Header.Get("Limit")),
 	}
 }
 
-func limitOf(text string) upstream.RateLimit {
+func parseRateLimit(text string) upstream.RateLimit {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return upstream.RateLimit{}
@@ -74,7 +74,7 @@
 	return upstream.RateLimit{Statement: upstream.LimitNamed, PerSecond: n}
 }
 
-// arrival is a request as an endpoint got it.
+// arrival is a request as an endpoint received it.
 type arrival struct {
 	endpoint string
 	header   http.Header
@@ -83,20 +83,20 @@
 	body     string
 }
 
-// world is a router with stand-in endpoints.
-type world struct {
+// testWorld is a router with fake endpoints.
+type testWorld struct {
 	net      *memnet.Net
 	pool     *balance.Pool
 	router   *router.Router
 	mu       sync.Mutex
 	arrivals []arrival
-	age      time.Duration
+	keyAge   time.Duration
 	turnAway bool
 	table    *route.Table
-	regions  map[string]string // of endpoints
-	log      bytes.Buffer      // the router's lines
-	// answer is what an endpoint does with a request; it gets the connection.
-	answer func(endpoint string, req *http.Request, conn net.Conn)
+	regions  map[string]string // by endpoint
+	log      bytes.Buffer      // the router's log
+	// handle is called for each request with the endpoint's connection.
+	handle func(endpoint string, req *http.Request, conn net.Conn)
 }
 
 const (
@@ -104,7 +104,7 @@
 	routeHost = "api.example"
 )
 
-func rankOf(rank int) *int { return &rank }
+func intPtr(rank int) *int { return &rank }
 
 func testConfig() route.Config {
 	s := []route.Target{{Service: "s", Weight: 1}}
@@ -120,7 +120,7 @@
 			{Name: "tight", Host: routeHost, Prefix: "/tight/", Targets: s, Timeout: 10 * time.Second, MaxRuns: 1, Stream: true, MaxGap: 250 * time.Millisecond},
 			{Name: "open", Host: routeHost, Prefix: "/open/", Targets: s, Timeout: time.Second, Public: true},
 		},
-		Teams: map[string]*route.Team{"k": {Name: "acme"}, "vip": {Name: "vip", Tier: new(int)}, "low": {Name: "low", Tier: rankOf(12)}, "below": {Name: "below", Tier: rankOf(-1)}},
+		Teams: map[string]*route.Team{"k": {Name: "acme"}, "vip": {Name: "vip", Tier: new(int)}, "low": {Name: "low", Tier: intPtr(12)}, "below": {Name: "below", Tier: intPtr(-1)}},
 	}
 }
 
@@ -132,13 +132,13 @@
 	return tab
 }
 
-// playRouted runs play against a router in a bubble of fake time.
-func playRouted(t *testing.T, play func(g *WithT, w *world, client *http.Client)) {
+// runRouted runs play against a router in a synctest bubble.
+func runRouted(t *testing.T, play func(g *WithT, w *testWorld, client *http.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := &world{net: memnet.New(), table: mustTable(testConfig())}
-		w.answer = func(_ string, req *http.Request, conn net.Conn) { writeOK(conn, req, "fine") }
+		w := &testWorld{net: memnet.New(), table: mustTable(testConfig())}
+		w.handle = func(_ string, req *http.Request, conn net.Conn) { writeOK(conn, req, "fine") }
 		var endpoints []*bundle.Endpoint
 		var stops []func()
 		for _, name := range []string{"e1", "e2", "e3"} {
@@ -158,7 +158,7 @@
 				Endpoints: func(string) []*bundle.Endpoint { return endpoints },
 				Region:    func(e *bundle.Endpoint) string { return w.regions[e.Name] },
 				Protocol:  plainProtocol{}, Client: client,
-				KeyAge: func() time.Duration { return w.age }, MaxKeyAge: func() time.Duration { return maxKeyAge },
+				KeyAge: func() time.Duration { return w.keyAge }, MaxKeyAge: func() time.Duration { return maxKeyAge },
 				TurnAway: func() bool { return w.turnAway },
 			},
 		})
@@ -177,8 +177,8 @@
 	})
 }
 
-// serveEndpoint reads requests by hand, so that answers may be wrong in any way.
-func (w *world) serveEndpoint(name string, l net.Listener) (stop func()) {
+// serveEndpoint parses requests itself, so that handle can write invalid answers.
+func (w *testWorld) serveEndpoint(name string, l net.Listener) (stop func()) {
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -191,7 +191,7 @@
 	return func() { _ = l.Close() }
 }
 
-func (w *world) serveConn(name string, conn net.Conn) {
+func (w *testWorld) serveConn(name string, conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
@@ -203,17 +203,17 @@
 		w.mu.Lock()
 		w.arrivals = append(w.arrivals, arrival{name, req.Header, req.RequestURI, req.Host, string(body)})
 		w.mu.Unlock()
-		w.answer(name, req, conn)
+		w.handle(name, req, conn)
 	}
 }
 
-func (w *world) arrived() []arrival {
+func (w *testWorld) received() []arrival {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.arrivals
 }
 
-func (w *world) count() int { return len(w.arrived()) }
+func (w *testWorld) receivedCount() int { return len(w.received()) }
 
 func writeOK(conn net.Conn, req *http.Request, body string) {
 	writeAnswer(conn, 200, "Id: "+req.Header.Get("Id")+"\r\nSigned: x\r\n", body)
@@ -223,12 +223,12 @@
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 }
 
-// reply is an answer as a caller reads it.
+// reply is an answer as a caller receives it.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	err    error // of reading the body
+	err    error // from reading the body
 }
 
 func call(g *WithT, client *http.Client, method, path, body string, header ...string) reply {
@@ -249,13 +249,13 @@
 	return reply{resp.StatusCode, resp.Header, string(text), err}
 }
 
-func TestARequestArrivesUnchangedAndItsAnswerToo(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
+func TestRequestAndAnswerAreForwardedUnchanged(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
 		got := call(g, client, "POST", "/once/a%2Fb//c?x=1&y=%20", "body", "X-Own", "1", "Team", "forged", "Te", "trailers")
 		g.Expect(got.status).To(Equal(200))
 		g.Expect(got.body).To(Equal("fine"))
 		g.Expect(got.header.Get("Signed")).To(Equal("x"))
-		at := w.arrived()[0]
+		at := w.received()[0]
 		g.Expect(at.target).To(Equal("/once/a%2Fb//c?x=1&y=%20"))
 		g.Expect(at.host).To(Equal(routeHost))
 		g.Expect(at.body).To(Equal("body"))
@@ -267,7 +267,7 @@
 	})
 }
 
-func TestWhoMayCall(t *testing.T) {
+func TestKeyAuthorization(t *testing.T) {
 	for _, c := range []struct {
 		name, path, key string
 		age             time.Duration
@@ -277,21 +277,21 @@
 		{"known key", "/once/", "k", 0, false, 200, 1},
 		{"unknown key", "/once/", "no", 0, false, 401, 0},
 		{"no route", "/none/", "k", 0, false, 404, 0},
-		{"keys as old as they may be", "/once/", "k", maxKeyAge, false, 200, 1},
-		{"keys too old", "/once/", "k", maxKeyAge + 1, false, 503, 0},
-		{"unknown key while keys are too old", "/once/", "no", maxKeyAge + 1, false, 503, 0},
+		{"key data at maximum age", "/once/", "k", maxKeyAge, false, 200, 1},
+		{"key data too old", "/once/", "k", maxKeyAge + 1, false, 503, 0},
+		{"unknown key with key data too old", "/once/", "no", maxKeyAge + 1, false, 503, 0},
 		{"public route without a key", "/open/", "", maxKeyAge + 1, false, 200, 1},
 		{"no table yet", "/once/", "k", 0, true, 503, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			playRouted(t, func(g *WithT, w *world, client *http.Client) {
-				w.age = c.age
+			runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+				w.keyAge = c.age
 				if c.noTable {
 					w.table = nil
 				}
 				got := call(g, client, "POST", c.path, "", "Key", c.key)
 				g.Expect(got.status).To(Equal(c.status))
-				g.Expect(w.count()).To(Equal(c.runs))
+				g.Expect(w.receivedCount()).To(Equal(c.runs))
 				if c.status == 503 {
 					g.Expect(got.header.Get("Retry-After")).To(Equal("0.1"))
 				}
@@ -300,37 +300,37 @@
 	}
 }
 
-func TestARankBeyondTheLastTierIsServed(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
+func TestRankOutsideTierRangeIsServed(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
 		for key, want := range map[string]string{"low": "12", "below": "0"} {
 			g.Expect(call(g, client, "POST", "/once/", "x", "Key", key, "Prompt", "1").status).To(Equal(200))
-			arrivals := w.arrived()
+			arrivals := w.received()
 			g.Expect(arrivals[len(arrivals)-1].header.Get("Tier")).To(Equal(want))
 		}
 	})
 }
 
-func TestTheOperatorsLimitsHold(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
+func TestRouteTableLimitsAreEnforced(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
 		g.Expect(call(g, client, "POST", "/once/", strings.Repeat("x", 1000)).status).To(Equal(200))
 		g.Expect(call(g, client, "POST", "/once/", strings.Repeat("x", 1001)).status).To(Equal(413))
 		g.Expect(call(g, client, "POST", "/once/", "x", "Large", strings.Repeat("x", 4096)).status).To(Equal(431))
-		g.Expect(w.count()).To(Equal(1))
+		g.Expect(w.receivedCount()).To(Equal(1))
 	})
 }
 
-func TestATeamsTierGoesBeforeTheRoutes(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
+func TestTeamTierOverridesRouteTier(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
 		g.Expect(call(g, client, "POST", "/once/", "", "Key", "vip").status).To(Equal(200))
-		g.Expect(w.arrived()[0].header.Get("Tier")).To(Equal("0"))
+		g.Expect(w.received()[0].header.Get("Tier")).To(Equal("0"))
 	})
 }
 
-func TestACallerThatLeavesEndsTheWorkAtOnce(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
+func TestCallerDisconnectCancelsUpstreamRequest(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
 		closed := make(chan struct{})
-		w.answer = func(_ string, req *http.Request, conn net.Conn) {
-			_, _ = conn.Read(make([]byte, 1)) // returns when the router closes
+		w.handle = func(_ string, req *http.Request, conn net.Conn) {
+			_, _ = conn.Read(make([]byte, 1)) // returns when the router closes the connection
 			close(closed)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -348,15 +348,15 @@
 		select {
 		case <-closed:
 		case <-time.After(500 * time.Millisecond):
-			t.Error("the endpoint still works half a second later")
+			t.Error("the connection to the endpoint is still open after 500 ms")
 		}
 	})
 }
 
-func TestCallersAreTurnedAwayWhileTheirAnswersAreWhole(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
-		for _, away := range []bool{false, true} {
-			w.turnAway = away
+func TestCallerConnectionsCloseAfterCompleteAnswers(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+		for _, closeConnections := range []bool{false, true} {
+			w.turnAway = closeConnections
 			req, err := http.NewRequest("POST", "http://"+address+"/once/", strings.NewReader("x"))
 			g.Expect(err).NotTo(HaveOccurred())
 			req.Host = routeHost
@@ -365,33 +365,33 @@
 			resp, err := client.Do(req)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(resp.StatusCode).To(Equal(200))
-			g.Expect(resp.Close).To(Equal(away))
+			g.Expect(resp.Close).To(Equal(closeConnections))
 			g.Expect(resp.Body.Close()).To(Succeed())
 		}
 	})
 }
 
-func TestAStoppingRouterRefusesWhatItCouldNotFinish(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
+func TestStoppingRouterRefusesNewRequests(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
 		w.router.Leave()
 		got := call(g, client, "POST", "/once/", "x")
 		g.Expect(got.status).To(Equal(200))
 		w.router.Refuse()
 		got = call(g, client, "POST", "/once/", "x")
 		g.Expect(got.status).To(Equal(503))
-		g.Expect(w.count()).To(Equal(1))
+		g.Expect(w.receivedCount()).To(Equal(1))
 	})
 }
 
-func TestARequestEndedByTheStopIsNoPromise(t *testing.T) {
-	playRouted(t, func(g *WithT, w *world, client *http.Client) {
-		w.answer = func(string, *http.Request, net.Conn) { time.Sleep(time.Minute) }
+func TestRequestAbortedByStopDoesNotReportNotRun(t *testing.T) {
+	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+		w.handle = func(string, *http.Request, net.Conn) { time.Sleep(time.Minute) }
 		go func() {
 			time.Sleep(200 * time.Millisecond)
 			w.router.EndOpen()
 		}()
 		got := call(g, client, "POST", "/once/", "x")
-		g.Expect(got.status).To(Equal(502)) // 503 would say that it didn't run
+		g.Expect(got.status).To(Equal(502)) // 503 would guarantee that it didn't run
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,6 +1,6 @@
-// Package router is the process on an entry VM. It owns the callers'
-// connections: it takes a request through the pipe of filters and answers with
-// the whole answer of an endpoint or an honest, typed error.
+// Package router implements the process on an entry VM that terminates callers' connections. It
+// runs each request through a chain of filters and returns either an endpoint's complete answer
+// or a typed error that says whether the request ran.
 package router
 
 import (
@@ -35,75 +35,71 @@
 	"coveferry/internal/throttle"
 )
 
-// Config is what a router needs.
+// Config configures a Router.
 type Config struct {
-	// Name is the router's in the bundle's list of routers.
+	// Name is the router's name in the bundle.
 	Name string
-	// SubsetSize is about how many endpoints of each model or service the
+	// SubsetSize is the approximate number of endpoints of each model or service that the
 	// router uses; 0 means all.
 	SubsetSize int
 	Snapshot   *bundle.Snapshot
 	Pool       *balance.Pool
-	// Client reaches agents, by Scheme "https" or, without certificates,
-	// "http".
+	// Client sends attempts to agents. Scheme is "https", or "http" without certificates.
 	Client *http.Client
 	Scheme string
-	// Retry decides what follows an attempt that failed.
+	// Retry decides whether a failed attempt is repeated.
 	Retry attempts.Policy
-	// Throttle sets up the refusal of what endpoints would refuse anyway.
+	// Throttle configures load shedding of requests that endpoints would refuse.
 	Throttle throttle.Config
-	// IgnoreKeys sends requests with an idempotency key anywhere, to compare.
+	// IgnoreKeys sends requests with an idempotency key to any endpoint, for comparison runs.
 	IgnoreKeys bool
-	// LateBinding has requests wait at two endpoints where none is known to
-	// have room.
+	// LateBinding queues a request at two endpoints if none is known to have a free slot.
 	LateBinding bool
-	// Rand returns random numbers from [0, 1); nil is a source of its own.
+	// Rand returns random numbers from [0, 1); nil uses math/rand.
 	Rand func() float64
-	// BodyTimeout is how long a caller may take to send a body.
+	// BodyTimeout bounds the time to read a request's body.
 	BodyTimeout time.Duration
-	// MaxOpen bounds the requests held at once, MaxBodyBytes the memory
-	// their bodies take together.
+	// MaxOpen bounds the number of open requests, MaxBodyBytes the total memory of their
+	// bodies.
 	MaxOpen      int64
 	MaxBodyBytes int64
-	// NewID names requests; nil makes random names.
+	// NewID generates request IDs; nil uses random UUIDs.
 	NewID func() string
-	// Clock is the clock that deadlines are checked by when an attempt is
-	// sent; nil is clock.Boot.
+	// Clock is used to check deadlines when an attempt is sent; nil is clock.Boot.
 	Clock clock.Clock
-	// Limits holds teams to their limits; nil does so at this router alone.
-	// The router has it follow the bundle in force.
+	// Limits enforces the rate limits of teams; nil enforces them at this router alone. The
+	// router updates it with each snapshot.
 	Limits *limits.Limiter
-	// Poison knows requests under which endpoints ended; nil is a table of its own. It has
-	// the router's clock.
+	// Poison tracks requests whose endpoints were lost; nil creates a table that uses the
+	// router's clock.
 	Poison *poison.Table
-	// Observer is told what attempts show of endpoints; nil tells nobody.
+	// Observer receives the results of attempts; nil disables this.
 	Observer dispatch.Observer
-	// Service counts how requests of each class and tier met their targets;
-	// nil counts nothing.
+	// SLO counts how requests of each class and tier met their objectives; nil disables this.
 	Service *slo.Tracker
-	// Routing serves requests by a route table; nil serves none.
+	// Routing enables serving by a route table; nil disables it.
 	Routing *Routing
 	Log     zerolog.Logger
 	Metrics prometheus.Registerer
 }
 
-// Router serves callers.
+// Router serves callers' requests.
 type Router struct {
-	cfg      Config
-	snapshot atomic.Pointer[bundle.Snapshot]
-	run      pipeline.Next
-	routed   pipeline.Next // nil without Routing
-	// direct sends routed requests to their endpoints; nil without Routing.
-	direct *dispatch.Filter
-	// completed and ended log how routed requests ended.
-	completed zerolog.Logger
-	ended     zerolog.Logger
-	room      *room
-	metrics   *metrics
-	drain     *drain
+	cfg         Config
+	snapshot    atomic.Pointer[bundle.Snapshot]
+	chain       pipeline.Next
+	routedChain pipeline.Next // nil without Routing
+	// directDispatch sends routed requests to their endpoints; nil without Routing.
+	directDispatch *dispatch.Filter
+	// completedLog and failedLog are rate-limited loggers for routed requests.
+	completedLog zerolog.Logger
+	failedLog    zerolog.Logger
+	capacity     *capacity
+	metrics      *metrics
+	drain        *drain
 }
 
-// New returns a router that is ready to serve.
+// New creates a Router.
 func New(cfg Config) *Router {
 	if cfg.NewID == nil {
 		cfg.NewID = uuid.NewString
@@ -121,36 +117,37 @@
 		cfg.Limits = limits.New(limits.Config{})
 	}
 	rt := &Router{
-		cfg:     cfg,
-		room:    newRoom(cfg.MaxOpen, cfg.MaxBodyBytes),
-		metrics: newMetrics(cfg.Metrics),
-		drain:   newDrain(),
+		cfg:      cfg,
+		capacity: newCapacity(cfg.MaxOpen, cfg.MaxBodyBytes),
+		metrics:  newMetrics(cfg.Metrics),
+		drain:    newDrain(),
 	}
 	rt.Swap(cfg.Snapshot)
-	rt.run = rt.pipe()
+	rt.chain = rt.filterChain()
 	if cfg.Routing != nil {
-		rt.completed = logging.Limit(cfg.Log, completedLines, cfg.Metrics, "completed")
-		rt.ended = logging.Limit(cfg.Log, endedLines, cfg.Metrics, "failed")
-		rt.routed = rt.routedPipe()
+		rt.completedLog = logging.Limit(cfg.Log, completedLinesPerSecond, cfg.Metrics, "completed")
+		rt.failedLog = logging.Limit(cfg.Log, failedLinesPerSecond, cfg.Metrics, "failed")
+		rt.routedChain = rt.routedFilterChain()
 	}
 	return rt
 }
 
-// pipe is the path of every request. A filter sees what those before it set.
-func (rt *Router) pipe() pipeline.Next {
+// filterChain returns the filter chain of requests that go to agents. Each filter relies on the
+// fields set by those before it.
+func (rt *Router) filterChain() pipeline.Next {
 	pool, client := rt.cfg.Pool, rt.cfg.Client
 	near := narrow.New(subset.NewSelector(rt.cfg.Name, rt.cfg.SubsetSize))
 	return pipeline.Compose(
-		authenticate.Filter{},     // whose request is it?
-		classify.Filter{},         // what does it ask for, what was paid for?
-		limit.With(rt.cfg.Limits), // is the team within its own limits?
-		near,                      // which endpoints does this router use?
-		shed.New(rt.cfg.Throttle, pool, rt.cfg.Rand), // would endpoints refuse it anyway?
-		attempts.New(rt.cfg.Retry, rt.cfg.Rand),      // repeat the rest where that is safe
-		rt.quarantine(),                              // did endpoints end under it?
-		rt.choose(near),                              // which endpoint?
-		rt.dispatch(client),                          // ask its agent
-		relay.Filter{},                               // pass the answer on
+		authenticate.Filter{},     // identifies the team
+		classify.Filter{},         // determines class, tier and model
+		limit.With(rt.cfg.Limits), // enforces the team's rate limits
+		near,                      // restricts the endpoints to this router's subset
+		shed.New(rt.cfg.Throttle, pool, rt.cfg.Rand), // sheds requests that endpoints would refuse
+		attempts.New(rt.cfg.Retry, rt.cfg.Rand),      // retries where that is safe
+		rt.quarantine(),                              // refuses quarantined requests
+		rt.choose(near),                              // selects the endpoint
+		rt.dispatch(client),                          // sends the attempt to the endpoint's agent
+		relay.Filter{},                               // relays the answer
 	)
 }
 
@@ -176,8 +173,7 @@
 	})
 }
 
-// Swap puts another snapshot in force for the requests that arrive from now
-// on; those under way keep theirs.
+// Swap sets the snapshot for requests that arrive from now on; open requests keep theirs.
 func (rt *Router) Swap(s *bundle.Snapshot) {
 	rt.snapshot.Store(s)
 	if s != nil {
@@ -188,7 +184,7 @@
 // Snapshot returns the snapshot in force.
 func (rt *Router) Snapshot() *bundle.Snapshot { return rt.snapshot.Load() }
 
-// Handler serves callers.
+// Handler returns the HTTP handler for callers.
 func (rt *Router) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", rt.serveChat)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	key         = "test-key"
+	testKey     = "test-key"
 	address     = "127.0.0.1:80"
 	bodyLimit   = 1 << 10
 	bodyTimeout = 2 * time.Second
@@ -39,20 +39,20 @@
 		},
 		Models: []bundle.Model{{Name: "m"}, {Name: "orphan"}},
 		Teams: []bundle.Team{
-			{Name: "free", KeyHashes: []string{bundle.HashKey(key)}, Grants: []bundle.Grant{{Class: "queries", Tier: "gold"}}},
+			{Name: "free", KeyHashes: []string{bundle.HashKey(testKey)}, Grants: []bundle.Grant{{Class: "queries", Tier: "gold"}}},
 			{
 				Name: "limited", KeyHashes: []string{bundle.HashKey("limited-key")},
 				Grants: []bundle.Grant{{Class: "queries", Tier: "gold"}},
 				Limits: bundle.TeamLimits{RequestsPerSecond: 1},
 			},
 		},
-		// Nothing listens there: what reaches dispatch finds no endpoint.
+		// Nothing listens at this address, so every attempt fails to connect.
 		Endpoints: []bundle.Endpoint{{Name: "e", Address: "127.0.0.1:9", Models: []string{"m"}, Slots: 1}},
 		Limits:    bundle.Limits{RequestBytes: bodyLimit, QueueEntries: 10, QueueBytes: 1 << 20},
 	}
 }
 
-// serve runs play against a router in a bubble of fake time.
+// serve runs play against a router in a synctest bubble.
 func serve(t *testing.T, change func(*router.Config), play func(g *WithT, client *http.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -80,7 +80,7 @@
 	})
 }
 
-// answer is an error as a caller reads it.
+// answer is an error as a caller receives it.
 type answer struct {
 	status     int
 	retryAfter string
@@ -93,7 +93,7 @@
 func send(g *WithT, client *http.Client, method, path string, body io.Reader, header ...string) answer {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+address+path, body)
 	g.Expect(err).NotTo(HaveOccurred())
-	req.Header.Set("Authorization", "Bearer "+key)
+	req.Header.Set("Authorization", "Bearer "+testKey)
 	for i := 0; i < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
@@ -105,7 +105,7 @@
 	return out
 }
 
-func TestErrorsAreTypedAndHonest(t *testing.T) {
+func TestRefusalsAreTypedAndReportNotRun(t *testing.T) {
 	const chat, good = "/v1/chat/completions", `{"model":"m","messages":[{"role":"user","content":"x"}]}`
 	cases := []struct {
 		name, path, body string
@@ -119,7 +119,7 @@
 		{"unknown class", chat, good, []string{"Coveferry-Class", "nil"}, 403, "permission_error", "unknown_class"},
 		{"bad deadline", chat, good, []string{"Coveferry-Deadline", "30"}, 400, "invalid_request_error", "bad_header"},
 		{"deadline passed", chat, good, []string{"Coveferry-Deadline", "-1s"}, 400, "invalid_request_error", "bad_header"},
-		{"bad mark", chat, good, []string{"Coveferry-Non-Idempotent", "yes"}, 400, "invalid_request_error", "bad_header"},
+		{"bad non-idempotent header", chat, good, []string{"Coveferry-Non-Idempotent", "yes"}, 400, "invalid_request_error", "bad_header"},
 		{"unknown model", chat, `{"model":"x","messages":[{}]}`, nil, 404, "invalid_request_error", "unknown_model"},
 		{"model without endpoints", chat, `{"model":"orphan","messages":[{}]}`, nil, 404, "invalid_request_error", "unknown_model"},
 		{"not JSON", chat, `{"model":`, nil, 400, "invalid_request_error", "malformed_body"},
@@ -136,17 +136,17 @@
 	serve(t, nil, func(g *WithT, client *http.Client) {
 		for _, c := range cases {
 			got := send(g, client, http.MethodPost, c.path, strings.NewReader(c.body), c.header...)
-			what := fmt.Sprintf("%s: %+v", c.name, got)
-			g.Expect(got.status).To(Equal(c.status), what)
-			g.Expect(got.Error.Type).To(Equal(c.kind), what)
-			g.Expect(got.Error.Code).To(Equal(c.code), what)
-			g.Expect(got.Error.Run).To(Equal("not_run"), what)
-			g.Expect(got.Error.Message).NotTo(BeEmpty(), what)
+			description := fmt.Sprintf("%s: %+v", c.name, got)
+			g.Expect(got.status).To(Equal(c.status), description)
+			g.Expect(got.Error.Type).To(Equal(c.kind), description)
+			g.Expect(got.Error.Code).To(Equal(c.code), description)
+			g.Expect(got.Error.Run).To(Equal("not_run"), description)
+			g.Expect(got.Error.Message).NotTo(BeEmpty(), description)
 		}
 	})
 }
 
-// A body of unknown length is bounded as it arrives.
+// A body without a Content-Length is bounded while it arrives.
 func TestChunkedBodyIsBounded(t *testing.T) {
 	serve(t, nil, func(g *WithT, client *http.Client) {
 		body := io.MultiReader(strings.NewReader(strings.Repeat("x", bodyLimit)), strings.NewReader("x"))
@@ -155,7 +155,7 @@
 	})
 }
 
-func TestSlowBodyIsGivenUp(t *testing.T) {
+func TestSlowBodyTimesOut(t *testing.T) {
 	serve(t, nil, func(g *WithT, client *http.Client) {
 		body, w := io.Pipe()
 		began := time.Now()
@@ -166,13 +166,13 @@
 	})
 }
 
-func TestTeamLimitTellsWhenToComeBack(t *testing.T) {
+func TestTeamLimitSetsRetryAfter(t *testing.T) {
 	const body = `{"model":"m","prompt":"x"}`
 	serve(t, nil, func(g *WithT, client *http.Client) {
-		// With so short a deadline a router doesn't wait for the endpoint's return.
-		mine := []string{"Authorization", "Bearer limited-key", "Coveferry-Deadline", "100ms"}
+		// With such a short deadline the router doesn't wait until the endpoint is used again.
+		header := []string{"Authorization", "Bearer limited-key", "Coveferry-Deadline", "100ms"}
 		ask := func() answer {
-			return send(g, client, http.MethodPost, "/v1/completions", strings.NewReader(body), mine...)
+			return send(g, client, http.MethodPost, "/v1/completions", strings.NewReader(body), header...)
 		}
 		g.Expect(ask().Error.Code).To(Equal("endpoint_lost"))
 		refused := ask()
@@ -184,17 +184,17 @@
 	})
 }
 
-func TestRoomIsBounded(t *testing.T) {
+func TestOpenRequestsAndBodyMemoryAreBounded(t *testing.T) {
 	const body = `{"model":"m","prompt":"x"}`
-	few := func(c *router.Config) { c.MaxBodyBytes = int64(len(body)) - 1 }
-	serve(t, few, func(g *WithT, client *http.Client) {
+	smallBodyMemory := func(c *router.Config) { c.MaxBodyBytes = int64(len(body)) - 1 }
+	serve(t, smallBodyMemory, func(g *WithT, client *http.Client) {
 		got := send(g, client, http.MethodPost, "/v1/completions", strings.NewReader(body))
 		g.Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(got.Error.Code).To(Equal("router_full"))
 		g.Expect(got.retryAfter).To(Equal("1"))
 	})
-	none := func(c *router.Config) { c.MaxOpen = 0 }
-	serve(t, none, func(g *WithT, client *http.Client) {
+	noOpenRequests := func(c *router.Config) { c.MaxOpen = 0 }
+	serve(t, noOpenRequests, func(g *WithT, client *http.Client) {
 		got := send(g, client, http.MethodPost, "/v1/completions", strings.NewReader(body))
 		g.Expect(got.Error.Code).To(Equal("router_full"))
 	})
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// serve takes a request through the pipe and reports how it ended.
+// serve runs a request through its filter chain, records the result and answers errors.
 func (rt *Router) serve(w http.ResponseWriter, req *http.Request, r *request.Request) {
 	r.ID = rt.cfg.NewID()
 	r.Arrived = time.Now()
@@ -48,7 +48,7 @@
 	r.Latest = rt.snapshot.Load
 	r.Header = req.Header
 	r.Writer = w
-	rt.announce(w)
+	rt.announceClose(w)
 	err := rt.receiveAndRun(req, r)
 	rt.record(r, err)
 	if err != nil {
@@ -57,46 +57,46 @@
 }
 
 func (rt *Router) receiveAndRun(req *http.Request, r *request.Request) error {
-	if rt.drain.refusing.Load() {
+	if rt.drain.refuseNew.Load() {
 		return stoppingError{}
 	}
 	if err := checkHeaders(req, r); err != nil {
 		return err
 	}
-	if err := rt.room.enter(); err != nil {
+	if err := rt.capacity.acquire(); err != nil {
 		return err
 	}
-	defer rt.room.leave()
-	held := &bodyRoom{room: rt.room}
-	defer held.free()
-	body, err := rt.receiveBody(req, r, held)
+	defer rt.capacity.release()
+	budget := &bodyBudget{capacity: rt.capacity}
+	defer budget.release()
+	body, err := rt.receiveBody(req, r, budget)
 	if err != nil {
 		return err
 	}
 	r.Body = body
-	ctx, done := rt.drain.follow(req.Context())
-	defer done()
-	err = rt.runPipe(ctx, r)
-	if err != nil && errors.Is(context.Cause(ctx), errEnded) {
-		return &endedError{cause: err}
+	ctx, stop := rt.drain.withAbort(req.Context())
+	defer stop()
+	err = rt.runFilters(ctx, r)
+	if err != nil && errors.Is(context.Cause(ctx), errAborted) {
+		return &abortError{cause: err}
 	}
 	return err
 }
 
-// runPipe takes the request through the pipe of its kind.
-func (rt *Router) runPipe(ctx context.Context, r *request.Request) error {
+// runFilters runs the request through the filter chain of its kind.
+func (rt *Router) runFilters(ctx context.Context, r *request.Request) error {
 	if r.Kind != wire.KindRouted {
-		return rt.run(ctx, r)
+		return rt.chain(ctx, r)
 	}
 	if r.Table == nil {
 		return notReadyError{}
 	}
-	return rt.routed(ctx, r)
+	return rt.routedChain(ctx, r)
 }
 
-// answerError tells the caller of an error, in the way that is still open: a
-// whole answer before the stream began, an event in it afterwards. A plain
-// service's answer that was cut off ends the connection, as its only sign.
+// answerError reports an error to the caller: as a complete answer before the answer has
+// started, otherwise as an event in the stream. A plain service's answer that has started has
+// no place for an error, so its connection is aborted.
 func answerError(r *request.Request, err error) {
 	var gone *relay.CallerError
 	if errors.As(err, &gone) {
@@ -117,10 +117,10 @@
 		panic(http.ErrAbortHandler)
 	}
 	api.GiveTime(r.Writer)
-	_ = sse.WriteError(r.Writer, string(out.JSON())) // the caller may have left
+	_ = sse.WriteError(r.Writer, string(out.JSON())) // the caller may have disconnected
 }
 
-// serveModels lists the models of the caller's bundle.
+// serveModels lists the models of the bundle.
 func (rt *Router) serveModels(w http.ResponseWriter, req *http.Request) {
 	r := &request.Request{Header: req.Header, Snapshot: rt.snapshot.Load(), Writer: w, ID: rt.cfg.NewID()}
 	err := authenticate.Filter{}.Do(req.Context(), r, writeModels)
@@ -139,7 +139,7 @@
 	return json.NewEncoder(r.Writer).Encode(list)
 }
 
-// modelsList is the protocol's list, whose "object" the library leaves out.
+// modelsList is the protocol's list type; the library's type has no "object" field.
 type modelsList struct {
 	Object string         `json:"object"`
 	Data   []openai.Model `json:"data"`
@@ -153,17 +153,17 @@
 	}).Write(w)
 }
 
-// checkHeaders holds a routed request to the operator's bound on headers, which
-// changes with the table. The server's own holds for all.
+// checkHeaders enforces the route table's limit on header size, which may change with each
+// table. The HTTP server's own limit applies to all requests.
 func checkHeaders(req *http.Request, r *request.Request) error {
 	if r.Table == nil || r.Table.Limits().HeaderBytes <= 0 {
 		return nil
 	}
-	const between = len(": \r\n")
+	const separatorBytes = len(": \r\n")
 	size := len(req.Method) + len(req.RequestURI) + len(req.Host)
 	for name, values := range req.Header {
 		for _, value := range values {
-			size += len(name) + len(value) + between
+			size += len(name) + len(value) + separatorBytes
 		}
 	}
 	if limit := r.Table.Limits().HeaderBytes; size > limit {
@@ -172,10 +172,10 @@
 	return nil
 }
 
-// defaultBodyBytes bounds a body where no configuration does.
+// defaultBodyBytes is the body size limit if none is configured.
 const defaultBodyBytes = 4 << 20
 
-// bodyLimit is the most bytes that the request's body may have.
+// bodyLimit returns the size limit of the request's body.
 func bodyLimit(r *request.Request) int64 {
 	if r.Kind != wire.KindRouted {
 		return int64(r.Snapshot.Bundle().Limits.RequestBytes)
@@ -186,21 +186,21 @@
 	return r.Table.Limits().BodyBytes
 }
 
-// receiveBody reads the caller's body within its time, its size and the room
-// that all bodies share. One for which there is no room isn't read.
-func (rt *Router) receiveBody(req *http.Request, r *request.Request, held *bodyRoom) ([]byte, error) {
+// receiveBody reads the request's body subject to BodyTimeout, its size limit and the memory
+// left for bodies. A body whose declared size doesn't fit isn't read.
+func (rt *Router) receiveBody(req *http.Request, r *request.Request, budget *bodyBudget) ([]byte, error) {
 	limit := bodyLimit(r)
 	if req.ContentLength > limit {
 		return nil, tooLarge(limit)
 	}
-	if err := held.take(req.ContentLength); err != nil {
+	if err := budget.reserve(req.ContentLength); err != nil {
 		return nil, err
 	}
 	rc := http.NewResponseController(r.Writer)
-	// A connection without deadlines, as in a test, is read without.
+	// Connections in tests may not support deadlines; these are read without one.
 	_ = rc.SetReadDeadline(time.Now().Add(rt.cfg.BodyTimeout))
 	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
-	body, err := io.ReadAll(held.reader(http.MaxBytesReader(r.Writer, req.Body, limit)))
+	body, err := io.ReadAll(budget.reader(http.MaxBytesReader(r.Writer, req.Body, limit)))
 	if err != nil {
 		return nil, bodyError(err, limit)
 	}
