--- a/internal/once/ask.go
+++ b/internal/once/ask.go
@@ -6,74 +6,74 @@
 	"time"
 )
 
-// Ask is an agent's question which list a peer holds for a target. It also
-// tells the peer of the one who asks.
+// ListQuery asks a peer which list it holds for a target. It also tells the peer about the
+// sender.
 type Ask struct {
 	Target string `json:"target"`
 	From   Member `json:"from"`
 	List   string `json:"list"`
-	// Version is that of the asking agent's bundle.
+	// Version is the version of the sender's bundle.
 	Version uint64 `json:"version"`
 }
 
-// Answer is the list that a peer holds.
+// ListReply is the answer to a ListQuery.
 type Answer struct {
-	// List is empty if the peer's bundle has no such target.
+	// List is the digest of the peer's list; empty if its bundle has no such target.
 	List string `json:"list"`
-	// Formers are endpoints that the peer has not yet seen to hold its list.
+	// FormerMembers lists endpoints that the peer has not yet seen to hold its list.
 	Formers []Member `json:"formers,omitempty"`
 }
 
-// Question is an Ask on its way.
+// OutgoingQuery is a ListQuery to be sent to a peer.
 type Question struct {
 	Ask
 	To Member
-	// At is when it was asked, by the asking agent's clock.
+	// SentAt is when the query was created, by the sender's clock.
 	At time.Time
 }
 
-// Questions returns what is to be asked now, of all peers that have not yet
-// agreed. Call it at each tick.
+// PendingQueries returns the queries to send now, to all peers that have not yet agreed. Call
+// it after each Tick.
 func (k *Keeper) Questions(now time.Time) []Question {
 	now = k.advance(now)
 	var out []Question
-	for target, t := range k.tenures {
-		if t.cleared() || now.Sub(t.asked) < k.cfg.AskEvery {
+	for target, t := range k.targets {
+		if t.claimed() || now.Sub(t.lastQueried) < k.cfg.AskEvery {
 			continue
 		}
-		t.asked = now
-		out = append(out, k.questions(now, target, t)...)
+		t.lastQueried = now
+		out = append(out, k.targetQueries(now, target, t)...)
 	}
 	return out
 }
 
-func (k *Keeper) questions(now time.Time, target string, t *tenure) []Question {
-	self, _ := t.list().find(k.cfg.Self) // a tenure's list has it
+func (k *Keeper) targetQueries(now time.Time, target string, t *targetState) []Question {
+	self, _ := t.list().find(k.cfg.Self) // always present: targets are kept only while Self is a member
 	ask := Ask{Target: target, From: self, List: t.list().Digest(), Version: k.version}
 	var out []Question
-	for _, m := range k.missing(t) {
+	for _, m := range k.unconfirmedMembers(t) {
 		out = append(out, Question{Ask: ask, To: m, At: now})
 	}
 	return out
 }
 
-// missing lists the endpoints that have not agreed on the list in force.
-func (k *Keeper) missing(t *tenure) []Member {
+// unconfirmedMembers returns the endpoints that have not yet agreed on the list in force.
+func (k *Keeper) unconfirmedMembers(t *targetState) []Member {
 	var out []Member
 	for _, m := range t.list().members {
-		if k.waitsFor(t, m) {
+		if k.needsAgreement(t, m) {
 			out = append(out, m)
 		}
 	}
-	return append(out, k.missingFormers(t)...)
+	return append(out, k.unconfirmedFormerMembers(t)...)
 }
 
-// missingFormers lists in order those that are not on the list in force and may
-// not know it.
-func (k *Keeper) missingFormers(t *tenure) []Member {
+// unconfirmedFormerMembers returns, sorted, the endpoints that are not on the list in force and
+// may still act by an earlier one.
+func (k *Keeper) unconfirmedFormerMembers(t *targetState) []Member {
 	var out []Member
-	for _, f := range t.formers {
-		if k.waitsFor(t, f.member) {
+	for _, f := range t.formerMembers {
+		if k.needsAgreement(t, f.member) {
 			out = append(out, f.member)
 		}
 	}
@@ -81,30 +81,30 @@
 	return out
 }
 
-// waitsFor says whether a claim still needs the endpoint's agreement.
-func (k *Keeper) waitsFor(t *tenure, m Member) bool {
+// needsAgreement reports whether a claim still requires the endpoint's agreement.
+func (k *Keeper) needsAgreement(t *targetState, m Member) bool {
 	return m.id() != k.cfg.Self.id() && !t.agreed[m.id()]
 }
 
-// Asked answers a peer and remembers it: before this agent claims keys by
-// another list, the peer has to hold that list too. Having heard of a newer list
-// it makes no claim until it has caught up.
+// HandleQuery answers a peer's query and records the peer: it has to hold the same list before
+// this agent claims keys by another one. After hearing of a newer list, this agent makes no
+// claim until it holds a list at least as new.
 func (k *Keeper) Asked(now time.Time, a Ask) Answer {
 	now = k.advance(now)
-	list, known := k.lists[a.Target]
-	if !known {
+	list, exists := k.lists[a.Target]
+	if !exists {
 		return Answer{}
 	}
 	answer := Answer{List: list.Digest()}
-	t := k.tenures[a.Target]
+	t := k.targets[a.Target]
 	if t == nil {
 		return answer
 	}
-	k.heard(now, t, a.From, a.List)
+	k.recordPeerList(now, t, a.From, a.List)
 	if a.List != answer.List {
-		t.newest = max(t.newest, a.Version)
+		t.newestVersion = max(t.newestVersion, a.Version)
 	}
-	for _, m := range k.missingFormers(t) {
+	for _, m := range k.unconfirmedFormerMembers(t) {
 		if m.id() != a.From.id() {
 			answer.Formers = append(answer.Formers, m)
 		}
@@ -112,76 +112,77 @@
 	return answer
 }
 
-// Answered takes in a peer's answer to a question. One that comes late is
-// ignored: the peer may have forgotten since that it was asked.
+// HandleReply processes a peer's reply. Late replies are ignored, because the peer may have
+// forgotten the query since.
 func (k *Keeper) Answered(now time.Time, q Question, a Answer) {
 	now = k.advance(now)
-	t := k.tenures[q.Target]
+	t := k.targets[q.Target]
 	if t == nil || t.list().Digest() != q.List || now.Sub(q.At) > k.cfg.AnswerWithin {
 		return
 	}
-	k.heard(now, t, q.To, a.List)
+	k.recordPeerList(now, t, q.To, a.List)
 	if a.List == q.List {
 		t.agreed[q.To.id()] = true
 	}
 	for _, m := range a.Formers {
-		if _, known := t.formers[m.id()]; !known {
-			k.heard(now, t, m, "")
+		if _, known := t.formerMembers[m.id()]; !known {
+			k.recordPeerList(now, t, m, "")
 		}
 	}
 }
 
-// heard notes that an endpoint holds a list, "" for one not known. One that is
-// not on the list here has to be waited for.
-func (k *Keeper) heard(now time.Time, t *tenure, m Member, list string) {
+// recordPeerList records that an endpoint holds a list; an empty digest means an unknown list.
+// Endpoints that are not members of the list here are added to the former members, whose
+// agreement is required.
+func (k *Keeper) recordPeerList(now time.Time, t *targetState, m Member, list string) {
 	if m.id() == k.cfg.Self.id() || t.list().has(m) {
 		return
 	}
 	if list == t.list().Digest() {
 		return
 	}
-	t.formers[m.id()] = former{member: m, seen: now}
+	t.formerMembers[m.id()] = formerMember{member: m, lastSeen: now}
 }
 
-// Gone notes that an endpoint's VM runs no more, by the platform's list. It
-// counts for the lists in force now, so repeat it after Adopt.
+// RecordGone records that, according to the platform's list of VMs, an endpoint's VM no longer
+// runs. This applies to the lists in force now, so call it again after SetView.
 func (k *Keeper) Gone(m Member) {
-	for _, t := range k.tenures {
+	for _, t := range k.targets {
 		t.agreed[m.id()] = true
 	}
 }
 
-// Waiting lists the endpoints whose agreement is missing, so that the caller
-// can look for them in the platform's list.
+// PendingMembers returns the endpoints whose agreement is missing, so that the caller can check
+// whether their VMs still run.
 func (k *Keeper) Waiting() []Member {
 	var out []Member
-	for _, t := range k.tenures {
-		if !t.cleared() {
-			out = append(out, k.missing(t)...)
+	for _, t := range k.targets {
+		if !t.claimed() {
+			out = append(out, k.unconfirmedMembers(t)...)
 		}
 	}
 	return out
 }
 
-// settle claims the lists that no other agent acts against any more.
-func (k *Keeper) settle(now time.Time) {
-	for _, t := range k.tenures {
-		if t.cleared() || k.version < t.newest || now.Before(t.settled) || !k.agreed(now, t) {
+// claimAgreedLists claims the lists on which all other agents have agreed.
+func (k *Keeper) claimAgreedLists(now time.Time) {
+	for _, t := range k.targets {
+		if t.claimed() || k.version < t.newestVersion || now.Before(t.settledAt) || !k.allAgreed(now, t) {
 			continue
 		}
-		t.spans[len(t.spans)-1].cleared = now
-		clear(t.formers)
+		t.periods[len(t.periods)-1].claimedAt = now
+		clear(t.formerMembers)
 	}
 }
 
-func (k *Keeper) agreed(now time.Time, t *tenure) bool {
+func (k *Keeper) allAgreed(now time.Time, t *targetState) bool {
 	for _, m := range t.list().members {
-		if k.waitsFor(t, m) {
+		if k.needsAgreement(t, m) {
 			return false
 		}
 	}
-	for _, f := range t.formers {
-		if k.waitsFor(t, f.member) && now.Sub(f.seen) < k.cfg.Settle {
+	for _, f := range t.formerMembers {
+		if k.needsAgreement(t, f.member) && now.Sub(f.lastSeen) < k.cfg.Settle {
 			return false
 		}
 	}
--- a/internal/once/config.go
+++ b/internal/once/config.go
@@ -2,39 +2,36 @@
 
 import "time"
 
-// Config bounds what a Keeper remembers and waits for.
+// Config configures a Registry.
 type Config struct {
-	// Self is the endpoint beside which the agent runs. Its address is taken
-	// from the list.
+	// Self is the endpoint that the agent serves. Its address is taken from the list.
 	Self Member
-	// Remember is for how long after its issue a key may be used and is
-	// remembered.
+	// Retention is how long after its issue a key may be used and is remembered.
 	Remember time.Duration
-	// Skew is the most by which the clocks of two machines differ.
+	// MaxClockSkew is the maximum difference between the clocks of two machines.
 	Skew time.Duration
-	// Settle is how long an agent that knows nothing of earlier lists waits
-	// for those that may still act by one. It assumes that an endpoint which
-	// was taken off a list stays off for that long; and that within that
-	// time, not counting its pauses, an agent whose endpoint was taken off
-	// holds a later list, and one that has started holds the list that was
-	// the latest then; or their VMs are gone.
+	// SettleTime is how long an agent without knowledge of earlier lists waits for agents that
+	// may still act by one. It assumes that an endpoint removed from a list stays off for that
+	// long, and that within that time, not counting its pauses, an agent whose endpoint was
+	// removed holds a later list and an agent that has started holds the list that was the
+	// latest at its start, unless their VMs are gone.
 	Settle time.Duration
-	// MaxPause is the longest silence of the agent's own clock ticks after
-	// which it still believes what it knew before.
+	// MaxPause is the longest gap between calls with the current time after which the agent
+	// keeps its claims.
 	MaxPause time.Duration
-	// AnswerWithin is how long after it was asked a peer's answer counts.
+	// ReplyTimeout is how long after a query its reply is accepted.
 	AnswerWithin time.Duration
-	// AskEvery is the time between two rounds of questions to the peers.
+	// QueryInterval is the time between two rounds of queries to the peers.
 	AskEvery time.Duration
-	// Founding says that no list was in force before the first that the Keeper
-	// is given, as where a whole fleet starts at once; it is claimed at once.
+	// Bootstrap says that no list was in force before the first one, for example because the
+	// whole fleet starts at once. The first lists are then claimed immediately.
 	Founding bool
-	// MaxKeys bounds the keys that are remembered. At the bound new keys are
-	// refused; none is forgotten early.
+	// MaxKeys bounds the number of remembered keys. When it is reached, new keys are refused;
+	// none is forgotten early.
 	MaxKeys int
 }
 
-// DefaultConfig returns the bounds that docs/design/0006 works out.
+// DefaultConfig returns the values derived in docs/design/0006.
 func DefaultConfig(self Member) Config {
 	return Config{
 		Self:         self,
@@ -48,7 +45,7 @@
 	}
 }
 
-// margin is by how much a key must be issued after the moment from which its
-// home can vouch for it: the key's time may lie Skew ahead of the clock of
-// whoever took it before, and that clock Skew ahead of this one.
-func (c Config) margin() time.Duration { return 2 * c.Skew }
+// clockMargin is how long after a claim a key must have been issued. The key's time may be
+// MaxClockSkew ahead of the clock of the agent that accepted it before, and that clock
+// MaxClockSkew ahead of this one.
+func (c Config) clockMargin() time.Duration { return 2 * c.Skew }
--- a/internal/once/doc.go
+++ b/internal/once/doc.go
@@ -1,14 +1,12 @@
-// Package once decides whether an agent may run a request that carries an
-// idempotency key, so that no key runs twice although nothing is stored outside
-// the processes and a process that starts remembers nothing.
+// Package once decides whether an agent may run a request that carries an idempotency key. It
+// ensures that no key runs twice, although nothing is stored outside the processes and a
+// process that starts has no memory of earlier keys.
 //
-// Each key has one home among the endpoints of its model or service, by
-// rendezvous hashing over the list in force. The home's agent remembers a key
-// for a stated time after the key was issued, and refuses keys that are older
-// than its memory. Where lists differ between processes, an agent takes a key
-// that a new list brings it only once all who may have been its home hold the
-// same list (see Keeper).
+// Each key has one home among the endpoints of its model or service, chosen by rendezvous
+// hashing over the list in force. The home's agent remembers each key for a fixed time after
+// the key was issued and refuses keys that are older. While processes hold different lists, an
+// agent accepts a key that a new list assigns to it only once all agents that may have been the
+// key's home hold the same list (see Registry).
 //
-// The package is pure: time is handed in, decisions come out, and messages
-// between agents are values that the caller carries.
+// The package does no I/O: callers pass in the time and carry the messages between agents.
 package once
--- a/internal/once/keeper.go
+++ b/internal/once/keeper.go
@@ -2,75 +2,74 @@
 
 import "time"
 
-// Keeper is one agent's memory of keys and of the lists by which it is their
-// home. It is not safe for concurrent use, and starts without memory.
+// Registry records one agent's idempotency keys and the lists that make it their home. It is
+// not safe for concurrent use and starts empty.
 //
-// A key is taken only if all of this holds:
-//   - this endpoint is the key's home by the list in force here;
-//   - since a moment before the key was issued, this agent alone has acted as
-//     its home: at that moment all others on the list, and those that may act
-//     by an earlier one, were seen to hold this list (or are gone), and every
-//     list since gave the key the same home;
-//   - the key is neither too old to be remembered nor from the future;
-//   - no request has it.
+// A key is accepted only if all of these hold:
+//   - This endpoint is the key's home by the list in force here.
+//   - Since a moment before the key was issued, only this agent has acted as its home. At that
+//     moment all other members of the list, and all agents that may act by an earlier list,
+//     were known to hold this list (or their VMs were gone), and every list since then has
+//     given the key the same home.
+//   - The key is neither older than Config.Retention nor issued in the future.
+//   - No other request has used it.
 //
-// Those others have been told of this agent by its questions, and wait in turn
-// for its agreement before they claim the key by a later list.
+// The other agents know of this one from its queries and in turn require its agreement before
+// they claim the key by a later list.
 type Keeper struct {
 	cfg     Config
 	version uint64
 	issued  time.Time
 	lists   map[string]*List
-	tenures map[string]*tenure
-	memory  *memory
-	// now is the latest time handed in: time doesn't go back here.
+	targets map[string]*targetState
+	keys    *keyStore
+	// now is the latest time passed in; earlier times are raised to it.
 	now time.Time
-	// off switches rules off, to show in tests that each is needed.
-	off map[rule]bool
+	// disabledRules disables rules in tests that show each to be necessary.
+	disabledRules map[rule]bool
 }
 
-// New returns a Keeper that starts now and is home of nothing.
+// New returns an empty Registry that has claimed no list.
 func New(cfg Config, now time.Time) *Keeper {
 	return &Keeper{
 		cfg:     cfg,
-		tenures: make(map[string]*tenure),
-		memory:  newMemory(),
+		targets: make(map[string]*targetState),
+		keys:    newKeyStore(),
 		now:     now.Round(0),
 	}
 }
 
-// advance moves the clock on. It is a wall clock, which counts the time that
-// the process or its VM stood still. After a pause nothing that was known of
-// others holds.
+// advance sets the current time. It uses the wall clock, which includes the time during which
+// the process or its VM was paused. After a pause longer than MaxPause all claims are reset,
+// since other agents may have moved on.
 func (k *Keeper) advance(now time.Time) time.Time {
-	now = now.Round(0) // the monotonic clock may not count a VM's pause
+	now = now.Round(0) // the monotonic clock may not include a VM's pause
 	if now.Before(k.now) {
 		now = k.now
 	}
 	paused := now.Sub(k.now) > k.cfg.MaxPause
 	k.now = now
-	if paused && !k.off[rulePause] {
-		for _, t := range k.tenures {
-			t.unsettle(now.Add(k.cfg.Settle))
+	if paused && !k.disabledRules[rulePause] {
+		for _, t := range k.targets {
+			t.resetClaims(now.Add(k.cfg.Settle))
 		}
 	}
 	return now
 }
 
-// Tick moves the clock on, forgets keys that are too old and claims what may be
-// claimed. Call it several times in each Config.MaxPause.
+// Tick advances the time, forgets expired keys and claims the lists that can be claimed. Call
+// it several times per Config.MaxPause.
 func (k *Keeper) Tick(now time.Time) {
 	now = k.advance(now)
 	old := now.Add(-k.cfg.Remember)
-	k.memory.forget(old)
-	for _, t := range k.tenures {
-		t.forget(old.Add(-k.cfg.margin()))
+	k.keys.sweep(old)
+	for _, t := range k.targets {
+		t.pruneBefore(old.Add(-k.cfg.clockMargin()))
 	}
-	k.settle(now)
+	k.claimAgreedLists(now)
 }
 
-// Adopt puts a view in force; one of an older version than the last is
-// ignored.
+// SetView sets the view in force. Views of an older version than the current one are ignored.
 func (k *Keeper) Adopt(now time.Time, v View) {
 	now = k.advance(now)
 	if v.Version < k.version {
@@ -81,71 +80,71 @@
 	k.version = v.Version
 	k.issued = v.Issued
 	k.lists = v.Lists
-	for target := range k.tenures {
+	for target := range k.targets {
 		if list := v.Lists[target]; list == nil || !list.has(k.cfg.Self) {
-			delete(k.tenures, target)
+			delete(k.targets, target)
 		}
 	}
 	for target, list := range v.Lists {
 		if list.has(k.cfg.Self) {
-			k.adopt(now, target, list, missed)
+			k.applyList(now, target, list, missed)
 		}
 	}
 	if first && k.cfg.Founding {
-		k.found(now)
+		k.claimFirstLists(now)
 	}
 }
 
-// found claims the first lists of all.
-func (k *Keeper) found(now time.Time) {
-	for _, t := range k.tenures {
-		t.spans[0].cleared = now
-		t.settled = now
+// claimFirstLists claims the first lists immediately, for Config.Bootstrap.
+func (k *Keeper) claimFirstLists(now time.Time) {
+	for _, t := range k.targets {
+		t.periods[0].claimedAt = now
+		t.settledAt = now
 	}
 }
 
-// adopt puts a list in force. missed says that this endpoint may have been off
-// the list for a while without having seen it.
-func (k *Keeper) adopt(now time.Time, target string, list *List, missed bool) {
+// applyList sets the list of a target. missed says that this endpoint may have been off the
+// list for some time, in a version that this agent didn't see.
+func (k *Keeper) applyList(now time.Time, target string, list *List, missed bool) {
 	settled := now.Add(k.cfg.Settle)
-	if k.off[ruleSettle] {
+	if k.disabledRules[ruleSettle] {
 		settled = now
 	}
-	t := k.tenures[target]
+	t := k.targets[target]
 	if t == nil {
-		k.tenures[target] = newTenure(list, settled)
+		k.targets[target] = newTargetState(list, settled)
 		return
 	}
 	if list.Digest() != t.list().Digest() {
-		t.change(now, list)
+		t.setList(now, list)
 	}
 	if missed {
-		t.unsettle(settled)
+		t.resetClaims(settled)
 	}
 }
 
-// Take asks whether an attempt may be queued, and records it if so.
+// Admit decides whether an attempt may be queued, and records it if so.
 func (k *Keeper) Take(now time.Time, u Use) Verdict {
 	now = k.advance(now)
 	d := digestOf(u)
-	known := k.memory.entries[d]
-	if known != nil && !k.off[ruleMemory] {
-		if v := known.refuse(u); v.Refused != "" {
+	known := k.keys.entries[d]
+	if known != nil && !k.disabledRules[ruleMemory] {
+		if v := known.refusal(u); v.Refused != "" {
 			return v
 		}
 	}
-	if reason := k.refuse(now, u); reason != "" {
-		return Verdict{Refused: reason, RetryAfter: k.retryAfter(reason), Earlier: earlierFor(reason)}
+	if reason := k.refusalReason(now, u); reason != "" {
+		return Verdict{Refused: reason, RetryAfter: k.retryAfter(reason), Earlier: possibleEarlier(reason)}
 	}
-	if known == nil && len(k.memory.entries) >= k.cfg.MaxKeys {
+	if known == nil && len(k.keys.entries) >= k.cfg.MaxKeys {
 		return Verdict{Refused: ReasonFull, RetryAfter: k.retryAfter(ReasonFull)}
 	}
-	k.memory.add(d, &entry{request: u.Request, epoch: u.Epoch, state: StateQueued, issued: u.Key.Issued.UnixMilli()})
+	k.keys.add(d, &entry{request: u.Request, epoch: u.Epoch, state: StateQueued, issued: u.Key.Issued.UnixMilli()})
 	return Verdict{}
 }
 
-// refuse says why a key that is remembered can't be used.
-func (e *entry) refuse(u Use) Verdict {
+// refusal returns why an attempt may not use a key that is already recorded.
+func (e *entry) refusal(u Use) Verdict {
 	switch {
 	case e.issued != u.Key.Issued.UnixMilli():
 		return Verdict{Refused: ReasonTimeChanged, Earlier: Earlier{Request: e.request, State: e.state}}
@@ -157,34 +156,35 @@
 	return Verdict{}
 }
 
-// refuse says why this agent can't vouch for a key that it doesn't remember.
-func (k *Keeper) refuse(now time.Time, u Use) Reason {
+// refusalReason returns why an attempt may not use a key that is not recorded here.
+func (k *Keeper) refusalReason(now time.Time, u Use) Reason {
 	issued := u.Key.Issued
-	t := k.tenures[u.Target]
+	t := k.targets[u.Target]
 	switch {
-	case issued.After(now.Add(k.cfg.Skew)) && !k.off[ruleFuture]:
+	case issued.After(now.Add(k.cfg.Skew)) && !k.disabledRules[ruleFuture]:
 		return ReasonFuture
-	case issued.Before(now.Add(-k.cfg.Remember)) && !k.off[ruleAge]:
+	case issued.Before(now.Add(-k.cfg.Remember)) && !k.disabledRules[ruleAge]:
 		return ReasonExpired
-	case t == nil || t.list().Home(u.Team, u.Key.Text) != k.cfg.Self.Name && !k.off[ruleHome]:
+	case t == nil || t.list().Home(u.Team, u.Key.Text) != k.cfg.Self.Name && !k.disabledRules[ruleHome]:
 		return ReasonNotHome
 	}
-	since, ok := t.since(k.cfg.Self.Name, u.Team, u.Key.Text)
-	if k.off[ruleHome] {
-		since = t.spans[len(t.spans)-1].cleared
-		ok = t.cleared()
+	since, ok := t.homeSince(k.cfg.Self.Name, u.Team, u.Key.Text)
+	if k.disabledRules[ruleHome] {
+		since = t.periods[len(t.periods)-1].claimedAt
+		ok = t.claimed()
 	}
 	switch {
-	case !ok && !k.off[ruleHandover]:
+	case !ok && !k.disabledRules[ruleAgreement]:
 		return ReasonHandover
-	case issued.Before(since.Add(k.cfg.margin())) && !k.off[ruleSince]:
+	case issued.Before(since.Add(k.cfg.clockMargin())) && !k.disabledRules[ruleIssuedAfterClaim]:
 		return ReasonForgotten
 	}
 	return ""
 }
 
-// earlierFor says whether a key that is refused may have been used before.
-func earlierFor(r Reason) Earlier {
+// possibleEarlier returns StateUnknown for refusals after which an earlier use of the key can't
+// be ruled out.
+func possibleEarlier(r Reason) Earlier {
 	switch r {
 	case ReasonExpired, ReasonNotHome, ReasonHandover, ReasonForgotten:
 		return Earlier{State: StateUnknown}
@@ -193,7 +193,7 @@
 	}
 }
 
-// retryAfter is when the same request may come again, by the reason.
+// retryAfter returns when the same request may be retried, by reason of the refusal.
 func (k *Keeper) retryAfter(r Reason) time.Duration {
 	switch r {
 	case ReasonNotHome, ReasonFull, ReasonFuture:
@@ -203,22 +203,22 @@
 	}
 }
 
-// Begin asks, immediately before the engine is asked, whether an attempt that
-// was taken may still run. Where it returns false the attempt must not run, and
-// its key has been freed already.
+// Begin reports whether an admitted attempt may still run; call it immediately before sending
+// the request to the engine. If it returns false, the attempt must not run, and calling End is
+// not necessary.
 func (k *Keeper) Begin(now time.Time, u Use) bool {
 	k.advance(now)
-	e := k.memory.entries[digestOf(u)]
+	e := k.keys.entries[digestOf(u)]
 	fenced := e == nil || !e.sameAttempt(u) || e.state != StateQueued
-	if fenced && !k.off[ruleFence] {
+	if fenced && !k.disabledRules[ruleFence] {
 		return false
 	}
-	t := k.tenures[u.Target]
+	t := k.targets[u.Target]
 	home := t != nil && t.list().Home(u.Team, u.Key.Text) == k.cfg.Self.Name
-	if home && !k.off[ruleHandover] {
-		_, home = t.since(k.cfg.Self.Name, u.Team, u.Key.Text)
+	if home && !k.disabledRules[ruleAgreement] {
+		_, home = t.homeSince(k.cfg.Self.Name, u.Team, u.Key.Text)
 	}
-	if !home && !k.off[ruleHome] {
+	if !home && !k.disabledRules[ruleHome] {
 		k.End(u, StateNotRun)
 		return false
 	}
@@ -228,14 +228,14 @@
 	return true
 }
 
-// End records how an attempt that was taken ended. StateNotRun frees the key.
+// End records the final state of an admitted attempt. StateNotRun releases the key.
 func (k *Keeper) End(u Use, s State) {
-	e := k.memory.entries[digestOf(u)]
+	e := k.keys.entries[digestOf(u)]
 	if e == nil || !e.sameAttempt(u) {
 		return
 	}
 	e.state = s
 }
 
-// Len is the number of keys that are remembered.
-func (k *Keeper) Len() int { return len(k.memory.entries) }
+// Len returns the number of recorded keys.
+func (k *Keeper) Len() int { return len(k.keys.entries) }
--- a/internal/once/key.go
+++ b/internal/once/key.go
@@ -8,35 +8,33 @@
 	"github.com/google/uuid"
 )
 
-// Bounds of a key as callers send it.
+// Limits on keys sent by callers.
 const (
-	// MaxKeyBytes bounds a key.
 	MaxKeyBytes = 256
-	// uuidBytes is the length of a UUID's usual spelling.
+	// uuidBytes is the length of a UUID in its standard text form.
 	uuidBytes   = 36
 	uuidVersion = 7
 )
 
-// Errors of a key; callers of the package turn them into their own.
+// Errors of ParseKey, for callers to translate.
 var (
-	// ErrKeyTooLong is a key of more than MaxKeyBytes.
+	// ErrKeyTooLong means that the key is longer than MaxKeyBytes.
 	ErrKeyTooLong = errors.New("the idempotency key is too long")
-	// ErrBadKeyTime is a time of issue that can't be read or that contradicts
-	// the one in the key.
+	// ErrBadKeyTime means that the issue time is malformed or contradicts the one in the key.
 	ErrBadKeyTime = errors.New("the idempotency key's time of issue is not valid")
 )
 
-// Key is an idempotency key with its time of issue.
+// Key is an idempotency key with its issue time.
 type Key struct {
 	Text string
-	// Issued has a resolution of milliseconds. It is zero for a key that
-	// doesn't tell, which can't be used for at most one run.
+	// Issued has millisecond resolution. It is zero if the issue time is unknown; such a key
+	// can't guarantee at most one run.
 	Issued time.Time
 }
 
-// ParseKey reads a key and the time of issue that came beside it, in the form
-// of RFC 3339; an empty time leaves it to the key, which then must be a UUID of
-// version 7 to have one. Errors are marked ErrKeyTooLong or ErrBadKeyTime.
+// ParseKey parses a key and its separately sent issue time, in RFC 3339 format. If issued is
+// empty, the time is taken from the key, which must be a version 7 UUID to have one. Errors are
+// marked ErrKeyTooLong or ErrBadKeyTime.
 func ParseKey(text, issued string) (Key, error) {
 	if len(text) > MaxKeyBytes {
 		return Key{}, errors.Mark(errors.Newf("the key has %d bytes, at most %d are allowed", len(text), MaxKeyBytes), ErrKeyTooLong)
@@ -56,7 +54,7 @@
 	return Key{Text: text, Issued: outer}, nil
 }
 
-// uuidTime reads the time of a UUID of version 7 in its usual spelling.
+// uuidTime returns the timestamp of a version 7 UUID in standard text form.
 func uuidTime(text string) (time.Time, bool) {
 	if len(text) != uuidBytes {
 		return time.Time{}, false
@@ -68,7 +66,7 @@
 	return time.UnixMilli(uuidMillis(id)).UTC(), true
 }
 
-// uuidMillis is the first 48 bits: milliseconds since 1970.
+// uuidMillis returns the first 48 bits of the UUID: milliseconds since 1970.
 func uuidMillis(id uuid.UUID) int64 {
 	millis := int64(0)
 	for _, b := range id[:6] {
--- a/internal/once/list.go
+++ b/internal/once/list.go
@@ -10,30 +10,30 @@
 	rendezvous "github.com/dgryski/go-rendezvous"
 )
 
-// separator stands between the parts of what is hashed; no name holds it.
+// separator separates the parts of hash inputs; no name contains it.
 const separator = "\x00"
 
-// Member is an endpoint of a list.
+// Member is an endpoint on a List.
 type Member struct {
 	Name string `json:"name"`
-	// VM tells an endpoint from an earlier one of the same name.
+	// VM distinguishes an endpoint from an earlier one of the same name.
 	VM string `json:"vm"`
-	// Address is the agent's, IP and port.
+	// Address is the IP and port of the endpoint's agent.
 	Address string `json:"address"`
 }
 
-// id tells members apart.
+// id identifies the member: name and VM.
 func (m Member) id() string { return m.Name + separator + m.VM }
 
-// List is the endpoints that serve one target, which is a model or a service,
-// by one version of the bundle. It is immutable.
+// List is the immutable set of endpoints that serve one target (a model or a service) in one
+// version of the bundle.
 type List struct {
 	members []Member
-	ring    *rendezvous.Rendezvous
+	hasher  *rendezvous.Rendezvous
 	digest  string
 }
 
-// NewList returns the list of the members, whose order doesn't matter.
+// NewList returns the list of the members, in any order.
 func NewList(members []Member) *List {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b Member) int { return strings.Compare(a.Name, b.Name) })
@@ -46,19 +46,19 @@
 	sum := sha256.Sum256([]byte(strings.Join(ids, separator)))
 	return &List{
 		members: sorted,
-		ring:    rendezvous.New(names, xxhash.Sum64String),
+		hasher:  rendezvous.New(names, xxhash.Sum64String),
 		digest:  hex.EncodeToString(sum[:]),
 	}
 }
 
-// Home is the name of the endpoint that alone may run a team's key; empty for
+// Home returns the name of the only endpoint that may run a team's key; empty if the list has
 // no members.
-func (l *List) Home(team, key string) string { return l.ring.Lookup(team + separator + key) }
+func (l *List) Home(team, key string) string { return l.hasher.Lookup(team + separator + key) }
 
-// Digest tells lists with different members apart.
+// Digest returns a hash of the members' ids, to compare lists.
 func (l *List) Digest() string { return l.digest }
 
-// find returns the member with the id of m, and its address.
+// find returns the member with m's id, including its address as listed.
 func (l *List) find(m Member) (Member, bool) {
 	i, found := slices.BinarySearchFunc(l.members, m.Name, func(m Member, n string) int { return strings.Compare(m.Name, n) })
 	if !found || l.members[i].id() != m.id() {
--- a/internal/once/memory.go
+++ b/internal/once/memory.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// digest stands for a target, a team and a key.
-type digest [sha256.Size]byte
+// keyDigest is the hash of a target, a team and a key.
+type keyDigest [sha256.Size]byte
 
-func digestOf(u Use) digest {
+func digestOf(u Use) keyDigest {
 	return sha256.Sum256([]byte(u.Target + separator + u.Team + separator + u.Key.Text))
 }
 
-// entry is what is remembered of a key.
+// entry is the record of one key.
 type entry struct {
 	request string
 	epoch   int
@@ -22,25 +22,26 @@
 
 func (e *entry) sameAttempt(u Use) bool { return e.request == u.Request && e.epoch == u.Epoch }
 
-// fences says whether an attempt comes after the one that the entry tells of.
+// fences reports whether the attempt is the recorded one or an earlier one of the same request,
+// which must not run again.
 func (e *entry) fences(u Use) bool { return e.request == u.Request && u.Epoch <= e.epoch }
 
-// memory holds the keys until they are too old to be used.
-type memory struct {
-	entries map[digest]*entry
-	// bySecond lists the entries by the Unix second of their issue.
-	bySecond map[int64][]digest
-	// swept is the second up to which entries have been forgotten.
-	swept int64
+// keyStore holds keys until they expire.
+type keyStore struct {
+	entries map[keyDigest]*entry
+	// bySecond indexes the entries by the Unix second of their issue time.
+	bySecond map[int64][]keyDigest
+	// sweptUntil is the Unix second before which entries have been dropped.
+	sweptUntil int64
 }
 
-func newMemory() *memory {
-	return &memory{entries: make(map[digest]*entry), bySecond: make(map[int64][]digest)}
+func newKeyStore() *keyStore {
+	return &keyStore{entries: make(map[keyDigest]*entry), bySecond: make(map[int64][]keyDigest)}
 }
 
-func (m *memory) add(d digest, e *entry) {
+func (m *keyStore) add(d keyDigest, e *entry) {
 	if old := m.entries[d]; old != nil {
-		*old = *e // its place by second stays, since the time is the same
+		*old = *e // its index entry stays valid, since the issue time is the same
 		return
 	}
 	m.entries[d] = e
@@ -48,11 +49,10 @@
 	m.bySecond[second] = append(m.bySecond[second], d)
 }
 
-// forget drops the entries issued in seconds that ended before the time, but
-// for those under way.
-func (m *memory) forget(before time.Time) {
+// sweep drops the entries issued before the given second, except for queued and running ones.
+func (m *keyStore) sweep(before time.Time) {
 	until := before.Unix()
-	if until <= m.swept {
+	if until <= m.sweptUntil {
 		return
 	}
 	for second, list := range m.bySecond {
@@ -60,14 +60,14 @@
 			continue
 		}
 		delete(m.bySecond, second)
-		m.drop(list, until)
+		m.dropFinished(list, until)
 	}
-	m.swept = until
+	m.sweptUntil = until
 }
 
-// drop forgets keys but for those under way, which are looked at again with
-// those of the second until.
-func (m *memory) drop(list []digest, until int64) {
+// dropFinished drops entries except for queued and running ones, which it moves to the second
+// until, to be checked again.
+func (m *keyStore) dropFinished(list []keyDigest, until int64) {
 	for _, d := range list {
 		if e := m.entries[d]; e.state == StateQueued || e.state == StateRunning {
 			m.bySecond[until] = append(m.bySecond[until], d)
--- a/internal/once/model_steps_test.go
+++ b/internal/once/model_steps_test.go
@@ -2,71 +2,73 @@
 
 import "fmt"
 
-// catchUp has all processes that run hold the latest list.
-func (m *machine) catchUp() {
+// adoptLatest sets the latest list at all running processes.
+func (m *simulation) adoptLatest() {
 	last := len(m.lists) - 1
-	m.routers[m.pick(len(m.routers))] = last
+	m.routers[m.randomInt(len(m.routers))] = last
 	for _, h := range m.hosts {
-		if !h.dead && !h.paused && !h.cut {
+		if !h.dead && !h.paused && !h.partitioned {
 			h.version = last
-			h.keeper.Adopt(m.clock(h), m.lists[last].view)
+			h.registry.Adopt(m.clock(h), m.lists[last].view)
 		}
 	}
 }
 
-// recover ends all faults and waits until every claim can be made.
-func (m *machine) recover() {
+// recover ends all faults and waits until every list can be claimed.
+func (m *simulation) recover() {
 	for _, h := range m.hosts {
 		h.paused = false
-		h.cut = false
+		h.partitioned = false
 		if h.dead {
 			m.start(h, len(m.lists)-1)
 		}
 	}
-	m.catchUp()
+	m.adoptLatest()
 	m.wait(modelSettle + 3*modelSkew)
 }
 
-// oversleep has a host pause while the others go on without it, and wake.
-func (m *machine) oversleep() {
-	h := m.some()
+// pauseHostAcrossListChange pauses a host while the others change to a new list, then resumes
+// it.
+func (m *simulation) pauseHostAcrossListChange() {
+	h := m.randomHost()
 	h.paused = true
 	m.changeList()
-	m.catchUp()
-	m.wait(modelSettle + m.within(0, modelSettle))
+	m.adoptLatest()
+	m.wait(modelSettle + m.randomDuration(0, modelSettle))
 	h.paused = false
 	m.request()
 }
 
-// leaveBehind cuts a host off while the others go on without it for a short
-// while.
-func (m *machine) leaveBehind() {
-	h := m.some()
-	h.cut = true
+// partitionHostAcrossListChange partitions a host while the others change to a new list, and
+// waits a short time.
+func (m *simulation) partitionHostAcrossListChange() {
+	h := m.randomHost()
+	h.partitioned = true
 	m.changeList()
-	m.catchUp()
-	m.wait(m.within(0, modelSettle))
+	m.adoptLatest()
+	m.wait(m.randomDuration(0, modelSettle))
 	m.request()
 }
 
-// changeOver sends a key before and soon after a change of the list.
-func (m *machine) changeOver() {
+// requestAcrossListChange sends a key before and shortly after a change of the list.
+func (m *simulation) requestAcrossListChange() {
 	m.request()
 	m.changeList()
-	m.catchUp()
-	m.catchUp()
-	m.wait(m.within(0, 2*modelSkew))
+	m.adoptLatest()
+	m.adoptLatest()
+	m.wait(m.randomDuration(0, 2*modelSkew))
 	m.request()
 }
 
-// request sends one through each router and takes them as far as they go.
-func (m *machine) request() {
+// request sends a request with the same key through each router and runs them as far as
+// possible.
+func (m *simulation) request() {
 	m.send()
-	again := *m.messages[len(m.messages)-1].use
+	repeated := *m.messages[len(m.messages)-1].use
 	for router := range m.routers {
 		m.lastID++
-		again.Request = fmt.Sprint("r", m.lastID)
-		m.route(again, router)
+		repeated.Request = fmt.Sprint("r", m.lastID)
+		m.route(repeated, router)
 		m.handle(m.messages[len(m.messages)-1])
 		for range 2 * len(m.hosts) {
 			m.run()
@@ -74,16 +76,16 @@
 	}
 }
 
-func (m *machine) step() {
-	steps := []func(){ // one is done
+func (m *simulation) step() {
+	steps := []func(){ // a random one is executed
 		m.changeList, m.adopt, m.adopt, m.adoptRouter, m.restart, m.restart, m.pause, m.pause, m.pause, m.kill,
-		func() { h := m.some(); h.cut = !h.cut },
-		m.send, m.send, m.deliver, m.deliver, m.request, m.request, m.request, m.request, m.run, m.run, m.run, m.catchUp, m.recover, m.oversleep, m.leaveBehind, m.changeOver,
-		func() { m.wait(m.within(0, modelPause)) },
-		func() { m.wait(m.within(0, modelPause)) },
-		func() { m.wait(m.within(0, modelPause)) },
-		func() { m.wait(m.within(0, modelSettle)) },
-		func() { m.wait(m.within(0, 2*modelSettle)) },
+		func() { h := m.randomHost(); h.partitioned = !h.partitioned },
+		m.send, m.send, m.deliver, m.deliver, m.request, m.request, m.request, m.request, m.run, m.run, m.run, m.adoptLatest, m.recover, m.pauseHostAcrossListChange, m.partitionHostAcrossListChange, m.requestAcrossListChange,
+		func() { m.wait(m.randomDuration(0, modelPause)) },
+		func() { m.wait(m.randomDuration(0, modelPause)) },
+		func() { m.wait(m.randomDuration(0, modelPause)) },
+		func() { m.wait(m.randomDuration(0, modelSettle)) },
+		func() { m.wait(m.randomDuration(0, 2*modelSettle)) },
 	}
-	steps[m.pick(len(steps))]()
+	steps[m.randomInt(len(steps))]()
 }
--- a/internal/once/rules.go
+++ b/internal/once/rules.go
@@ -1,17 +1,17 @@
 package once
 
-// rule names one of the rules that a Keeper works by.
+// rule is one of the rules of a Registry.
 type rule uint8
 
-// The rules that a test can switch off.
+// Rules that tests can disable.
 const (
-	ruleMemory   rule = iota // a remembered key is not taken again
-	ruleFuture               // a key from the future is not taken
-	ruleAge                  // a key older than the memory is not taken
-	ruleHome                 // only the home takes a key
-	ruleHandover             // the others have to agree on the list first
-	ruleSince                // a key must be issued after the claim
-	ruleSettle               // a start waits for those it can't know of
-	rulePause                // a pause undoes all claims
-	ruleFence                // an attempt begins once
+	ruleMemory           rule = iota // a recorded key is not accepted again
+	ruleFuture                       // a key issued in the future is not accepted
+	ruleAge                          // a key older than Config.Retention is not accepted
+	ruleHome                         // only the home accepts a key
+	ruleAgreement                    // all peers must agree on the list first
+	ruleIssuedAfterClaim             // a key must be issued after the claim
+	ruleSettle                       // after a start, wait for agents that may act by earlier lists
+	rulePause                        // a pause resets all claims
+	ruleFence                        // an attempt starts at most once
 )
--- a/internal/once/tenure.go
+++ b/internal/once/tenure.go
@@ -2,111 +2,109 @@
 
 import "time"
 
-// View is the part of a bundle that a Keeper works by.
+// View is the part of a bundle that a Registry uses.
 type View struct {
 	Version uint64
-	// Issued is when the bundle was made; it is compared with other bundles'
-	// only.
+	// Issued is the bundle's creation time; it is only compared with that of other bundles.
 	Issued time.Time
 	// Lists holds the list of each target.
 	Lists map[string]*List
 }
 
-// span is a list that was in force here, and the moment from which this agent
-// was the only one to act by it; zero if that moment never came.
-type span struct {
-	list    *List
-	cleared time.Time
+// listPeriod is a list that was in force here and the time from which this agent alone acted by
+// it; zero if it never claimed the list.
+type listPeriod struct {
+	list      *List
+	claimedAt time.Time
 }
 
-// maxSpans bounds the lists that are remembered. With the oldest dropped some
-// keys count as having changed their home later than they did, and are refused.
-const maxSpans = 64
+// maxListPeriods bounds the number of remembered lists. When the oldest is dropped, some keys
+// appear to have changed their home later than they did and are refused.
+const maxListPeriods = 64
 
-// former is an endpoint that is not on the list and may not know it.
-type former struct {
+// formerMember is an endpoint that is not on the current list and may not have been informed of
+// it.
+type formerMember struct {
 	member Member
-	// seen is when it last was on the list here, or was heard to hold
-	// another.
-	seen time.Time
+	// lastSeen is when it was last on the list here or was last reported to hold another list.
+	lastSeen time.Time
 }
 
-// tenure is what an agent knows of its being home for one target.
-type tenure struct {
-	spans []span
-	// agreed holds the peers that have held the list in force after this
-	// agent took it up.
-	agreed  map[string]bool
-	formers map[string]former
-	// settled is when those of whom this agent can't know have gone.
-	settled time.Time
-	// newest is the version of the newest list that others were heard to hold.
-	newest uint64
-	// asked is when the peers were last asked.
-	asked time.Time
+// targetState is an agent's claim to be the home of keys of one target.
+type targetState struct {
+	periods []listPeriod
+	// agreed holds the peers that have held the list in force since this agent received it.
+	agreed        map[string]bool
+	formerMembers map[string]formerMember
+	// settledAt is when the agents that this one can't know of have stopped or hold a current
+	// list.
+	settledAt time.Time
+	// newestVersion is the newest version that a peer with another list has reported.
+	newestVersion uint64
+	lastQueried   time.Time
 }
 
-func newTenure(list *List, settled time.Time) *tenure {
-	return &tenure{
-		spans:   []span{{list: list}},
-		agreed:  make(map[string]bool),
-		formers: make(map[string]former),
-		settled: settled,
+func newTargetState(list *List, settled time.Time) *targetState {
+	return &targetState{
+		periods:       []listPeriod{{list: list}},
+		agreed:        make(map[string]bool),
+		formerMembers: make(map[string]formerMember),
+		settledAt:     settled,
 	}
 }
 
-func (t *tenure) list() *List { return t.spans[len(t.spans)-1].list }
+func (t *targetState) list() *List { return t.periods[len(t.periods)-1].list }
 
-func (t *tenure) cleared() bool { return !t.spans[len(t.spans)-1].cleared.IsZero() }
+func (t *targetState) claimed() bool { return !t.periods[len(t.periods)-1].claimedAt.IsZero() }
 
-// change puts another list in force.
-func (t *tenure) change(now time.Time, list *List) {
+// setList sets the list in force.
+func (t *targetState) setList(now time.Time, list *List) {
 	for _, m := range t.list().members {
 		if !list.has(m) {
-			t.formers[m.id()] = former{member: m, seen: now}
+			t.formerMembers[m.id()] = formerMember{member: m, lastSeen: now}
 		}
 	}
 	for _, m := range list.members {
-		delete(t.formers, m.id())
+		delete(t.formerMembers, m.id())
 	}
-	t.spans = append(t.spans, span{list: list})
-	if len(t.spans) > maxSpans {
-		t.spans = t.spans[1:]
+	t.periods = append(t.periods, listPeriod{list: list})
+	if len(t.periods) > maxListPeriods {
+		t.periods = t.periods[1:]
 	}
 	t.agreed = make(map[string]bool)
-	t.asked = time.Time{}
+	t.lastQueried = time.Time{}
 }
 
-// unsettle forgets all claims, as after a start.
-func (t *tenure) unsettle(settled time.Time) {
-	t.spans = []span{{list: t.list()}}
+// resetClaims drops all claims, as after a start.
+func (t *targetState) resetClaims(settled time.Time) {
+	t.periods = []listPeriod{{list: t.list()}}
 	t.agreed = make(map[string]bool)
-	t.settled = settled
-	t.asked = time.Time{}
+	t.settledAt = settled
+	t.lastQueried = time.Time{}
 }
 
-// since is the moment from which this agent alone has acted as the key's home,
-// without a break until now; false if that moment has not come.
-func (t *tenure) since(self, team, key string) (time.Time, bool) {
+// homeSince returns the time since which this agent alone has continuously acted as the key's
+// home, and false if it doesn't.
+func (t *targetState) homeSince(self, team, key string) (time.Time, bool) {
 	var first time.Time
-	for i := len(t.spans) - 1; i >= 0; i-- {
-		s := t.spans[i]
+	for i := len(t.periods) - 1; i >= 0; i-- {
+		s := t.periods[i]
 		if s.list.Home(team, key) != self {
 			break
 		}
-		if !s.cleared.IsZero() {
-			first = s.cleared
+		if !s.claimedAt.IsZero() {
+			first = s.claimedAt
 		}
 	}
 	return first, !first.IsZero()
 }
 
-// forget drops lists of which a successor was cleared before the time, since every
-// key that may still be used was issued later.
-func (t *tenure) forget(before time.Time) {
-	for i := len(t.spans) - 1; i > 0; i-- {
-		if c := t.spans[i].cleared; !c.IsZero() && c.Before(before) {
-			t.spans = t.spans[i:]
+// pruneBefore drops lists whose successor was claimed before the given time, since every key
+// that may still be used was issued later.
+func (t *targetState) pruneBefore(before time.Time) {
+	for i := len(t.periods) - 1; i > 0; i-- {
+		if c := t.periods[i].claimedAt; !c.IsZero() && c.Before(before) {
+			t.periods = t.periods[i:]
 			return
 		}
 	}
--- a/internal/once/verdict.go
+++ b/internal/once/verdict.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Reason says why a key was not taken.
+// Reason is why a key was refused.
 type Reason string
 
-// The reasons for which a key is not taken. None of them lets the request run.
+// Reasons to refuse a key. After any of them the attempt must not run.
 const (
-	// ReasonDuplicate: another request has the key.
+	// ReasonDuplicate: another request has used the key.
 	ReasonDuplicate Reason = "duplicate_key"
-	// ReasonFenced: this very attempt was refused or run before.
+	// ReasonFenced: this attempt, or a later one of the request, was already recorded.
 	ReasonFenced Reason = "attempt_fenced"
-	// ReasonTimeChanged: the key was used with another time of issue.
+	// ReasonTimeChanged: the key was used with a different issue time.
 	ReasonTimeChanged Reason = "key_time_changed"
-	// ReasonFuture: the key was issued later than clocks may differ.
+	// ReasonFuture: the issue time is further in the future than clock skew allows.
 	ReasonFuture Reason = "key_from_future"
-	// ReasonExpired: the key is older than keys are remembered.
+	// ReasonExpired: the key is older than Config.Retention.
 	ReasonExpired Reason = "key_expired"
 	// ReasonNotHome: by this agent's list another endpoint is the key's home.
 	ReasonNotHome Reason = "not_key_home"
-	// ReasonHandover: others may still act as the key's home.
+	// ReasonHandover: other agents may still act as the key's home.
 	ReasonHandover Reason = "key_home_changing"
-	// ReasonForgotten: the key is older than what this agent can vouch for.
+	// ReasonBeforeClaim: the key was issued before this agent claimed to be its home.
 	ReasonForgotten Reason = "key_before_memory"
-	// ReasonFull: the agent remembers as many keys as it may.
+	// ReasonFull: the agent has reached Config.MaxKeys.
 	ReasonFull Reason = "key_memory_full"
 )
 
-// State is how far the request that has a key has come.
+// State is the state of the request that uses a key.
 type State string
 
-// The states of a key's request.
+// States of a key's request.
 const (
 	StateQueued   State = "queued"
 	StateRunning  State = "running"
 	StateComplete State = "complete"
-	// StateBroken: it ran, but not to its end.
+	// StateBroken: it started but failed before it completed.
 	StateBroken State = "broken"
 	// StateUnknown: it may have run.
 	StateUnknown State = "unknown"
-	// StateNotRun: it certainly did not run, so that the key is free.
+	// StateNotRun: it didn't run, so the key may be used again.
 	StateNotRun State = "not_run"
 )
 
-// Use is one attempt of a request to run under a key.
+// Attempt is one attempt of a request that uses a key.
 type Use struct {
 	// Target is the model or service, as in View.Lists.
 	Target  string
@@ -54,21 +54,19 @@
 	Epoch int
 }
 
-// Earlier is the request that has a key already.
+// EarlierRequest is the request that used a key before.
 type Earlier struct {
 	Request string
 	State   State
 }
 
-// Verdict is the answer to Keeper.Take.
+// Decision is the result of Registry.Admit.
 type Verdict struct {
 	// Refused is empty if the attempt may be queued.
 	Refused Reason
-	// RetryAfter is when the same request may be tried again; 0 if that
-	// doesn't help.
+	// RetryAfter is when the same request may be retried; 0 if a retry doesn't help.
 	RetryAfter time.Duration
-	// Earlier is the request that has the key, for ReasonDuplicate and
-	// ReasonTimeChanged. With StateUnknown and no request it says that an
-	// earlier one can't be ruled out.
+	// Earlier is the request that used the key, for ReasonDuplicate and ReasonTimeChanged.
+	// StateUnknown without a request means that an earlier use can't be ruled out.
 	Earlier Earlier
 }
--- a/internal/once/view.go
+++ b/internal/once/view.go
@@ -2,16 +2,16 @@
 
 import "coveferry/internal/bundle"
 
-// Prefixes of targets, so that a model and a service may share a name.
+// Target prefixes, so that a model and a service may have the same name.
 const (
 	modelPrefix   = "model:"
 	servicePrefix = "service:"
 )
 
-// ModelTarget is the target of requests for a model.
+// ModelTarget returns the target name of a model.
 func ModelTarget(model string) string { return modelPrefix + model }
 
-// ServiceTarget is the target of calls to a plain service.
+// ServiceTarget returns the target name of a plain service.
 func ServiceTarget(service string) string { return servicePrefix + service }
 
 // ViewOf returns the lists of all targets of a bundle.
@@ -37,7 +37,7 @@
 	return Member{Name: e.Name, VM: e.VM, Address: e.Address}
 }
 
-// ListOf returns the list that the endpoints of one target make up.
+// ListOf returns the list of one target's endpoints.
 func ListOf(endpoints []*bundle.Endpoint) *List {
 	members := make([]Member, len(endpoints))
 	for i, e := range endpoints {
