--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -6,26 +6,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Place is where a route applies. No two routes of a configuration share one.
+// RouteKey identifies a route by host and prefix. It is unique within a configuration.
 type Place struct{ Host, Prefix string }
 
-// Place is where the route applies.
-func (r *Route) Place() Place { return Place{Host: normalHost(r.Host), Prefix: r.Prefix} }
+// Key returns the route's key.
+func (r *Route) Place() Place { return Place{Host: normalizeHost(r.Host), Prefix: r.Prefix} }
 
-// Change is what turns one configuration into a later one.
+// Change is the difference between a configuration and a later one.
 type Change struct {
-	// From is the version that it changes; 0 if it holds everything.
+	// From is the version that the change applies to; 0 if the change holds the full
+	// configuration.
 	From uint64
 	To   uint64
-	// Routes are those that are new or differ, and Gone the places of those
-	// that are no more.
+	// Routes holds new and changed routes, Gone the keys of removed ones.
 	Routes []Route `json:",omitempty"`
 	Gone   []Place `json:",omitempty"`
-	// Shared is nil if nothing but routes has changed.
+	// Shared is nil if only routes have changed.
 	Shared *Shared `json:",omitempty"`
 }
 
-// Shared is what a configuration holds besides its routes.
+// Shared is the part of a configuration other than its routes.
 type Shared struct {
 	Services []Service
 	Teams    map[string]*Team
@@ -36,29 +36,29 @@
 	return &Shared{Services: c.Services, Teams: c.Teams, Limits: c.Limits}
 }
 
-// Whole is the change that turns nothing into the configuration.
+// FullChange returns a change that holds the full configuration.
 func (c *Config) Whole() Change {
 	return Change{To: c.Version, Routes: c.Routes, Shared: c.shared()}
 }
 
-// ErrOtherVersion is a change of another configuration than the one at hand.
-var ErrOtherVersion = errors.New("route: the change is of another version")
+// ErrVersionMismatch means that a change applies to another version than the given one.
+var ErrOtherVersion = errors.New("route: the change applies to another version")
 
-// Apply returns the configuration that a change turns base into, which stays as it
-// is. base may be nil for a change that holds everything.
+// Apply returns the configuration that results from applying the change to base, which isn't
+// modified. base may be nil for a change that holds the full configuration.
 func (ch *Change) Apply(base *Config) (*Config, error) {
 	next := Config{Version: ch.To}
 	if ch.From == 0 {
 		next.Routes = ch.Routes
-		next.take(ch.Shared)
+		next.applyShared(ch.Shared)
 		return &next, nil
 	}
 	if base == nil || base.Version != ch.From {
 		return nil, ErrOtherVersion
 	}
 	next.KeyForm = base.KeyForm
-	next.take(base.shared())
-	next.take(ch.Shared)
+	next.applyShared(base.shared())
+	next.applyShared(ch.Shared)
 	replaced := make(map[Place]bool, len(ch.Routes)+len(ch.Gone))
 	for i := range ch.Routes {
 		replaced[ch.Routes[i].Place()] = true
@@ -76,43 +76,43 @@
 	return &next, nil
 }
 
-func (c *Config) take(s *Shared) {
+func (c *Config) applyShared(s *Shared) {
 	if s != nil {
 		c.Services, c.Teams, c.Limits = s.Services, s.Teams, s.Limits
 	}
 }
 
-// History knows what changed between the configurations that it was shown, so that
-// one who has an earlier one is told just that. It isn't safe for concurrent use.
+// History records the differences between successive configurations, so that a client with an
+// earlier version can be sent just the difference. It isn't safe for concurrent use.
 type History struct {
-	seen *Config
-	// known are the versions that it was shown. What one that it wasn't shown held
-	// besides isn't known.
-	known map[uint64]bool
-	// changed and gone have the version that changed or removed a place's route.
-	changed, gone map[Place]uint64
-	shared        uint64 // the version that changed what isn't a route
+	last *Config
+	// versions are the recorded versions. The contents of others are unknown, so no difference
+	// from them can be computed.
+	versions map[uint64]bool
+	// changed and removed hold the version that changed or removed a route.
+	changed, removed map[Place]uint64
+	shared           uint64 // the version that last changed anything but routes
 }
 
-// Bounds of what is remembered one by one: removed routes, and versions.
+// Limits on the recorded removals and versions. When one is exceeded, the history starts anew.
 const (
-	maxGone  = 4096
-	maxKnown = 1024
+	maxRemoved  = 4096
+	maxVersions = 1024
 )
 
-// Show notes what a configuration changed.
+// Record adds a configuration to the history.
 func (h *History) Show(c *Config) {
-	if h.seen != nil && c.Version <= h.seen.Version {
+	if h.last != nil && c.Version <= h.last.Version {
 		return
 	}
-	old := h.seen
-	h.seen = c
-	if old == nil || len(h.gone) > maxGone || len(h.known) > maxKnown {
-		h.shared, h.known = c.Version, map[uint64]bool{c.Version: true}
-		h.changed, h.gone = make(map[Place]uint64), make(map[Place]uint64)
+	old := h.last
+	h.last = c
+	if old == nil || len(h.removed) > maxRemoved || len(h.versions) > maxVersions {
+		h.shared, h.versions = c.Version, map[uint64]bool{c.Version: true}
+		h.changed, h.removed = make(map[Place]uint64), make(map[Place]uint64)
 		return
 	}
-	h.known[c.Version] = true
+	h.versions[c.Version] = true
 	h.compare(old, c)
 }
 
@@ -128,35 +128,35 @@
 		place := c.Routes[i].Place()
 		if was := before[place]; was == nil || !reflect.DeepEqual(*was, c.Routes[i]) {
 			h.changed[place] = c.Version
-			delete(h.gone, place)
+			delete(h.removed, place)
 		}
 		delete(before, place)
 	}
 	for place := range before {
-		h.gone[place] = c.Version
+		h.removed[place] = c.Version
 		delete(h.changed, place)
 	}
 }
 
-// Since returns what turns the configuration of a version into the last one that
-// was shown; everything if that isn't known.
+// ChangeSince returns the change from the given version to the last recorded one; the full
+// configuration if that version isn't recorded.
 func (h *History) Since(version uint64) Change {
-	if !h.known[version] {
-		return h.seen.Whole()
+	if !h.versions[version] {
+		return h.last.Whole()
 	}
-	ch := Change{From: version, To: h.seen.Version}
-	for i := range h.seen.Routes {
-		if h.changed[h.seen.Routes[i].Place()] > version {
-			ch.Routes = append(ch.Routes, h.seen.Routes[i])
+	ch := Change{From: version, To: h.last.Version}
+	for i := range h.last.Routes {
+		if h.changed[h.last.Routes[i].Place()] > version {
+			ch.Routes = append(ch.Routes, h.last.Routes[i])
 		}
 	}
-	for place, at := range h.gone {
+	for place, at := range h.removed {
 		if at > version {
 			ch.Gone = append(ch.Gone, place)
 		}
 	}
 	if h.shared > version {
-		ch.Shared = h.seen.shared()
+		ch.Shared = h.last.shared()
 	}
 	return ch
 }
--- a/internal/route/change_test.go
+++ b/internal/route/change_test.go
@@ -14,15 +14,15 @@
 	"coveferry/internal/route"
 )
 
-// drawConfig draws a configuration of few places, so that later ones often change
-// or drop the routes of earlier ones.
+// drawConfig draws a configuration from a small set of routes, so that later ones often change
+// or remove the routes of earlier ones.
 func drawConfig(t *rapid.T, version uint64) *route.Config {
 	c := &route.Config{Version: version, Services: []route.Service{{Name: "s"}}}
 	for place := range 6 {
 		if !rapid.Bool().Draw(t, "there") {
 			continue
 		}
-		r := to("r", "h", fmt.Sprintf("/%d/", place))
+		r := newRoute("r", "h", fmt.Sprintf("/%d/", place))
 		r.Timeout = time.Duration(rapid.IntRange(1, 2).Draw(t, "timeout")) * time.Second
 		c.Routes = append(c.Routes, r)
 	}
@@ -33,7 +33,7 @@
 	return c
 }
 
-func sorted(c *route.Config) *route.Config {
+func sortedByPrefix(c *route.Config) *route.Config {
 	s := *c
 	s.Routes = slices.SortedFunc(slices.Values(c.Routes), func(a, b route.Route) int { return cmp.Compare(a.Prefix, b.Prefix) })
 	return &s
@@ -46,7 +46,7 @@
 		var all []*route.Config
 		for n := range rapid.IntRange(1, 6).Draw(t, "versions") {
 			all = append(all, drawConfig(t, uint64(2*n+1)))
-			// Others may have put versions in force that this router skipped.
+			// This router may skip versions that others have put in force.
 			if rapid.Bool().Draw(t, "shown") {
 				h.Show(all[n])
 			}
@@ -55,21 +55,21 @@
 		h.Show(newest)
 		for _, base := range all {
 			ch := h.Since(base.Version)
-			told, err := json.Marshal(ch)
+			encoded, err := json.Marshal(ch)
 			g.Expect(err).NotTo(HaveOccurred())
-			var heard route.Change
-			g.Expect(json.Unmarshal(told, &heard)).To(Succeed())
-			next, err := heard.Apply(base)
+			var decoded route.Change
+			g.Expect(json.Unmarshal(encoded, &decoded)).To(Succeed())
+			next, err := decoded.Apply(base)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(sorted(next)).To(Equal(sorted(newest)))
+			g.Expect(sortedByPrefix(next)).To(Equal(sortedByPrefix(newest)))
 		}
 	})
 }
 
-func TestAChangeOfAnUnknownVersionHoldsEverything(t *testing.T) {
+func TestChangeSinceUnknownVersionIsFull(t *testing.T) {
 	g := NewWithT(t)
 	var h route.History
-	c := &route.Config{Version: 4, Routes: []route.Route{to("r", "h", "/")}, Services: []route.Service{{Name: "s"}}}
+	c := &route.Config{Version: 4, Routes: []route.Route{newRoute("r", "h", "/")}, Services: []route.Service{{Name: "s"}}}
 	h.Show(c)
 	for _, version := range []uint64{0, 3, 9} {
 		ch := h.Since(version)
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestAChangeIsAppliedToItsOwnVersionOnly(t *testing.T) {
+func TestChangeAppliesOnlyToItsBaseVersion(t *testing.T) {
 	g := NewWithT(t)
 	ch := route.Change{From: 3, To: 4}
 	_, err := ch.Apply(nil)
--- a/internal/route/rank.go
+++ b/internal/route/rank.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// maxRanks is how many ranks endpoints tell apart at the least.
+// maxRanks is the smallest number of ranks that endpoints distinguish.
 const maxRanks = 10
 
-// standing is what a request's rank follows from: its tier, and that of its route.
-type standing struct{ tier, own int }
+// tierPair determines a request's rank: its own tier and the tier of its route.
+type tierPair struct{ requestTier, routeTier int }
 
-// ranksOf numbers the standings that requests may have by a configuration, the highest
-// first; nil if no two share a tier. Where there are more than endpoints tell apart,
-// neighbours share a rank.
-func ranksOf(c Config) map[standing]int {
-	seen := make(map[standing]bool)
+// computeRanks assigns a rank to each pair of tiers that is possible by a configuration, 0 the
+// highest; nil if no two pairs share a request tier. If there are more pairs than maxRanks,
+// adjacent ones share a rank.
+func computeRanks(c Config) map[tierPair]int {
+	seen := make(map[tierPair]bool)
 	tiers := make(map[int]bool)
 	for _, team := range c.Teams {
 		if team.Tier != nil {
@@ -24,19 +24,19 @@
 		}
 	}
 	for i := range c.Routes {
-		own := c.Routes[i].Tier
-		seen[standing{own, own}] = true
+		routeTier := c.Routes[i].Tier
+		seen[tierPair{routeTier, routeTier}] = true
 		for tier := range tiers {
-			seen[standing{tier, own}] = true
+			seen[tierPair{tier, routeTier}] = true
 		}
 	}
 	if len(seen) == distinctTiers(seen) {
-		return nil // tiers alone tell all apart
+		return nil // the request's tier alone distinguishes all pairs
 	}
-	order := slices.SortedFunc(maps.Keys(seen), func(a, b standing) int {
-		return cmp.Or(cmp.Compare(a.own, b.own), cmp.Compare(a.tier, b.tier))
+	order := slices.SortedFunc(maps.Keys(seen), func(a, b tierPair) int {
+		return cmp.Or(cmp.Compare(a.routeTier, b.routeTier), cmp.Compare(a.requestTier, b.requestTier))
 	})
-	ranks := make(map[standing]int, len(order))
+	ranks := make(map[tierPair]int, len(order))
 	for i, s := range order {
 		ranks[s] = i
 		if len(order) > maxRanks {
@@ -46,22 +46,22 @@
 	return ranks
 }
 
-func distinctTiers(of map[standing]bool) int {
+func distinctTiers(of map[tierPair]bool) int {
 	tiers := make(map[int]bool)
 	for s := range of {
-		tiers[s.tier] = true
+		tiers[s.requestTier] = true
 	}
 	return len(tiers)
 }
 
-// Rank is the rank by which endpoints admit a request of a tier on a route of a tier of
-// its own, 0 the highest. The route's goes first: what a kind of request can still be worth
-// depends on how soon it is served, whoever sent it. Among requests of one kind the team's
-// tier decides. With teams first, kinds that can hardly wait were put back in the middle of
-// their answers for less urgent ones of other teams: 11 to 78 of them in four plays of an
-// overload of 20 s, none in those with routes first.
-func (t *Table) Rank(tier, own int) int {
-	if rank, ok := t.ranks[standing{tier, own}]; ok {
+// Rank returns the rank by which endpoints admit a request, 0 the highest, from the request's
+// tier and its route's tier. The route's tier takes precedence: how much value a request loses
+// by waiting depends on its kind, not on its sender. Among requests of the same kind the team's
+// tier decides. With the team's tier first, kinds that can hardly wait were preempted in the
+// middle of their answers by less urgent ones of other teams: 11 to 78 times in each of four
+// runs of a 20 s overload, and never with the route's tier first.
+func (t *Table) Rank(tier, routeTier int) int {
+	if rank, ok := t.ranks[tierPair{tier, routeTier}]; ok {
 		return rank
 	}
 	return tier
--- a/internal/route/residency.go
+++ b/internal/route/residency.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// Residency is in which regions requests may be served, and what is kept of them may lie. A
-// nil Residency binds nothing; one without regions allows none.
+// Residency restricts the regions in which requests are served and copies of their state are
+// stored. A nil Residency allows all regions; one without regions allows none.
 type Residency struct {
 	Regions []string `json:",omitempty"`
 }
 
-// Allows says whether a request may be sent to an endpoint in a region. One whose region isn't
-// known is in none that is allowed.
+// Allows reports whether a request may be sent to an endpoint in the region. An unknown (empty)
+// region is not allowed.
 func (r *Residency) Allows(region string) bool {
 	return r == nil || region != "" && slices.Contains(r.Regions, region)
 }
 
-// Nowhere lists the routes and the teams of a configuration that none of the regions may
-// serve, by their names.
+// Unservable returns the names of the routes and teams that may be served in none of the
+// regions.
 func (c *Config) Nowhere(regions []string) (routes, teams []string) {
 	served := func(r *Residency) bool { return r == nil || slices.ContainsFunc(regions, r.Allows) }
 	for i := range c.Routes {
--- a/internal/route/residency_test.go
+++ b/internal/route/residency_test.go
@@ -9,7 +9,7 @@
 	"coveferry/internal/route"
 )
 
-func TestARegionIsAllowedWhereItIsNamed(t *testing.T) {
+func TestResidencyAllows(t *testing.T) {
 	none, one := &route.Residency{}, &route.Residency{Regions: []string{"east"}}
 	for _, c := range []struct {
 		residency *route.Residency
@@ -24,24 +24,24 @@
 	}
 }
 
-// Routers tell each other of configurations: what allows no region must not come out as what
-// allows all.
-func TestAResidencyIsToldAsItIs(t *testing.T) {
+// Routers exchange configurations as JSON: a Residency that allows no region must not be
+// decoded as one that allows all.
+func TestResidencySurvivesJSON(t *testing.T) {
 	for _, want := range []*route.Residency{nil, {}, {Regions: []string{"east", "west"}}} {
 		g := NewWithT(t)
 		text, err := json.Marshal(route.Change{To: 1, Routes: []route.Route{{Residency: want}}})
 		g.Expect(err).NotTo(HaveOccurred())
-		var told route.Change
-		g.Expect(json.Unmarshal(text, &told)).To(Succeed())
+		var decoded route.Change
+		g.Expect(json.Unmarshal(text, &decoded)).To(Succeed())
 		if want == nil {
-			g.Expect(told.Routes[0].Residency).To(BeNil())
+			g.Expect(decoded.Routes[0].Residency).To(BeNil())
 			continue
 		}
-		g.Expect(told.Routes[0].Residency).To(Equal(want))
+		g.Expect(decoded.Routes[0].Residency).To(Equal(want))
 	}
 }
 
-func TestWhatMayBeServedNowhereIsListed(t *testing.T) {
+func TestUnservableRoutesAndTeams(t *testing.T) {
 	in := func(regions ...string) *route.Residency { return &route.Residency{Regions: regions} }
 	c := &route.Config{
 		Routes: []route.Route{{Name: "any"}, {Name: "east", Residency: in("east", "moon")}, {Name: "moon", Residency: in("moon")}, {Name: "none", Residency: in()}},
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds immutable tables of routes: which service answers for a
-// host and a path prefix, for whom, and with which promises. A table is built
-// once, checked, and then swapped whole; readers need no lock.
+// Package route holds immutable route tables, which map a host and path prefix to a service,
+// the teams that may use it and its objectives. A table is built and validated once and then
+// replaced as a whole, so readers need no lock.
 package route
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Repeat says how often a request may run.
+// Repeat is how often a request may run.
 type Repeat uint8
 
 const (
@@ -18,40 +18,38 @@
 	Idempotent
 )
 
-// Route is what a table says of the requests under a host and a path prefix.
+// Route configures the requests under a host and path prefix.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Targets share the route's requests by their weights.
+	// Targets share the route's requests by weight.
 	Targets []Target
 	Repeat  Repeat
-	// Stream says that the answer is a series of events.
+	// Stream says that the answer is a stream of events.
 	Stream bool
-	// Resumable streams can go on at another endpoint behind the last event
-	// that the caller has.
+	// Resumable streams can continue at another endpoint after the last event that the caller
+	// has received.
 	Resumable bool
-	// Tier is the rank that the route's requests are served by, 0 the highest. See
-	// Table.Rank for what a team's own tier does beside it.
+	// Tier is the priority of the route's requests, 0 the highest. See Table.Rank for how it
+	// combines with the team's tier.
 	Tier int
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout bounds the time until the request ends.
 	Timeout time.Duration
-	// Objective is the time within which the answer, or the first event of a
-	// stream, is on time.
+	// Objective is the target time to the answer or to the first event of a stream.
 	Objective time.Duration
-	// MaxGap is the longest pause between two events of a stream that is on
-	// time; 0 if the route states none.
+	// MaxGap is the longest pause between two events within the objective; 0 if there is none.
 	MaxGap time.Duration
-	// MaxRuns is the most endpoints at which one request may run.
+	// MaxRuns is the maximum number of endpoints at which a request may run.
 	MaxRuns int
 	// Public routes need no key.
 	Public bool
-	// Residency binds the route's requests to regions. What a team's binds besides holds too.
+	// Residency restricts the regions of the route's requests, in addition to that of the team.
 	Residency *Residency `json:",omitempty"`
 }
 
-// Target is a service that answers a share of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
 	Weight  int
@@ -73,92 +71,90 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Team is an organisation that calls.
+// Team is an organization that sends requests.
 type Team struct {
 	Name string
-	// Tier orders the team's requests among those of the same kind; nil leaves the
-	// route's.
+	// Tier is the priority of the team's requests among those of the same kind; nil uses the
+	// route's tier.
 	Tier *int
-	// Residency binds the team's requests to regions.
+	// Residency restricts the regions of the team's requests.
 	Residency *Residency `json:",omitempty"`
 }
 
-// Service is what a table says of a group of endpoints.
+// Service configures a group of endpoints.
 type Service struct {
 	Name string
-	// HealthPath is where an endpoint tells whether it is healthy.
+	// HealthPath is the path of an endpoint's health check.
 	HealthPath string
-	// Cold is what the service's endpoints tolerate after they have started.
+	// Cold limits the load of recently started endpoints.
 	Cold Cold
-	// Engine describes model engines; nil for a plain service.
+	// Engine configures model engines; nil for a plain service.
 	Engine *Engine
 }
 
-// Cold is what an endpoint tolerates while it is cold: its caches are empty, and work that
-// it could do later ends it.
+// Cold limits the load of an endpoint after its start, while its caches are empty and work that
+// it could handle later makes it crash.
 type Cold struct {
-	// For is how long it is cold after its start.
+	// For is how long after its start an endpoint is cold.
 	For time.Duration
-	// Rate is how many requests a second it takes from all routers together meanwhile; 0
-	// bounds nothing.
+	// Rate is the maximum requests per second from all routers together while it is cold; 0
+	// means no limit.
 	Rate float64
 }
 
-// Engine is what a table says of the engines of a service.
+// Engine describes the engines of a service.
 type Engine struct {
-	// Stride is how many tokens an event of a stream holds.
+	// Stride is the number of tokens per event of a stream.
 	Stride int
-	// Backups says that the memory of a run can be copied to another engine
-	// as it grows.
+	// Backups says that the memory of a run can be copied to another engine as it grows.
 	Backups bool
 }
 
-// Limits bound what callers may send. Zero fields are no limit.
+// Limits bounds the size of callers' requests. Zero fields mean no limit.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
 }
 
-// Config is what a table is built from.
+// Config is the input of NewTable.
 type Config struct {
-	// Version orders tables; a table is never replaced by one of a lower
-	// version.
+	// Version orders tables; a table is never replaced by one of a lower version.
 	Version  uint64
 	Routes   []Route
 	Services []Service
-	// Teams holds the team of each key. With no keys at all, routes need none.
+	// Teams maps API keys to teams. If it is nil, no route needs a key.
 	Teams map[string]*Team
-	// KeyForm turns a caller's key into the form in which Teams holds it; nil
-	// if it holds keys as they are.
+	// EncodeKey converts an API key to the form used as key of Teams; nil if Teams holds plain
+	// keys.
 	KeyForm func(key string) string `json:"-"`
 	Limits  Limits
 }
 
-// Table answers which route a request takes. It is immutable.
+// Table is an immutable route table.
 type Table struct {
-	version  uint64
-	limits   Limits
-	hosts    map[string]map[string]*Route
-	services map[string]*Service
-	teams    map[string]*Team
-	routes   []Route
-	longest  map[string]time.Duration
-	keyForm  func(string) string
-	ranks    map[standing]int
+	version           uint64
+	limits            Limits
+	hosts             map[string]map[string]*Route
+	services          map[string]*Service
+	teams             map[string]*Team
+	routes            []Route
+	longestObjectives map[string]time.Duration
+	encodeKey         func(string) string
+	ranks             map[tierPair]int
 }
 
-// NewTable builds a table. Its error is an *Error that names the faulty place.
+// NewTable builds a table. If a route is invalid, the error is an *Error that names it.
 func NewTable(c Config) (*Table, error) {
 	t := &Table{
-		version:  c.Version,
-		limits:   c.Limits,
-		hosts:    make(map[string]map[string]*Route),
-		services: make(map[string]*Service, len(c.Services)),
-		teams:    c.Teams,
-		routes:   c.Routes,
-		keyForm:  c.KeyForm,
-		longest:  make(map[string]time.Duration, len(c.Services)),
-		ranks:    ranksOf(c),
+		version:           c.Version,
+		limits:            c.Limits,
+		hosts:             make(map[string]map[string]*Route),
+		services:          make(map[string]*Service, len(c.Services)),
+		teams:             c.Teams,
+		routes:            c.Routes,
+		encodeKey:         c.KeyForm,
+		longestObjectives: make(map[string]time.Duration, len(c.Services)),
+		ranks:             computeRanks(c),
 	}
 	for i := range c.Services {
 		t.services[c.Services[i].Name] = &c.Services[i]
@@ -175,7 +171,7 @@
 	if err := t.check(r); err != nil {
 		return err
 	}
-	host := normalHost(r.Host)
+	host := normalizeHost(r.Host)
 	prefixes := t.hosts[host]
 	if prefixes == nil {
 		prefixes = make(map[string]*Route)
@@ -186,7 +182,7 @@
 	}
 	prefixes[r.Prefix] = r
 	for _, target := range r.Targets {
-		t.longest[target.Service] = max(t.longest[target.Service], r.Objective)
+		t.longestObjectives[target.Service] = max(t.longestObjectives[target.Service], r.Objective)
 	}
 	return nil
 }
@@ -206,19 +202,19 @@
 	return nil
 }
 
-// Version orders tables.
+// Version returns the table's version.
 func (t *Table) Version() uint64 { return t.version }
 
-// Limits bound what callers may send.
+// Limits returns the limits on callers' requests.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Size is the number of routes.
+// Size returns the number of routes.
 func (t *Table) Size() int { return len(t.routes) }
 
-// Match returns the route of the longest prefix that begins the path, nil if
-// there is none. The path is the request's own, not unescaped.
+// Match returns the route with the longest prefix of the path, or nil. The path must be as
+// received, not unescaped.
 func (t *Table) Match(host, path string) *Route {
-	prefixes := t.hosts[normalHost(host)]
+	prefixes := t.hosts[normalizeHost(host)]
 	for len(prefixes) > 0 {
 		end := strings.LastIndexByte(path, '/')
 		if end < 0 {
@@ -232,21 +228,22 @@
 	return nil
 }
 
-// NeedsKeys says whether routes that aren't public need a key.
+// NeedsKeys reports whether non-public routes need a key.
 func (t *Table) NeedsKeys() bool { return t.teams != nil }
 
-// Team returns the team that holds a key, nil if none does.
+// Team returns the team that owns an API key, or nil.
 func (t *Table) Team(key string) *Team {
-	if t.keyForm != nil {
-		key = t.keyForm(key)
+	if t.encodeKey != nil {
+		key = t.encodeKey(key)
 	}
 	return t.teams[key]
 }
 
-// Service returns what the table says of a service, nil if it doesn't know it.
+// Service returns the configuration of a service, or nil if it is unknown.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Cold is what the service's cold endpoints tolerate; the zero value if it isn't known.
+// Cold returns the limits of the service's cold endpoints; the zero value for an unknown
+// service.
 func (t *Table) Cold(service string) Cold {
 	if s := t.services[service]; s != nil {
 		return s.Cold
@@ -254,18 +251,18 @@
 	return Cold{}
 }
 
-// LongestObjective is that of all routes to a service; 0 if none states one.
-func (t *Table) LongestObjective(service string) time.Duration { return t.longest[service] }
+// LongestObjective returns the longest objective of all routes to a service; 0 if none has one.
+func (t *Table) LongestObjective(service string) time.Duration { return t.longestObjectives[service] }
 
-// normalHost is a host without its port, in lower case.
-func normalHost(host string) string {
+// normalizeHost removes the port and converts the host to lower case.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
 	return strings.ToLower(host)
 }
 
-// Error is a route that a table can't hold.
+// Error describes an invalid route.
 type Error struct{ Route, Reason string }
 
 // Error implements error.
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -9,23 +9,23 @@
 	"coveferry/internal/route"
 )
 
-func table(t *testing.T, routes ...route.Route) *route.Table {
+func newTable(t *testing.T, routes ...route.Route) *route.Table {
 	t.Helper()
 	tab, err := route.NewTable(route.Config{Version: 1, Routes: routes, Services: []route.Service{{Name: "s"}, {Name: "u"}}})
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return tab
 }
 
-func to(name, host, prefix string) route.Route {
+func newRoute(name, host, prefix string) route.Route {
 	return route.Route{Name: name, Host: host, Prefix: prefix, Targets: []route.Target{{Service: "s", Weight: 1}}}
 }
 
-func TestLongestPrefixOfTheHostIsTaken(t *testing.T) {
-	tab := table(t, to("root", "a.example", "/"), to("x", "a.example", "/x/"), to("xy", "a.example", "/x/y/"), to("other", "b.example", "/x/"))
+func TestMatchTakesLongestPrefix(t *testing.T) {
+	tab := newTable(t, newRoute("root", "a.example", "/"), newRoute("x", "a.example", "/x/"), newRoute("xy", "a.example", "/x/y/"), newRoute("other", "b.example", "/x/"))
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "xy"},
 		{"a.example", "/x/yz", "x"},
-		{"a.example", "/x/y", "x"}, // "/x/y/" doesn't begin it
+		{"a.example", "/x/y", "x"}, // "/x/y/" is not a prefix of it
 		{"a.example", "/x", "root"},
 		{"a.example", "/", "root"},
 		{"A.Example:8080", "/x/", "x"},
@@ -44,23 +44,23 @@
 	}
 }
 
-func TestFaultyRoutesAreRefusedByName(t *testing.T) {
+func TestInvalidRoutesAreRefusedByName(t *testing.T) {
 	for _, c := range []struct {
 		reason string
 		routes []route.Route
 	}{
-		{"slash", []route.Route{to("r", "h", "x/")}},
-		{"slash", []route.Route{to("r", "h", "/x")}},
+		{"slash", []route.Route{newRoute("r", "h", "x/")}},
+		{"slash", []route.Route{newRoute("r", "h", "/x")}},
 		{"names no service", []route.Route{{Name: "r", Host: "h", Prefix: "/"}}},
 		{"not defined", []route.Route{{Name: "r", Host: "h", Prefix: "/", Targets: []route.Target{{Service: "none"}}}}},
-		{"same host and prefix", []route.Route{to("q", "h", "/"), to("r", "H", "/")}},
+		{"same host and prefix", []route.Route{newRoute("q", "h", "/"), newRoute("r", "H", "/")}},
 	} {
 		_, err := route.NewTable(route.Config{Routes: c.routes, Services: []route.Service{{Name: "s"}}})
 		NewWithT(t).Expect(err).To(MatchError(And(ContainSubstring("route r: "), ContainSubstring(c.reason))))
 	}
 }
 
-func TestTargetsShareByWeight(t *testing.T) {
+func TestPickFollowsWeights(t *testing.T) {
 	g := NewWithT(t)
 	r := route.Route{Targets: []route.Target{{Service: "s", Weight: 9}, {Service: "none", Weight: 0}, {Service: "u", Weight: 1}}}
 	count := make(map[string]int)
@@ -70,11 +70,11 @@
 	g.Expect(count).To(Equal(map[string]int{"s": 90, "u": 10}))
 }
 
-func TestLongestObjectiveIsThatOfAllRoutesToAService(t *testing.T) {
+func TestLongestObjective(t *testing.T) {
 	g := NewWithT(t)
-	a, b := to("a", "h", "/a/"), to("b", "h", "/b/")
+	a, b := newRoute("a", "h", "/a/"), newRoute("b", "h", "/b/")
 	a.Objective, b.Objective = time.Second, 2*time.Second
-	tab := table(t, a, b)
+	tab := newTable(t, a, b)
 	g.Expect(tab.LongestObjective("s")).To(Equal(2 * time.Second))
 	g.Expect(tab.LongestObjective("u")).To(BeZero())
 }
