--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,5 +1,5 @@
-// Package api holds what callers see besides the usual completions protocol:
-// coveferry's headers and its typed errors.
+// Package api defines what callers see in addition to the completions protocol: coveferry's
+// headers and typed errors.
 package api
 
 import (
@@ -12,60 +12,59 @@
 	"coveferry/internal/wire"
 )
 
-// Headers that a caller may send.
+// Request headers of callers.
 const (
 	HeaderAuthorization = "Authorization" // Bearer KEY
 	HeaderClass         = "Coveferry-Class"
-	// HeaderDeadline is how long the answer is worth waiting for: "30s".
+	// HeaderDeadline is how long the caller waits for the answer, such as "30s".
 	HeaderDeadline       = "Coveferry-Deadline"
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderNonIdempotent set to "true" marks a request that must not run
-	// twice.
+	// HeaderNonIdempotent set to "true" marks a request that must not run twice.
 	HeaderNonIdempotent = "Coveferry-Non-Idempotent"
-	// HeaderKeyTime is when the idempotency key was issued, by RFC 3339. A
-	// UUID of version 7 as the key tells it by itself.
+	// HeaderKeyTime is the issue time of the idempotency key in RFC 3339 format. It isn't
+	// needed if the key is a version 7 UUID, which contains its time.
 	HeaderKeyTime = "Coveferry-Key-Time"
 )
 
-// Headers that coveferry sends.
+// Response headers.
 const (
 	HeaderRequestID  = "Coveferry-Request-Id"
 	HeaderRetryAfter = "Retry-After"
 )
 
-// Type is the broad kind of an error, for callers to branch on.
+// Type is the category of an error, for callers to branch on.
 type Type string
 
-// The types of error.
+// Error types.
 const (
 	TypeAuthentication Type = "authentication_error"
 	TypePermission     Type = "permission_error"
 	TypeInvalid        Type = "invalid_request_error"
 	TypeRateLimit      Type = "rate_limit_error" // the team's own limit
-	TypeOverloaded     Type = "overloaded_error" // no room for this tier now
+	TypeOverloaded     Type = "overloaded_error" // no capacity for this tier
 	TypeTimeout        Type = "timeout_error"
 	TypeUpstream       Type = "upstream_error" // the endpoint failed
 	TypeUnavailable    Type = "unavailable_error"
-	TypeConflict       Type = "conflict_error" // the idempotency key is taken
+	TypeConflict       Type = "conflict_error" // the idempotency key is in use
 )
 
-// Error is an error as a caller gets it, as the body of an answer or as the
-// last event of a stream that had begun.
+// Error is an error as sent to a caller, as the body of a response or as the last event of a
+// stream.
 type Error struct {
 	Status  int    `json:"-"`
 	Type    Type   `json:"type"`
 	Code    string `json:"code"`
 	Message string `json:"message"`
-	// Run says whether the request ran. "not_run" is a promise.
+	// Run says whether the request ran. "not_run" is a guarantee.
 	Run wire.Run `json:"run"`
-	// RetryAfter is when to come back; 0 if coming back doesn't help.
+	// RetryAfter is when to retry; 0 if a retry doesn't help.
 	RetryAfter time.Duration `json:"-"`
-	// Fractions gives RetryAfter in fractions of a second, for callers that take
-	// them because their deadlines are short.
+	// FractionalRetryAfter formats RetryAfter in fractions of a second, for callers with short
+	// deadlines that accept them.
 	Fractions bool   `json:"-"`
 	RequestID string `json:"request_id,omitempty"`
-	// Earlier is the request that used the idempotency key before, or says
-	// that one can't be ruled out. For a duplicate Run tells of that one.
+	// Earlier is the request that used the idempotency key before, or says that one can't be
+	// ruled out. For a duplicate key, Run refers to that request.
 	Earlier *wire.Earlier `json:"earlier,omitempty"`
 }
 
@@ -81,7 +80,7 @@
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
-// JSON is the body that a caller gets.
+// JSON returns the response body.
 func (e *Error) JSON() []byte {
 	body := errorBody{errorFields{Error: e, RetryAfterMillis: e.RetryAfter.Milliseconds()}}
 	b, err := json.Marshal(body)
@@ -91,8 +90,8 @@
 	return b
 }
 
-// formatRetryAfter is in whole seconds, rounded up, as RFC 9110 asks, or in
-// fractions for callers that take them.
+// formatRetryAfter returns whole seconds, rounded up, as RFC 9110 requires, or fractions if
+// FractionalRetryAfter is set.
 func (e *Error) formatRetryAfter() string {
 	if e.Fractions {
 		return strconv.FormatFloat(e.RetryAfter.Seconds(), 'f', -1, 64)
@@ -100,7 +99,7 @@
 	return strconv.Itoa(int(math.Ceil(e.RetryAfter.Seconds())))
 }
 
-// Write sends the error as a whole answer.
+// Write sends the error as a complete response.
 func (e *Error) Write(w http.ResponseWriter) {
 	GiveTime(w)
 	h := w.Header()
@@ -109,5 +108,5 @@
 		h.Set(HeaderRetryAfter, e.formatRetryAfter())
 	}
 	w.WriteHeader(e.Status)
-	_, _ = w.Write(e.JSON()) // the caller may have left
+	_, _ = w.Write(e.JSON()) // the caller may have disconnected
 }
--- a/internal/api/convert.go
+++ b/internal/api/convert.go
@@ -8,14 +8,14 @@
 	"coveferry/internal/wire"
 )
 
-// Convertible is an error of a filter that knows what a caller may see of it.
+// Convertible is an error that can be converted to one for callers.
 type Convertible interface {
 	error
 	API() *Error
 }
 
-// From turns any error into one for a caller. What no filter has given a form
-// is reported as unavailable, without its text, and with the run unknown.
+// From converts any error to one for callers. An error that isn't Convertible becomes an
+// internal error without its text, and with Run unknown.
 func From(err error) *Error {
 	var known Convertible
 	if errors.As(err, &known) {
--- a/internal/api/writer.go
+++ b/internal/api/writer.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// writeTimeout is how long a caller may leave one piece of its answer unread.
+// writeTimeout bounds how long a caller may take to read one part of its answer.
 const writeTimeout = 30 * time.Second
 
-// GiveTime lets the caller take the next piece of its answer within a bound.
-// Call it before each piece: the bound of an earlier one holds otherwise, and
-// has passed if the answer stood still meanwhile.
+// ExtendWriteDeadline sets the write deadline for the next part of the answer. Call it before
+// each part: otherwise the previous deadline applies, which has expired if the answer paused
+// for longer.
 func GiveTime(w http.ResponseWriter) {
-	// A writer without deadlines, as in a test, is written to without.
+	// Writers in tests may not support deadlines; these are written to without one.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
-// PieceWriter gives the caller time for each piece that is written.
+// DeadlineWriter extends the write deadline before each write.
 type PieceWriter struct{ W http.ResponseWriter }
 
 // Write implements io.Writer.
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -1,6 +1,5 @@
-// Package pipeline runs a request through a list of filters. A filter does one
-// job, then hands the request on; it may hand it on several times (retries) or
-// not at all (refusals).
+// Package pipeline runs a request through a chain of filters. A filter does one job and calls
+// the next one, possibly several times (retries) or not at all (refusals).
 package pipeline
 
 import (
@@ -9,28 +8,27 @@
 	"coveferry/internal/request"
 )
 
-// Next hands the request on to the rest of the pipe.
+// Next runs the rest of the chain.
 type Next func(ctx context.Context, r *request.Request) error
 
-// Filter is one step of the pipe.
+// Filter is one element of the chain.
 type Filter interface {
 	// Name is used in metrics and logs.
 	Name() string
-	// Do does the filter's job. Its error is one of the filter's own, or
-	// that of the rest of the pipe.
+	// Do runs the filter. It returns an error of its own or the error of next.
 	Do(ctx context.Context, r *request.Request, next Next) error
 }
 
-// Compose puts filters together, the first outermost.
+// Compose chains the filters; the first is the outermost.
 func Compose(filters ...Filter) Next {
 	next := func(context.Context, *request.Request) error { return nil }
 	for i := len(filters) - 1; i >= 0; i-- {
-		next = link(filters[i], next)
+		next = bind(filters[i], next)
 	}
 	return next
 }
 
-func link(f Filter, next Next) Next {
+func bind(f Filter, next Next) Next {
 	return func(ctx context.Context, r *request.Request) error {
 		return f.Do(ctx, r, next)
 	}
--- a/internal/request/identity.go
+++ b/internal/request/identity.go
@@ -6,8 +6,9 @@
 	"coveferry/internal/poison"
 )
 
-// Identity is that of the request, whoever takes it and however often it comes. It is
-// worked out once, and may be asked for once the request's team is known.
+// Identity returns a hash of the request's content, which is the same at all routers and for
+// each retry by the caller. It is computed on the first call, which must not precede the
+// authentication.
 func (r *Request) Identity() poison.Identity {
 	if r.identity == 0 {
 		r.identity = poison.Identify(poison.Content{
@@ -24,8 +25,8 @@
 	return r.TeamName
 }
 
-// target is the path of a routed request; of others the kind, which has one path, or the
-// service and the path in it.
+// target returns the path of a routed request. For other requests it returns the kind and, for
+// a plain service, the service and path.
 func (r *Request) target() string {
 	return cmp.Or(r.Target, string(r.Kind)+"/"+r.Service+r.Path)
 }
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -1,5 +1,5 @@
-// Package request holds the value that travels through a router's pipe. Each
-// filter fills in its part; later filters rely on it.
+// Package request defines the state of a request in a router's filter chain. Each filter sets
+// some fields, which later filters rely on.
 package request
 
 import (
@@ -17,67 +17,68 @@
 	"coveferry/internal/wire"
 )
 
-// Request is one caller's request on its way through the router.
+// Request is a caller's request in a router.
 type Request struct {
-	// Set when the request arrives.
+	// Set on arrival.
 	ID      string
 	Arrived time.Time
-	// ArrivedClock is the same moment by the clock that counts all pauses.
+	// ArrivedClock is the time of arrival by the clock that includes the pauses of the process
+	// and its VM.
 	ArrivedClock time.Time
-	Snapshot     *bundle.Snapshot // kept for the whole life of the request
+	Snapshot     *bundle.Snapshot // kept until the request ends
 	Kind         wire.Kind
 	Header       http.Header
 	Body         []byte
-	// Method, Service and Path are those of a call to a plain service.
+	// Method, Service and Path are set for calls to a plain service.
 	Method  string
 	Service string
 	Path    string
 
-	// Table is the route table that a request of kind KindRouted keeps for its
-	// whole life. Host and Target are those that its caller named, unchanged.
+	// Table is the route table for the whole life of a request of kind KindRouted. Host and
+	// Target are as received from the caller.
 	Table  *route.Table
 	Host   string
 	Target string
 
-	// Set by match, for a request of kind KindRouted.
+	// Set by match, for requests of kind KindRouted.
 	Route *route.Route
-	// CallerID names the request on the wire, as its caller does.
+	// CallerID is the caller's ID of the request, which is also sent to endpoints.
 	CallerID string
-	// Key is the caller's API key, empty if it sent none.
+	// APIKey is empty if the caller sent none.
 	Key    string
 	Prompt prompt.Prompt
-	// Wait is how long the answer of the latest attempt was expected to take to
-	// begin.
+	// ExpectedWait is the expected time to the first part of the answer of the latest attempt.
 	Wait time.Duration
-	// Read is the part of Wait in which the request's own prompt is read.
+	// PrefillTime is the part of ExpectedWait for the prefill of the request's own prompt.
 	Read time.Duration
-	// Source has probably cached parts of the prompt that Endpoint lacks; nil
-	// if none is known to.
+	// FetchFrom is an endpoint that has probably cached parts of the prompt that Endpoint
+	// lacks; nil if none is known.
 	Source *bundle.Endpoint
-	// Copy is where the memory of the latest attempt's run is copied to as it
-	// grows; nil if nowhere. Resume is where an attempt goes on from such a
-	// copy, as the same run; nil for one that begins anew.
+	// CopyTo is the endpoint to which the memory of the latest attempt's run is copied as it
+	// grows; nil for none. ResumeFrom is the endpoint with such a copy from which an attempt
+	// resumes the same run; nil for an attempt that starts from the beginning.
 	Copy   *bundle.Endpoint
 	Resume *bundle.Endpoint
-	// Tight says that long prompts beside it would make the stream late.
+	// TightGap says that long prompts at the same endpoint would delay the stream's events
+	// beyond its MaxGap.
 	Tight bool
-	// Kept is how many endpoints were kept for such streams.
+	// TightGapEndpoints is the number of endpoints dedicated to such streams.
 	Kept int
-	// Stride is how many tokens an event of the answer holds; 0 if unknown.
+	// TokensPerEvent is the number of tokens per event of the answer; 0 if unknown.
 	Stride int
-	// MaxRuns is the most endpoints at which the request may run; 0 is the
-	// retry policy's own bound.
+	// MaxRuns is the maximum number of endpoints at which the request may run; 0 uses the retry
+	// policy's limit.
 	MaxRuns int
 
-	// Set by authenticate. TeamName is that of a routed request, and TeamResidency where
-	// its team allows it to be served.
+	// Set by authenticate, or by admit for routed requests, which have TeamName and
+	// TeamResidency instead of Team.
 	Team          *bundle.Team
 	TeamName      string
 	TeamResidency *route.Residency
 
 	// Set by classify.
 	Class          *bundle.Class
-	Tier           int // rank, 0 is the highest
+	Tier           int // 0 is the highest
 	Model          string
 	Stream         bool
 	IncludeUsage   bool
@@ -87,85 +88,82 @@
 	Deadline       time.Time
 	IdempotencyKey string
 	NonIdempotent  bool
-	// KeyIssued is when the idempotency key was issued. With it the key runs
-	// at most once, at its home; zero if the key doesn't tell.
+	// KeyIssued is the issue time of the idempotency key. If it is set, the key runs at most
+	// once, at its home; zero if unknown.
 	KeyIssued  time.Time
 	Candidates []*bundle.Endpoint
 
-	// Set by choose, for each attempt anew. With late binding the request
-	// waits at Second, too, and dispatch sets Endpoint to the one that ran it.
+	// Set by choose, for each attempt. With late binding the request is also queued at
+	// SecondEndpoint, and dispatch sets Endpoint to the one that ran it.
 	Endpoint *bundle.Endpoint
 	Second   *bundle.Endpoint
 
 	// Set by attempts and dispatch.
 	Epoch int
-	// Tried lists the endpoints that this request has been sent to.
+	// Tried lists the endpoints that the request has been sent to.
 	Tried []string
-	// Round is where the present round of Tried begins: a request that comes
-	// back to endpoints it has tried begins a new one.
+	// RoundStart is the index in Tried at which the current round begins. A request that
+	// returns to endpoints already tried begins a new round.
 	Round int
-	// Latest returns the snapshot in force, whose endpoints an attempt after
-	// the first may use; nil is that of the request.
+	// LatestSnapshot returns the snapshot in force, whose endpoints later attempts may use; nil
+	// uses Snapshot.
 	Latest func() *bundle.Snapshot
-	// Trail lists the attempts made, for the log.
+	// Trail records the attempts for the log.
 	Trail []Step
-	// Lost counts the attempts that ended with their endpoints. Set by quarantine.
+	// EndpointsLost counts the attempts during which the endpoint was lost. Set by quarantine.
 	Lost int
-	// Stream of the current attempt's answer.
+	// Answer is the response to the current attempt.
 	Answer *http.Response
-	// RateLimit is what the endpoint of the latest attempt said of its own limit. Set by
+	// RateLimit is the rate limit stated by the endpoint of the latest attempt. Set by
 	// dispatch.
 	RateLimit upstream.RateLimit
-	// Connections counts those on which the latest attempt was sent. Set by dispatch.
+	// Connections counts the connections used for the latest attempt. Set by dispatch.
 	Connections int
-	// LimitPart tells by which limit of its endpoint the latest attempt was sent; empty if
-	// that had named none. Set by choose.
+	// LimitPart describes which share of the endpoint's rate limit the latest attempt was
+	// charged to; empty if no limit was known. Set by choose.
 	LimitPart string
 
-	// Collected is the answer so far for a caller who wants it in one piece.
-	// Kept by relay.
+	// Collected accumulates the answer for a caller that doesn't want a stream. Set by relay.
 	Collected *completion.Collector
 
-	// Delivered is what the caller already holds. Kept by relay.
+	// Delivered is what the caller has received. Set by relay.
 	Delivered Delivered
 
-	// Began is called at the first token; nil if nobody asks. Set by shed.
+	// OnFirstToken is called at the first token; may be nil. Set by shed.
 	Began func()
 
-	// Heard is called for each part of an endpoint's answer; nil if nobody
-	// asks. Set by dispatch.
+	// OnData is called for each part of an endpoint's answer; may be nil. Set by dispatch.
 	Heard func(now time.Time)
-	// HeardEvent is the same for each event of a stream.
+	// OnEvent is called for each event of a stream; may be nil. Set by dispatch.
 	HeardEvent func(now time.Time)
 
-	// Writer is where the caller's answer goes. Used by relay alone.
+	// Writer receives the caller's answer. Used by relay only.
 	Writer http.ResponseWriter
 
-	identity poison.Identity // 0 until it is asked for
+	identity poison.Identity // 0 until computed
 }
 
-// Step is one attempt and what came of it.
+// Step records one attempt and its result.
 type Step struct {
 	Epoch    int
 	Endpoint string
 	// Outcome is "complete" or the text of the attempt's error.
 	Outcome string
-	// Tokens is what the caller held after it.
+	// Tokens is the number of tokens that the caller had received after the attempt.
 	Tokens int
-	// Next is "repeat" or why the request was given up; empty after a
-	// complete answer.
+	// Next is "repeat" or why the request was given up; empty after a complete answer.
 	Next string
-	// Limit is the limit that the endpoint named in its answer, and Part by which limit and
-	// which part of it the request was sent; empty if there is none.
+	// Limit is the rate limit stated in the endpoint's answer, and LimitPart the limit and the
+	// share of it that the attempt was charged to; empty if there is none.
 	Limit, Part string
-	// Connections counts those on which the attempt was sent.
+	// Connections counts the connections used for the attempt.
 	Connections int
-	// Budget tells how much of the retry budget was used when a retry was charged to it or
-	// refused by it; empty if neither.
+	// Budget describes the use of the retry budget if a retry was charged to it or refused by
+	// it; empty otherwise.
 	Budget string
 }
 
-// String is the step as a line of a log.
+// String formats the step for the log.
 func (s Step) String() string {
 	text := fmt.Sprintf("attempt %d at %s: %s, %d tokens held, %s", s.Epoch, s.Endpoint, s.Outcome, s.Tokens, s.Next)
 	if s.Connections > 1 {
@@ -183,29 +181,29 @@
 	return text
 }
 
-// Delivered is the part of the answer that the caller already holds.
+// Delivered is the part of the answer that the caller has received.
 type Delivered struct {
-	// Started says that the status line went out.
+	// Started says that the status line was sent.
 	Started bool
-	// ID is the answer's id in the completions protocol.
+	// ID is the answer's ID in the completions protocol.
 	ID     string
 	Text   []byte
 	Tokens int
-	// Last is the last chunk that held text.
+	// LastChunk is the last chunk that contained text.
 	Last string
-	// Unresumable says that the answer holds what an engine can't go on
-	// from, such as part of a tool call.
+	// Unresumable says that the answer contains parts from which an engine can't resume, such
+	// as part of a tool call.
 	Unresumable bool
 	FirstToken  time.Time
-	// LastEvent is the id of the last event of a routed stream.
+	// LastEvent is the ID of the last event of a routed stream.
 	LastEvent string
-	// LastAt is when the caller was last sent a part of the answer, and MaxGap
-	// the longest pause between two parts.
+	// LastSentAt is when the latest part of the answer was sent, and MaxGap the longest pause
+	// between two parts.
 	LastAt time.Time
 	MaxGap time.Duration
 }
 
-// KeyTarget is the model or service as package once names it.
+// KeyTarget returns the model or service as a target name of package once.
 func (r *Request) KeyTarget() string {
 	if r.Kind == wire.KindService {
 		return once.ServiceTarget(r.Service)
@@ -213,8 +211,7 @@
 	return once.ModelTarget(r.Model)
 }
 
-// TriedEndpoint says whether the request has been sent to the endpoint in this
-// round.
+// TriedEndpoint reports whether the request was sent to the endpoint in the current round.
 func (r *Request) TriedEndpoint(name string) bool {
 	for _, t := range r.Tried[r.Round:] {
 		if t == name {
@@ -224,13 +221,13 @@
 	return false
 }
 
-// Left is the time left before the deadline, by the clock that counts all pauses
-// and shows now.
+// TimeLeft returns the time until the deadline. now must be a reading of the clock of
+// ArrivedClock.
 func (r *Request) Left(now time.Time) time.Duration {
 	return r.Deadline.Sub(r.Arrived) - now.Sub(r.ArrivedClock)
 }
 
-// EndpointsIn lists all endpoints of a snapshot that could serve the request.
+// EndpointsIn returns the endpoints of a snapshot that can serve the request.
 func (r *Request) EndpointsIn(s *bundle.Snapshot) []*bundle.Endpoint {
 	if r.Kind == wire.KindService {
 		return s.EndpointsForService(r.Service)
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,5 +1,5 @@
-// Package sse reads and writes server-sent events as the completions protocol
-// uses them: unnamed events that each hold one JSON chunk, closed by Done.
+// Package sse reads and writes server-sent events as used by the completions protocol: unnamed
+// events with one JSON chunk each, ended by Done.
 package sse
 
 import (
@@ -9,16 +9,16 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-// Done is the data of the event that closes a whole answer.
+// Done is the data of the event that ends a complete answer.
 const Done = "[DONE]"
 
-// ContentType is the media type of a stream of events.
+// ContentType is the media type of an event stream.
 const ContentType = "text/event-stream"
 
-// maxEventBytes bounds one event of an engine's answer.
+// maxEventBytes is the maximum size of one event of an engine's answer.
 const maxEventBytes = 1 << 20
 
-// EventError is the type of an event that holds an error in place of a chunk.
+// EventError is the type of an event that contains an error instead of a chunk.
 const EventError = "error"
 
 // Event is one event of a stream.
@@ -27,8 +27,8 @@
 	Data string
 }
 
-// Read yields the events of a stream. An event that is cut off is not yielded;
-// an error ends the sequence.
+// Read returns an iterator over the events of a stream. Incomplete events are not yielded; an
+// error ends the sequence.
 func Read(r io.Reader) iter.Seq2[Event, error] {
 	return func(yield func(Event, error) bool) {
 		for e, err := range sse.Read(r, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
@@ -39,23 +39,23 @@
 	}
 }
 
-// ReadBatches is Read for a stream that is passed on as it comes. pause is
-// called whenever all events that have come were yielded and the next read may
-// wait, so what was held back to be sent together has to go out then. The error
-// of pause ends the sequence; it must not be io.EOF.
+// ReadBatches is like Read, for a stream that is forwarded as it arrives. flush is called
+// before each read that may block, after all events received so far were yielded, so that the
+// caller can send what it has buffered. An error from flush ends the sequence; it must not be
+// io.EOF.
 func ReadBatches(r io.Reader, pause func() error) iter.Seq2[Event, error] {
-	return Read(&pausingReader{r: r, pause: pause})
+	return Read(&flushingReader{r: r, flush: pause})
 }
 
-// pausingReader calls pause before each read.
-type pausingReader struct {
+// flushingReader calls flush before each read.
+type flushingReader struct {
 	r     io.Reader
-	pause func() error
+	flush func() error
 }
 
 // Read implements io.Reader.
-func (p *pausingReader) Read(b []byte) (int, error) {
-	if err := p.pause(); err != nil {
+func (p *flushingReader) Read(b []byte) (int, error) {
+	if err := p.flush(); err != nil {
 		return 0, err
 	}
 	return p.r.Read(b)
--- a/internal/upstream/plain.go
+++ b/internal/upstream/plain.go
@@ -12,16 +12,16 @@
 	headerRequestID = "Coveferry-Request-Id"
 	headerPatience  = "Coveferry-Deadline" // how long the sender waits, such as "30s"
 	headerTeam      = "Coveferry-Team"
-	headerTier      = "Coveferry-Tier" // rank, 0 is the highest
+	headerTier      = "Coveferry-Tier" // 0 is the highest
 	headerNotRun    = "Coveferry-Not-Run"
 	headerLastEvent = "Last-Event-Id"
 	headerKey       = "Authorization"
 	keyScheme       = "Bearer "
 )
 
-// Plain is the product's own way to speak with endpoints that are reached
-// directly: any HTTP service will do. One that echoes the request's id and marks
-// what it didn't run is served better, since more may be repeated safely.
+// Plain is the product's own protocol for endpoints without agents, which works with any HTTP
+// service. For services that echo the request ID and mark requests that they didn't run, more
+// retries are safe.
 type Plain struct{}
 
 // Incoming implements Protocol.
@@ -51,8 +51,8 @@
 	}
 }
 
-// Decode implements Protocol. An endpoint that names no request is taken to
-// answer the one that was sent.
+// Decode implements Protocol. An answer without a request ID is attributed to the request that
+// was sent on its connection.
 func (Plain) Decode(resp *http.Response) Reply {
 	id := resp.Header.Get(headerRequestID)
 	if id == "" && resp.Request != nil {
--- a/internal/upstream/plain_test.go
+++ b/internal/upstream/plain_test.go
@@ -10,7 +10,7 @@
 	"coveferry/internal/upstream"
 )
 
-func TestPlainReadsAndSetsItsHeaders(t *testing.T) {
+func TestPlainHeaders(t *testing.T) {
 	g := NewWithT(t)
 	h := http.Header{
 		"Authorization": {"Bearer k"}, "Coveferry-Deadline": {"1500ms"}, "Coveferry-Request-Id": {"a"},
@@ -25,7 +25,7 @@
 	}))
 }
 
-func TestPlainTakesAnAnswerWithoutANameForItsOwn(t *testing.T) {
+func TestPlainDecodeDefaultsToTheRequestID(t *testing.T) {
 	g := NewWithT(t)
 	req := &http.Request{Header: http.Header{"Coveferry-Request-Id": {"a"}}}
 	g.Expect(upstream.Plain{}.Decode(&http.Response{Request: req, Header: http.Header{}}).ID).To(Equal("a"))
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,6 +1,5 @@
-// Package upstream is the way in which a router speaks with endpoints that it
-// reaches directly, without an agent beside them. The names on the wire differ
-// from one environment to another, so they lie behind Protocol.
+// Package upstream defines how a router communicates with endpoints that it reaches without
+// agents. Header names differ between environments, so they are hidden behind Protocol.
 package upstream
 
 import (
@@ -12,86 +11,84 @@
 	"coveferry/internal/prompt"
 )
 
-// Incoming is what a caller's headers say of its request.
+// Incoming is the information in a caller's request headers.
 type Incoming struct {
-	// ID names the request; endpoints echo it, so that an answer to another
-	// request is told apart.
+	// ID identifies the request. Endpoints echo it, so that the answer to another request is
+	// detected.
 	ID string
-	// Key is the caller's API key, empty if it sent none.
+	// APIKey is empty if the caller sent none.
 	Key string
-	// Patience is how long the caller waits; 0 if it doesn't say.
+	// CallerTimeout is how long the caller waits; 0 if unknown.
 	Patience time.Duration
-	// LastEvent is the id of the last event of a stream that the caller has,
-	// empty if it has none.
+	// LastEvent is the ID of the last event of a stream that the caller has received; empty for
+	// none.
 	LastEvent string
 	Prompt    prompt.Prompt
 }
 
-// Attempt is what an endpoint is told of a request besides what its caller sent.
+// Attempt is the information for an endpoint in addition to the caller's request.
 type Attempt struct {
 	ID string
-	// Endpoint is the instance that the request is meant for; another one
-	// that has taken over its address refuses it.
+	// Endpoint is the intended instance; another instance that has taken over its address
+	// refuses the request.
 	Endpoint string
 	// Team is empty for a request without a key.
 	Team string
-	// Tier is the rank that the endpoint admits the request by.
+	// Tier is the rank by which the endpoint admits the request.
 	Tier int
-	// Left is how long the endpoint may work on it.
+	// TimeLeft is how long the endpoint may work on the request.
 	Left time.Duration
-	// FetchFrom is the address of another endpoint from whose cache the parts
-	// of the prompt may be fetched that this one lacks; empty for none.
+	// FetchFrom is the address of another endpoint from whose cache missing parts of the prompt
+	// may be fetched; empty for none.
 	FetchFrom string
-	// CopyTo is the address of another endpoint to which the run's memory is
-	// copied as it grows; empty for none.
+	// CopyTo is the address of another endpoint to which the run's memory is copied as it
+	// grows; empty for none.
 	CopyTo string
-	// FromCopy says that the endpoint has a copy of the run's memory, from
-	// which this attempt goes on.
+	// FromCopy says that the endpoint has a copy of the run's memory, from which this attempt
+	// resumes.
 	FromCopy bool
-	// Address is the endpoint's own.
+	// Address is the endpoint's own address.
 	Address string
-	// LastEvent is where a resumed stream goes on.
+	// LastEvent is the ID of the event after which a stream resumes.
 	LastEvent string
 }
 
-// Reply is what an endpoint's answer says besides its status and body.
+// Reply is the information in an endpoint's answer besides status and body.
 type Reply struct {
-	// ID is that of the request which is answered.
+	// ID is the ID of the answered request.
 	ID string
-	// NotRun is the endpoint's word that it didn't and won't run the request.
+	// NotRun is the endpoint's guarantee that it didn't and won't run the request.
 	NotRun bool
-	// Moved says that another instance has the address.
+	// WrongInstance says that another instance has the address.
 	Moved bool
-	// Signed says that the answer is the endpoint's own, and not that of
-	// something between.
+	// Signed says that the answer comes from the endpoint itself, not from an intermediary.
 	Signed bool
-	// Load is the endpoint's load report; nil if the answer carries none.
+	// Load is the endpoint's load report; nil if the answer has none.
 	Load *load.Report
-	// RateLimit is what the endpoint says of its own limit.
+	// RateLimit is the endpoint's statement of its own limit.
 	RateLimit RateLimit
 }
 
-// RateLimit is what an answer says of how many requests a second its endpoint takes from all
-// routers together.
+// RateLimit is an endpoint's limit on the requests per second from all routers together.
 type RateLimit struct {
 	Statement LimitStatement
-	// PerSecond is the limit, from 0 on, where one is named.
+	// PerSecond is the limit, 0 or more, if Kind is LimitSet.
 	PerSecond float64
 }
 
-// LimitStatement is the kind of a RateLimit.
+// LimitKind is the kind of a RateLimit.
 type LimitStatement uint8
 
 const (
-	// LimitNone: the endpoint names no limit.
+	// LimitNone: the answer states no limit.
 	LimitNone LimitStatement = iota
-	// LimitNamed: it names one.
+	// LimitSet: the answer states a limit.
 	LimitNamed
-	// LimitUnreadable: it names one that can't be read, which changes nothing of what is known.
+	// LimitUnreadable: the limit can't be parsed. Any limit known before remains valid.
 	LimitUnreadable
 )
 
-// String is the limit as a line of a log tells it; empty if none is named.
+// String formats the limit for logs; empty if there is none.
 func (l RateLimit) String() string {
 	switch l.Statement {
 	case LimitNamed:
@@ -102,23 +99,23 @@
 	return ""
 }
 
-// Health is what a health check showed besides whether the endpoint is healthy.
+// Health is the result of a health check in addition to whether the endpoint is healthy.
 type Health struct {
-	// Sent says that a connection was had.
+	// Connected says that a connection was established.
 	Sent bool
 	// Cold is how much longer the endpoint stays cold.
 	Cold time.Duration
-	// RateLimit is what the endpoint says of its own limit.
+	// RateLimit is the endpoint's statement of its own limit.
 	RateLimit RateLimit
 }
 
-// Protocol names things on the wire. Its methods only translate.
+// Protocol translates between header names on the wire and the types of this package.
 type Protocol interface {
 	// Incoming reads a caller's headers.
 	Incoming(h http.Header) Incoming
-	// Encode sets what an attempt's headers say, in those of the caller's
-	// request, and takes out what an endpoint must not see.
+	// Encode sets the headers of an attempt in a copy of the caller's headers and removes those
+	// that endpoints must not see.
 	Encode(h http.Header, a Attempt)
-	// Decode reads the head of an endpoint's answer.
+	// Decode reads the headers of an endpoint's answer.
 	Decode(resp *http.Response) Reply
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,8 +1,7 @@
-// Package wire holds the messages between a router and an agent. A router
-// posts the engine's request body to PathAttempts with an Envelope in a header.
-// The agent answers with a Refusal, which is its word that the attempt did not
-// run, or relays the engine's answer as it is and closes it with an End in a
-// trailer. An answer without its End is incomplete, whatever came before.
+// Package wire defines the messages between a router and an agent. A router posts the engine's
+// request body to PathAttempts with an Envelope in a header. The agent either answers with a
+// Refusal, which says whether the attempt ran, or relays the engine's answer unchanged and
+// closes it with an End in a trailer. An answer without End is incomplete.
 package wire
 
 import (
@@ -15,10 +14,10 @@
 	"coveferry/internal/load"
 )
 
-// PathAttempts is where an agent takes attempts.
+// PathAttempts is the path for attempts.
 const PathAttempts = "/v1/attempts"
 
-// PathStatus is where an agent tells its Status.
+// PathStatus is the path of an agent's Status.
 const PathStatus = "/v1/status"
 
 // Headers and trailers between router and agent.
@@ -26,33 +25,33 @@
 	HeaderEnvelope = "Coveferry-Envelope"
 	HeaderLoad     = "Coveferry-Load"
 	HeaderEnd      = "Coveferry-End"
-	// HeaderClock carries a Clock with each answer of an agent.
+	// HeaderClock carries a Clock in each answer of an agent.
 	HeaderClock = "Coveferry-Clock"
-	// HeaderStatus carries the status that a plain service answered with.
+	// HeaderStatus carries the status code of a plain service's answer.
 	HeaderStatus = "Coveferry-Status"
 )
 
-// maxHeaderJSON bounds what is decoded from one header.
+// maxHeaderJSON is the maximum size of a JSON header.
 const maxHeaderJSON = 8 << 10
 
-// Kind is the kind of endpoint a request is for.
+// Kind is the kind of a request.
 type Kind string
 
-// The kinds of request.
+// Kinds of requests.
 const (
 	KindChat       Kind = "chat"
 	KindCompletion Kind = "completion"
 	KindService    Kind = "service"
-	// KindRouted requests go by a route table to endpoints without an agent.
+	// KindRouted requests are sent by a route table to endpoints without an agent.
 	KindRouted Kind = "routed"
 )
 
-// Envelope says what an agent has to know of an attempt. Times are given as
-// what remains, in milliseconds, since clocks of VMs differ.
+// Envelope describes an attempt to an agent. Times are relative, in milliseconds, because the
+// clocks of VMs differ.
 type Envelope struct {
 	Request string `json:"request"`
-	// Endpoint is the name of the endpoint meant: an address may have come
-	// to another one since.
+	// Endpoint is the name of the intended endpoint; its address may have been reassigned to
+	// another one.
 	Endpoint string `json:"endpoint"`
 	// Epoch numbers the attempts of a request from 1.
 	Epoch int    `json:"epoch"`
@@ -61,42 +60,42 @@
 	Class string `json:"class"`
 	Tier  int    `json:"tier"`
 
-	// Method and Path are those of a plain service's call.
+	// Method and Path are set for calls to a plain service.
 	Method string `json:"method,omitempty"`
 	Path   string `json:"path,omitempty"`
 
 	FirstTokenMillis int64 `json:"first_token_ms"`
 	DeadlineMillis   int64 `json:"deadline_ms"`
-	// Heard is a reading of this agent's clock that the router heard
-	// HeardAgoMillis before it sent the attempt; zero if it heard none. With
-	// it the agent can tell how long the attempt was under way.
+	// AgentClock is the latest reading of this agent's clock that the router received,
+	// AgentClockAgeMillis before it sent the attempt; zero if it has none. From it the agent
+	// computes how long the attempt was in transit.
 	Heard          Clock `json:"heard,omitzero"`
 	HeardAgoMillis int64 `json:"heard_ago_ms,omitempty"`
-	// SentUnixMillis is the router's wall clock, for an agent without Heard.
+	// SentUnixMillis is the router's wall clock, for attempts without AgentClock.
 	SentUnixMillis int64 `json:"sent_ms"`
 
 	IdempotencyKey string `json:"key,omitempty"`
 	NonIdempotent  bool   `json:"non_idempotent,omitempty"`
-	// KeyIssuedMillis is when the key was issued, in Unix milliseconds; with
-	// it the key runs at most once. 0 if the key doesn't tell.
+	// KeyIssuedMillis is the key's issue time in Unix milliseconds. If it is set, the key runs
+	// at most once; 0 if unknown.
 	KeyIssuedMillis int64 `json:"key_issued_ms,omitempty"`
-	// Target is the model or service, as package once names it; set with
+	// Target is the model or service as a target name of package once; set with
 	// KeyIssuedMillis.
 	Target string `json:"target,omitempty"`
-	// Resumed says that the caller already holds part of the answer.
+	// Resumed says that the caller has already received part of the answer.
 	Resumed bool `json:"resumed,omitempty"`
-	// BundleVersion is the version of the bundle the router decided by.
+	// BundleVersion is the version of the bundle that the router used.
 	BundleVersion uint64 `json:"bundle"`
 }
 
-// Clock is a reading of an agent's clock. The clock begins at a moment of its own,
-// and each incarnation of the agent has another one.
+// Clock is a reading of an agent's clock, which has an arbitrary origin that differs between
+// incarnations of the agent.
 type Clock struct {
 	Incarnation string `json:"i"`
 	Millis      int64  `json:"t"`
 }
 
-// Status is what an agent says of itself at one moment.
+// Status is an agent's state at one moment.
 type Status struct {
 	Endpoint string      `json:"endpoint"`
 	Clock    Clock       `json:"clock"`
@@ -106,43 +105,42 @@
 // Run says whether an attempt ran.
 type Run string
 
-// Whether an attempt ran. Only an agent's own word makes it RunNot.
+// Values of Run. Only an agent can establish RunNot.
 const (
 	RunNot     Run = "not_run"
 	RunYes     Run = "ran"
 	RunUnknown Run = "unknown"
 )
 
-// Refusal is an agent's answer to an attempt that ended before any of the
-// engine's answer was relayed.
+// Refusal is an agent's answer to an attempt that ended before any part of the engine's answer
+// was relayed.
 type Refusal struct {
 	// Reason is a sched.Reason or one of the constants below.
 	Reason           string `json:"reason"`
 	Run              Run    `json:"run"`
 	RetryAfterMillis int64  `json:"retry_after_ms,omitempty"`
-	// EngineStatus and EngineBody are the engine's own refusal, if it is
-	// what refused.
+	// EngineStatus and EngineBody are the engine's answer if the engine refused.
 	EngineStatus int    `json:"engine_status,omitempty"`
 	EngineBody   string `json:"engine_body,omitempty"`
-	// Earlier is set where another request has or may have had the key; with
-	// ReasonDuplicate Run tells of that one.
+	// Earlier is set if another request has used or may have used the key. With
+	// ReasonDuplicate, Run refers to that request.
 	Earlier *Earlier `json:"earlier,omitempty"`
 }
 
-// Reasons of a refusal besides those of the scheduler.
+// Reasons of a refusal in addition to those of the scheduler.
 const (
 	ReasonLeaving      = "leaving"
-	ReasonStale        = "stale"          // came when its deadline had passed
-	ReasonNotHere      = "wrong_endpoint" // the address belongs to another one
+	ReasonStale        = "stale"          // arrived after its deadline
+	ReasonNotHere      = "wrong_endpoint" // the address belongs to another endpoint
 	ReasonBadEnvelope  = "bad_envelope"
-	ReasonEngineDown   = "engine_down"   // no connection: nothing was sent
-	ReasonEngineFailed = "engine_failed" // broke after the request was sent
+	ReasonEngineDown   = "engine_down"   // connection failed, nothing was sent
+	ReasonEngineFailed = "engine_failed" // failed after the request was sent
 	ReasonEngineSaysNo = "engine_refused"
 	ReasonCancelled    = "cancelled"
 	ReasonDuplicate    = "duplicate_key"
 )
 
-// RetryAfter is when the caller may come back.
+// RetryAfter returns when the caller may retry.
 func (r Refusal) RetryAfter() time.Duration {
 	return time.Duration(r.RetryAfterMillis) * time.Millisecond
 }
@@ -150,7 +148,7 @@
 // Ending is how a relayed answer ended.
 type Ending string
 
-// The endings of a relayed answer.
+// Endings of a relayed answer.
 const (
 	EndingComplete     Ending = "complete"
 	EndingEngineFailed Ending = "engine_failed"
@@ -159,18 +157,18 @@
 	EndingLeaving      Ending = "leaving"
 )
 
-// End closes a relayed answer.
+// End is the trailer of a relayed answer.
 type End struct {
 	Ending Ending `json:"ending"`
-	// Tokens counts what the engine produced for this attempt.
+	// Tokens counts the tokens that the engine produced for this attempt.
 	Tokens int         `json:"tokens"`
 	Load   load.Report `json:"load"`
 }
 
-// ErrMalformed marks a header that can't be decoded.
+// ErrMalformed marks errors of headers that can't be decoded or are invalid.
 var ErrMalformed = errors.New("malformed message between processes")
 
-// Encode puts a message in a header.
+// Encode sets a header to the JSON encoding of a message.
 func Encode(h http.Header, name string, message any) error {
 	b, err := json.Marshal(message)
 	if err != nil {
@@ -180,7 +178,7 @@
 	return nil
 }
 
-// Decode reads a message from a header; its error is marked ErrMalformed.
+// Decode decodes a message from a header; errors are marked ErrMalformed.
 func Decode(h http.Header, name string, message any) error {
 	text := h.Get(name)
 	if text == "" {
@@ -195,7 +193,7 @@
 	return nil
 }
 
-// Check tells what is wrong with an envelope; its error is marked ErrMalformed.
+// Validate reports what is invalid in an envelope; errors are marked ErrMalformed.
 func (e *Envelope) Check() error {
 	switch {
 	case e.Request == "":
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,7 +12,7 @@
 	"coveferry/internal/wire"
 )
 
-func TestMessagesSurviveAHeader(t *testing.T) {
+func TestHeaderRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	h := http.Header{}
 	sent := wire.End{Ending: wire.EndingComplete, Tokens: 7, Load: load.Report{Seq: 1, Slots: 2, DrainPerSecond: 0.5}}
@@ -33,7 +33,7 @@
 	}
 	good := wire.Envelope{Request: "r", Epoch: 1, Kind: wire.KindChat, DeadlineMillis: 1}
 	g.Expect(good.Check()).To(Succeed())
-	for _, spoil := range []func(*wire.Envelope){
+	for _, invalidate := range []func(*wire.Envelope){
 		func(e *wire.Envelope) { e.Request = "" },
 		func(e *wire.Envelope) { e.Epoch = 0 },
 		func(e *wire.Envelope) { e.Kind = "" },
@@ -42,7 +42,7 @@
 		func(e *wire.Envelope) { e.DeadlineMillis = 0 },
 	} {
 		bad := good
-		spoil(&bad)
+		invalidate(&bad)
 		g.Expect(errors.Is(bad.Check(), wire.ErrMalformed)).To(BeTrue())
 	}
 }
@@ -55,7 +55,7 @@
 		var env wire.Envelope
 		if wire.Decode(h, wire.HeaderEnvelope, &env) == nil && env.Check() == nil {
 			var report load.Report
-			report.Below(env.Tier) // a tier that passed the check is in range
+			report.Below(env.Tier) // valid envelopes have a tier in range
 		}
 		var end wire.End
 		_ = wire.Decode(h, wire.HeaderEnd, &end)
