--- a/internal/once/model_test.go
+++ b/internal/once/model_test.go
@@ -28,7 +28,7 @@
 type host struct {
 	self        Member
 	offset      time.Duration
-	registry      *Keeper
+	registry    *Keeper
 	version     int // index into simulation.lists
 	paused      bool
 	dead        bool
