--- a/internal/once/ask.go
+++ b/internal/once/ask.go
@@ -49,10 +49,10 @@
 
 func (k *Keeper) targetQueries(now time.Time, target string, t *targetState) []Question {
 	self, _ := t.list().find(k.cfg.Self) // always present: targets are kept only while Self is a member
-	ask := Ask{Target: target, From: self, List: t.list().Digest(), Version: k.version}
+	query := Ask{Target: target, From: self, List: t.list().Digest(), Version: k.version}
 	var out []Question
 	for _, m := range k.unconfirmedMembers(t) {
-		out = append(out, Question{Ask: ask, To: m, At: now})
+		out = append(out, Question{Ask: query, To: m, At: now})
 	}
 	return out
 }
@@ -95,21 +95,21 @@
 	if !exists {
 		return Answer{}
 	}
-	answer := Answer{List: list.Digest()}
+	reply := Answer{List: list.Digest()}
 	t := k.targets[a.Target]
 	if t == nil {
-		return answer
+		return reply
 	}
 	k.recordPeerList(now, t, a.From, a.List)
-	if a.List != answer.List {
+	if a.List != reply.List {
 		t.newestVersion = max(t.newestVersion, a.Version)
 	}
 	for _, m := range k.unconfirmedFormerMembers(t) {
 		if m.id() != a.From.id() {
-			answer.Formers = append(answer.Formers, m)
+			reply.Formers = append(reply.Formers, m)
 		}
 	}
-	return answer
+	return reply
 }
 
 // HandleReply processes a peer's reply. Late replies are ignored, because the peer may have
--- a/internal/once/measure_test.go
+++ b/internal/once/measure_test.go
@@ -105,16 +105,16 @@
 	}
 	for _, planned := range []bool{true, false} {
 		total := 0.0
-		sum := make(map[Reason]float64)
+		byReason := make(map[Reason]float64)
 		for seed := range runs {
 			for reason, seconds := range simulateReplacement(uint64(seed), planned) {
 				daily := seconds * fleetSize * replacementsPerDay / (24 * 60 * 60) / float64(runs)
-				sum[reason] += daily
+				byReason[reason] += daily
 				total += daily
 			}
 		}
 		if *printTable {
-			t.Logf("planned %t: share of a day's keyed requests refused: %.6f, by reason %v", planned, total, sum)
+			t.Logf("planned %t: share of a day's keyed requests refused: %.6f, by reason %v", planned, total, byReason)
 		}
 		NewWithT(t).Expect(total).To(And(BeNumerically(">", 0), BeNumerically("<", 0.001)))
 	}
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -63,8 +63,8 @@
 	for i := range ch.Routes {
 		replaced[ch.Routes[i].Place()] = true
 	}
-	for _, place := range ch.Gone {
-		replaced[place] = true
+	for _, key := range ch.Gone {
+		replaced[key] = true
 	}
 	next.Routes = make([]Route, 0, len(base.Routes)+len(ch.Routes))
 	for i := range base.Routes {
@@ -125,16 +125,16 @@
 		before[old.Routes[i].Place()] = &old.Routes[i]
 	}
 	for i := range c.Routes {
-		place := c.Routes[i].Place()
-		if was := before[place]; was == nil || !reflect.DeepEqual(*was, c.Routes[i]) {
-			h.changed[place] = c.Version
-			delete(h.removed, place)
+		key := c.Routes[i].Place()
+		if previous := before[key]; previous == nil || !reflect.DeepEqual(*previous, c.Routes[i]) {
+			h.changed[key] = c.Version
+			delete(h.removed, key)
 		}
-		delete(before, place)
+		delete(before, key)
 	}
-	for place := range before {
-		h.removed[place] = c.Version
-		delete(h.changed, place)
+	for key := range before {
+		h.removed[key] = c.Version
+		delete(h.changed, key)
 	}
 }
 
@@ -150,9 +150,9 @@
 			ch.Routes = append(ch.Routes, h.last.Routes[i])
 		}
 	}
-	for place, at := range h.removed {
-		if at > version {
-			ch.Gone = append(ch.Gone, place)
+	for key, removedIn := range h.removed {
+		if removedIn > version {
+			ch.Gone = append(ch.Gone, key)
 		}
 	}
 	if h.shared > version {
--- a/internal/route/rank.go
+++ b/internal/route/rank.go
@@ -46,9 +46,9 @@
 	return ranks
 }
 
-func distinctTiers(of map[tierPair]bool) int {
+func distinctTiers(pairs map[tierPair]bool) int {
 	tiers := make(map[int]bool)
-	for s := range of {
+	for s := range pairs {
 		tiers[s.requestTier] = true
 	}
 	return len(tiers)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -136,16 +136,16 @@
 // fields set by those before it.
 func (rt *Router) filterChain() pipeline.Next {
 	pool, client := rt.cfg.Pool, rt.cfg.Client
-	near := narrow.New(subset.NewSelector(rt.cfg.Name, rt.cfg.SubsetSize))
+	subsetFilter := narrow.New(subset.NewSelector(rt.cfg.Name, rt.cfg.SubsetSize))
 	return pipeline.Compose(
-		authenticate.Filter{},     // identifies the team
-		classify.Filter{},         // determines class, tier and model
-		limit.With(rt.cfg.Limits), // enforces the team's rate limits
-		near,                      // restricts the endpoints to this router's subset
+		authenticate.Filter{},                        // identifies the team
+		classify.Filter{},                            // determines class, tier and model
+		limit.With(rt.cfg.Limits),                    // enforces the team's rate limits
+		subsetFilter,                                 // restricts the endpoints to this router's subset
 		shed.New(rt.cfg.Throttle, pool, rt.cfg.Rand), // sheds requests that endpoints would refuse
 		attempts.New(rt.cfg.Retry, rt.cfg.Rand),      // retries where that is safe
 		rt.quarantine(),                              // refuses quarantined requests
-		rt.choose(near),                              // selects the endpoint
+		rt.choose(subsetFilter),                      // selects the endpoint
 		rt.dispatch(client),                          // sends the attempt to the endpoint's agent
 		relay.Filter{},                               // relays the answer
 	)
@@ -166,9 +166,9 @@
 	return quarantine.New(rt.cfg.Poison, rt.cfg.Clock, rt.cfg.Log)
 }
 
-func (rt *Router) choose(near *narrow.Filter) *choose.Filter {
+func (rt *Router) choose(subsetFilter *narrow.Filter) *choose.Filter {
 	return choose.New(choose.Config{
-		Pool: rt.cfg.Pool, Latest: near.Latest,
+		Pool: rt.cfg.Pool, Latest: subsetFilter.Latest,
 		IgnoreKeys: rt.cfg.IgnoreKeys, LateBinding: rt.cfg.LateBinding,
 	})
 }
