--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -57,7 +57,7 @@
 	Message string `json:"message"`
 	// Run says whether the request ran. "not_run" is a guarantee.
 	Run wire.Run `json:"run"`
-	// RetryAfter is when to retry; 0 if a retry doesn't help.
+	// RetryAfter is how long to wait before a retry; 0 if a retry doesn't help.
 	RetryAfter time.Duration `json:"-"`
 	// FractionalRetryAfter formats RetryAfter in fractions of a second, for callers with short
 	// deadlines that accept them.
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -20,8 +20,8 @@
 	Running [MaxTiers]int `json:"r"`
 	// DrainPerSecond is the measured rate at which requests finish.
 	DrainPerSecond float64 `json:"d"`
-	// WorkPercent is the current duration of work on the endpoint's VM relative to the usual
-	// one, which is 100; 0 if unknown. It changes within fractions of a second.
+	// WorkPercent is how long work takes on the endpoint's VM now, in percent of the usual
+	// time; 0 if unknown. It changes within fractions of a second.
 	WorkPercent float64 `json:"w,omitempty"`
 	// Leaving says that the agent accepts no new work.
 	Leaving bool `json:"l,omitempty"`
--- a/internal/once/ask.go
+++ b/internal/once/ask.go
@@ -69,7 +69,7 @@
 }
 
 // unconfirmedFormerMembers returns, sorted, the endpoints that are not on the list in force and
-// may still act by an earlier one.
+// may still use an earlier one.
 func (k *Keeper) unconfirmedFormerMembers(t *targetState) []Member {
 	var out []Member
 	for _, f := range t.formerMembers {
@@ -86,26 +86,27 @@
 	return m.id() != k.cfg.Self.id() && !t.agreed[m.id()]
 }
 
-// HandleQuery answers a peer's query and records the peer: it has to hold the same list before
-// this agent claims keys by another one. After hearing of a newer list, this agent makes no
-// claim until it holds a list at least as new.
-func (k *Keeper) Asked(now time.Time, a Ask) Answer {
+// HandleQuery answers a peer's query. A peer that is not on the list here and holds another
+// list is recorded as a former member, which must agree before this agent claims the list. If
+// the peer's list differs, this agent claims nothing until it holds at least the peer's
+// version.
+func (k *Keeper) Asked(now time.Time, q Ask) Answer {
 	now = k.advance(now)
-	list, exists := k.lists[a.Target]
+	list, exists := k.lists[q.Target]
 	if !exists {
 		return Answer{}
 	}
 	reply := Answer{List: list.Digest()}
-	t := k.targets[a.Target]
+	t := k.targets[q.Target]
 	if t == nil {
 		return reply
 	}
-	k.recordPeerList(now, t, a.From, a.List)
-	if a.List != reply.List {
-		t.newestVersion = max(t.newestVersion, a.Version)
+	k.addFormerMember(now, t, q.From, q.List)
+	if q.List != reply.List {
+		t.newestVersion = max(t.newestVersion, q.Version)
 	}
 	for _, m := range k.unconfirmedFormerMembers(t) {
-		if m.id() != a.From.id() {
+		if m.id() != q.From.id() {
 			reply.Formers = append(reply.Formers, m)
 		}
 	}
@@ -114,27 +115,26 @@
 
 // HandleReply processes a peer's reply. Late replies are ignored, because the peer may have
 // forgotten the query since.
-func (k *Keeper) Answered(now time.Time, q Question, a Answer) {
+func (k *Keeper) Answered(now time.Time, q Question, r Answer) {
 	now = k.advance(now)
 	t := k.targets[q.Target]
 	if t == nil || t.list().Digest() != q.List || now.Sub(q.At) > k.cfg.AnswerWithin {
 		return
 	}
-	k.recordPeerList(now, t, q.To, a.List)
-	if a.List == q.List {
+	k.addFormerMember(now, t, q.To, r.List)
+	if r.List == q.List {
 		t.agreed[q.To.id()] = true
 	}
-	for _, m := range a.Formers {
+	for _, m := range r.Formers {
 		if _, known := t.formerMembers[m.id()]; !known {
-			k.recordPeerList(now, t, m, "")
+			k.addFormerMember(now, t, m, "")
 		}
 	}
 }
 
-// recordPeerList records that an endpoint holds a list; an empty digest means an unknown list.
-// Endpoints that are not members of the list here are added to the former members, whose
-// agreement is required.
-func (k *Keeper) recordPeerList(now time.Time, t *targetState, m Member, list string) {
+// addFormerMember adds an endpoint to the former members, whose agreement is required, unless
+// it is a member here or holds the same list. An empty digest means an unknown list.
+func (k *Keeper) addFormerMember(now time.Time, t *targetState, m Member, list string) {
 	if m.id() == k.cfg.Self.id() || t.list().has(m) {
 		return
 	}
@@ -164,7 +164,9 @@
 	return out
 }
 
-// claimAgreedLists claims the lists on which all other agents have agreed.
+// claimAgreedLists claims each list that no other agent contradicts any more: SettleTime is
+// over, no peer has reported a newer version, and all whose agreement is required have given it
+// (see allAgreed).
 func (k *Keeper) claimAgreedLists(now time.Time) {
 	for _, t := range k.targets {
 		if t.claimed() || k.version < t.newestVersion || now.Before(t.settledAt) || !k.allAgreed(now, t) {
@@ -175,6 +177,8 @@
 	}
 }
 
+// allAgreed reports whether all members and former members have agreed. A former member that was
+// last seen SettleTime ago or longer is not waited for.
 func (k *Keeper) allAgreed(now time.Time, t *targetState) bool {
 	for _, m := range t.list().members {
 		if k.needsAgreement(t, m) {
--- a/internal/once/config.go
+++ b/internal/once/config.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Config configures a Registry.
+// Config configures a KeyRegistry.
 type Config struct {
 	// Self is the endpoint that the agent serves. Its address is taken from the list.
 	Self Member
@@ -11,13 +11,14 @@
 	// MaxClockSkew is the maximum difference between the clocks of two machines.
 	Skew time.Duration
 	// SettleTime is how long an agent without knowledge of earlier lists waits for agents that
-	// may still act by one. It assumes that an endpoint removed from a list stays off for that
-	// long, and that within that time, not counting its pauses, an agent whose endpoint was
-	// removed holds a later list and an agent that has started holds the list that was the
-	// latest at its start, unless their VMs are gone.
+	// may still use one. It assumes:
+	//   - An endpoint removed from a list stays off for SettleTime.
+	//   - Within SettleTime, not counting its pauses, an agent whose endpoint was removed holds
+	//     a later list, unless its VM is gone.
+	//   - Likewise, an agent that has started holds the list that was the latest at its start.
 	Settle time.Duration
-	// MaxPause is the longest gap between calls with the current time after which the agent
-	// keeps its claims.
+	// MaxPause is the maximum time between two calls that pass in the time. After a longer gap
+	// the agent drops its claims.
 	MaxPause time.Duration
 	// ReplyTimeout is how long after a query its reply is accepted.
 	AnswerWithin time.Duration
@@ -45,7 +46,7 @@
 	}
 }
 
-// clockMargin is how long after a claim a key must have been issued. The key's time may be
-// MaxClockSkew ahead of the clock of the agent that accepted it before, and that clock
-// MaxClockSkew ahead of this one.
+// clockMargin is the minimum time from a claim to the issue time of a key that is accepted by
+// it. The key's time may be MaxClockSkew ahead of the clock of the agent that accepted it
+// before, and that clock MaxClockSkew ahead of this one.
 func (c Config) clockMargin() time.Duration { return 2 * c.Skew }
--- a/internal/once/doc.go
+++ b/internal/once/doc.go
@@ -6,7 +6,7 @@
 // hashing over the list in force. The home's agent remembers each key for a fixed time after
 // the key was issued and refuses keys that are older. While processes hold different lists, an
 // agent accepts a key that a new list assigns to it only once all agents that may have been the
-// key's home hold the same list (see Registry).
+// key's home hold the same list (see KeyRegistry).
 //
 // The package does no I/O: callers pass in the time and carry the messages between agents.
 package once
--- a/internal/once/keeper.go
+++ b/internal/once/keeper.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Registry records one agent's idempotency keys and the lists that make it their home. It is
+// KeyRegistry records one agent's idempotency keys and the lists that make it their home. It is
 // not safe for concurrent use and starts empty.
 //
 // A key is accepted only if all of these hold:
 //   - This endpoint is the key's home by the list in force here.
 //   - Since a moment before the key was issued, only this agent has acted as its home. At that
-//     moment all other members of the list, and all agents that may act by an earlier list,
-//     were known to hold this list (or their VMs were gone), and every list since then has
-//     given the key the same home.
+//     moment all other members of the list, and all agents that may use an earlier list, were
+//     known to hold this list (or their VMs were gone), and every list since then has given
+//     the key the same home.
 //   - The key is neither older than Config.Retention nor issued in the future.
 //   - No other request has used it.
 //
@@ -29,7 +29,7 @@
 	disabledRules map[rule]bool
 }
 
-// New returns an empty Registry that has claimed no list.
+// New returns an empty KeyRegistry that has claimed no list.
 func New(cfg Config, now time.Time) *Keeper {
 	return &Keeper{
 		cfg:     cfg,
@@ -41,7 +41,7 @@
 
 // advance sets the current time. It uses the wall clock, which includes the time during which
 // the process or its VM was paused. After a pause longer than MaxPause all claims are reset,
-// since other agents may have moved on.
+// since other agents may have claimed the same keys meanwhile.
 func (k *Keeper) advance(now time.Time) time.Time {
 	now = now.Round(0) // the monotonic clock may not include a VM's pause
 	if now.Before(k.now) {
@@ -124,31 +124,31 @@
 }
 
 // Admit decides whether an attempt may be queued, and records it if so.
-func (k *Keeper) Take(now time.Time, u Use) Verdict {
+func (k *Keeper) Take(now time.Time, a Use) Verdict {
 	now = k.advance(now)
-	d := digestOf(u)
+	d := digestOf(a)
 	known := k.keys.entries[d]
 	if known != nil && !k.disabledRules[ruleMemory] {
-		if v := known.refusal(u); v.Refused != "" {
+		if v := known.refusal(a); v.Refused != "" {
 			return v
 		}
 	}
-	if reason := k.refusalReason(now, u); reason != "" {
+	if reason := k.refusalReason(now, a); reason != "" {
 		return Verdict{Refused: reason, RetryAfter: k.retryAfter(reason), Earlier: possibleEarlier(reason)}
 	}
 	if known == nil && len(k.keys.entries) >= k.cfg.MaxKeys {
 		return Verdict{Refused: ReasonFull, RetryAfter: k.retryAfter(ReasonFull)}
 	}
-	k.keys.add(d, &entry{request: u.Request, epoch: u.Epoch, state: StateQueued, issued: u.Key.Issued.UnixMilli()})
+	k.keys.add(d, &entry{request: a.Request, epoch: a.Epoch, state: StateQueued, issued: a.Key.Issued.UnixMilli()})
 	return Verdict{}
 }
 
 // refusal returns why an attempt may not use a key that is already recorded.
-func (e *entry) refusal(u Use) Verdict {
+func (e *entry) refusal(a Use) Verdict {
 	switch {
-	case e.issued != u.Key.Issued.UnixMilli():
+	case e.issued != a.Key.Issued.UnixMilli():
 		return Verdict{Refused: ReasonTimeChanged, Earlier: Earlier{Request: e.request, State: e.state}}
-	case e.fences(u):
+	case e.fences(a):
 		return Verdict{Refused: ReasonFenced}
 	case e.state != StateNotRun:
 		return Verdict{Refused: ReasonDuplicate, Earlier: Earlier{Request: e.request, State: e.state}}
@@ -156,19 +156,20 @@
 	return Verdict{}
 }
 
-// refusalReason returns why an attempt may not use a key that is not recorded here.
-func (k *Keeper) refusalReason(now time.Time, u Use) Reason {
-	issued := u.Key.Issued
-	t := k.targets[u.Target]
+// refusalReason returns why this agent may not accept the key, apart from earlier uses recorded
+// here.
+func (k *Keeper) refusalReason(now time.Time, a Use) Reason {
+	issued := a.Key.Issued
+	t := k.targets[a.Target]
 	switch {
 	case issued.After(now.Add(k.cfg.Skew)) && !k.disabledRules[ruleFuture]:
 		return ReasonFuture
 	case issued.Before(now.Add(-k.cfg.Remember)) && !k.disabledRules[ruleAge]:
 		return ReasonExpired
-	case t == nil || t.list().Home(u.Team, u.Key.Text) != k.cfg.Self.Name && !k.disabledRules[ruleHome]:
+	case t == nil || t.list().Home(a.Team, a.Key.Text) != k.cfg.Self.Name && !k.disabledRules[ruleHome]:
 		return ReasonNotHome
 	}
-	since, ok := t.homeSince(k.cfg.Self.Name, u.Team, u.Key.Text)
+	since, ok := t.homeSince(k.cfg.Self.Name, a.Team, a.Key.Text)
 	if k.disabledRules[ruleHome] {
 		since = t.periods[len(t.periods)-1].claimedAt
 		ok = t.claimed()
@@ -193,7 +194,7 @@
 	}
 }
 
-// retryAfter returns when the same request may be retried, by reason of the refusal.
+// retryAfter returns how long to wait before a retry, by reason of the refusal.
 func (k *Keeper) retryAfter(r Reason) time.Duration {
 	switch r {
 	case ReasonNotHome, ReasonFull, ReasonFuture:
@@ -204,22 +205,22 @@
 }
 
 // Begin reports whether an admitted attempt may still run; call it immediately before sending
-// the request to the engine. If it returns false, the attempt must not run, and calling End is
-// not necessary.
-func (k *Keeper) Begin(now time.Time, u Use) bool {
+// the request to the engine. If it returns false, the attempt must not run and needs no call of
+// End; if this agent is no longer the key's home, the key has been released.
+func (k *Keeper) Begin(now time.Time, a Use) bool {
 	k.advance(now)
-	e := k.keys.entries[digestOf(u)]
-	fenced := e == nil || !e.sameAttempt(u) || e.state != StateQueued
+	e := k.keys.entries[digestOf(a)]
+	fenced := e == nil || !e.sameAttempt(a) || e.state != StateQueued
 	if fenced && !k.disabledRules[ruleFence] {
 		return false
 	}
-	t := k.targets[u.Target]
-	home := t != nil && t.list().Home(u.Team, u.Key.Text) == k.cfg.Self.Name
+	t := k.targets[a.Target]
+	home := t != nil && t.list().Home(a.Team, a.Key.Text) == k.cfg.Self.Name
 	if home && !k.disabledRules[ruleAgreement] {
-		_, home = t.homeSince(k.cfg.Self.Name, u.Team, u.Key.Text)
+		_, home = t.homeSince(k.cfg.Self.Name, a.Team, a.Key.Text)
 	}
 	if !home && !k.disabledRules[ruleHome] {
-		k.End(u, StateNotRun)
+		k.End(a, StateNotRun)
 		return false
 	}
 	if e != nil {
@@ -229,9 +230,9 @@
 }
 
 // End records the final state of an admitted attempt. StateNotRun releases the key.
-func (k *Keeper) End(u Use, s State) {
-	e := k.keys.entries[digestOf(u)]
-	if e == nil || !e.sameAttempt(u) {
+func (k *Keeper) End(a Use, s State) {
+	e := k.keys.entries[digestOf(a)]
+	if e == nil || !e.sameAttempt(a) {
 		return
 	}
 	e.state = s
--- a/internal/once/machine_test.go
+++ b/internal/once/machine_test.go
@@ -10,18 +10,18 @@
 	"pgregory.net/rapid"
 )
 
-const modelSteps = 400
+const simSteps = 400
 
 func TestKeysRunAtMostOnceAndRefusalsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newSimulation(rapid.Uint64().Draw(t, "seed"), nil)
-		for range rapid.IntRange(1, modelSteps).Draw(t, "steps") {
+		for range rapid.IntRange(1, simSteps).Draw(t, "steps") {
 			m.step()
 		}
 		m.recover()
 		m.routers[0] = len(m.lists) - 1
 		key := Key{Text: "after all faults", Issued: m.now}
-		m.route(Use{Target: modelTarget, Team: "team", Key: key, Request: "last", Epoch: 1}, 0)
+		m.route(Use{Target: simTarget, Team: "team", Key: key, Request: "last", Epoch: 1}, 0)
 		accepted := m.refused[""]
 		m.handle(m.messages[len(m.messages)-1])
 		if m.violation != "" {
@@ -33,8 +33,8 @@
 	})
 }
 
-// With any one rule disabled, the Registry lets a key run twice. The seeds were found by trying
-// 0, 1, 2 and so on; search for new ones after a change of the simulation.
+// With any one rule disabled, the KeyRegistry lets a key run twice. The seeds are found by trying
+// 0, 1, 2 and so on; search again after a change of the simulation.
 func TestEachRuleIsNecessary(t *testing.T) {
 	seeds := map[rule]uint64{
 		ruleMemory: 0, ruleFuture: 174, ruleAge: 2, ruleHome: 2, ruleAgreement: 0,
@@ -43,7 +43,7 @@
 	for off, seed := range seeds {
 		t.Run(fmt.Sprint(off), func(t *testing.T) {
 			m := newSimulation(seed, map[rule]bool{off: true})
-			for range modelSteps {
+			for range simSteps {
 				m.step()
 			}
 			NewWithT(t).Expect(m.violation).NotTo(BeEmpty())
@@ -51,7 +51,7 @@
 	}
 }
 
-// newSettled returns a Registry that is the only member of its target's list and has claimed
+// newSettled returns a KeyRegistry that is the only member of its target's list and has claimed
 // it.
 func newSettled(cfg Config) (*Keeper, time.Time) {
 	now := time.UnixMilli(1_800_000_000_000)
@@ -126,7 +126,7 @@
 	g.Expect(k.Take(now, newAttempt("r1", "a", now)).Refused).To(Equal(ReasonHandover))
 }
 
-// newBootstrapped returns a Registry that has just claimed its first list.
+// newBootstrapped returns a KeyRegistry that has just claimed its first list.
 func newBootstrapped(members ...Member) (*Keeper, time.Time) {
 	now := time.UnixMilli(1_800_000_000_000)
 	cfg := DefaultConfig(members[0])
--- a/internal/once/measure_test.go
+++ b/internal/once/measure_test.go
@@ -15,16 +15,16 @@
 
 // Parameters of the simulation.
 const (
-	fleetSize          = 40
-	rolloutDuration    = 6 * time.Second // until the last process has the new list
-	before, after      = 60 * time.Second, 240 * time.Second
-	keysPerSecond      = 20
-	replacementsPerDay = 1000.0 / 3700 // of one endpoint
+	fleetSize                  = 40
+	rolloutDuration            = 6 * time.Second // until the last process has the new list
+	timeBefore, timeAfter      = 60 * time.Second, 240 * time.Second
+	keysPerSecond              = 20
+	replacementsPerEndpointDay = 1000.0 / 3700
 )
 
 // simulateReplacement replaces one endpoint of a list. Processes receive the new list at random
-// times during the rollout. It returns the refused fresh keys by reason, in seconds of the
-// total load.
+// times during the rollout. It returns, by reason, how many seconds' worth
+// of fresh keys was refused.
 func simulateReplacement(seed uint64, planned bool) map[Reason]float64 {
 	m := newSimulation(seed, nil)
 	m.hosts, m.lists, m.lastHost = nil, nil, 0
@@ -39,15 +39,15 @@
 	}
 	adoptAt := make(map[*host]time.Duration)
 	for _, h := range m.hosts {
-		adoptAt[h] = before + time.Duration(m.rnd.Int64N(int64(rolloutDuration)))
+		adoptAt[h] = timeBefore + time.Duration(m.rnd.Int64N(int64(rolloutDuration)))
 	}
-	routerAdoptAt := before + time.Duration(m.rnd.Int64N(int64(rolloutDuration)))
+	routerAdoptAt := timeBefore + time.Duration(m.rnd.Int64N(int64(rolloutDuration)))
 	start := m.now.Add(3 * time.Minute)
 	refused := make(map[Reason]float64)
-	for m.now.Before(start.Add(before + after)) {
+	for m.now.Before(start.Add(timeBefore + timeAfter)) {
 		m.now = m.now.Add(time.Second)
 		since := m.now.Sub(start)
-		if since == before {
+		if since == timeBefore {
 			m.publish(m.hosts[1:])
 			m.hosts[0].dead = !planned
 		}
@@ -85,9 +85,9 @@
 	for range keysPerSecond {
 		m.lastID++
 		u := newAttempt(fmt.Sprint(m.lastID), fmt.Sprint(m.lastID), m.now)
-		u.Target = modelTarget
+		u.Target = simTarget
 		reason := Reason("unreachable")
-		if h := m.find(Member{Name: m.lists[version].view.Lists[modelTarget].Home(u.Team, u.Key.Text), VM: "vm"}); h != nil {
+		if h := m.find(Member{Name: m.lists[version].view.Lists[simTarget].Home(u.Team, u.Key.Text), VM: "vm"}); h != nil {
 			reason = h.registry.Take(m.clock(h), u).Refused
 		}
 		if reason != "" {
@@ -108,7 +108,7 @@
 		byReason := make(map[Reason]float64)
 		for seed := range runs {
 			for reason, seconds := range simulateReplacement(uint64(seed), planned) {
-				daily := seconds * fleetSize * replacementsPerDay / (24 * 60 * 60) / float64(runs)
+				daily := seconds * fleetSize * replacementsPerEndpointDay / (24 * 60 * 60) / float64(runs)
 				byReason[reason] += daily
 				total += daily
 			}
@@ -120,7 +120,7 @@
 	}
 }
 
-func BenchmarkKeeper(b *testing.B) {
+func BenchmarkRegistry(b *testing.B) {
 	var m0, m1 runtime.MemStats
 	k, now := newSettled(DefaultConfig(Member{Name: "e"}))
 	runtime.GC()
--- a/internal/once/memory.go
+++ b/internal/once/memory.go
@@ -8,8 +8,8 @@
 // keyDigest is the hash of a target, a team and a key.
 type keyDigest [sha256.Size]byte
 
-func digestOf(u Use) keyDigest {
-	return sha256.Sum256([]byte(u.Target + separator + u.Team + separator + u.Key.Text))
+func digestOf(a Use) keyDigest {
+	return sha256.Sum256([]byte(a.Target + separator + a.Team + separator + a.Key.Text))
 }
 
 // entry is the record of one key.
@@ -20,11 +20,11 @@
 	issued  int64 // Unix milliseconds
 }
 
-func (e *entry) sameAttempt(u Use) bool { return e.request == u.Request && e.epoch == u.Epoch }
+func (e *entry) sameAttempt(a Use) bool { return e.request == a.Request && e.epoch == a.Epoch }
 
 // fences reports whether the attempt is the recorded one or an earlier one of the same request,
 // which must not run again.
-func (e *entry) fences(u Use) bool { return e.request == u.Request && u.Epoch <= e.epoch }
+func (e *entry) fences(a Use) bool { return e.request == a.Request && a.Epoch <= e.epoch }
 
 // keyStore holds keys until they expire.
 type keyStore struct {
--- a/internal/once/model_steps_test.go
+++ b/internal/once/model_steps_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	m.adoptLatest()
-	m.wait(modelSettle + 3*modelSkew)
+	m.wait(simSettle + 3*simSkew)
 }
 
 // pauseHostAcrossListChange pauses a host while the others change to a new list, then resumes
@@ -34,7 +34,7 @@
 	h.paused = true
 	m.changeList()
 	m.adoptLatest()
-	m.wait(modelSettle + m.randomDuration(0, modelSettle))
+	m.wait(simSettle + m.randomDuration(0, simSettle))
 	h.paused = false
 	m.request()
 }
@@ -46,7 +46,7 @@
 	h.partitioned = true
 	m.changeList()
 	m.adoptLatest()
-	m.wait(m.randomDuration(0, modelSettle))
+	m.wait(m.randomDuration(0, simSettle))
 	m.request()
 }
 
@@ -56,7 +56,7 @@
 	m.changeList()
 	m.adoptLatest()
 	m.adoptLatest()
-	m.wait(m.randomDuration(0, 2*modelSkew))
+	m.wait(m.randomDuration(0, 2*simSkew))
 	m.request()
 }
 
@@ -64,7 +64,7 @@
 // possible.
 func (m *simulation) request() {
 	m.send()
-	repeated := *m.messages[len(m.messages)-1].use
+	repeated := *m.messages[len(m.messages)-1].attempt
 	for router := range m.routers {
 		m.lastID++
 		repeated.Request = fmt.Sprint("r", m.lastID)
@@ -81,11 +81,11 @@
 		m.changeList, m.adopt, m.adopt, m.adoptRouter, m.restart, m.restart, m.pause, m.pause, m.pause, m.kill,
 		func() { h := m.randomHost(); h.partitioned = !h.partitioned },
 		m.send, m.send, m.deliver, m.deliver, m.request, m.request, m.request, m.request, m.run, m.run, m.run, m.adoptLatest, m.recover, m.pauseHostAcrossListChange, m.partitionHostAcrossListChange, m.requestAcrossListChange,
-		func() { m.wait(m.randomDuration(0, modelPause)) },
-		func() { m.wait(m.randomDuration(0, modelPause)) },
-		func() { m.wait(m.randomDuration(0, modelPause)) },
-		func() { m.wait(m.randomDuration(0, modelSettle)) },
-		func() { m.wait(m.randomDuration(0, 2*modelSettle)) },
+		func() { m.wait(m.randomDuration(0, simPause)) },
+		func() { m.wait(m.randomDuration(0, simPause)) },
+		func() { m.wait(m.randomDuration(0, simPause)) },
+		func() { m.wait(m.randomDuration(0, simSettle)) },
+		func() { m.wait(m.randomDuration(0, 2*simSettle)) },
 	}
 	steps[m.randomInt(len(steps))]()
 }
--- a/internal/once/model_test.go
+++ b/internal/once/model_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-const modelTarget = "model"
+const simTarget = "model"
 
 // Small time limits, so that a short simulation reaches the edge cases.
 const (
-	modelSkew     = time.Second
-	modelRemember = 30 * time.Second
-	modelSettle   = 15 * time.Second
-	modelPause    = 3 * time.Second
+	simSkew      = time.Second
+	simRetention = 30 * time.Second
+	simSettle    = 15 * time.Second
+	simPause     = 3 * time.Second
 )
 
 // publishedList is a version of the list with its publication time.
@@ -23,7 +23,7 @@
 	publishedAt time.Time
 }
 
-// host is an agent process on its VM with its own clock. Only the Registry's decisions prevent
+// host is an agent process on its VM with its own clock. Only the KeyRegistry's decisions prevent
 // it from running a key.
 type host struct {
 	self        Member
@@ -46,10 +46,10 @@
 
 // message is in flight and may be lost, duplicated or delayed.
 type message struct {
-	to     Member
-	use    *Use
-	ask    *Question
-	answer *Answer
+	to      Member
+	attempt *Use
+	query   *Question
+	reply   *Answer
 }
 
 // simulation runs agents, routers and the network in virtual time.
@@ -88,7 +88,7 @@
 	m.lastHost++
 	m.hosts = append(m.hosts, &host{
 		self:   Member{Name: fmt.Sprint("e", m.lastHost), VM: "vm"},
-		offset: m.randomDuration(0, modelSkew),
+		offset: m.randomDuration(0, simSkew),
 		dead:   true,
 	})
 }
@@ -102,17 +102,17 @@
 	for i, h := range hosts {
 		members[i] = h.self
 	}
-	view := View{Version: uint64(len(m.lists) + 1), Issued: m.now, Lists: map[string]*List{modelTarget: NewList(members)}}
+	view := View{Version: uint64(len(m.lists) + 1), Issued: m.now, Lists: map[string]*List{simTarget: NewList(members)}}
 	m.lists = append(m.lists, publishedList{view: view, publishedAt: m.now})
 }
 
-func (m *simulation) latest() *List { return m.lists[len(m.lists)-1].view.Lists[modelTarget] }
+func (m *simulation) latest() *List { return m.lists[len(m.lists)-1].view.Lists[simTarget] }
 
-// start starts a process with an empty Registry, which may read a stale version of the list.
+// start starts a process with an empty KeyRegistry, which may read a stale version of the list.
 func (m *simulation) start(h *host, version int) {
 	cfg := Config{
-		Self: h.self, Remember: modelRemember, Skew: modelSkew, Settle: modelSettle, MaxPause: modelPause,
-		AnswerWithin: modelPause, AskEvery: time.Second, MaxKeys: 100,
+		Self: h.self, Remember: simRetention, Skew: simSkew, Settle: simSettle, MaxPause: simPause,
+		AnswerWithin: simPause, AskEvery: time.Second, MaxKeys: 100,
 	}
 	*h = host{self: h.self, offset: h.offset, version: version, timeOffList: h.timeOffList, partitioned: h.partitioned, startVersion: len(m.lists) - 1}
 	h.registry = New(cfg, m.clock(h))
@@ -126,7 +126,7 @@
 func (m *simulation) randomHost() *host { return m.hosts[m.randomInt(len(m.hosts))] }
 
 // wait advances the time. It maintains what Config.SettleTime assumes: a host that is not on
-// the latest list, or that has started, stops after running for modelSettle with an older list.
+// the latest list, or that has started, stops after running for simSettle with an older list.
 func (m *simulation) wait(d time.Duration) {
 	for step := time.Second; d > 0; d -= step {
 		step = min(step, d)
@@ -150,13 +150,13 @@
 	if h.version < h.startVersion {
 		h.timeBehind += step
 	}
-	if max(h.timeOffList, h.timeBehind) >= modelSettle-time.Second {
+	if max(h.timeOffList, h.timeBehind) >= simSettle-time.Second {
 		h.dead = true
 		return
 	}
 	h.registry.Tick(m.clock(h))
 	for _, q := range h.registry.Questions(m.clock(h)) {
-		m.messages = append(m.messages, message{to: q.To, ask: &q})
+		m.messages = append(m.messages, message{to: q.To, query: &q})
 	}
 }
 
@@ -170,13 +170,13 @@
 }
 
 // changeList publishes a list with random additions and removals. An endpoint that was removed
-// stays off for modelSettle.
+// stays off for simSettle.
 func (m *simulation) changeList() {
 	var members []*host
 	for _, h := range m.hosts {
 		in := m.latest().has(h.self)
 		if m.randomInt(3) == 0 {
-			in = !in && !m.wasListed(h)
+			in = !in && !m.listedRecently(h)
 		}
 		if in {
 			members = append(members, h)
@@ -187,10 +187,10 @@
 	}
 }
 
-func (m *simulation) wasListed(h *host) bool {
+func (m *simulation) listedRecently(h *host) bool {
 	for i, l := range m.lists {
 		last := i == len(m.lists)-1
-		if l.view.Lists[modelTarget].has(h.self) && (last || m.now.Sub(m.lists[i+1].publishedAt) < modelSettle) {
+		if l.view.Lists[simTarget].has(h.self) && (last || m.now.Sub(m.lists[i+1].publishedAt) < simSettle) {
 			return true
 		}
 	}
@@ -227,21 +227,21 @@
 	}
 	key := m.keys[max(0, len(m.keys)-4):][m.randomInt(min(4, len(m.keys)))]
 	m.lastID++
-	u := Use{Target: modelTarget, Team: "team", Key: key, Request: fmt.Sprint("r", m.lastID), Epoch: 1}
+	u := Use{Target: simTarget, Team: "team", Key: key, Request: fmt.Sprint("r", m.lastID), Epoch: 1}
 	m.route(u, m.randomInt(len(m.routers)))
 }
 
 func (m *simulation) route(u Use, router int) {
-	list := m.lists[m.routers[router]].view.Lists[modelTarget]
+	list := m.lists[m.routers[router]].view.Lists[simTarget]
 	to := Member{Name: list.Home(u.Team, u.Key.Text), VM: "vm"}
-	m.messages = append(m.messages, message{to: to, use: &u})
+	m.messages = append(m.messages, message{to: to, attempt: &u})
 }
 
 // newKey returns a key with a random issue time, possibly far in the past or future.
 func (m *simulation) newKey() Key {
-	age := m.randomDuration(-modelSkew, modelSkew)
+	age := m.randomDuration(-simSkew, simSkew)
 	if m.randomInt(8) == 0 {
-		age = m.randomDuration(-modelRemember, modelRemember)
+		age = m.randomDuration(-simRetention, simRetention)
 	}
 	return Key{Text: fmt.Sprint("k", len(m.keys)), Issued: m.now.Add(-age)}
 }
@@ -263,17 +263,17 @@
 	h := m.find(msg.to)
 	switch {
 	case h == nil: // lost
-	case msg.use != nil:
-		v := h.registry.Take(m.clock(h), *msg.use)
+	case msg.attempt != nil:
+		v := h.registry.Take(m.clock(h), *msg.attempt)
 		m.refused[v.Refused]++
 		if v.Refused == "" {
-			h.queue = append(h.queue, *msg.use)
+			h.queue = append(h.queue, *msg.attempt)
 		}
-	case msg.answer != nil:
-		h.registry.Answered(m.clock(h), *msg.ask, *msg.answer)
+	case msg.reply != nil:
+		h.registry.Answered(m.clock(h), *msg.query, *msg.reply)
 	default:
-		answer := h.registry.Asked(m.clock(h), msg.ask.Ask)
-		m.messages = append(m.messages, message{to: msg.ask.From, ask: msg.ask, answer: &answer})
+		answer := h.registry.Asked(m.clock(h), msg.query.Ask)
+		m.messages = append(m.messages, message{to: msg.query.From, query: msg.query, reply: &answer})
 	}
 }
 
@@ -296,10 +296,10 @@
 }
 
 func (m *simulation) delayed(msg message) bool {
-	if msg.use != nil {
+	if msg.attempt != nil {
 		return true // requests are delivered by a step of their own
 	}
-	from, to := m.find(msg.ask.From), m.find(msg.ask.To)
+	from, to := m.find(msg.query.From), m.find(msg.query.To)
 	return from == nil || to == nil || from.partitioned || to.partitioned || m.randomInt(8) == 0
 }
 
--- a/internal/once/rules.go
+++ b/internal/once/rules.go
@@ -1,6 +1,6 @@
 package once
 
-// rule is one of the rules of a Registry.
+// rule is one of the rules of a KeyRegistry.
 type rule uint8
 
 // Rules that tests can disable.
@@ -11,7 +11,7 @@
 	ruleHome                         // only the home accepts a key
 	ruleAgreement                    // all peers must agree on the list first
 	ruleIssuedAfterClaim             // a key must be issued after the claim
-	ruleSettle                       // after a start, wait for agents that may act by earlier lists
+	ruleSettle                       // after a start, wait for agents that may use earlier lists
 	rulePause                        // a pause resets all claims
 	ruleFence                        // an attempt starts at most once
 )
--- a/internal/once/tenure.go
+++ b/internal/once/tenure.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// View is the part of a bundle that a Registry uses.
+// View is the part of a bundle that a KeyRegistry uses.
 type View struct {
 	Version uint64
 	// Issued is the bundle's creation time; it is only compared with that of other bundles.
@@ -11,8 +11,8 @@
 	Lists map[string]*List
 }
 
-// listPeriod is a list that was in force here and the time from which this agent alone acted by
-// it; zero if it never claimed the list.
+// listPeriod is a list that was in force here and the time since which only this agent accepts
+// the keys that it assigns here; zero if the list was never claimed.
 type listPeriod struct {
 	list      *List
 	claimedAt time.Time
@@ -30,7 +30,8 @@
 	lastSeen time.Time
 }
 
-// targetState is an agent's claim to be the home of keys of one target.
+// targetState is the agent's state for one target: the lists it has held, which of them it has
+// claimed, and which peers have agreed.
 type targetState struct {
 	periods []listPeriod
 	// agreed holds the peers that have held the list in force since this agent received it.
--- a/internal/once/verdict.go
+++ b/internal/once/verdict.go
@@ -17,7 +17,7 @@
 	ReasonFuture Reason = "key_from_future"
 	// ReasonExpired: the key is older than Config.Retention.
 	ReasonExpired Reason = "key_expired"
-	// ReasonNotHome: by this agent's list another endpoint is the key's home.
+	// ReasonNotKeyHome: by this agent's list another endpoint is the key's home.
 	ReasonNotHome Reason = "not_key_home"
 	// ReasonHandover: other agents may still act as the key's home.
 	ReasonHandover Reason = "key_home_changing"
@@ -60,11 +60,12 @@
 	State   State
 }
 
-// Decision is the result of Registry.Admit.
+// Decision is the result of KeyRegistry.Admit.
 type Verdict struct {
 	// Refused is empty if the attempt may be queued.
 	Refused Reason
-	// RetryAfter is when the same request may be retried; 0 if a retry doesn't help.
+	// RetryAfter is how long to wait before a retry of the same request; 0 if a retry doesn't
+	// help.
 	RetryAfter time.Duration
 	// Earlier is the request that used the key, for ReasonDuplicate and ReasonTimeChanged.
 	// StateUnknown without a request means that an earlier use can't be ruled out.
--- a/internal/prompt/prompt.go
+++ b/internal/prompt/prompt.go
@@ -23,8 +23,9 @@
 	Output    int
 }
 
-// SharedPrefixID returns the ID of the last part that other requests share; 0 if there is none.
-// Requests with the same ID benefit from the same cache and are routed together.
+// SharedPrefixID returns the ID of the last part that other requests share; with a single part,
+// that part's ID, and 0 without parts. Requests with the same ID benefit from the same cache
+// and are routed together.
 func (p Prompt) Home() uint64 {
 	switch len(p.Parts) {
 	case 0:
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -35,7 +35,7 @@
 	Path    string
 
 	// Table is the route table for the whole life of a request of kind KindRouted. Host and
-	// Target are as received from the caller.
+	// RequestURI (path and query) are as received from the caller.
 	Table  *route.Table
 	Host   string
 	Target string
@@ -64,7 +64,8 @@
 	Tight bool
 	// TightGapEndpoints is the number of endpoints dedicated to such streams.
 	Kept int
-	// TokensPerEvent is the number of tokens per event of the answer; 0 if unknown.
+	// TokensPerEvent is the number of tokens per event of the answer (route.Engine.Stride); 0
+	// if unknown.
 	Stride int
 	// MaxRuns is the maximum number of endpoints at which the request may run; 0 uses the retry
 	// policy's limit.
@@ -221,7 +222,7 @@
 	return false
 }
 
-// TimeLeft returns the time until the deadline. now must be a reading of the clock of
+// TimeLeft returns the time until the deadline. now must come from the same clock as
 // ArrivedClock.
 func (r *Request) Left(now time.Time) time.Duration {
 	return r.Deadline.Sub(r.Arrived) - now.Sub(r.ArrivedClock)
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -6,10 +6,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// RouteKey identifies a route by host and prefix. It is unique within a configuration.
+// RouteID identifies a route by host and prefix. It is unique within a configuration.
 type Place struct{ Host, Prefix string }
 
-// Key returns the route's key.
+// ID returns the route's ID.
 func (r *Route) Place() Place { return Place{Host: normalizeHost(r.Host), Prefix: r.Prefix} }
 
 // Change is the difference between a configuration and a later one.
@@ -18,7 +18,7 @@
 	// configuration.
 	From uint64
 	To   uint64
-	// Routes holds new and changed routes, Gone the keys of removed ones.
+	// Routes holds new and changed routes, Gone the IDs of removed ones.
 	Routes []Route `json:",omitempty"`
 	Gone   []Place `json:",omitempty"`
 	// Shared is nil if only routes have changed.
@@ -63,8 +63,8 @@
 	for i := range ch.Routes {
 		replaced[ch.Routes[i].Place()] = true
 	}
-	for _, key := range ch.Gone {
-		replaced[key] = true
+	for _, id := range ch.Gone {
+		replaced[id] = true
 	}
 	next.Routes = make([]Route, 0, len(base.Routes)+len(ch.Routes))
 	for i := range base.Routes {
@@ -91,7 +91,7 @@
 	versions map[uint64]bool
 	// changed and removed hold the version that changed or removed a route.
 	changed, removed map[Place]uint64
-	shared           uint64 // the version that last changed anything but routes
+	sharedChangedIn  uint64 // the version that last changed anything but routes
 }
 
 // Limits on the recorded removals and versions. When one is exceeded, the history starts anew.
@@ -108,7 +108,7 @@
 	old := h.last
 	h.last = c
 	if old == nil || len(h.removed) > maxRemoved || len(h.versions) > maxVersions {
-		h.shared, h.versions = c.Version, map[uint64]bool{c.Version: true}
+		h.sharedChangedIn, h.versions = c.Version, map[uint64]bool{c.Version: true}
 		h.changed, h.removed = make(map[Place]uint64), make(map[Place]uint64)
 		return
 	}
@@ -118,23 +118,23 @@
 
 func (h *History) compare(old, c *Config) {
 	if !reflect.DeepEqual(old.shared(), c.shared()) {
-		h.shared = c.Version
+		h.sharedChangedIn = c.Version
 	}
 	before := make(map[Place]*Route, len(old.Routes))
 	for i := range old.Routes {
 		before[old.Routes[i].Place()] = &old.Routes[i]
 	}
 	for i := range c.Routes {
-		key := c.Routes[i].Place()
-		if previous := before[key]; previous == nil || !reflect.DeepEqual(*previous, c.Routes[i]) {
-			h.changed[key] = c.Version
-			delete(h.removed, key)
+		id := c.Routes[i].Place()
+		if previous := before[id]; previous == nil || !reflect.DeepEqual(*previous, c.Routes[i]) {
+			h.changed[id] = c.Version
+			delete(h.removed, id)
 		}
-		delete(before, key)
+		delete(before, id)
 	}
-	for key := range before {
-		h.removed[key] = c.Version
-		delete(h.changed, key)
+	for id := range before {
+		h.removed[id] = c.Version
+		delete(h.changed, id)
 	}
 }
 
@@ -150,12 +150,12 @@
 			ch.Routes = append(ch.Routes, h.last.Routes[i])
 		}
 	}
-	for key, removedIn := range h.removed {
+	for id, removedIn := range h.removed {
 		if removedIn > version {
-			ch.Gone = append(ch.Gone, key)
+			ch.Gone = append(ch.Gone, id)
 		}
 	}
-	if h.shared > version {
+	if h.sharedChangedIn > version {
 		ch.Shared = h.last.shared()
 	}
 	return ch
--- a/internal/route/rank.go
+++ b/internal/route/rank.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// maxRanks is the smallest number of ranks that endpoints distinguish.
+// maxRanks is the maximum number of ranks that computeRanks assigns; every endpoint
+// distinguishes at least this many.
 const maxRanks = 10
 
 // tierPair determines a request's rank: its own tier and the tier of its route.
@@ -37,10 +38,10 @@
 		return cmp.Or(cmp.Compare(a.routeTier, b.routeTier), cmp.Compare(a.requestTier, b.requestTier))
 	})
 	ranks := make(map[tierPair]int, len(order))
-	for i, s := range order {
-		ranks[s] = i
+	for i, pair := range order {
+		ranks[pair] = i
 		if len(order) > maxRanks {
-			ranks[s] = i * maxRanks / len(order)
+			ranks[pair] = i * maxRanks / len(order)
 		}
 	}
 	return ranks
@@ -48,8 +49,8 @@
 
 func distinctTiers(pairs map[tierPair]bool) int {
 	tiers := make(map[int]bool)
-	for s := range pairs {
-		tiers[s.requestTier] = true
+	for pair := range pairs {
+		tiers[pair.requestTier] = true
 	}
 	return len(tiers)
 }
@@ -57,9 +58,9 @@
 // Rank returns the rank by which endpoints admit a request, 0 the highest, from the request's
 // tier and its route's tier. The route's tier takes precedence: how much value a request loses
 // by waiting depends on its kind, not on its sender. Among requests of the same kind the team's
-// tier decides. With the team's tier first, kinds that can hardly wait were preempted in the
-// middle of their answers by less urgent ones of other teams: 11 to 78 times in each of four
-// runs of a 20 s overload, and never with the route's tier first.
+// tier decides. If the team's tier came first, requests that can hardly wait would be preempted
+// in mid-answer by less urgent ones of other teams (11 to 78 of them in each of four 20 s
+// overloads, none with the route's tier first).
 func (t *Table) Rank(tier, routeTier int) int {
 	if rank, ok := t.ranks[tierPair{tier, routeTier}]; ok {
 		return rank
--- a/internal/route/rank_test.go
+++ b/internal/route/rank_test.go
@@ -25,14 +25,14 @@
 }
 
 // Guards against preempting streams that tolerate hardly any pause in favor of long prompts of
-// teams with a higher tier, which happened 11 to 78 times in each of four 20 s overloads. The
-// operators' rule on preemption is by kind of request.
+// teams with a higher tier: 11 to 78 streams in each of four 20 s overloads. The operators'
+// rule on preemption is by kind of request.
 func TestRouteTierRanksBeforeTeamTier(t *testing.T) {
 	g := NewWithT(t)
 	tab := tableWithTiers(t, []int{0, 1}, 0, 1, 2)
 	order := [][2]int{{0, 0}, {1, 0}, {0, 1}, {1, 1}, {0, 2}, {1, 2}, {2, 2}}
-	for rank, s := range order {
-		g.Expect(tab.Rank(s[0], s[1])).To(Equal(rank), "%v", s)
+	for rank, pair := range order {
+		g.Expect(tab.Rank(pair[0], pair[1])).To(Equal(rank), "%v", pair)
 	}
 }
 
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -92,8 +92,8 @@
 	Engine *Engine
 }
 
-// Cold limits the load of an endpoint after its start, while its caches are empty and work that
-// it could handle later makes it crash.
+// Cold limits the load of an endpoint after its start, while its caches are empty and a load
+// that it could handle later would crash it.
 type Cold struct {
 	// For is how long after its start an endpoint is cold.
 	For time.Duration
@@ -211,8 +211,8 @@
 // Size returns the number of routes.
 func (t *Table) Size() int { return len(t.routes) }
 
-// Match returns the route with the longest prefix of the path, or nil. The path must be as
-// received, not unescaped.
+// Match returns the route with the longest prefix that matches the path, or nil. The path must
+// be as received, not unescaped.
 func (t *Table) Match(host, path string) *Route {
 	prefixes := t.hosts[normalizeHost(host)]
 	for len(prefixes) > 0 {
--- a/internal/router/errors.go
+++ b/internal/router/errors.go
@@ -39,7 +39,7 @@
 	return out
 }
 
-func tooLarge(limit int64) error {
+func bodyTooLarge(limit int64) error {
 	return &receiveError{
 		status: http.StatusRequestEntityTooLarge, code: "body_too_large",
 		message: fmt.Sprintf("the body is larger than %d bytes", limit),
@@ -61,7 +61,7 @@
 	case errors.As(err, &received):
 		return received
 	case errors.As(err, &large):
-		return tooLarge(limit)
+		return bodyTooLarge(limit)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return &receiveError{
 			status: http.StatusRequestTimeout, code: "body_too_slow",
--- a/internal/router/room_test.go
+++ b/internal/router/room_test.go
@@ -1,9 +1,8 @@
 package router_test
 
-// These tests guard against unbounded memory for bodies that callers send slowly. Bodies used to
-// be counted only once they had arrived completely, so that as many as there may be open requests,
-// each of the maximum size, could take 8 GB on a VM of 144 MB. The tests fail if a second body that
-// doesn't fit beside a slow one is read.
+// Bodies must reserve memory while they arrive. If only complete bodies were counted, as many
+// as there may be open requests, each of the maximum size, could take 8 GB on a VM of 144 MB.
+// The tests fail if a second body that doesn't fit beside a slow one is read.
 
 import (
 	"context"
@@ -23,7 +22,7 @@
 const overHalfOfBodyBytes = 600 << 10
 
 // sendSlowly starts a request whose body never completes.
-func (w *testWorld) sendSlowly(g *WithT, header string, sent int) net.Conn {
+func (w *routerFixture) sendSlowly(g *WithT, header string, sent int) net.Conn {
 	conn, err := w.net.Dialer("caller")(context.Background(), "tcp", address)
 	g.Expect(err).NotTo(HaveOccurred())
 	go func() {
@@ -47,7 +46,7 @@
 		"in chunks":         {"Transfer-Encoding: chunked\r\n", overHalfOfBodyBytes},
 	} {
 		t.Run(name, func(t *testing.T) {
-			runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+			runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 				config := testConfig()
 				config.Limits.BodyBytes = 1 << 20
 				w.table = mustTable(config)
--- a/internal/router/routed.go
+++ b/internal/router/routed.go
@@ -39,7 +39,7 @@
 	// while it exceeds MaxKeyAge; a MaxKeyAge of 0 accepts any age.
 	KeyAge    func() time.Duration
 	MaxKeyAge func() time.Duration
-	// CloseConnections reports whether callers are better served by other routers, for example
+	// ShouldCloseConnections reports whether callers are better served by other routers, for example
 	// because this one will soon have to refuse their keys. Their connections close after the
 	// next answer. nil means never.
 	TurnAway func() bool
@@ -177,7 +177,7 @@
 }
 
 // logRouted writes the log line that explains how a routed request ended: the decisions, their
-// inputs and the age of these. Under load, lines of completed requests are dropped first.
+// inputs and the inputs' age. Under load, lines of completed requests are dropped first.
 func (rt *Router) logRouted(r *request.Request, err error, result string) {
 	log := rt.failedLog.Info()
 	if err == nil {
--- a/internal/router/routed_limit_test.go
+++ b/internal/router/routed_limit_test.go
@@ -19,10 +19,10 @@
 	}
 }
 
-// The log must show which endpoint stated a limit to which router; it didn't, so that limits
-// couldn't be traced from outside.
+// The log must show which endpoint stated a limit to which router; otherwise limits can't be
+// traced from outside.
 func TestLogLineContainsEndpointRateLimit(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		g.Expect(call(g, client, "POST", "/once/", "x", "Id", "r1").status).To(Equal(200))
 		g.Expect(w.log.String()).NotTo(ContainSubstring("limit"))
 		w.handle = answerWithLimit("1.25")
@@ -35,7 +35,7 @@
 // When all endpoints of a service are limited, callers must learn immediately that their
 // request didn't run and when one will be accepted.
 func TestRateLimitedEndpointsYieldAccurateRetryAfter(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = answerWithLimit("0.5")
 		ask := func() reply { return call(g, client, "POST", "/once/", "x") }
 		var refused reply
--- a/internal/router/routed_outcomes_test.go
+++ b/internal/router/routed_outcomes_test.go
@@ -9,19 +9,19 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestWhichAttemptsAreRepeated checks, for each kind of first answer, how often the request is
+// TestWhichAttemptsAreRetried checks, for each kind of first answer, how often the request is
 // sent and what its caller gets.
-func TestWhichAttemptsAreRepeated(t *testing.T) {
+func TestWhichAttemptsAreRetried(t *testing.T) {
 	notRun := func(_ string, req *http.Request, conn net.Conn) {
 		writeAnswer(conn, 503, "Id: "+req.Header.Get("Id")+"\r\nNot-Run: 1\r\n", "")
 	}
-	moved := func(_ string, req *http.Request, conn net.Conn) {
+	wrongInstance := func(_ string, req *http.Request, conn net.Conn) {
 		writeAnswer(conn, 421, "Id: "+req.Header.Get("Id")+"\r\n", "")
 	}
 	failed := func(_ string, req *http.Request, conn net.Conn) {
 		writeAnswer(conn, 500, "Id: "+req.Header.Get("Id")+"\r\nSigned: f\r\n", "sorry")
 	}
-	unmarked := func(_ string, req *http.Request, conn net.Conn) {
+	refusalWithoutNotRun := func(_ string, req *http.Request, conn net.Conn) {
 		writeAnswer(conn, 503, "Id: "+req.Header.Get("Id")+"\r\nSigned: f\r\n", "busy")
 	}
 	foreign := func(_ string, _ *http.Request, conn net.Conn) {
@@ -41,10 +41,10 @@
 	}{
 		{"not run, non-idempotent", notRun, "/once/", "POST", 200, 2},
 		{"not run, idempotent", notRun, "/safe/", "GET", 200, 2},
-		{"moved", moved, "/once/", "POST", 200, 2},
+		{"wrong instance", wrongInstance, "/once/", "POST", 200, 2},
 		{"failed, non-idempotent", failed, "/once/", "POST", 500, 1},
 		{"failed, idempotent", failed, "/safe/", "GET", 200, 2},
-		{"refusal without Not-Run", unmarked, "/once/", "POST", 503, 1},
+		{"refusal without Not-Run", refusalWithoutNotRun, "/once/", "POST", 503, 1},
 		{"reset, non-idempotent", resetConnection, "/once/", "POST", 502, 1},
 		{"reset, non-idempotent without a body", resetConnection, "/once/", "GET", 502, 1},
 		{"reset, idempotent", resetConnection, "/safe/", "GET", 200, 2},
@@ -56,7 +56,7 @@
 		{"cut short, idempotent", truncateAnswer, "/safe/", "GET", 200, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+			runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 				good := w.handle
 				w.handle = func(e string, req *http.Request, conn net.Conn) {
 					if w.receivedCount() == 1 {
@@ -65,7 +65,7 @@
 					}
 					good(e, req, conn)
 				}
-				got := call(g, client, c.method, c.path, "x"[:len(c.method)-3])
+				got := call(g, client, c.method, c.path, "x"[:len(c.method)-3]) // empty for GET, "x" for POST
 				g.Expect(got.status).To(Equal(c.status), got.body)
 				g.Expect(w.receivedCount()).To(Equal(c.runs))
 				g.Expect(got.body).NotTo(ContainSubstring("not yours"))
@@ -75,7 +75,7 @@
 }
 
 func TestIdempotencyKeyHeaderDoesNotCauseTransportRetries(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		g.Expect(call(g, client, "POST", "/once/", "x").status).To(Equal(200)) // leaves an idle connection
 		w.handle = func(_ string, _ *http.Request, conn net.Conn) { _ = conn.Close() }
 		for range 3 {
@@ -88,7 +88,7 @@
 }
 
 func TestLastEndpointAnswerIsReturnedWhenRunsAreExhausted(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = func(_ string, req *http.Request, conn net.Conn) {
 			writeAnswer(conn, 500, "Id: "+req.Header.Get("Id")+"\r\nSigned: f\r\n", "sorry")
 		}
@@ -101,7 +101,7 @@
 }
 
 func TestRequestRefusedByAllEndpointsFailsFastWithRetryAfter(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = func(_ string, req *http.Request, conn net.Conn) {
 			writeAnswer(conn, 503, "Id: "+req.Header.Get("Id")+"\r\nNot-Run: 1\r\n", "")
 		}
@@ -114,7 +114,7 @@
 }
 
 func TestUnresponsiveEndpointTimesOutAtDeadline(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = func(string, *http.Request, net.Conn) { time.Sleep(time.Minute) }
 		began := time.Now()
 		got := call(g, client, "POST", "/once/", "x", "Patience", "700ms")
@@ -128,10 +128,10 @@
 	})
 }
 
-// The log must show how much of its retry budget a router has used; it couldn't be seen from
-// outside.
+// The log must show how much of its retry budget a router has used; it can't be seen from
+// outside otherwise.
 func TestLogLineContainsRetryBudgetUsage(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		good := w.handle
 		fail := true
 		w.handle = func(endpoint string, req *http.Request, conn net.Conn) {
--- a/internal/router/routed_poison_test.go
+++ b/internal/router/routed_poison_test.go
@@ -25,7 +25,7 @@
 // The log must show which requests are the same: lines of different callers' retries couldn't
 // be matched.
 func TestLogLineIdentifiesRequestWhoseEndpointWasLost(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = resetConnection
 		for _, c := range []struct{ id, body string }{{"r1", "deadly"}, {"r2", "deadly"}, {"r3", "other"}} {
 			g.Expect(call(g, client, "POST", "/once/", c.body, "Id", c.id).status).To(Equal(502))
@@ -38,11 +38,11 @@
 }
 
 // Guards against a request that crashes every endpoint that runs it, together with all other
-// requests there. Its caller kept retrying, and the router sent it to a fourth endpoint after
-// three losses because it recorded failures by endpoint only. The tests in package platform
-// cover a fleet of routers.
+// requests there. Recording failures by endpoint only isn't enough: a caller that keeps
+// retrying would get the request sent to a fourth endpoint after three losses. The tests in
+// package platform cover a fleet of routers.
 func TestRequestIsQuarantinedAfterThreeEndpointLosses(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = func(endpoint string, req *http.Request, conn net.Conn) {
 			if req.Header.Get("X-Deadly") == "" {
 				writeOK(conn, req, "fine")
@@ -96,7 +96,7 @@
 		{"doesn't sign", answer(200, "Id: ID\r\n", "no"), false},
 		{"doesn't speak HTTP", func(_ string, _ *http.Request, conn net.Conn) { _, _ = conn.Write([]byte("nonsense\r\n\r\n")) }, false},
 	} {
-		runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+		runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 			w.handle = c.handle
 			quarantined := false
 			for range 12 {
@@ -110,7 +110,7 @@
 // A request that has run must not be reported as not run because a later attempt was
 // quarantined.
 func TestQuarantineAfterAnAttemptDoesNotReportNotRun(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = resetConnection
 		var statuses []int
 		for range 4 {
@@ -127,7 +127,7 @@
 
 // A stream that is quarantined halfway ends like any broken stream.
 func TestStreamThatCrashesEndpointsIsNotResumedIndefinitely(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = func(_ string, req *http.Request, conn net.Conn) {
 			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nId: %s\r\nSigned: x\r\nTransfer-Encoding: chunked\r\n\r\n", req.Header.Get("Id"))
 			_, _ = fmt.Fprint(conn, "d\r\nid: 1\ndata: a\r\n")
--- a/internal/router/routed_residency_test.go
+++ b/internal/router/routed_residency_test.go
@@ -1,8 +1,7 @@
 package router_test
 
-// These tests guard against serving a route in all regions although its residency allows only
-// one: no filter evaluated the residency of routes and teams. Each test fails without filter
-// reside.
+// These tests guard against serving a route in all regions although its residency, or its
+// team's, allows only one. Each fails without filter reside.
 
 import (
 	"net"
@@ -17,7 +16,7 @@
 
 // setResidency places e1 and e2 in the east and e3 in the west, and sets the residency of all
 // routes and teams.
-func (w *testWorld) setResidency(routes, teams *route.Residency) {
+func (w *routerFixture) setResidency(routes, teams *route.Residency) {
 	w.regions = map[string]string{"e1": "east", "e2": "east", "e3": "west"}
 	c := testConfig()
 	for i := range c.Routes {
@@ -31,7 +30,7 @@
 
 func residencyIn(regions ...string) *route.Residency { return &route.Residency{Regions: regions} }
 
-func (w *testWorld) arrivalsByEndpoint() map[string]int {
+func (w *routerFixture) arrivalsByEndpoint() map[string]int {
 	at := make(map[string]int)
 	for _, a := range w.received() {
 		at[a.endpoint]++
@@ -55,7 +54,7 @@
 		{"no region", residencyIn(), nil, false, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+			runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 				w.setResidency(c.routes, c.teams)
 				for range 30 {
 					got := call(g, client, "POST", "/once/", "x", "Prompt", "1")
@@ -75,7 +74,7 @@
 }
 
 func TestRequestWithoutAllowedRegionIsRefusedImmediately(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.setResidency(residencyIn("moon"), nil)
 		begun := time.Now()
 		g.Expect(call(g, client, "POST", "/stream/", "x").status).To(Equal(503))
@@ -84,7 +83,7 @@
 }
 
 func TestRetriesStayInAllowedRegions(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.setResidency(residencyIn("east"), nil)
 		w.handle = func(_ string, req *http.Request, conn net.Conn) {
 			writeAnswer(conn, 503, "Id: "+req.Header.Get("Id")+"\r\nNot-Run: 1\r\n", "")
@@ -100,7 +99,7 @@
 
 func TestStreamResumesAndCopiesStayInAllowedRegions(t *testing.T) {
 	for _, path := range []string{"/resume/", "/tight/"} {
-		runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+		runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 			w.setResidency(residencyIn("east"), nil)
 			w.handle = func(_ string, req *http.Request, conn net.Conn) {
 				if req.Header.Get("Last") != "" {
@@ -122,7 +121,7 @@
 }
 
 func TestRequestDoesNotFallBackToDisallowedRegion(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.setResidency(residencyIn("west"), nil)
 		w.pool.SetLeaving("e3", true)
 		g.Expect(call(g, client, "POST", "/safe/", "x").status).To(Equal(503))
--- a/internal/router/routed_stream_test.go
+++ b/internal/router/routed_stream_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestBrokenStreamResumesAfterLastCompleteEvent(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = func(_ string, req *http.Request, conn net.Conn) {
 			if req.Header.Get("Last") == "2" {
 				writeEvents(conn, req, true, "id: 3\ndata: c\n\n")
@@ -41,8 +41,8 @@
 	})
 }
 
-func TestNonResumableStreamResumesFromItsCopy(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+func TestStreamOfNonResumableRouteResumesFromItsCopy(t *testing.T) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = func(endpoint string, req *http.Request, conn net.Conn) {
 			if req.Header.Get("From-Copy") != "" {
 				writeEvents(conn, req, true, "id: 2\ndata: b\n\n")
@@ -62,8 +62,8 @@
 	})
 }
 
-func TestNonResumableStreamIsCutOffWithoutItsCopy(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+func TestStreamOfNonResumableRouteIsCutOffWithoutItsCopy(t *testing.T) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = func(endpoint string, req *http.Request, conn net.Conn) {
 			if req.Header.Get("From-Copy") != "" {
 				writeAnswer(conn, 503, "Id: "+req.Header.Get("Id")+"\r\nNot-Run: 1\r\n", "")
@@ -77,10 +77,10 @@
 	})
 }
 
-// The endpoint that holds the copy is evacuated while the stream runs. It gets no new requests,
-// and the stream can't run again elsewhere, so it is cut off.
-func TestStreamDoesNotResumeFromACopyAtADrainingEndpoint(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+// The endpoint that holds the copy is set to leaving while the stream runs. It gets no new
+// requests, and the stream can't run again elsewhere, so it is cut off.
+func TestStreamDoesNotResumeFromACopyAtALeavingEndpoint(t *testing.T) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = func(endpoint string, req *http.Request, conn net.Conn) {
 			for _, name := range []string{"e1", "e2", "e3"} {
 				w.pool.SetLeaving(name, name != endpoint)
@@ -96,7 +96,7 @@
 
 func TestBrokenStreamNeverLooksComplete(t *testing.T) {
 	for _, path := range []string{"/stream/", "/resume/"} {
-		runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+		runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 			w.handle = func(_ string, req *http.Request, conn net.Conn) {
 				writeEvents(conn, req, false, "id: 1\ndata: a\n\n", "id: 2\n")
 			}
@@ -109,7 +109,7 @@
 }
 
 func TestStreamEndingWithinAnEventIsBroken(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = func(_ string, req *http.Request, conn net.Conn) {
 			writeEvents(conn, req, true, "id: 1\ndata: a\n\nid: 2\nda")
 		}
@@ -117,13 +117,13 @@
 	})
 }
 
-// Guards against streams that wait at an unresponsive failure domain. No connection broke, so
-// 42 of 250 urgent streams waited until their callers disconnected after 3.2 s, although their
-// runs had been copied elsewhere.
+// Guards against streams that wait at an unresponsive failure domain. No connection breaks
+// there: without resuming, 42 of 250 urgent streams waited until their callers disconnected
+// after 3.2 s, although their runs had been copied elsewhere.
 func TestStreamResumesFromItsCopyWhenEndpointIsUnresponsive(t *testing.T) {
 	for name, inUse := range map[string]bool{"copy in use": true, "copy not in use": false} {
 		t.Run(name, func(t *testing.T) {
-			runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+			runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 				w.handle = func(endpoint string, req *http.Request, conn net.Conn) {
 					if req.Header.Get("From-Copy") != "" {
 						writeEvents(conn, req, true, "id: 2\ndata: b\n\n")
@@ -150,7 +150,7 @@
 
 // A stream without a copy keeps waiting, since the endpoint may recover.
 func TestStreamWithoutACopyWaitsForUnresponsiveEndpoint(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = func(endpoint string, req *http.Request, conn net.Conn) {
 			w.router.LeaveSilent([]string{endpoint})
 			time.Sleep(time.Second)
--- a/internal/router/routed_test.go
+++ b/internal/router/routed_test.go
@@ -29,10 +29,10 @@
 	"coveferry/internal/upstream"
 )
 
-// plainProtocol is the upstream.Protocol of these tests.
-type plainProtocol struct{}
+// testProtocol is the upstream.Protocol of these tests.
+type testProtocol struct{}
 
-func (plainProtocol) Incoming(h http.Header) upstream.Incoming {
+func (testProtocol) Incoming(h http.Header) upstream.Incoming {
 	in := upstream.Incoming{ID: h.Get("Id"), Key: h.Get("Key"), LastEvent: h.Get("Last")}
 	if h.Get("Patience") != "" {
 		in.Patience, _ = time.ParseDuration(h.Get("Patience"))
@@ -43,7 +43,7 @@
 	return in
 }
 
-func (plainProtocol) Encode(h http.Header, a upstream.Attempt) {
+func (testProtocol) Encode(h http.Header, a upstream.Attempt) {
 	h.Del("Key")
 	h.Set("Team", a.Team)
 	h.Set("Meant-For", a.Endpoint)
@@ -58,7 +58,7 @@
 	}
 }
 
-func (plainProtocol) Decode(resp *http.Response) upstream.Reply {
+func (testProtocol) Decode(resp *http.Response) upstream.Reply {
 	return upstream.Reply{
 		ID: resp.Header.Get("Id"), NotRun: resp.Header.Get("Not-Run") != "",
 		Moved: resp.StatusCode == http.StatusMisdirectedRequest, Signed: resp.Header.Get("Signed") != "",
@@ -83,18 +83,18 @@
 	body     string
 }
 
-// testWorld is a router with fake endpoints.
-type testWorld struct {
-	net      *memnet.Net
-	pool     *balance.Pool
-	router   *router.Router
-	mu       sync.Mutex
-	arrivals []arrival
-	keyAge   time.Duration
-	turnAway bool
-	table    *route.Table
-	regions  map[string]string // by endpoint
-	log      bytes.Buffer      // the router's log
+// routerFixture is a router with fake endpoints.
+type routerFixture struct {
+	net              *memnet.Net
+	pool             *balance.Pool
+	router           *router.Router
+	mu               sync.Mutex
+	arrivals         []arrival
+	keyAge           time.Duration
+	closeConnections bool
+	table            *route.Table
+	regions          map[string]string // by endpoint
+	log              bytes.Buffer      // the router's log
 	// handle is called for each request with the endpoint's connection.
 	handle func(endpoint string, req *http.Request, conn net.Conn)
 }
@@ -132,12 +132,12 @@
 	return tab
 }
 
-// runRouted runs play against a router in a synctest bubble.
-func runRouted(t *testing.T, play func(g *WithT, w *testWorld, client *http.Client)) {
+// runRouted runs test against a router in a synctest bubble.
+func runRouted(t *testing.T, test func(g *WithT, w *routerFixture, client *http.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		w := &testWorld{net: memnet.New(), table: mustTable(testConfig())}
+		w := &routerFixture{net: memnet.New(), table: mustTable(testConfig())}
 		w.handle = func(_ string, req *http.Request, conn net.Conn) { writeOK(conn, req, "fine") }
 		var endpoints []*bundle.Endpoint
 		var stops []func()
@@ -157,9 +157,9 @@
 				Table:     func() *route.Table { return w.table },
 				Endpoints: func(string) []*bundle.Endpoint { return endpoints },
 				Region:    func(e *bundle.Endpoint) string { return w.regions[e.Name] },
-				Protocol:  plainProtocol{}, Client: client,
+				Protocol:  testProtocol{}, Client: client,
 				KeyAge: func() time.Duration { return w.keyAge }, MaxKeyAge: func() time.Duration { return maxKeyAge },
-				TurnAway: func() bool { return w.turnAway },
+				TurnAway: func() bool { return w.closeConnections },
 			},
 		})
 		l, err := w.net.Listen(address)
@@ -167,7 +167,7 @@
 		srv := server.New(server.Config{Listener: l, Handler: http.HandlerFunc(w.router.ServeRouted), Grace: time.Minute, HeaderTimeout: time.Second})
 		go func() { _ = srv.Run() }()
 		caller := server.NewClient(nil, w.net.Dialer("caller"))
-		play(g, w, caller)
+		test(g, w, caller)
 		caller.CloseIdleConnections()
 		g.Expect(srv.Stop()).To(Succeed())
 		client.CloseIdleConnections()
@@ -178,7 +178,7 @@
 }
 
 // serveEndpoint parses requests itself, so that handle can write invalid answers.
-func (w *testWorld) serveEndpoint(name string, l net.Listener) (stop func()) {
+func (w *routerFixture) serveEndpoint(name string, l net.Listener) (stop func()) {
 	go func() {
 		for {
 			conn, err := l.Accept()
@@ -191,7 +191,7 @@
 	return func() { _ = l.Close() }
 }
 
-func (w *testWorld) serveConn(name string, conn net.Conn) {
+func (w *routerFixture) serveConn(name string, conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
@@ -207,13 +207,13 @@
 	}
 }
 
-func (w *testWorld) received() []arrival {
+func (w *routerFixture) received() []arrival {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.arrivals
 }
 
-func (w *testWorld) receivedCount() int { return len(w.received()) }
+func (w *routerFixture) receivedCount() int { return len(w.received()) }
 
 func writeOK(conn net.Conn, req *http.Request, body string) {
 	writeAnswer(conn, 200, "Id: "+req.Header.Get("Id")+"\r\nSigned: x\r\n", body)
@@ -250,7 +250,7 @@
 }
 
 func TestRequestAndAnswerAreForwardedUnchanged(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		got := call(g, client, "POST", "/once/a%2Fb//c?x=1&y=%20", "body", "X-Own", "1", "Team", "forged", "Te", "trailers")
 		g.Expect(got.status).To(Equal(200))
 		g.Expect(got.body).To(Equal("fine"))
@@ -284,7 +284,7 @@
 		{"no table yet", "/once/", "k", 0, true, 503, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+			runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 				w.keyAge = c.age
 				if c.noTable {
 					w.table = nil
@@ -301,7 +301,7 @@
 }
 
 func TestRankOutsideTierRangeIsServed(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		for key, want := range map[string]string{"low": "12", "below": "0"} {
 			g.Expect(call(g, client, "POST", "/once/", "x", "Key", key, "Prompt", "1").status).To(Equal(200))
 			arrivals := w.received()
@@ -311,7 +311,7 @@
 }
 
 func TestRouteTableLimitsAreEnforced(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		g.Expect(call(g, client, "POST", "/once/", strings.Repeat("x", 1000)).status).To(Equal(200))
 		g.Expect(call(g, client, "POST", "/once/", strings.Repeat("x", 1001)).status).To(Equal(413))
 		g.Expect(call(g, client, "POST", "/once/", "x", "Large", strings.Repeat("x", 4096)).status).To(Equal(431))
@@ -320,14 +320,14 @@
 }
 
 func TestTeamTierOverridesRouteTier(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		g.Expect(call(g, client, "POST", "/once/", "", "Key", "vip").status).To(Equal(200))
 		g.Expect(w.received()[0].header.Get("Tier")).To(Equal("0"))
 	})
 }
 
 func TestCallerDisconnectCancelsUpstreamRequest(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		closed := make(chan struct{})
 		w.handle = func(_ string, req *http.Request, conn net.Conn) {
 			_, _ = conn.Read(make([]byte, 1)) // returns when the router closes the connection
@@ -354,9 +354,9 @@
 }
 
 func TestCallerConnectionsCloseAfterCompleteAnswers(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		for _, closeConnections := range []bool{false, true} {
-			w.turnAway = closeConnections
+			w.closeConnections = closeConnections
 			req, err := http.NewRequest("POST", "http://"+address+"/once/", strings.NewReader("x"))
 			g.Expect(err).NotTo(HaveOccurred())
 			req.Host = routeHost
@@ -372,7 +372,7 @@
 }
 
 func TestStoppingRouterRefusesNewRequests(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.router.Leave()
 		got := call(g, client, "POST", "/once/", "x")
 		g.Expect(got.status).To(Equal(200))
@@ -384,7 +384,7 @@
 }
 
 func TestRequestAbortedByStopDoesNotReportNotRun(t *testing.T) {
-	runRouted(t, func(g *WithT, w *testWorld, client *http.Client) {
+	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
 		w.handle = func(string, *http.Request, net.Conn) { time.Sleep(time.Minute) }
 		go func() {
 			time.Sleep(200 * time.Millisecond)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -47,11 +47,11 @@
 	// Client sends attempts to agents. Scheme is "https", or "http" without certificates.
 	Client *http.Client
 	Scheme string
-	// Retry decides whether a failed attempt is repeated.
+	// Retry decides whether a failed attempt is retried.
 	Retry attempts.Policy
 	// Throttle configures load shedding of requests that endpoints would refuse.
 	Throttle throttle.Config
-	// IgnoreKeys sends requests with an idempotency key to any endpoint, for comparison runs.
+	// IgnoreIdempotencyKeys sends requests with an idempotency key to any endpoint, for comparison runs.
 	IgnoreKeys bool
 	// LateBinding queues a request at two endpoints if none is known to have a free slot.
 	LateBinding bool
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// serve runs play against a router in a synctest bubble.
-func serve(t *testing.T, change func(*router.Config), play func(g *WithT, client *http.Client)) {
+// serve runs test against a router in a synctest bubble.
+func serve(t *testing.T, change func(*router.Config), test func(g *WithT, client *http.Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -74,14 +74,14 @@
 		srv := server.New(server.Config{Listener: l, Handler: router.New(cfg).Handler(), Grace: time.Minute, HeaderTimeout: time.Second})
 		go func() { _ = srv.Run() }()
 		client := server.NewClient(nil, net.Dialer("caller"))
-		play(g, client)
+		test(g, client)
 		client.CloseIdleConnections()
 		g.Expect(srv.Stop()).To(Succeed())
 	})
 }
 
-// answer is an error as a caller receives it.
-type answer struct {
+// errorAnswer is an error as a caller receives it.
+type errorAnswer struct {
 	status     int
 	retryAfter string
 	Error      struct {
@@ -90,7 +90,7 @@
 	}
 }
 
-func send(g *WithT, client *http.Client, method, path string, body io.Reader, header ...string) answer {
+func send(g *WithT, client *http.Client, method, path string, body io.Reader, header ...string) errorAnswer {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+address+path, body)
 	g.Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+testKey)
@@ -100,7 +100,7 @@
 	resp, err := client.Do(req)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer resp.Body.Close()
-	out := answer{status: resp.StatusCode, retryAfter: resp.Header.Get("Retry-After")}
+	out := errorAnswer{status: resp.StatusCode, retryAfter: resp.Header.Get("Retry-After")}
 	g.Expect(json.NewDecoder(resp.Body).Decode(&out)).To(Succeed())
 	return out
 }
@@ -171,7 +171,7 @@
 	serve(t, nil, func(g *WithT, client *http.Client) {
 		// With such a short deadline the router doesn't wait until the endpoint is used again.
 		header := []string{"Authorization", "Bearer limited-key", "Coveferry-Deadline", "100ms"}
-		ask := func() answer {
+		ask := func() errorAnswer {
 			return send(g, client, http.MethodPost, "/v1/completions", strings.NewReader(body), header...)
 		}
 		g.Expect(ask().Error.Code).To(Equal("endpoint_lost"))
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -191,7 +191,7 @@
 func (rt *Router) receiveBody(req *http.Request, r *request.Request, budget *bodyBudget) ([]byte, error) {
 	limit := bodyLimit(r)
 	if req.ContentLength > limit {
-		return nil, tooLarge(limit)
+		return nil, bodyTooLarge(limit)
 	}
 	if err := budget.reserve(req.ContentLength); err != nil {
 		return nil, err
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -43,8 +43,8 @@
 // before each read that may block, after all events received so far were yielded, so that the
 // caller can send what it has buffered. An error from flush ends the sequence; it must not be
 // io.EOF.
-func ReadBatches(r io.Reader, pause func() error) iter.Seq2[Event, error] {
-	return Read(&flushingReader{r: r, flush: pause})
+func ReadBatches(r io.Reader, flush func() error) iter.Seq2[Event, error] {
+	return Read(&flushingReader{r: r, flush: flush})
 }
 
 // flushingReader calls flush before each read.
--- a/internal/upstream/plain.go
+++ b/internal/upstream/plain.go
@@ -9,14 +9,14 @@
 
 // Headers of Plain.
 const (
-	headerRequestID = "Coveferry-Request-Id"
-	headerPatience  = "Coveferry-Deadline" // how long the sender waits, such as "30s"
-	headerTeam      = "Coveferry-Team"
-	headerTier      = "Coveferry-Tier" // 0 is the highest
-	headerNotRun    = "Coveferry-Not-Run"
-	headerLastEvent = "Last-Event-Id"
-	headerKey       = "Authorization"
-	keyScheme       = "Bearer "
+	headerRequestID     = "Coveferry-Request-Id"
+	headerDeadline      = "Coveferry-Deadline" // how long the sender waits, such as "30s"
+	headerTeam          = "Coveferry-Team"
+	headerTier          = "Coveferry-Tier" // 0 is the highest
+	headerNotRun        = "Coveferry-Not-Run"
+	headerLastEvent     = "Last-Event-Id"
+	headerAuthorization = "Authorization"
+	bearerPrefix        = "Bearer "
 )
 
 // Plain is the product's own protocol for endpoints without agents, which works with any HTTP
@@ -27,10 +27,10 @@
 // Incoming implements Protocol.
 func (Plain) Incoming(h http.Header) Incoming {
 	in := Incoming{ID: h.Get(headerRequestID), LastEvent: h.Get(headerLastEvent)}
-	if key, ok := strings.CutPrefix(h.Get(headerKey), keyScheme); ok {
+	if key, ok := strings.CutPrefix(h.Get(headerAuthorization), bearerPrefix); ok {
 		in.Key = key
 	}
-	if d, err := time.ParseDuration(h.Get(headerPatience)); err == nil && d > 0 {
+	if d, err := time.ParseDuration(h.Get(headerDeadline)); err == nil && d > 0 {
 		in.Patience = d
 	}
 	return in
@@ -38,10 +38,10 @@
 
 // Encode implements Protocol.
 func (Plain) Encode(h http.Header, a Attempt) {
-	h.Del(headerKey)
+	h.Del(headerAuthorization)
 	h.Del(headerTeam)
 	h.Set(headerRequestID, a.ID)
-	h.Set(headerPatience, a.Left.String())
+	h.Set(headerDeadline, a.Left.String())
 	h.Set(headerTier, strconv.Itoa(a.Tier))
 	if a.Team != "" {
 		h.Set(headerTeam, a.Team)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -34,7 +34,7 @@
 	Endpoint string
 	// Team is empty for a request without a key.
 	Team string
-	// Tier is the rank by which the endpoint admits the request.
+	// Rank is the rank by which the endpoint admits the request.
 	Tier int
 	// TimeLeft is how long the endpoint may work on the request.
 	Left time.Duration
--- a/internal/wire/keys.go
+++ b/internal/wire/keys.go
@@ -1,6 +1,6 @@
 package wire
 
-// PathAgree is the path at which an agent tells another which list of endpoints it holds.
+// PathAgree is the path at which an agent answers a once.ListQuery.
 const PathAgree = "/v1/keys/agree"
 
 // ReasonNotKeyHome: the agent is not, or no longer, the home of the idempotency key. The other
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -66,9 +66,9 @@
 
 	FirstTokenMillis int64 `json:"first_token_ms"`
 	DeadlineMillis   int64 `json:"deadline_ms"`
-	// AgentClock is the latest reading of this agent's clock that the router received,
-	// AgentClockAgeMillis before it sent the attempt; zero if it has none. From it the agent
-	// computes how long the attempt was in transit.
+	// AgentClock is the latest reading of the receiving agent's clock that the router has, and
+	// AgentClockAgeMillis its age when the attempt was sent; zero if it has none. From it the
+	// agent computes how long the attempt was in transit.
 	Heard          Clock `json:"heard,omitzero"`
 	HeardAgoMillis int64 `json:"heard_ago_ms,omitempty"`
 	// SentUnixMillis is the router's wall clock, for attempts without AgentClock.
@@ -140,7 +140,7 @@
 	ReasonDuplicate    = "duplicate_key"
 )
 
-// RetryAfter returns when the caller may retry.
+// RetryAfter returns how long to wait before a retry.
 func (r Refusal) RetryAfter() time.Duration {
 	return time.Duration(r.RetryAfterMillis) * time.Millisecond
 }
