--- a/internal/upstream/plain.go
+++ b/internal/upstream/plain.go
@@ -9,28 +9,28 @@
 
 // Headers of Plain.
 const (
-	headerRequestID = "Coveferry-Request-Id"
-	headerPatience  = "Coveferry-Deadline" // how long the sender waits, such as "30s"
-	headerTeam      = "Coveferry-Team"
-	headerTier      = "Coveferry-Tier" // rank, 0 is the highest
-	headerNotRun    = "Coveferry-Not-Run"
-	headerLastEvent = "Last-Event-Id"
-	headerKey       = "Authorization"
-	keyScheme       = "Bearer "
+	headerRequestID     = "Coveferry-Request-Id"
+	headerDeadline      = "Coveferry-Deadline" // how long the sender waits, such as "30s"
+	headerTeam          = "Coveferry-Team"
+	headerTier          = "Coveferry-Tier" // 0 is the highest
+	headerNotRun        = "Coveferry-Not-Run"
+	headerLastEvent     = "Last-Event-Id"
+	headerAuthorization = "Authorization"
+	bearerPrefix        = "Bearer "
 )
 
-// Plain is the product's own way to speak with endpoints that are reached
-// directly: any HTTP service will do. One that echoes the request's id and marks
-// what it didn't run is served better, since more may be repeated safely.
+// Plain is the product's own protocol for endpoints without agents, which works with any HTTP
+// service. For services that echo the request ID and mark requests that they didn't run, more
+// retries are safe.
 type Plain struct{}
 
 // Incoming implements Protocol.
 func (Plain) Incoming(h http.Header) Incoming {
 	in := Incoming{ID: h.Get(headerRequestID), LastEvent: h.Get(headerLastEvent)}
-	if key, ok := strings.CutPrefix(h.Get(headerKey), keyScheme); ok {
+	if key, ok := strings.CutPrefix(h.Get(headerAuthorization), bearerPrefix); ok {
 		in.Key = key
 	}
-	if d, err := time.ParseDuration(h.Get(headerPatience)); err == nil && d > 0 {
+	if d, err := time.ParseDuration(h.Get(headerDeadline)); err == nil && d > 0 {
 		in.Patience = d
 	}
 	return in
@@ -38,10 +38,10 @@
 
 // Encode implements Protocol.
 func (Plain) Encode(h http.Header, a Attempt) {
-	h.Del(headerKey)
+	h.Del(headerAuthorization)
 	h.Del(headerTeam)
 	h.Set(headerRequestID, a.ID)
-	h.Set(headerPatience, a.Left.String())
+	h.Set(headerDeadline, a.Left.String())
 	h.Set(headerTier, strconv.Itoa(a.Tier))
 	if a.Team != "" {
 		h.Set(headerTeam, a.Team)
@@ -51,8 +51,8 @@
 	}
 }
 
-// Decode implements Protocol. An endpoint that names no request is taken to
-// answer the one that was sent.
+// Decode implements Protocol. An answer without a request ID is attributed to the request that
+// was sent on its connection.
 func (Plain) Decode(resp *http.Response) Reply {
 	id := resp.Header.Get(headerRequestID)
 	if id == "" && resp.Request != nil {
