--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent is the process beside an endpoint. It owns the endpoint's
-// queue: it admits or refuses attempts that routers send, decides which runs
-// next, preempts, relays the engine's answers and says truthfully how each
-// attempt ended. Nothing else may give its engine work.
+// Package agent implements the sidecar process of an endpoint. It owns the
+// endpoint's queue: it admits or refuses attempts sent by routers, schedules and
+// preempts them, relays the engine's answers and reports how each attempt
+// ended. The agent must be the only client that sends requests to its engine.
 package agent
 
 import (
@@ -23,37 +23,38 @@
 	"coveferry/internal/wire"
 )
 
-// Config is what an agent needs.
+// Config configures an Agent.
 type Config struct {
-	Endpoint string // the endpoint's name in the bundle
+	Endpoint string // name of the endpoint in the bundle
 	Engine   Engine
 	Policy   sched.Policy
 	// MaxBody bounds the body of one attempt, in bytes.
 	MaxBody int64
 	Log     zerolog.Logger
 	Metrics prometheus.Registerer
-	// Client reaches the engine; nil is a client of the agent's own.
+	// Client sends requests to the engine; if nil, the agent creates one.
 	Client *http.Client
-	// Clock is the clock that deadlines are checked by immediately before the
-	// engine is asked; nil is clock.Boot.
+	// Clock is used to check deadlines immediately before a request is sent
+	// to the engine; nil means clock.Boot.
 	Clock clock.Clock
-	// Keys is what vouching for idempotency keys takes.
+	// Keys configures the tracking of idempotency keys.
 	Keys Keys
 }
 
-// Agent serves the attempts of routers at one endpoint.
+// Agent serves attempts from routers at one endpoint.
 type Agent struct {
 	cfg     Config
 	queue   *queue
 	engine  *engineClient
 	metrics *metrics
 	keys    *keys
-	// incarnation tells this agent's clock from that of one before it.
+	// incarnation distinguishes this process's clock readings from those of
+	// earlier runs of the agent.
 	incarnation string
 	maxBody     atomic.Int64
 }
 
-// New returns an agent that is ready to serve.
+// New returns an agent whose Handler can serve at once.
 func New(cfg Config) *Agent {
 	if cfg.Client == nil {
 		cfg.Client = server.NewClient(nil, nil)
@@ -74,16 +75,16 @@
 	return ag
 }
 
-// Leave makes the agent refuse new attempts and those that wait, so that their
-// routers take them elsewhere; those that run go on.
+// Leave makes the agent refuse new and queued attempts, so that their routers
+// send them to other endpoints. Running attempts continue.
 func (ag *Agent) Leave() { ag.queue.leave() }
 
-// HandOver ends the running attempts that their routers can have finished
-// elsewhere, from the text that callers hold. It returns how many these are, and
-// how many stay because they can't run twice or can't be gone on from.
-func (ag *Agent) HandOver() (moved, stay int) { return ag.queue.handOver() }
+// HandOver ends the running attempts that routers can resume at other endpoints
+// from the text already delivered. It returns the number of these attempts, and
+// the number that remain because they can't run twice or can't be resumed.
+func (ag *Agent) HandOver() (moved, remaining int) { return ag.queue.handOver() }
 
-// Handler serves routers, and other agents' questions.
+// Handler returns the HTTP handler for requests of routers and other agents.
 func (ag *Agent) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.PathAttempts, ag.serveAttempt)
@@ -97,19 +98,19 @@
 		http.Error(w, "attempts come from routers", http.StatusForbidden)
 		return
 	}
-	a, refusal := ag.receive(w, r)
+	a, refusal := ag.parseAttempt(w, r)
 	if refusal != nil {
 		ag.sendRefusal(w, http.StatusBadRequest, refusal)
 		return
 	}
-	if refusal := ag.unwanted(a); refusal != nil {
+	if refusal := ag.checkAttempt(a); refusal != nil {
 		ag.sendRefusal(w, http.StatusServiceUnavailable, refusal)
 		return
 	}
 	ctx, cancel := context.WithDeadlineCause(r.Context(), a.deadline, errDeadline)
 	defer cancel()
 	process := ag.process
-	if ag.keyed(a) {
+	if ag.needsKeyCheck(a) {
 		process = ag.processKeyed
 	}
 	ending, refusal := process(ctx, a)
@@ -121,10 +122,10 @@
 	ag.sendEnd(a, ending)
 }
 
-// unwanted refuses attempts that this agent must not queue at all.
-func (ag *Agent) unwanted(a *attempt) *wire.Refusal {
+// checkAttempt refuses attempts that this agent must not queue at all.
+func (ag *Agent) checkAttempt(a *attempt) *wire.Refusal {
 	switch {
-	case !ag.cfg.Clock().Before(a.expires):
+	case !ag.cfg.Clock().Before(a.clockDeadline):
 		return &wire.Refusal{Reason: wire.ReasonStale, Run: wire.RunNot}
 	case a.env.Endpoint != ag.cfg.Endpoint:
 		return &wire.Refusal{Reason: wire.ReasonNotHere, Run: wire.RunNot}
@@ -134,8 +135,8 @@
 	return nil
 }
 
-// receive reads an attempt.
-func (ag *Agent) receive(w http.ResponseWriter, r *http.Request) (*attempt, *wire.Refusal) {
+// parseAttempt reads an attempt.
+func (ag *Agent) parseAttempt(w http.ResponseWriter, r *http.Request) (*attempt, *wire.Refusal) {
 	a := &attempt{w: w, contentType: r.Header.Get("Content-Type")}
 	if err := wire.Decode(r.Header, wire.HeaderEnvelope, &a.env); err != nil {
 		return nil, badAttempt(err)
@@ -143,29 +144,30 @@
 	if err := a.env.Check(); err != nil {
 		return nil, badAttempt(err)
 	}
-	left := ag.left(&a.env)
-	a.deadline = time.Now().Add(left)
-	a.expires = ag.cfg.Clock().Add(left)
+	remaining := ag.remainingTime(&a.env)
+	a.deadline = time.Now().Add(remaining)
+	a.clockDeadline = ag.cfg.Clock().Add(remaining)
 	if r.ContentLength < 0 || r.ContentLength > ag.maxBody.Load() {
 		return nil, badAttempt(errors.Newf("a body's length must be told and at most %d bytes", ag.maxBody.Load()))
 	}
 	a.size = int(r.ContentLength)
-	a.source = http.MaxBytesReader(w, r.Body, ag.maxBody.Load())
+	a.bodyReader = http.MaxBytesReader(w, r.Body, ag.maxBody.Load())
 	return a, nil
 }
 
-// readBody reads the attempt's body, once, when it is about to run. Until then
-// the router keeps it: one that waits at two endpoints gives it to the first
-// that asks, so that it can't run at the other.
+// readBody reads the attempt's body, once, when the attempt is about to run.
+// Until then the router withholds it. A router whose request is queued at two
+// endpoints sends the body to the first that reads it, so that the request
+// can't run at the other.
 func (a *attempt) readBody() error {
-	if a.source == nil {
+	if a.bodyReader == nil {
 		return nil
 	}
-	body, err := io.ReadAll(a.source)
+	body, err := io.ReadAll(a.bodyReader)
 	if err != nil {
 		return errors.Mark(err, errWithdrawn)
 	}
-	a.source = nil
+	a.bodyReader = nil
 	a.body = body
 	return nil
 }
@@ -177,15 +179,15 @@
 func (ag *Agent) sendRefusal(w http.ResponseWriter, status int, refusal *wire.Refusal) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	_ = wire.Encode(h, wire.HeaderLoad, ag.queue.load()) // a report always encodes
-	_ = wire.Encode(h, wire.HeaderClock, ag.reading())   // so does a reading
+	_ = wire.Encode(h, wire.HeaderLoad, ag.queue.loadReport()) // a report always encodes
+	_ = wire.Encode(h, wire.HeaderClock, ag.clockReading())    // a clock reading always encodes
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(refusal) // the router may have left
+	_ = json.NewEncoder(w).Encode(refusal) // the router may have disconnected
 }
 
-// sendEnd closes a relayed answer with its trailer.
+// sendEnd sends the trailer of a relayed answer.
 func (ag *Agent) sendEnd(a *attempt, ending wire.Ending) {
-	end := wire.End{Ending: ending, Tokens: a.progress.tokens, Load: ag.queue.load()}
+	end := wire.End{Ending: ending, Tokens: a.progress.tokens, Load: ag.queue.loadReport()}
 	_ = wire.Encode(a.w.Header(), wire.HeaderEnd, end) // strings and integers always encode
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -23,7 +23,7 @@
 const serviceAddress = "127.0.0.1:8001"
 
 // withService runs play against an agent before a plain service.
-func withService(t *testing.T, play func(g *WithT, ag *agent.Agent, svc *service.Service)) {
+func withService(t *testing.T, body func(g *WithT, ag *agent.Agent, svc *service.Service)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -38,13 +38,13 @@
 			Endpoint: "e", Engine: agent.Engine{URL: "http://" + serviceAddress},
 			Policy: fifo.New(fifo.Config{Slots: 1}), MaxBody: 1 << 10, Client: client,
 		})
-		play(g, ag, svc)
+		body(g, ag, svc)
 		client.CloseIdleConnections()
 		g.Expect(srv.Kill()).To(Succeed())
 	})
 }
 
-func call(g *WithT, ag *agent.Agent, body string) *http.Response {
+func callService(g *WithT, ag *agent.Agent, body string) *http.Response {
 	req := httptest.NewRequestWithContext(context.Background(), http.MethodPost, wire.PathAttempts, strings.NewReader(body))
 	env := wire.Envelope{
 		Request: "r", Endpoint: "e", Epoch: 1, Kind: wire.KindService, Method: http.MethodPost, Path: "/x",
@@ -56,14 +56,14 @@
 	return w.Result()
 }
 
-// A connection that breaks after the effect must not make the HTTP library
-// send the call a second time: neither with a body, nor with an empty one.
-func TestBrokenServiceCallIsSentOnce(t *testing.T) {
+// A connection that breaks after the service handled the call must not make the
+// HTTP library send the call again, with or without a body.
+func TestServiceCallWithBrokenConnectionIsSentOnce(t *testing.T) {
 	for _, body := range []string{"x", ""} {
 		withService(t, func(g *WithT, ag *agent.Agent, svc *service.Service) {
-			g.Expect(call(g, ag, body).StatusCode).To(Equal(http.StatusOK)) // leaves a warm connection
+			g.Expect(callService(g, ag, body).StatusCode).To(Equal(http.StatusOK)) // leaves an idle connection in the pool
 			svc.Fail(service.AfterEffect, 1)
-			resp := call(g, ag, body)
+			resp := callService(g, ag, body)
 			var refusal wire.Refusal
 			g.Expect(json.NewDecoder(resp.Body).Decode(&refusal)).To(Succeed())
 			g.Expect(refusal.Run).To(Equal(wire.RunUnknown))
@@ -72,9 +72,9 @@
 	}
 }
 
-func TestServiceAnswerPassesThrough(t *testing.T) {
+func TestServiceAnswerIsRelayed(t *testing.T) {
 	withService(t, func(g *WithT, ag *agent.Agent, svc *service.Service) {
-		resp := call(g, ag, "x")
+		resp := callService(g, ag, "x")
 		body, err := io.ReadAll(resp.Body)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(json.Valid(body)).To(BeTrue())
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -16,37 +16,37 @@
 	"coveferry/internal/wire"
 )
 
-// attempt is one attempt of a router's request at this agent.
+// attempt is one attempt of a request that a router sent to this agent.
 type attempt struct {
 	env         wire.Envelope
 	size        int       // bytes of the body
-	source      io.Reader // of the body, until it has been read
+	bodyReader  io.Reader // nil once the body has been read
 	body        []byte
 	contentType string
 	deadline    time.Time
-	// expires is the deadline by the agent's own clock.
-	expires  time.Time
-	progress progress
-	w        http.ResponseWriter
-	started  bool     // the head of the answer went out
-	unsent   bool     // something was written that hasn't been flushed
-	failed   error    // why a flush failed
-	ran      wire.Run // the most that the engine did; empty is RunNot
-	runs     int      // how often it was sent to the engine
+	// clockDeadline is the deadline on the agent's Clock.
+	clockDeadline time.Time
+	progress      progress
+	w             http.ResponseWriter
+	headerSent    bool     // the answer header was sent
+	unflushed     bool     // data was written since the last flush
+	flushErr      error    // set by the first flush that failed
+	ran           wire.Run // whether any run took effect; empty means RunNot
+	runCount      int      // number of times it was sent to the engine
 }
 
-// progress is what the engine produced so far, from which it can go on after a
-// preemption.
+// progress is the output of the engine so far, from which an answer is resumed
+// after a preemption.
 type progress struct {
 	text   strings.Builder
 	tokens int
-	// last is the last chunk that held text.
-	last string
-	// finished says that the engine's own end came.
+	// lastChunk is the last chunk with text.
+	lastChunk string
+	// finished reports whether the engine sent its final chunk.
 	finished bool
 }
 
-// job is the attempt as the scheduler sees it.
+// job returns the attempt's description for the scheduler.
 func (a *attempt) job(now time.Time, engine Engine) sched.Job {
 	return sched.Job{
 		Team:         a.env.Team,
@@ -59,27 +59,27 @@
 	}
 }
 
-// process takes the attempt through the queue and the engine, as often as it is
-// preempted, and returns how it ended. Before the answer's head went out the
-// ending may be a Refusal instead.
+// process queues the attempt and runs it at the engine, again after each
+// preemption, and returns how it ended. It returns a Refusal instead if the
+// attempt ended before the answer's header was sent.
 func (ag *Agent) process(ctx context.Context, a *attempt) (wire.Ending, *wire.Refusal) {
-	ctx, stop := context.WithCancelCause(ctx)
-	defer stop(nil)
-	job, verdict := ag.queue.offer(a.job(time.Now(), ag.cfg.Engine), a.movable(), stop)
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	job, verdict := ag.queue.offer(a.job(time.Now(), ag.cfg.Engine), a.movable(), cancel)
 	if !verdict.Admitted {
-		return "", refuse(verdict.Reason, verdict.RetryAfter)
+		return "", newRefusal(verdict.Reason, verdict.RetryAfter)
 	}
 	defer ag.queue.finish(job)
 	for {
-		step, err := await(ctx, job)
+		decision, err := awaitDecision(ctx, job)
 		if err != nil {
-			return ag.stopped(a, err)
+			return ag.resultOf(a, err)
 		}
-		if step.Action == sched.ActionDrop {
-			return ag.dropped(a, step)
+		if decision.Action == sched.ActionDrop {
+			return ag.resultOfDrop(a, decision)
 		}
 		err = ag.runOnce(ctx, a, job)
-		ag.engine.suspicion.learn(err)
+		ag.engine.failures.recordResult(err)
 		if errors.Is(err, errPreempted) {
 			ag.metrics.preempted.WithLabelValues(a.env.Class).Inc()
 			if ag.endAtLimit(a) {
@@ -88,50 +88,50 @@
 			ag.queue.requeue(job)
 			continue
 		}
-		return ag.stopped(a, err)
+		return ag.resultOf(a, err)
 	}
 }
 
-// await waits for the policy's next step for the job.
-func await(ctx context.Context, job *queuedJob) (sched.Decision, error) {
+// awaitDecision waits for the policy's next decision on the job.
+func awaitDecision(ctx context.Context, job *queuedJob) (sched.Decision, error) {
 	select {
-	case step := <-job.steps:
-		return step, nil
+	case decision := <-job.decisions:
+		return decision, nil
 	case <-ctx.Done():
 		return sched.Decision{}, context.Cause(ctx)
 	}
 }
 
-// runOnce runs the attempt at the engine until its end, its preemption or its
-// failure. nil is the engine's own end.
+// runOnce runs the attempt at the engine until it completes, fails or is
+// preempted. The error is nil if the engine completed the answer.
 func (ag *Agent) runOnce(ctx context.Context, a *attempt, job *queuedJob) error {
 	runCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	ag.queue.running(job, cancel)
+	ag.queue.setPreempt(job, cancel)
 	if err := a.readBody(); err != nil {
 		return err
 	}
-	if err := ag.fence(runCtx, a); err != nil {
+	if err := ag.checkDeadline(runCtx, a); err != nil {
 		return err
 	}
 	if err := ag.beginKey(a); err != nil {
 		return err
 	}
-	a.runs++
+	a.runCount++
 	resp, ran, err := ag.engine.run(runCtx, a)
-	a.noteRun(ran)
+	a.recordRun(ran)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	ag.begin(a, resp)
+	ag.sendHeader(a, resp)
 	if a.env.Kind == wire.KindService {
 		err = relayService(a.w, resp.Body)
 	} else {
-		err = ag.relayWatched(a, job, resp.Body, cancel)
+		err = ag.relayUntilStall(a, job, resp.Body, cancel)
 	}
 	if a.progress.finished {
-		return nil // what broke behind the end takes nothing away
+		return nil // an error after the final chunk doesn't affect the answer
 	}
 	if cause := context.Cause(runCtx); err != nil && cause != nil {
 		return cause
@@ -139,29 +139,30 @@
 	return err
 }
 
-// begin sends the head of the answer, once.
-func (ag *Agent) begin(a *attempt, resp *http.Response) {
-	if a.started {
+// sendHeader sends the header of the answer, once.
+func (ag *Agent) sendHeader(a *attempt, resp *http.Response) {
+	if a.headerSent {
 		return
 	}
-	a.started = true
+	a.headerSent = true
 	h := a.w.Header()
 	h.Set("Trailer", wire.HeaderEnd)
 	h.Set("Content-Type", resp.Header.Get("Content-Type"))
 	if a.env.Kind == wire.KindService {
 		_ = wire.Encode(h, wire.HeaderStatus, resp.StatusCode) // an integer always encodes
 	}
-	_ = wire.Encode(h, wire.HeaderLoad, ag.queue.load()) // a report always encodes
-	_ = wire.Encode(h, wire.HeaderClock, ag.reading())   // so does a reading
+	_ = wire.Encode(h, wire.HeaderLoad, ag.queue.loadReport()) // a report always encodes
+	_ = wire.Encode(h, wire.HeaderClock, ag.clockReading())    // a clock reading always encodes
 	a.w.WriteHeader(http.StatusOK)
 }
 
-// relayStream relays the engine's events as they are, those that come together
-// in one flush, and keeps the text. nil is the engine's own end.
+// relayStream relays the engine's events unchanged and keeps their text. Events
+// that arrive in one read are flushed together. The error is nil if the engine
+// completed the answer.
 func (ag *Agent) relayStream(a *attempt, job *queuedJob, body io.Reader) error {
 	err := ag.relayEvents(a, job, body)
-	if failed := a.flush(); failed != nil {
-		return failed
+	if flushErr := a.flush(); flushErr != nil {
+		return flushErr
 	}
 	return err
 }
@@ -174,7 +175,7 @@
 		if event.Data == sse.Done {
 			break
 		}
-		if err := ag.take(a, job, event); err != nil {
+		if err := ag.applyChunk(a, job, event); err != nil {
 			return err
 		}
 		if err := a.send(event.Data); err != nil {
@@ -187,25 +188,27 @@
 	return a.send(sse.Done)
 }
 
-// send passes an event on to the router, with the next flush.
+// send writes an event for the router; flush sends it.
 func (a *attempt) send(data string) error {
-	a.unsent = true
+	a.unflushed = true
 	return errors.Mark(sse.WriteData(a.w, data), errRelay)
 }
 
-// flush sends on what was written; once it failed it keeps failing.
+// flush sends the events written so far. After a failure it returns the same
+// error on every call.
 func (a *attempt) flush() error {
-	if a.unsent && a.failed == nil {
-		a.unsent = false
-		a.failed = errors.Mark(http.NewResponseController(a.w).Flush(), errRelay)
+	if a.unflushed && a.flushErr == nil {
+		a.unflushed = false
+		a.flushErr = errors.Mark(http.NewResponseController(a.w).Flush(), errRelay)
 	}
-	return a.failed
+	return a.flushErr
 }
 
-// take keeps and charges one chunk. One that doesn't carry the answer on, such
-// as the end of an aborted one, is an error and goes no further. A chunk without
-// text, such as the first with the role, costs the engine nothing.
-func (ag *Agent) take(a *attempt, job *queuedJob, event sse.Event) error {
+// applyChunk records one chunk and charges its token to the job. A chunk that
+// doesn't continue the answer, such as the end of an aborted one, is an error
+// and isn't relayed. A chunk without text, such as the first one with the role,
+// is not charged.
+func (ag *Agent) applyChunk(a *attempt, job *queuedJob, event sse.Event) error {
 	if event.Type == sse.EventError {
 		return errors.Mark(errors.Newf("the engine reports an error: %s", event.Data), errCutOff)
 	}
@@ -216,7 +219,8 @@
 	if chunk.Finish != "" && !chunk.Whole() {
 		return errors.Mark(errors.Newf("the engine ended the answer early: %s", chunk.Finish), errCutOff)
 	}
-	// No engine can go on from more than text, so from here on the job stays.
+	// No engine can resume from anything but text, so the job can no longer
+	// be preempted or moved.
 	if chunk.Opaque && !ag.queue.pin(job) {
 		return errPreempted
 	}
@@ -225,68 +229,70 @@
 		return nil
 	}
 	a.progress.text.WriteString(chunk.Text)
-	a.progress.last = event.Data
+	a.progress.lastChunk = event.Data
 	a.progress.tokens++
-	ag.queue.tokens(job, 1)
+	ag.queue.chargeTokens(job, 1)
 	return nil
 }
 
-// endAtLimit ends a preempted answer that holds as many tokens as were asked
-// for: the engine would have to add one to end it.
+// endAtLimit ends a preempted answer that has reached its token limit. A
+// resumed engine would have to add a token before it could end the answer.
 func (ag *Agent) endAtLimit(a *attempt) bool {
 	limit := completion.MaxTokens(a.body)
 	if limit <= 0 || a.progress.tokens < limit {
 		return false
 	}
-	end, err := completion.EndAtLimit(a.env.Kind, a.progress.last)
+	end, err := completion.EndAtLimit(a.env.Kind, a.progress.lastChunk)
 	return err == nil && a.send(end) == nil && a.send(sse.Done) == nil
 }
 
-// relayService copies a plain service's answer.
+// relayService copies the answer of a plain service.
 func relayService(w http.ResponseWriter, body io.Reader) error {
 	_, err := io.Copy(w, body)
 	return err
 }
 
-// dropped ends an attempt that the policy took out of the queue. One that had
-// run before a preemption can't be refused as not run any more.
-func (ag *Agent) dropped(a *attempt, step sched.Decision) (wire.Ending, *wire.Refusal) {
-	if a.started {
+// resultOfDrop returns the result of an attempt that the policy dropped from the
+// queue. An attempt that ran before a preemption can no longer be refused as not
+// run.
+func (ag *Agent) resultOfDrop(a *attempt, decision sched.Decision) (wire.Ending, *wire.Refusal) {
+	if a.headerSent {
 		return wire.EndingExpired, nil
 	}
-	refusal := refuse(step.Reason, step.RetryAfter)
-	refusal.Run = a.run()
+	refusal := newRefusal(decision.Reason, decision.RetryAfter)
+	refusal.Run = a.runStatus()
 	return "", refusal
 }
 
-// stopped turns the error that an attempt ended with.
-func (ag *Agent) stopped(a *attempt, err error) (wire.Ending, *wire.Refusal) {
+// resultOf converts the error that ended an attempt into its ending or refusal.
+func (ag *Agent) resultOf(a *attempt, err error) (wire.Ending, *wire.Refusal) {
 	if err == nil {
 		return wire.EndingComplete, nil
 	}
-	if a.started {
+	if a.headerSent {
 		return endingFor(err), nil
 	}
 	refusal := wire.Refusal{Reason: string(endingFor(err))}
-	var failed *engineError
-	if errors.As(err, &failed) {
-		refusal = failed.refusal()
+	var engineErr *engineError
+	if errors.As(err, &engineErr) {
+		refusal = engineErr.refusal()
 	}
-	refusal.Run = a.run()
+	refusal.Run = a.runStatus()
 	return "", &refusal
 }
 
-// run is the agent's word on whether the attempt ran.
-func (a *attempt) run() wire.Run { return cmp.Or(a.ran, wire.RunNot) }
+// runStatus returns whether the attempt ran, as far as the agent knows.
+func (a *attempt) runStatus() wire.Run { return cmp.Or(a.ran, wire.RunNot) }
 
-// noteRun adds what one run at the engine did: what an earlier one did stays.
-func (a *attempt) noteRun(run wire.Run) {
+// recordRun merges in the status of one run at the engine. It never lowers the
+// status that an earlier run left.
+func (a *attempt) recordRun(run wire.Run) {
 	if a.ran != wire.RunYes && run != wire.RunNot {
 		a.ran = run
 	}
 }
 
-// movable says that the router can have the rest of the attempt done elsewhere.
+// movable reports whether the router can resume the attempt at another endpoint.
 func (a *attempt) movable() bool {
 	return !a.env.NonIdempotent && a.env.Kind != wire.KindService && a.env.KeyIssuedMillis == 0
 }
@@ -304,7 +310,7 @@
 	}
 }
 
-func refuse(reason sched.Reason, retryAfter time.Duration) *wire.Refusal {
+func newRefusal(reason sched.Reason, retryAfter time.Duration) *wire.Refusal {
 	return &wire.Refusal{
 		Reason:           string(reason),
 		Run:              wire.RunNot,
--- a/internal/agent/engine.go
+++ b/internal/agent/engine.go
@@ -15,50 +15,50 @@
 	"coveferry/internal/wire"
 )
 
-// maxRefusalBody bounds what is kept of an engine's own refusal.
+// maxRefusalBody bounds the bytes kept of an engine's error response.
 const maxRefusalBody = 4 << 10
 
-// Engine says how the agent reaches its endpoint and what the endpoint can do.
+// Engine describes the endpoint's address and capabilities.
 type Engine struct {
-	// URL is the base of the endpoint's interface.
+	// URL is the base URL of the endpoint's API.
 	URL string
-	// Priorities says that the engine honours the field "priority".
+	// Priorities reports whether the engine supports the field "priority".
 	Priorities bool
-	// Resume says that the engine goes on from a given text, so that a
-	// running request can be preempted.
+	// Resume reports whether the engine can continue an answer from a given
+	// text, so that a running request can be preempted.
 	Resume bool
-	// HealthPath is where the engine answers with 200 when it is well. It is
-	// asked after a failure, before the engine is given work; empty if the
-	// endpoint has none.
+	// HealthPath is the health check path, which answers 200 while the engine
+	// is healthy. After a failure it is checked before the next request is
+	// sent; empty if the endpoint has none.
 	HealthPath string
 }
 
-// EngineHealthPath is the HealthPath of the usual model engines.
+// EngineHealthPath is the HealthPath of common model engines.
 const EngineHealthPath = "/health"
 
-// engineClient sends requests to the one endpoint of this agent.
+// engineClient sends requests to the agent's engine.
 type engineClient struct {
 	engine Engine
 	http   *http.Client
-	// suspicion follows from how runs ended.
-	suspicion suspicion
+	// failures records whether recent runs failed.
+	failures failureState
 }
 
-// enginePaths are the paths of the completions protocol.
+// enginePaths are the request paths of the completions protocol.
 var enginePaths = map[wire.Kind]string{
 	wire.KindChat:       "/v1/chat/completions",
 	wire.KindCompletion: "/v1/completions",
 }
 
-// run sends the request and returns the answer once its head has come, and what
-// is known of whether the request ran. Its error is an *engineError, or the cause
-// with which ctx ended.
+// run sends the request and returns the response once its header has arrived,
+// and whether the request ran as far as is known. The error is an *engineError,
+// or the cause with which ctx ended.
 func (c *engineClient) run(ctx context.Context, a *attempt) (*http.Response, wire.Run, error) {
 	req, err := c.newRequest(ctx, a)
 	if err != nil {
 		return nil, wire.RunNot, &engineError{Reason: wire.ReasonBadEnvelope, Cause: err}
 	}
-	if err := c.check(ctx); err != nil {
+	if err := c.checkHealth(ctx); err != nil {
 		return nil, wire.RunNot, err
 	}
 	connected := false
@@ -77,20 +77,20 @@
 
 func (c *engineClient) newRequest(ctx context.Context, a *attempt) (*http.Request, error) {
 	if a.env.Kind == wire.KindService {
-		return c.sendOnce(ctx, a, a.env.Method, a.env.Path, a.body)
+		return c.newSingleUseRequest(ctx, a, a.env.Method, a.env.Path, a.body)
 	}
 	body, err := c.completionBody(a)
 	if err != nil {
 		return nil, err
 	}
-	return c.sendOnce(ctx, a, http.MethodPost, enginePaths[a.env.Kind], body)
+	return c.newSingleUseRequest(ctx, a, http.MethodPost, enginePaths[a.env.Kind], body)
 }
 
-// sendOnce makes a request that the transport never repeats by itself: it would
-// repeat one that carries an idempotency key, or a method that is idempotent by
-// the protocol, if it could read the body again.
-func (c *engineClient) sendOnce(ctx context.Context, a *attempt, method, path string, body []byte) (*http.Request, error) {
-	once := io.NopCloser(bytes.NewReader(body)) // an empty one, too, is more than no body
+// newSingleUseRequest builds a request that the HTTP transport never retries. The
+// transport retries requests with an idempotency key or an idempotent method if
+// it can read the body again.
+func (c *engineClient) newSingleUseRequest(ctx context.Context, a *attempt, method, path string, body []byte) (*http.Request, error) {
+	once := io.NopCloser(bytes.NewReader(body)) // without a body the transport may retry; an empty reader prevents it
 	req, err := http.NewRequestWithContext(ctx, method, c.engine.URL+path, once)
 	if err != nil {
 		return nil, errors.Wrap(err, "make the engine's request")
@@ -116,25 +116,25 @@
 
 func setCommonHeaders(req *http.Request, a *attempt) {
 	req.Header.Set("Content-Type", a.contentType)
-	req.Header.Set("X-Request-Id", a.engineID())
+	req.Header.Set("X-Request-Id", a.engineRequestID())
 	if a.env.IdempotencyKey != "" {
 		req.Header.Set(api.HeaderIdempotencyKey, a.env.IdempotencyKey)
 	}
 }
 
-// engineID names the run for the engine: request, epoch and, once it has been
-// preempted, the number of the run. The router knows by the change of the
-// answer's id that it was resumed.
-func (a *attempt) engineID() string {
+// engineRequestID identifies the run to the engine by request, epoch and, after a
+// preemption, the number of the run. A changed id in the answer tells the router
+// that the answer was resumed.
+func (a *attempt) engineRequestID() string {
 	id := a.env.Request + "." + strconv.Itoa(a.env.Epoch)
-	if a.runs > 1 {
-		id += "." + strconv.Itoa(a.runs)
+	if a.runCount > 1 {
+		id += "." + strconv.Itoa(a.runCount)
 	}
 	return id
 }
 
-// sendError tells what a failed send says of whether the request ran. Only
-// where no connection was had at all is it certain that it didn't.
+// sendError returns whether a request that could not be sent ran, and the error.
+// Only a request that never got a connection is certain not to have run.
 func sendError(ctx context.Context, connected bool, err error) (wire.Run, error) {
 	run, reason := wire.RunNot, wire.ReasonEngineDown
 	if connected {
@@ -146,8 +146,8 @@
 	return run, &engineError{Reason: reason, Cause: err}
 }
 
-// statusError turns an engine's status. Of those the completions protocol
-// gives, the 4xx and 503 say that the engine didn't take the request.
+// statusError converts an engine's error response. In the completions protocol
+// 4xx and 503 mean that the engine did not accept the request.
 func statusError(resp *http.Response) (wire.Run, error) {
 	defer resp.Body.Close()
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBody)) // best effort: for the message only
--- a/internal/agent/errors.go
+++ b/internal/agent/errors.go
@@ -19,23 +19,24 @@
 // it elsewhere.
 var errLeaving = errors.New("the endpoint is leaving")
 
-// errWithdrawn: the router kept the request back, as another endpoint was
-// first, or it left.
+// errWithdrawn: the router withheld the body because another endpoint read it
+// first, or the router disconnected.
 var errWithdrawn = errors.New("the router withdrew the request")
 
-// errCutOff: the engine's answer stopped without its own end.
+// errCutOff: the engine's answer ended without a final chunk.
 var errCutOff = errors.New("the engine's answer was cut off")
 
-// errStalled: the engine stopped working in the middle of an answer.
+// errStalled: the engine stopped sending tokens in the middle of an answer.
 var errStalled = errors.New("the engine stalled")
 
-// errRelay: the router could not be written to.
+// errRelay: writing to the router failed.
 var errRelay = errors.New("the router left")
 
-// errKeyMoved: the agent can't vouch any more that the attempt's key runs once.
+// errKeyMoved: the agent can no longer guarantee that the attempt's key runs at
+// most once.
 var errKeyMoved = errors.New("the key's home has changed")
 
-// engineError is an engine's failure before any of its answer came.
+// engineError is a failure of the engine before its answer began.
 type engineError struct {
 	Reason string // one of wire's reasons
 	Status int
@@ -52,7 +53,7 @@
 
 func (e *engineError) Unwrap() error { return e.Cause }
 
-// refusal lacks the word on whether the attempt ran, which is the attempt's.
+// refusal returns the error as a Refusal. The caller sets Run.
 func (e *engineError) refusal() wire.Refusal {
 	return wire.Refusal{Reason: e.Reason, EngineStatus: e.Status, EngineBody: e.Body}
 }
--- a/internal/agent/fence.go
+++ b/internal/agent/fence.go
@@ -9,84 +9,87 @@
 	"coveferry/internal/wire"
 )
 
-// Bounds by which a pause of the process is noticed.
+// Constants for the detection of process pauses.
 const (
-	// beatInterval is how often a queue that holds jobs notes the time.
-	beatInterval = 100 * time.Millisecond
-	// pauseGap is how long a silence has to be to count as a pause.
-	pauseGap = time.Second
-	// settleTime is what a process that woke gives its connections, so that
-	// resets and cancellations that arrived meanwhile are read first.
+	// heartbeatInterval is how often a queue that holds jobs records the time.
+	heartbeatInterval = 100 * time.Millisecond
+	// pauseThreshold is the gap between heartbeats that counts as a pause.
+	pauseThreshold = time.Second
+	// settleTime is how long a process that resumed waits before it starts
+	// work, so that connection resets and cancellations that arrived during
+	// the pause are read first.
 	settleTime = 50 * time.Millisecond
 )
 
-// heartbeat notices that the process was paused: its timer fires late then. It is
-// safe for concurrent use.
+// heartbeat detects pauses of the process by a timer that fires late. It is safe
+// for concurrent use.
 type heartbeat struct {
-	clock clock.Clock
-	mu    sync.Mutex
-	timer *time.Timer
-	on    bool
-	last  time.Time
-	woke  time.Time // zero before the first pause
+	clock     clock.Clock
+	mu        sync.Mutex
+	timer     *time.Timer
+	active    bool
+	lastBeat  time.Time
+	resumedAt time.Time // zero before the first pause
 }
 
-// keep starts and stops the beats.
-func (h *heartbeat) keep(on bool) {
+// setActive starts or stops the heartbeats.
+func (h *heartbeat) setActive(on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.on == on {
+	if h.active == on {
 		return
 	}
-	h.on = on
+	h.active = on
 	if !on {
 		h.timer.Stop()
 		return
 	}
-	h.last = h.clock()
+	h.lastBeat = h.clock()
 	if h.timer == nil {
-		h.timer = time.AfterFunc(beatInterval, h.tick)
+		h.timer = time.AfterFunc(heartbeatInterval, h.tick)
 		return
 	}
-	h.timer.Reset(beatInterval)
+	h.timer.Reset(heartbeatInterval)
 }
 
 func (h *heartbeat) tick() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.note()
-	if h.on {
-		h.timer.Reset(beatInterval)
+	h.detectPause()
+	if h.active {
+		h.timer.Reset(heartbeatInterval)
 	}
 }
 
-// note takes the time; h.mu is held.
-func (h *heartbeat) note() time.Time {
+// detectPause records the time, and a pause if the last heartbeat is too old.
+// It requires h.mu to be held.
+func (h *heartbeat) detectPause() time.Time {
 	now := h.clock()
-	if now.Sub(h.last) >= pauseGap {
-		h.woke = now
+	if now.Sub(h.lastBeat) >= pauseThreshold {
+		h.resumedAt = now
 	}
-	h.last = now
+	h.lastBeat = now
 	return now
 }
 
-// settle is how long to wait before anything is started: 0 unless the process
-// has just woken.
-func (h *heartbeat) settle() time.Duration {
+// settleDelay returns how long to wait before work is started: 0 unless the
+// process has just resumed from a pause.
+func (h *heartbeat) settleDelay() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	now := h.note()
-	if h.woke.IsZero() {
+	now := h.detectPause()
+	if h.resumedAt.IsZero() {
 		return 0
 	}
-	return max(0, settleTime-now.Sub(h.woke))
+	return max(0, settleTime-now.Sub(h.resumedAt))
 }
 
-// fence checks immediately before the engine is asked that the attempt is still
-// wanted. The context alone doesn't tell: after a pause neither its timer nor the
-// router's cancellation need have been noticed yet.
-func (ag *Agent) fence(ctx context.Context, a *attempt) error {
-	if wait := ag.queue.beat.settle(); wait > 0 {
+// checkDeadline checks, immediately before a request is sent to the engine, that
+// the attempt is neither cancelled nor expired. The context alone isn't
+// sufficient: after a pause neither its timer nor the router's cancellation may
+// have taken effect yet.
+func (ag *Agent) checkDeadline(ctx context.Context, a *attempt) error {
+	if wait := ag.queue.heartbeat.settleDelay(); wait > 0 {
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -95,29 +98,29 @@
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
-	if !ag.cfg.Clock().Before(a.expires) {
+	if !ag.cfg.Clock().Before(a.clockDeadline) {
 		return errDeadline
 	}
 	return nil
 }
 
-// skewAllowance is by how much the wall clocks of a router and this VM may
-// differ before a first message counts as old.
+// skewAllowance is the clock skew between a router and this VM that is tolerated
+// when the age of a router's first message is computed.
 const skewAllowance = 2 * time.Second
 
-// left is how much of an attempt's time is left. What the router gave as left
-// when it sent the attempt is shortened by the time that the attempt was under
-// way: either process may have been paused meanwhile.
-func (ag *Agent) left(env *wire.Envelope) time.Duration {
-	return time.Duration(env.DeadlineMillis)*time.Millisecond - max(0, ag.age(env))
+// remainingTime returns the time until an attempt's deadline: the remaining time
+// that the router sent, less the transit time. Either process may have been
+// paused in between.
+func (ag *Agent) remainingTime(env *wire.Envelope) time.Duration {
+	return time.Duration(env.DeadlineMillis)*time.Millisecond - max(0, ag.transitTime(env))
 }
 
-// age is how long an attempt was under way. The router says which reading of
-// this agent's clock it heard and how long before it sent the attempt, so that
-// the age needs no agreement of clocks; it is too long by the time that the
-// reading took to the router. A router that has heard none yet is held to its
-// wall clock, within the allowance for skew.
-func (ag *Agent) age(env *wire.Envelope) time.Duration {
+// transitTime returns how long an attempt was in transit. The router sends the
+// last reading of this agent's clock that it received, and how long before the
+// attempt it received it, so the clocks need not be synchronized. The result is
+// too long by the time the reading took to reach the router. For a router that
+// has no reading yet, the wall clocks are compared, less skewAllowance.
+func (ag *Agent) transitTime(env *wire.Envelope) time.Duration {
 	if env.Heard.Incarnation == ag.incarnation {
 		millis := ag.cfg.Clock().UnixMilli() - env.Heard.Millis - env.HeardAgoMillis
 		return time.Duration(millis) * time.Millisecond
@@ -129,7 +132,8 @@
 	return time.Duration(millis)*time.Millisecond - skewAllowance
 }
 
-// reading is what the agent's clock shows now, for routers to refer to.
-func (ag *Agent) reading() wire.Clock {
+// clockReading returns the agent's current clock reading, which routers send back
+// with later attempts.
+func (ag *Agent) clockReading() wire.Clock {
 	return wire.Clock{Incarnation: ag.incarnation, Millis: ag.cfg.Clock().UnixMilli()}
 }
--- a/internal/agent/hostile_test.go
+++ b/internal/agent/hostile_test.go
@@ -18,16 +18,16 @@
 	"coveferry/internal/wire"
 )
 
-// canned is an engine that answers each request with the same bytes.
-type canned string
+// fixedEngine is an engine that answers each request with the same bytes.
+type fixedEngine string
 
-func (c canned) RoundTrip(*http.Request) (*http.Response, error) {
+func (c fixedEngine) RoundTrip(*http.Request) (*http.Response, error) {
 	body := io.NopCloser(strings.NewReader(string(c)))
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: body}, nil
 }
 
-// Whatever an engine sends, its agent and the router behind it agree on whether
-// the answer is whole, and only a whole one ends like one.
+// Whatever an engine sends, the agent and the router must agree on whether the
+// answer is complete, and only a complete answer may end with the final event.
 func FuzzHostileEngine(f *testing.F) {
 	for _, stream := range []string{
 		textChunk + endChunk + doneEvent, textChunk + doneEvent, textChunk, toolChunk + endChunk, endChunk + textChunk,
@@ -39,7 +39,7 @@
 		g := NewWithT(t)
 		ag := agent.New(agent.Config{
 			Endpoint: "e", Engine: agent.Engine{URL: "http://engine"}, MaxBody: 1 << 10,
-			Policy: fifo.New(fifo.Config{Slots: 1}), Client: &http.Client{Transport: canned(stream)},
+			Policy: fifo.New(fifo.Config{Slots: 1}), Client: &http.Client{Transport: fixedEngine(stream)},
 		})
 		resp := attempt(g, ag, wire.Envelope{Request: "r", DeadlineMillis: 60_000})
 		end := ending(g, resp)
@@ -52,12 +52,12 @@
 		}, nil)
 		whole := strings.HasSuffix(caller.Body.String(), doneEvent)
 		if (err == nil) != (end == wire.EndingComplete) || whole != (err == nil) {
-			t.Fatalf("the agent says %q, the router %v, the caller got %q", end, err, caller.Body)
+			t.Fatalf("the agent reports %q, the router %v, the caller received %q", end, err, caller.Body)
 		}
 		for _, event := range strings.Split(caller.Body.String(), "\n\n") {
 			data := strings.TrimPrefix(event, "data: ")
 			if data != "" && data != "[DONE]" && !json.Valid([]byte(strings.ReplaceAll(data, "\ndata: ", "\n"))) {
-				t.Fatalf("the caller got %q", event)
+				t.Fatalf("the caller received %q", event)
 			}
 		}
 	})
--- a/internal/agent/keys.go
+++ b/internal/agent/keys.go
@@ -19,31 +19,32 @@
 	"coveferry/internal/wire"
 )
 
-// Bounds of the talk between agents about keys.
+// Bounds on the exchange between agents about keys.
 const (
-	keyTick = time.Second
-	// maxAsking bounds the questions under way at once.
-	maxAsking = 16
-	// maxAgreeBytes bounds a question and an answer: an answer may name some
-	// hundred endpoints.
+	keyInterval = time.Second
+	// maxConcurrentQueries bounds the queries in flight at once.
+	maxConcurrentQueries = 16
+	// maxAgreeBytes bounds the size of a query and of its answer, which may
+	// name several hundred endpoints.
 	maxAgreeBytes = 64 << 10
 )
 
-// Keys is what an agent needs to vouch for idempotency keys.
+// Keys configures how an agent ensures that an idempotency key runs at most once.
 type Keys struct {
-	// Once bounds the memory of keys; Self must name the agent's endpoint and
+	// Once bounds the store of keys; Self must name the agent's endpoint and
 	// its VM. With the zero value attempts with keys are refused.
 	Once once.Config
-	// Peers reaches other agents, by Scheme "https" or, without certificates,
-	// "http". Without it no list of several endpoints is ever agreed on.
+	// Peers sends requests to other agents. Scheme is "https" or, without
+	// certificates, "http". If Peers is nil, agents never agree on a list of
+	// more than one endpoint.
 	Peers  *http.Client
 	Scheme string
-	// Ignore has keys passed on and not acted on.
+	// PassThrough makes the agent forward keys to the engine without checking them.
 	Ignore bool
 }
 
-// keys is the agent's Keeper behind a lock. Key times are told by the wall
-// clock, which counts every pause.
+// keys guards the agent's Keeper with a lock. Key times use the wall clock,
+// because it advances during every pause.
 type keys struct {
 	cfg    Keys
 	mu     sync.Mutex
@@ -67,7 +68,7 @@
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "coveferry_agent_key_peers_waiting",
 			Help: "Endpoints whose agreement is missing before some keys can be taken.",
-		}, func() float64 { return float64(len(k.waiting())) }),
+		}, func() float64 { return float64(len(k.pendingPeers())) }),
 	)
 }
 
@@ -77,13 +78,13 @@
 	return k.keeper.Len()
 }
 
-func (k *keys) waiting() []once.Member {
+func (k *keys) pendingPeers() []once.Member {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.keeper.Waiting()
 }
 
-// Adopt has the agent act as home of keys by the endpoints of a snapshot.
+// UpdateEndpoints makes the agent the home of keys according to the endpoints of a snapshot.
 func (ag *Agent) Adopt(s *bundle.Snapshot) {
 	view := once.ViewOf(s.Bundle())
 	ag.keys.mu.Lock()
@@ -91,27 +92,27 @@
 	ag.keys.keeper.Adopt(time.Now(), view)
 }
 
-// WaitingFor lists the endpoints without whose agreement this agent can't take
-// some keys.
-func (ag *Agent) WaitingFor() []once.Member { return ag.keys.waiting() }
+// PendingPeers lists the endpoints whose agreement is missing before this agent
+// can accept some keys.
+func (ag *Agent) PendingPeers() []once.Member { return ag.keys.pendingPeers() }
 
-// Gone tells that the platform's list has an endpoint's VM no more.
-func (ag *Agent) Gone(m once.Member) {
+// RemovePeer records that an endpoint's VM is no longer in the platform's list.
+func (ag *Agent) RemovePeer(m once.Member) {
 	ag.keys.mu.Lock()
 	defer ag.keys.mu.Unlock()
 	ag.keys.keeper.Gone(m)
 }
 
-// RunKeys forgets old keys and asks other agents for their agreement, until the
-// context ends.
+// RunKeys removes old keys and queries other agents for their agreement, until
+// the context ends.
 func (ag *Agent) RunKeys(ctx context.Context) error {
-	ticker := time.NewTicker(keyTick)
+	ticker := time.NewTicker(keyInterval)
 	defer ticker.Stop()
 	var round errgroup.Group
-	round.SetLimit(1) // a round that takes longer than a tick replaces the next
+	round.SetLimit(1) // while a round of queries is running, the next is skipped
 	for {
 		if questions := ag.keys.tick(); len(questions) > 0 {
-			round.TryGo(func() error { return ag.keys.askAll(ctx, questions) })
+			round.TryGo(func() error { return ag.keys.queryPeers(ctx, questions) })
 		}
 		select {
 		case <-ticker.C:
@@ -121,16 +122,16 @@
 	}
 }
 
-// askAll puts the questions of one round. Rounds are rare, so the connections
-// aren't kept.
-func (k *keys) askAll(ctx context.Context, questions []once.Question) error {
+// queryPeers sends the queries of one round. Rounds are rare, so the connections
+// are not kept open.
+func (k *keys) queryPeers(ctx context.Context, questions []once.Question) error {
 	defer k.cfg.Peers.CloseIdleConnections()
-	var asking errgroup.Group
-	asking.SetLimit(maxAsking)
+	var queries errgroup.Group
+	queries.SetLimit(maxConcurrentQueries)
 	for _, q := range questions {
-		asking.Go(func() error { k.ask(ctx, q); return nil })
+		queries.Go(func() error { k.queryPeer(ctx, q); return nil })
 	}
-	return asking.Wait()
+	return queries.Wait()
 }
 
 func (k *keys) tick() []once.Question {
@@ -144,8 +145,9 @@
 	return k.keeper.Questions(now)
 }
 
-// ask puts one question. A peer that doesn't answer is asked again.
-func (k *keys) ask(ctx context.Context, q once.Question) {
+// queryPeer sends one query. A peer that doesn't answer is queried again in a
+// later round.
+func (k *keys) queryPeer(ctx context.Context, q once.Question) {
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.Once.AnswerWithin)
 	defer cancel()
 	q.At = time.Now()
@@ -183,8 +185,8 @@
 	return answer, errors.Wrap(err, "decode a peer's answer")
 }
 
-// serveAgree answers another agent's question. Over TLS an agent can ask on its
-// own behalf only.
+// serveAgree answers another agent's query. Over TLS an agent can only query on
+// its own behalf.
 func (ag *Agent) serveAgree(w http.ResponseWriter, r *http.Request) {
 	var ask once.Ask
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAgreeBytes)).Decode(&ask); err != nil {
@@ -202,15 +204,16 @@
 	answer := ag.keys.keeper.Asked(time.Now(), ask)
 	ag.keys.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(answer) // the peer asks again
+	_ = json.NewEncoder(w).Encode(answer) // on failure the peer sends the query again
 }
 
-// keyed says whether the agent has to vouch that the attempt's key runs once.
-func (ag *Agent) keyed(a *attempt) bool {
+// needsKeyCheck reports whether the agent has to ensure that the attempt's key
+// runs at most once.
+func (ag *Agent) needsKeyCheck(a *attempt) bool {
 	return a.env.KeyIssuedMillis != 0 && !ag.cfg.Keys.Ignore
 }
 
-func (a *attempt) use() once.Use {
+func (a *attempt) keyUse() once.Use {
 	return once.Use{
 		Target:  a.env.Target,
 		Team:    a.env.Team,
@@ -220,14 +223,15 @@
 	}
 }
 
-// processKeyed is process for an attempt whose key must not have run.
+// processKeyed is process for an attempt whose idempotency key must not have run
+// before.
 func (ag *Agent) processKeyed(ctx context.Context, a *attempt) (wire.Ending, *wire.Refusal) {
-	use := a.use()
+	use := a.keyUse()
 	ag.keys.mu.Lock()
 	verdict := ag.keys.keeper.Take(time.Now(), use)
 	ag.keys.mu.Unlock()
 	if verdict.Refused != "" {
-		return "", refuseKey(verdict)
+		return "", keyRefusal(verdict)
 	}
 	ending, refusal := ag.process(ctx, a)
 	ag.keys.mu.Lock()
@@ -236,23 +240,23 @@
 	return ending, refusal
 }
 
-// beginKey asks immediately before the engine is asked for the first time
-// whether the attempt may still run.
+// beginKey checks, immediately before the attempt is first sent to the engine,
+// whether its key still allows it to run.
 func (ag *Agent) beginKey(a *attempt) error {
-	if !ag.keyed(a) || a.runs > 0 {
+	if !ag.needsKeyCheck(a) || a.runCount > 0 {
 		return nil
 	}
 	ag.keys.mu.Lock()
 	defer ag.keys.mu.Unlock()
-	if ag.keys.keeper.Begin(time.Now(), a.use()) {
+	if ag.keys.keeper.Begin(time.Now(), a.keyUse()) {
 		return nil
 	}
 	return &engineError{Reason: wire.ReasonNotKeyHome, Cause: errKeyMoved}
 }
 
-// refuseKey turns a Keeper's refusal. For a duplicate Run tells of the request
-// that has the key, else of this one.
-func refuseKey(v once.Verdict) *wire.Refusal {
+// keyRefusal converts a Keeper's refusal. For a duplicate, Run describes the
+// request that holds the key, otherwise this one.
+func keyRefusal(v once.Verdict) *wire.Refusal {
 	out := &wire.Refusal{
 		Reason: string(v.Refused), Run: wire.RunNot,
 		RetryAfterMillis: v.RetryAfter.Milliseconds(),
@@ -261,14 +265,14 @@
 		out.Earlier = &wire.Earlier{Request: v.Earlier.Request, State: string(v.Earlier.State)}
 	}
 	if v.Refused == once.ReasonDuplicate {
-		out.Run = runOf(v.Earlier.State)
+		out.Run = runOfState(v.Earlier.State)
 	}
 	return out
 }
 
-// runOf is what a key's state says of whether its request ran. One that waits
-// may yet run.
-func runOf(s once.State) wire.Run {
+// runOfState returns whether the request of a key in the given state ran. A
+// request that waits may still run.
+func runOfState(s once.State) wire.Run {
 	switch s {
 	case once.StateNotRun:
 		return wire.RunNot
@@ -279,7 +283,7 @@
 	}
 }
 
-// keyState is what the end of an attempt says of its key.
+// keyState returns the state of a key after its attempt ended.
 func keyState(ending wire.Ending, refusal *wire.Refusal) once.State {
 	switch {
 	case refusal == nil && ending == wire.EndingComplete:
@@ -293,8 +297,8 @@
 	}
 }
 
-// fromAgent says whether a request comes from another agent, which may ask for
-// agreement and nothing else. The handshake has checked the certificate.
+// fromAgent reports whether a request comes from another agent, which may only
+// query for agreement. The TLS handshake has verified the certificate.
 func fromAgent(r *http.Request) bool {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return false
--- a/internal/agent/keys_test.go
+++ b/internal/agent/keys_test.go
@@ -25,8 +25,8 @@
 	"coveferry/internal/wire"
 )
 
-// filing is the head of a keyed call to the service "filings".
-func filing(g *WithT, request string, issued time.Time) *http.Request {
+// newKeyedRequest returns a call with an idempotency key to the service "filings".
+func newKeyedRequest(g *WithT, request string, issued time.Time) *http.Request {
 	req := httptest.NewRequestWithContext(context.Background(), http.MethodPost, wire.PathAttempts, strings.NewReader("x"))
 	env := wire.Envelope{
 		Request: request, Endpoint: "e", Epoch: 1, Kind: wire.KindService, Method: http.MethodPost, Path: "/x",
@@ -46,7 +46,7 @@
 }
 
 // withKeys runs play against an agent of one slot that is home of all keys.
-func withKeys(t *testing.T, play func(g *WithT, ag *agent.Agent, svc *service.Service)) {
+func withKeys(t *testing.T, body func(g *WithT, ag *agent.Agent, svc *service.Service)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -68,7 +68,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = ag.RunKeys(ctx) }()
 		time.Sleep(2 * cfg.Skew)
-		play(g, ag, svc)
+		body(g, ag, svc)
 		cancel()
 		client.CloseIdleConnections()
 		g.Expect(srv.Kill()).To(Succeed())
@@ -76,34 +76,34 @@
 	})
 }
 
-// A key whose home changes while its request waits doesn't run here.
-func TestKeyMovedWhileItWaited(t *testing.T) {
+// A queued attempt whose key moves to another home must not run at this agent.
+func TestQueuedAttemptIsRefusedWhenKeyHomeChanges(t *testing.T) {
 	withKeys(t, func(g *WithT, ag *agent.Agent, svc *service.Service) {
-		first, second := httptest.NewRecorder(), httptest.NewRecorder()
-		go ag.Handler().ServeHTTP(first, filing(g, "first", time.Now()))
+		firstResp, secondResp := httptest.NewRecorder(), httptest.NewRecorder()
+		go ag.Handler().ServeHTTP(firstResp, newKeyedRequest(g, "first", time.Now()))
 		synctest.Wait()
-		go ag.Handler().ServeHTTP(second, filing(g, "second", time.Now()))
+		go ag.Handler().ServeHTTP(secondResp, newKeyedRequest(g, "second", time.Now()))
 		synctest.Wait()
 		ag.Adopt(keyedBundle(2, "f"))
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		g.Expect(first.Code).To(Equal(http.StatusOK))
+		g.Expect(firstResp.Code).To(Equal(http.StatusOK))
 		var refusal wire.Refusal
-		g.Expect(json.NewDecoder(second.Body).Decode(&refusal)).To(Succeed())
+		g.Expect(json.NewDecoder(secondResp.Body).Decode(&refusal)).To(Succeed())
 		g.Expect(refusal.Reason).To(Equal(wire.ReasonNotKeyHome))
 		g.Expect(refusal.Run).To(Equal(wire.RunNot))
 		g.Expect(svc.Record().Calls).To(HaveLen(1))
 	})
 }
 
-// as puts a request in the name of a peer whose handshake succeeded.
-func as(req *http.Request, peer string) *http.Request {
-	uri, _ := url.Parse(peer) // a constant of a test
+// withPeer sets the TLS state of a request from the given peer.
+func withPeer(req *http.Request, peer string) *http.Request {
+	uri, _ := url.Parse(peer) // a valid constant
 	req.TLS = &tls.ConnectionState{PeerCertificates: []*x509.Certificate{{URIs: []*url.URL{uri}}}}
 	return req
 }
 
-func TestEachRoleDoesItsOwn(t *testing.T) {
+func TestPeerRoleRestrictsRequests(t *testing.T) {
 	withKeys(t, func(g *WithT, ag *agent.Agent, svc *service.Service) {
 		ask := `{"target":"service:filings","from":{"name":"f","vm":""},"list":"x"}`
 		for _, c := range []struct {
@@ -111,14 +111,14 @@
 			peer string
 			want int
 		}{
-			{filing(g, "a", time.Now()), "coveferry://agent/f", http.StatusForbidden},
-			{filing(g, "b", time.Now()), "coveferry://router/r", http.StatusOK},
+			{newKeyedRequest(g, "a", time.Now()), "coveferry://agent/f", http.StatusForbidden},
+			{newKeyedRequest(g, "b", time.Now()), "coveferry://router/r", http.StatusOK},
 			{httptest.NewRequest(http.MethodPost, wire.PathAgree, strings.NewReader(ask)), "coveferry://router/f", http.StatusForbidden},
 			{httptest.NewRequest(http.MethodPost, wire.PathAgree, strings.NewReader(ask)), "coveferry://agent/g", http.StatusForbidden},
 			{httptest.NewRequest(http.MethodPost, wire.PathAgree, strings.NewReader(ask)), "coveferry://agent/f", http.StatusOK},
 		} {
 			w := httptest.NewRecorder()
-			ag.Handler().ServeHTTP(w, as(c.req, c.peer))
+			ag.Handler().ServeHTTP(w, withPeer(c.req, c.peer))
 			g.Expect(w.Code).To(Equal(c.want), c.peer)
 		}
 		g.Expect(svc.Record().Calls).To(HaveLen(1))
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics counts what an agent did.
+// metrics holds the agent's counters.
 type metrics struct {
 	ended     *prometheus.CounterVec
 	refused   *prometheus.CounterVec
--- a/internal/agent/preempt_test.go
+++ b/internal/agent/preempt_test.go
@@ -29,45 +29,45 @@
 	doneEvent = "data: [DONE]\n\n"
 )
 
-// script is a policy with one slot: the second job preempts the first, which
-// goes on when the second has finished.
-type script struct{ todo []sched.Decision }
+// scriptedPolicy is a policy with one slot: the second job preempts the first,
+// which resumes when the second has finished.
+type scriptedPolicy struct{ pending []sched.Decision }
 
-func (s *script) Offer(_ time.Time, j sched.Job) sched.Verdict {
+func (s *scriptedPolicy) Offer(_ time.Time, j sched.Job) sched.Verdict {
 	step := sched.Decision{Action: sched.ActionStart, Job: 1}
 	if j.ID == 2 {
 		step.Action = sched.ActionPreempt
 	}
-	s.todo = append(s.todo, step)
+	s.pending = append(s.pending, step)
 	return sched.Verdict{Admitted: true}
 }
 
-func (s *script) Next(time.Time) sched.Decision {
-	if len(s.todo) == 0 {
+func (s *scriptedPolicy) Next(time.Time) sched.Decision {
+	if len(s.pending) == 0 {
 		return sched.Decision{}
 	}
-	step := s.todo[0]
-	s.todo = s.todo[1:]
+	step := s.pending[0]
+	s.pending = s.pending[1:]
 	return step
 }
 
-func (s *script) Requeue(time.Time, sched.JobID) {
-	s.todo = append(s.todo, sched.Decision{Action: sched.ActionStart, Job: 2})
+func (s *scriptedPolicy) Requeue(time.Time, sched.JobID) {
+	s.pending = append(s.pending, sched.Decision{Action: sched.ActionStart, Job: 2})
 }
 
-func (s *script) Finish(_ time.Time, id sched.JobID) {
-	s.todo = append(s.todo, sched.Decision{Action: sched.ActionStart, Job: 3 - id})
+func (s *scriptedPolicy) Finish(_ time.Time, id sched.JobID) {
+	s.pending = append(s.pending, sched.Decision{Action: sched.ActionStart, Job: 3 - id})
 }
 
-func (*script) Tokens(time.Time, sched.JobID, int) {}
-func (*script) Load(time.Time) load.Report         { return load.Report{} }
-func (*script) Wake() time.Time                    { return time.Time{} }
+func (*scriptedPolicy) Tokens(time.Time, sched.JobID, int) {}
+func (*scriptedPolicy) Load(time.Time) load.Report         { return load.Report{} }
+func (*scriptedPolicy) Wake() time.Time                    { return time.Time{} }
 
-// engineStub answers the runs of the first request by its functions in turn,
-// and others at once.
+// engineStub answers the runs of the first request with its functions in turn,
+// and other requests with a short complete answer.
 type engineStub struct {
-	runs  []func(w http.ResponseWriter, gone <-chan struct{})
-	asked atomic.Int32
+	runs     []func(w http.ResponseWriter, done <-chan struct{})
+	requests atomic.Int32
 }
 
 func (e *engineStub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -76,16 +76,16 @@
 		_, _ = io.WriteString(w, textChunk+endChunk+doneEvent)
 		return
 	}
-	e.runs[e.asked.Add(1)-1](w, r.Context().Done())
+	e.runs[e.requests.Add(1)-1](w, r.Context().Done())
 }
 
-// give sends a piece of an answer.
-func give(w http.ResponseWriter, text string) {
+// send writes part of an answer and flushes it.
+func send(w http.ResponseWriter, text string) {
 	_, _ = io.WriteString(w, text)
 	_ = http.NewResponseController(w).Flush()
 }
 
-// attempt sends an attempt to the agent.
+// attempt sends an attempt to the agent and returns its response.
 func attempt(g *WithT, ag *agent.Agent, env wire.Envelope) *http.Response {
 	body := `{"model":"m","max_tokens":2,"messages":[{"role":"user","content":"x"}]}`
 	req := httptest.NewRequestWithContext(context.Background(), http.MethodPost, wire.PathAttempts, strings.NewReader(body))
@@ -96,9 +96,10 @@
 	return w.Result()
 }
 
-// preempt plays an engine whose first request is preempted by another after a
-// second, if it still runs, and checks what the first one's router gets.
-func preempt(t *testing.T, e *engineStub, check func(g *WithT, resp *http.Response)) {
+// runPreemption sends a first request to the engine, and after a second, if it
+// still runs, another that preempts it. It calls check with the response to the
+// first.
+func runPreemption(t *testing.T, e *engineStub, check func(g *WithT, resp *http.Response)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -110,7 +111,7 @@
 		client := server.NewClient(nil, net.Dialer("agent"))
 		ag := agent.New(agent.Config{
 			Endpoint: "e", Engine: agent.Engine{URL: "http://" + serviceAddress, Resume: true},
-			Policy: &script{}, MaxBody: 1 << 10, Client: client, Clock: time.Now,
+			Policy: &scriptedPolicy{}, MaxBody: 1 << 10, Client: client, Clock: time.Now,
 		})
 		done := make(chan *http.Response, 1)
 		go func() { done <- attempt(g, ag, wire.Envelope{Request: "first", DeadlineMillis: 60_000}) }()
@@ -131,73 +132,75 @@
 	return end.Ending
 }
 
-// No engine can go on from part of a tool call, so the job keeps its slot.
-func TestAToolCallIsNotPreempted(t *testing.T) {
+// No engine can resume from part of a tool call, so the job keeps its slot.
+func TestToolCallIsNotPreempted(t *testing.T) {
 	e := &engineStub{runs: []func(http.ResponseWriter, <-chan struct{}){
-		func(w http.ResponseWriter, gone <-chan struct{}) {
-			give(w, toolChunk)
+		func(w http.ResponseWriter, done <-chan struct{}) {
+			send(w, toolChunk)
 			select {
 			case <-time.After(2 * time.Second):
-				give(w, endChunk+doneEvent)
-			case <-gone:
+				send(w, endChunk+doneEvent)
+			case <-done:
 			}
 		},
 	}}
-	preempt(t, e, func(g *WithT, resp *http.Response) {
+	runPreemption(t, e, func(g *WithT, resp *http.Response) {
 		g.Expect(ending(g, resp)).To(Equal(wire.EndingComplete))
-		g.Expect(e.asked.Load()).To(BeEquivalentTo(1))
+		g.Expect(e.requests.Load()).To(BeEquivalentTo(1))
 	})
 }
 
-// The engine would have to add a token to end an answer that has all of them.
-func TestAnAnswerPreemptedAtItsBoundEnds(t *testing.T) {
+// An answer preempted at its token limit must be completed by the agent: a resumed
+// engine would have to add a token to end it.
+func TestAnswerPreemptedAtTokenLimitEnds(t *testing.T) {
 	e := &engineStub{runs: []func(http.ResponseWriter, <-chan struct{}){
-		func(w http.ResponseWriter, gone <-chan struct{}) { give(w, textChunk+textChunk); <-gone },
+		func(w http.ResponseWriter, done <-chan struct{}) { send(w, textChunk+textChunk); <-done },
 	}}
-	preempt(t, e, func(g *WithT, resp *http.Response) {
+	runPreemption(t, e, func(g *WithT, resp *http.Response) {
 		body, err := io.ReadAll(resp.Body)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(string(body)).To(HaveSuffix(`"finish_reason":"length"}]}` + "\n\n" + doneEvent))
 		g.Expect(ending(g, resp)).To(Equal(wire.EndingComplete))
-		g.Expect(e.asked.Load()).To(BeEquivalentTo(1))
+		g.Expect(e.requests.Load()).To(BeEquivalentTo(1))
 	})
 }
 
-func TestABreakBehindTheEndOrBeforeIt(t *testing.T) {
+func TestConnectionBreakBeforeOrAfterFinalChunk(t *testing.T) {
 	for stream, want := range map[string]wire.Ending{
 		textChunk + endChunk: wire.EndingComplete,
 		textChunk:            wire.EndingEngineFailed,
 	} {
 		e := &engineStub{runs: []func(http.ResponseWriter, <-chan struct{}){
-			func(w http.ResponseWriter, _ <-chan struct{}) { give(w, stream); panic(http.ErrAbortHandler) },
+			func(w http.ResponseWriter, _ <-chan struct{}) { send(w, stream); panic(http.ErrAbortHandler) },
 		}}
-		preempt(t, e, func(g *WithT, resp *http.Response) { g.Expect(ending(g, resp)).To(Equal(want), stream) })
+		runPreemption(t, e, func(g *WithT, resp *http.Response) { g.Expect(ending(g, resp)).To(Equal(want), stream) })
 	}
 }
 
-// The first run may have done work, whatever the engine says of the second.
-func TestWhatMayHaveRunBeforeAPreemptionIsNotForgotten(t *testing.T) {
+// The first run may have taken effect, so a refusal of the second run must not
+// report the attempt as not run.
+func TestRunStatusSurvivesPreemption(t *testing.T) {
 	e := &engineStub{runs: []func(http.ResponseWriter, <-chan struct{}){
-		func(_ http.ResponseWriter, gone <-chan struct{}) { <-gone },
+		func(_ http.ResponseWriter, done <-chan struct{}) { <-done },
 		func(w http.ResponseWriter, _ <-chan struct{}) { w.WriteHeader(http.StatusServiceUnavailable) },
 	}}
-	preempt(t, e, func(g *WithT, resp *http.Response) {
+	runPreemption(t, e, func(g *WithT, resp *http.Response) {
 		var refusal wire.Refusal
 		g.Expect(json.NewDecoder(resp.Body).Decode(&refusal)).To(Succeed())
 		g.Expect(refusal.Reason).To(Equal(wire.ReasonEngineDown))
 		g.Expect(refusal.Run).To(Equal(wire.RunUnknown))
-		g.Expect(e.asked.Load()).To(BeEquivalentTo(2))
+		g.Expect(e.requests.Load()).To(BeEquivalentTo(2))
 	})
 }
 
-// A router whose clock the agent can't judge otherwise is held to its wall
-// clock, within the allowance for skew.
-func TestAFirstAttemptThatWasLongUnderWayIsStale(t *testing.T) {
+// For a router that has no reading of the agent's clock, the agent compares the
+// wall clocks, less the skew allowance.
+func TestFirstAttemptWithLongTransitIsStale(t *testing.T) {
 	for ago, want := range map[time.Duration]string{20 * time.Second: wire.ReasonStale, time.Second: wire.ReasonLeaving} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
-			ag := agent.New(agent.Config{Endpoint: "e", Policy: &script{}, MaxBody: 1 << 10, Clock: time.Now})
-			ag.Leave() // so that nothing runs
+			ag := agent.New(agent.Config{Endpoint: "e", Policy: &scriptedPolicy{}, MaxBody: 1 << 10, Clock: time.Now})
+			ag.Leave() // so that no attempt runs
 			sent := time.Now().Add(-ago).UnixMilli()
 			resp := attempt(g, ag, wire.Envelope{Request: "r", DeadlineMillis: 10_000, SentUnixMillis: sent})
 			var refusal wire.Refusal
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -12,54 +12,54 @@
 	"coveferry/internal/wire"
 )
 
-// probeTimeout bounds a question about the engine's health.
+// probeTimeout bounds a health check of the engine.
 const probeTimeout = time.Second
 
-// suspicion remembers that the engine failed. An engine that is down but whose
-// connections are still taken would otherwise draw in request after request, and
-// of each nobody could say that it didn't run.
-type suspicion struct{ failed atomic.Bool }
+// failureState records that the engine failed. An engine that is down but still
+// accepts connections would otherwise receive one request after the other, each
+// with unknown run status.
+type failureState struct{ failed atomic.Bool }
 
-// learn notes how a run ended.
-func (s *suspicion) learn(err error) {
-	var failed *engineError
-	broke := errors.As(err, &failed) && failed.Reason != wire.ReasonEngineSaysNo
-	if broke || errors.Is(err, errCutOff) {
+// recordResult sets the state if a run ended by a failure of the engine.
+func (s *failureState) recordResult(err error) {
+	var engineErr *engineError
+	failed := errors.As(err, &engineErr) && engineErr.Reason != wire.ReasonEngineSaysNo
+	if failed || errors.Is(err, errCutOff) {
 		s.failed.Store(true)
 	}
 }
 
-// check asks a suspect engine for its health before it is given work. An error
-// means that it was given none.
-func (c *engineClient) check(ctx context.Context) error {
-	if c.engine.HealthPath == "" || !c.suspicion.failed.Load() {
+// checkHealth probes an engine that failed before the next request is sent to it.
+// An error means that the request must not be sent.
+func (c *engineClient) checkHealth(ctx context.Context) error {
+	if c.engine.HealthPath == "" || !c.failures.failed.Load() {
 		return nil
 	}
-	if err := c.askHealth(ctx); err != nil {
+	if err := c.probeHealth(ctx); err != nil {
 		if cause := context.Cause(ctx); cause != nil {
 			return cause
 		}
 		return &engineError{Reason: wire.ReasonEngineDown, Cause: err}
 	}
-	c.suspicion.failed.Store(false)
+	c.failures.failed.Store(false)
 	return nil
 }
 
-func (c *engineClient) askHealth(ctx context.Context) error {
+func (c *engineClient) probeHealth(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.engine.URL+c.engine.HealthPath, nil)
 	if err != nil {
-		return errors.Wrap(err, "make the question about health")
+		return errors.Wrap(err, "create health check request")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "ask for health")
+		return errors.Wrap(err, "send health check")
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxRefusalBody)) // so that the connection stays
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxRefusalBody)) // keeps the connection reusable
 	if resp.StatusCode != http.StatusOK {
-		return errors.Newf("health: status %d", resp.StatusCode)
+		return errors.Newf("health check: status %d", resp.StatusCode)
 	}
 	return nil
 }
--- a/internal/agent/queue.go
+++ b/internal/agent/queue.go
@@ -11,56 +11,57 @@
 	"coveferry/internal/wire"
 )
 
-// stepBuffer holds the steps a job may be behind: a start and a drop.
-const stepBuffer = 2
+// decisionBuffer is the number of decisions that a job may not have received
+// yet: a start and a drop.
+const decisionBuffer = 2
 
-// queue carries out what the scheduling policy decides. One lock covers one
-// endpoint's queue; an agent has just one.
+// queue applies the decisions of the scheduling policy. One lock guards the
+// queue; an agent has one queue, for its endpoint.
 type queue struct {
 	mu     sync.Mutex
 	policy sched.Policy
 	jobs   map[sched.JobID]*queuedJob
 	lastID sched.JobID
-	// seq numbers load reports. It starts at the time of the agent's start,
-	// so that reports of a restarted agent count as newer.
-	seq     uint64
-	leaving bool
-	wake    *time.Timer
-	beat    *heartbeat
+	// seq numbers load reports. It starts at the agent's start time, so that
+	// reports of a restarted agent count as newer.
+	seq       uint64
+	leaving   bool
+	wakeTimer *time.Timer
+	heartbeat *heartbeat
 }
 
-// queuedJob is a job's end of the queue.
+// queuedJob is the queue's state of one job.
 type queuedJob struct {
 	id sched.JobID
-	// steps brings ActionStart and ActionDrop to the job's goroutine.
-	steps chan sched.Decision
+	// decisions delivers ActionStart and ActionDrop to the job's goroutine.
+	decisions chan sched.Decision
 	// preempt stops the running job; set while it runs.
 	preempt context.CancelCauseFunc
-	// stop ends the job for good, wherever it stands.
-	stop context.CancelCauseFunc
-	// begun says that the policy gave it a slot.
-	begun bool
-	// movable says that its router can have the rest done elsewhere.
+	// cancel ends the job for good, whether queued or running.
+	cancel context.CancelCauseFunc
+	// started reports whether the policy assigned it a slot.
+	started bool
+	// movable reports whether its router can resume it at another endpoint.
 	movable bool
-	// pinned says that what it produced can't be gone on from.
+	// pinned reports that its output so far can't be resumed from.
 	pinned bool
-	// preempting says that the policy wants the job stopped. It may want so
-	// before the job's goroutine has come to set preempt.
+	// preempting reports whether the policy has preempted the job, possibly
+	// before the job's goroutine has set preempt.
 	preempting bool
 }
 
 func newQueue(policy sched.Policy, now clock.Clock) *queue {
 	return &queue{
-		policy: policy,
-		jobs:   make(map[sched.JobID]*queuedJob),
-		seq:    uint64(time.Now().UnixNano()),
-		beat:   &heartbeat{clock: now},
+		policy:    policy,
+		jobs:      make(map[sched.JobID]*queuedJob),
+		seq:       uint64(time.Now().UnixNano()),
+		heartbeat: &heartbeat{clock: now},
 	}
 }
 
-// offer hands a job to the policy. The job's id is set here. A queue that is
+// offer assigns the job an id and offers it to the policy. A queue that is
 // leaving refuses it.
-func (q *queue) offer(j sched.Job, movable bool, stop context.CancelCauseFunc) (*queuedJob, sched.Verdict) {
+func (q *queue) offer(j sched.Job, movable bool, cancel context.CancelCauseFunc) (*queuedJob, sched.Verdict) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.leaving {
@@ -72,25 +73,25 @@
 	if !verdict.Admitted {
 		return nil, verdict
 	}
-	job := &queuedJob{id: j.ID, steps: make(chan sched.Decision, stepBuffer), stop: stop, movable: movable}
+	job := &queuedJob{id: j.ID, decisions: make(chan sched.Decision, decisionBuffer), cancel: cancel, movable: movable}
 	q.jobs[j.ID] = job
-	q.beat.keep(true)
-	q.pump()
+	q.heartbeat.setActive(true)
+	q.applyDecisions()
 	return job, verdict
 }
 
-// running hands the queue the means to stop a job that has started.
-func (q *queue) running(job *queuedJob, preempt context.CancelCauseFunc) {
+// setPreempt sets the function that preempts a running job.
+func (q *queue) setPreempt(job *queuedJob, cancel context.CancelCauseFunc) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	job.preempt = preempt
+	job.preempt = cancel
 	if job.preempting {
-		preempt(errPreempted)
+		cancel(errPreempted)
 	}
 }
 
-// tokens charges produced tokens to a job.
-func (q *queue) tokens(job *queuedJob, n int) {
+// chargeTokens charges produced tokens to a job.
+func (q *queue) chargeTokens(job *queuedJob, n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.policy.Tokens(time.Now(), job.id, n)
@@ -102,23 +103,23 @@
 	defer q.mu.Unlock()
 	job.preempt = nil
 	job.preempting = false
-	job.begun = false
+	job.started = false
 	q.policy.Requeue(time.Now(), job.id)
-	q.pump()
+	q.applyDecisions()
 }
 
-// finish forgets a job, wherever it stands.
+// finish removes a job, whether queued or running.
 func (q *queue) finish(job *queuedJob) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.policy.Finish(time.Now(), job.id)
 	delete(q.jobs, job.id)
-	q.beat.keep(len(q.jobs) > 0)
-	q.pump()
+	q.heartbeat.setActive(len(q.jobs) > 0)
+	q.applyDecisions()
 }
 
-// pin keeps a running job from being preempted or moved; false says that it is
-// being preempted already.
+// pin keeps a running job from being preempted or moved. It returns false if the
+// job is already being preempted.
 func (q *queue) pin(job *queuedJob) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -129,33 +130,33 @@
 	return true
 }
 
-// leave marks the load reports, so that routers send nothing more, and takes
-// out of the queue what waits: none of it is to begin here.
+// leave marks load reports as leaving, so that routers send no more attempts, and
+// cancels the jobs that have not started.
 func (q *queue) leave() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.leaving = true
 	for _, job := range q.jobs {
-		if !job.begun {
-			job.stop(errLeaving)
+		if !job.started {
+			job.cancel(errLeaving)
 		}
 	}
 }
 
-// handOver ends the running jobs that routers can have finished elsewhere, and
-// returns how many that were and how many stay.
-func (q *queue) handOver() (moved, stay int) {
+// handOver ends the running jobs that routers can resume at other endpoints. It
+// returns the number of these jobs and of those that remain.
+func (q *queue) handOver() (moved, remaining int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, job := range q.jobs {
 		if !job.movable || job.pinned {
-			stay++
+			remaining++
 			continue
 		}
-		job.stop(errLeaving)
+		job.cancel(errLeaving)
 		moved++
 	}
-	return moved, stay
+	return moved, remaining
 }
 
 func (q *queue) isLeaving() bool {
@@ -164,8 +165,8 @@
 	return q.leaving
 }
 
-// load makes the next load report.
-func (q *queue) load() load.Report {
+// loadReport returns a load report with the next sequence number.
+func (q *queue) loadReport() load.Report {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.seq++
@@ -175,30 +176,31 @@
 	return report
 }
 
-// pump carries out all that the policy wants done now. q.mu is held.
-func (q *queue) pump() {
+// applyDecisions applies all decisions that the policy has now. It requires q.mu
+// to be held.
+func (q *queue) applyDecisions() {
 	for {
 		d := q.policy.Next(time.Now())
 		if d.Action == sched.ActionNone {
 			break
 		}
-		q.carryOut(d)
+		q.apply(d)
 	}
-	q.setWake()
+	q.resetWakeTimer()
 }
 
-func (q *queue) carryOut(d sched.Decision) {
+func (q *queue) apply(d sched.Decision) {
 	job, ok := q.jobs[d.Job]
 	if !ok {
 		return
 	}
 	if d.Action != sched.ActionPreempt {
-		job.begun = d.Action == sched.ActionStart
-		job.steps <- d
+		job.started = d.Action == sched.ActionStart
+		job.decisions <- d
 		return
 	}
 	if job.pinned {
-		return // it gives its slot back at its end
+		return // a pinned job keeps its slot until it ends
 	}
 	job.preempting = true
 	if job.preempt != nil {
@@ -206,24 +208,24 @@
 	}
 }
 
-func (q *queue) setWake() {
+func (q *queue) resetWakeTimer() {
 	at := q.policy.Wake()
 	if at.IsZero() {
-		if q.wake != nil {
-			q.wake.Stop()
+		if q.wakeTimer != nil {
+			q.wakeTimer.Stop()
 		}
 		return
 	}
 	wait := time.Until(at)
-	if q.wake == nil {
-		q.wake = time.AfterFunc(wait, q.wakeUp)
+	if q.wakeTimer == nil {
+		q.wakeTimer = time.AfterFunc(wait, q.onWakeTimer)
 		return
 	}
-	q.wake.Reset(wait)
+	q.wakeTimer.Reset(wait)
 }
 
-func (q *queue) wakeUp() {
+func (q *queue) onWakeTimer() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.pump()
+	q.applyDecisions()
 }
--- a/internal/agent/queue_test.go
+++ b/internal/agent/queue_test.go
@@ -11,9 +11,8 @@
 	"coveferry/internal/wire"
 )
 
-// An attempt may come between the question whether the agent is leaving and the
-// offer.
-func TestAQueueThatIsLeavingTakesNothing(t *testing.T) {
+// The queue may start to leave between the check in checkAttempt and the offer.
+func TestLeavingQueueRefusesJobs(t *testing.T) {
 	g := NewWithT(t)
 	q := newQueue(fifo.New(fifo.Config{Slots: 1}), time.Now)
 	q.leave()
--- a/internal/agent/resize.go
+++ b/internal/agent/resize.go
@@ -6,9 +6,9 @@
 	"coveferry/internal/sched"
 )
 
-// Resize takes the bounds of a new bundle: those of the queue, if the policy
-// can change them, and the largest body of an attempt in bytes. Attempts that
-// the agent holds go on.
+// Resize applies the limits of a new bundle: the bounds of the queue, if the
+// policy supports it, and the maximum body size of an attempt in bytes. Queued
+// and running attempts continue.
 func (ag *Agent) Resize(b sched.Bounds, maxBody int64) {
 	ag.maxBody.Store(maxBody)
 	ag.queue.resize(b)
@@ -22,5 +22,5 @@
 		return
 	}
 	policy.Resize(time.Now(), b)
-	q.pump()
+	q.applyDecisions()
 }
--- a/internal/agent/resize_test.go
+++ b/internal/agent/resize_test.go
@@ -25,25 +25,25 @@
 			}
 			g.Expect(offer().Admitted).To(gomega.BeTrue())
 			g.Expect(offer().Admitted).To(gomega.BeTrue())
-			if name == "fifo" { // the tiered policy shelters a class that has had no service
+			if name == "fifo" { // the tiered policy still admits a class that has had no service
 				g.Expect(offer().Admitted).To(gomega.BeFalse(), "the queue is full")
 			}
 			q.resize(sched.Bounds{Slots: 3, QueueEntries: 5})
-			g.Expect(begun(q)).To(gomega.Equal(2), "the one that waited has started")
+			g.Expect(startedJobs(q)).To(gomega.Equal(2), "the queued job has started")
 			g.Expect(offer().Admitted).To(gomega.BeTrue())
 			q.resize(sched.Bounds{Slots: 1, QueueEntries: 5})
-			g.Expect(q.load().Slots).To(gomega.Equal(1))
+			g.Expect(q.loadReport().Slots).To(gomega.Equal(1))
 			g.Expect(offer().Admitted).To(gomega.BeTrue())
-			g.Expect(begun(q)).To(gomega.Equal(3), "those that ran go on, and no other starts")
+			g.Expect(startedJobs(q)).To(gomega.Equal(3), "running jobs continue and no other starts")
 		})
 	}
 }
 
-// begun counts the jobs that were given a slot.
-func begun(q *queue) int {
+// startedJobs returns the number of jobs that were assigned a slot.
+func startedJobs(q *queue) int {
 	n := 0
 	for _, j := range q.jobs {
-		if len(j.steps) > 0 {
+		if len(j.decisions) > 0 {
 			n++
 		}
 	}
--- a/internal/agent/stall.go
+++ b/internal/agent/stall.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// stallTime is how long an engine may leave an answer that has begun without a
-// further token. The time before the first one isn't bounded by it, since a long
-// prompt takes its time.
+// stallTime is the maximum time between two tokens of an answer. It doesn't
+// apply before the first token, which takes long for a long prompt.
 const stallTime = 5 * time.Second
 
-// watchedBody is an engine's answer whose engine may stop working while its
-// connection stays. Only the time for which the engine is waited for counts, not
-// that for which a router doesn't read.
+// watchedBody detects an engine that stalls while its connection stays open. Only
+// the time spent waiting for the engine counts, not the time spent writing to a
+// slow router.
 type watchedBody struct {
 	io.Reader
-	begun func() bool
-	timer *time.Timer
+	tokenSeen func() bool
+	timer     *time.Timer
 }
 
-// watch calls stalled once if the engine stalls. stop must be called at the end.
-func watch(body io.Reader, begun func() bool, stalled func()) (watched *watchedBody, stop func()) {
-	timer := time.AfterFunc(stallTime, stalled)
+// watchStall returns a reader that calls onStall once if the engine stalls. The
+// caller must call stop when it is done reading.
+func watchStall(body io.Reader, tokenSeen func() bool, onStall func()) (watched *watchedBody, stop func()) {
+	timer := time.AfterFunc(stallTime, onStall)
 	timer.Stop()
-	return &watchedBody{Reader: body, begun: begun, timer: timer}, func() { timer.Stop() }
+	return &watchedBody{Reader: body, tokenSeen: tokenSeen, timer: timer}, func() { timer.Stop() }
 }
 
 // Read implements io.Reader.
 func (w *watchedBody) Read(b []byte) (int, error) {
-	if !w.begun() {
+	if !w.tokenSeen() {
 		return w.Reader.Read(b)
 	}
 	w.timer.Reset(stallTime)
@@ -37,20 +37,21 @@
 	return w.Reader.Read(b)
 }
 
-// stalled notes that the engine stopped working. What may run twice is cut off,
-// so that its router goes on elsewhere; the rest waits for the engine to go on.
-func (ag *Agent) stalled(a *attempt, cancel context.CancelCauseFunc) {
-	ag.engine.suspicion.failed.Store(true)
+// handleStall marks the engine as failed. An attempt that may run twice is
+// cancelled, so that its router resumes it at another endpoint. Other attempts
+// wait for the engine to recover.
+func (ag *Agent) handleStall(a *attempt, cancel context.CancelCauseFunc) {
+	ag.engine.failures.failed.Store(true)
 	if a.movable() {
 		cancel(errStalled)
 	}
 }
 
-// relayWatched relays an answer whose engine may stall.
-func (ag *Agent) relayWatched(a *attempt, job *queuedJob, body io.Reader, cancel context.CancelCauseFunc) error {
-	had := a.progress.tokens
-	begun := func() bool { return a.progress.tokens > had }
-	watched, stop := watch(body, begun, func() { ag.stalled(a, cancel) })
+// relayUntilStall relays an answer, and calls handleStall if the engine stalls.
+func (ag *Agent) relayUntilStall(a *attempt, job *queuedJob, body io.Reader, cancel context.CancelCauseFunc) error {
+	tokensBefore := a.progress.tokens
+	tokenSeen := func() bool { return a.progress.tokens > tokensBefore }
+	watched, stop := watchStall(body, tokenSeen, func() { ag.handleStall(a, cancel) })
 	defer stop()
 	return ag.relayStream(a, job, watched)
 }
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -7,13 +7,14 @@
 	"coveferry/internal/wire"
 )
 
-// Status is what the agent says of itself now.
+// Status returns the agent's current status.
 func (ag *Agent) Status() wire.Status {
-	return wire.Status{Endpoint: ag.cfg.Endpoint, Clock: ag.reading(), Load: ag.queue.load()}
+	return wire.Status{Endpoint: ag.cfg.Endpoint, Clock: ag.clockReading(), Load: ag.queue.loadReport()}
 }
 
-// serveStatus answers a router's probe. It touches neither queue nor engine.
+// serveStatus answers a router's health check. It sends nothing to the engine and
+// doesn't change the queue.
 func (ag *Agent) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(ag.Status()) // the router may have left
+	_ = json.NewEncoder(w).Encode(ag.Status()) // the router may have disconnected
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock is the clock that deadlines are checked by where a pause of the
-// process must not be missed.
+// Package clock provides the clock for deadline checks that must account for
+// pauses of the process.
 package clock
 
 import (
@@ -8,13 +8,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells the time since some moment, which differs between VMs, as a Time
-// without a monotonic reading.
+// Clock returns the time since an epoch that differs between VMs, as a Time without
+// a monotonic reading.
 type Clock func() time.Time
 
-// Boot is CLOCK_BOOTTIME. It is never set, and unlike the monotonic clock that
-// Go's timers go by it counts the time for which the VM was suspended. Both
-// count the time for which only the process was stopped.
+// Boot reads CLOCK_BOOTTIME. This clock is never set. Unlike the monotonic clock of
+// Go's timers it advances while the VM is suspended. Both advance while only the
+// process is stopped.
 func Boot() time.Time {
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits and returns false if the context ended meanwhile.
+// Sleep waits for d. It returns false if the context ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/completion/body.go
+++ b/internal/completion/body.go
@@ -8,8 +8,8 @@
 	"coveferry/internal/wire"
 )
 
-// ForEngine changes a call's body to what is sent to an engine: always
-// streamed, so that an answer can be resumed, and with its usage.
+// ForEngine rewrites a call's body for the engine: always streamed, so that the
+// answer can be resumed, and with usage included.
 func ForEngine(body []byte) ([]byte, error) {
 	body, err := sjson.SetBytes(body, "stream", true)
 	if err != nil {
@@ -19,15 +19,15 @@
 	return body, errors.Wrap(err, "set stream_options")
 }
 
-// SetPriority sets the engine's priority field; lower is served earlier.
+// SetPriority sets the engine's priority field. Lower values are served first.
 func SetPriority(body []byte, priority int) ([]byte, error) {
 	body, err := sjson.SetBytes(body, "priority", priority)
 	return body, errors.Wrap(err, "set priority")
 }
 
-// Continue changes a call's body so that an engine goes on from text, which is
-// the part of the answer that the caller holds already, made of the given
-// number of tokens.
+// Continue rewrites a call's body so that an engine resumes the answer after
+// text, the part already delivered to the caller, which has the given number of
+// tokens.
 func Continue(kind wire.Kind, body []byte, text string, tokens int) ([]byte, error) {
 	if text == "" {
 		return body, nil
@@ -51,13 +51,13 @@
 	return body, errors.Wrap(err, "set resume_from_tokens")
 }
 
-// assistantMessage is the message that holds the answer so far.
+// assistantMessage is the chat message with the answer so far.
 type assistantMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// continueChat uses the fields by which engines go on with the last message.
+// continueChat sets the fields that make engines continue the last message.
 func continueChat(body []byte, text string) ([]byte, error) {
 	body, err := sjson.SetBytes(body, "messages.-1", assistantMessage{Role: "assistant", Content: text})
 	if err != nil {
--- a/internal/completion/call.go
+++ b/internal/completion/call.go
@@ -1,7 +1,7 @@
-// Package completion knows the completions protocol as far as coveferry must:
-// what a call asks for, how a call is changed so that an engine goes on from a
-// text, and what a chunk of an answer holds. Fields it doesn't know pass
-// through untouched.
+// Package completion implements the parts of the completions protocol that
+// coveferry needs: parsing calls, rewriting a call so that an engine resumes an
+// answer, and parsing the chunks of an answer. Unknown fields pass through
+// unchanged.
 package completion
 
 import (
@@ -14,26 +14,26 @@
 	"coveferry/internal/wire"
 )
 
-// prefixBytes is how much of a prompt its prefix hash covers. Prompts of one
-// kind of work share at least their instructions.
+// prefixBytes is the length of the prompt prefix that is hashed. Prompts of the
+// same kind of task share at least their instructions.
 const prefixBytes = 1024
 
-// ErrMalformed marks a body that isn't a valid call.
+// ErrMalformed marks errors about a body that isn't a valid call.
 var ErrMalformed = errors.New("malformed call")
 
-// Call is what coveferry has to know of a call's body.
+// Call holds the fields of a call's body that coveferry uses.
 type Call struct {
 	Model        string
 	Stream       bool
 	IncludeUsage bool
-	// MaxTokens bounds the answer; 0 if the caller set no bound.
+	// MaxTokens is the token limit of the answer; 0 if the caller set none.
 	MaxTokens int
 	// Prefix is a hash of the start of the prompt.
 	Prefix uint64
 }
 
-// Parse reads a call's body; its error is marked ErrMalformed and says what is
-// wrong in words for the caller.
+// Parse reads a call's body. Its error is marked ErrMalformed, with a message for
+// the caller.
 func Parse(kind wire.Kind, body []byte) (Call, error) {
 	if !json.Valid(body) {
 		return Call{}, malformed("the body is not valid JSON")
@@ -66,8 +66,8 @@
 		return malformed(`"n" must be 1`)
 	}
 	if kind == wire.KindChat {
-		m := root.Get("messages")
-		if !m.IsArray() || len(m.Array()) == 0 {
+		messages := root.Get("messages")
+		if !messages.IsArray() || len(messages.Array()) == 0 {
 			return malformed(`"messages" must be a non-empty list`)
 		}
 		return nil
@@ -78,7 +78,8 @@
 	return nil
 }
 
-// MaxTokens is the bound on the answer in a body that Parse took; 0 is none.
+// MaxTokens returns the token limit in a body that Parse accepted, or 0 if it has
+// none.
 func MaxTokens(body []byte) int { return maxTokens(gjson.ParseBytes(body)) }
 
 func maxTokens(root gjson.Result) int {
--- a/internal/completion/chunk.go
+++ b/internal/completion/chunk.go
@@ -10,25 +10,25 @@
 	"coveferry/internal/wire"
 )
 
-// Chunk is what coveferry has to know of one chunk of an answer.
+// Chunk holds the fields of an answer's chunk that coveferry uses.
 type Chunk struct {
 	ID   string
 	Text string
-	// Finish is the engine's reason for its end; empty before the end.
+	// Finish is the finish reason; empty before the final chunk.
 	Finish string
-	// Opaque says that the chunk holds more than text, such as part of a
-	// tool call, from which an engine can't go on.
+	// NonText reports whether the chunk holds more than text, such as part of
+	// a tool call, from which an engine can't resume.
 	Opaque bool
-	// Usage says that the chunk holds the usage and no choice.
+	// Usage reports whether the chunk holds the usage and no choice.
 	Usage bool
 }
 
-// finishLength is the reason of an answer that ended at its bound on tokens.
+// finishLength is the finish reason of an answer that reached its token limit.
 const finishLength = "length"
 
-// Whole says that the engine ended the answer by itself. Engines close answers
-// that they aborted in the same form, with a reason that the protocol doesn't
-// know, so only the protocol's own reasons count.
+// Completed reports whether the engine completed the answer. Engines end aborted
+// answers in the same form, with a finish reason that the protocol doesn't
+// define, so only the reasons of the protocol count.
 func (c Chunk) Whole() bool {
 	switch c.Finish {
 	case "stop", finishLength, "tool_calls", "function_call", "content_filter":
@@ -37,9 +37,8 @@
 	return false
 }
 
-// ParseChunk reads one chunk; its error is marked ErrMalformed. An error that
-// the engine reports in place of a chunk is malformed, too, and so is a chunk
-// that was cut off.
+// ParseChunk reads one chunk. Its error is marked ErrMalformed, also for a
+// truncated chunk or an error that the engine reports in place of a chunk.
 func ParseChunk(kind wire.Kind, data string) (Chunk, error) {
 	if !utf8.ValidString(data) || !gjson.Valid(data) {
 		return Chunk{}, malformed("a chunk must be JSON in UTF-8")
@@ -67,14 +66,14 @@
 	return c, nil
 }
 
-// SetID gives a chunk the id that the answer began with.
+// SetID replaces a chunk's id, so that a resumed answer keeps its first id.
 func SetID(data, id string) (string, error) {
 	data, err := sjson.Set(data, "id", id)
 	return data, errors.Wrap(err, "set id")
 }
 
-// CorrectUsage rewrites the usage of an answer that was resumed: the engine
-// that ended it took the text so far for a part of the prompt.
+// CorrectUsage corrects the usage of a resumed answer, whose last engine counted
+// the earlier text as part of the prompt.
 func CorrectUsage(data string, completionTokens int) (string, error) {
 	total := gjson.Get(data, "usage.total_tokens").Int()
 	data, err := sjson.Set(data, "usage.completion_tokens", completionTokens)
@@ -85,8 +84,8 @@
 	return data, errors.Wrap(err, "set prompt_tokens")
 }
 
-// EndAtLimit makes the chunk that ends an answer at its bound on tokens from
-// the last chunk with text, for an engine that stopped between the two.
+// EndAtLimit builds the final chunk of an answer that reached its token limit from
+// its last chunk with text, for an engine that stopped before the final chunk.
 func EndAtLimit(kind wire.Kind, last string) (string, error) {
 	content, empty := "choices.0.delta", any(struct{}{})
 	if kind == wire.KindCompletion {
--- a/internal/completion/collector.go
+++ b/internal/completion/collector.go
@@ -11,16 +11,16 @@
 	"coveferry/internal/wire"
 )
 
-// Collector puts the chunks of an answer together for a caller who didn't ask
-// for a stream.
+// Collector assembles the chunks of an answer into one response for a caller that
+// didn't request a stream.
 type Collector struct {
 	id, model, finish string
 	text              strings.Builder
-	tools             []openai.ToolCall
+	toolCalls         []openai.ToolCall
 	usage             openai.Usage
 }
 
-// Add takes one chunk; its error is marked ErrMalformed.
+// Add appends one chunk. Its error is marked ErrMalformed.
 func (c *Collector) Add(kind wire.Kind, data string) error {
 	if kind == wire.KindCompletion {
 		return c.addCompletion(data)
@@ -29,10 +29,10 @@
 	if err := json.Unmarshal([]byte(data), &chunk); err != nil {
 		return errors.Mark(errors.Wrap(err, "chunk"), ErrMalformed)
 	}
-	c.begin(chunk.ID, chunk.Model, chunk.Usage)
+	c.setMetadata(chunk.ID, chunk.Model, chunk.Usage)
 	for _, choice := range chunk.Choices {
 		c.text.WriteString(choice.Delta.Content)
-		c.addTools(choice.Delta.ToolCalls)
+		c.addToolCalls(choice.Delta.ToolCalls)
 		c.setFinish(string(choice.FinishReason))
 	}
 	return nil
@@ -43,7 +43,7 @@
 	if err := json.Unmarshal([]byte(data), &chunk); err != nil {
 		return errors.Mark(errors.Wrap(err, "chunk"), ErrMalformed)
 	}
-	c.begin(chunk.ID, chunk.Model, chunk.Usage)
+	c.setMetadata(chunk.ID, chunk.Model, chunk.Usage)
 	for _, choice := range chunk.Choices {
 		c.text.WriteString(choice.Text)
 		c.setFinish(choice.FinishReason)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-func (c *Collector) begin(id, model string, usage *openai.Usage) {
+func (c *Collector) setMetadata(id, model string, usage *openai.Usage) {
 	if c.id == "" {
 		c.id = id
 		c.model = model
@@ -67,78 +67,78 @@
 	}
 }
 
-// addTools joins the parts of tool calls, which arrive by index.
-func (c *Collector) addTools(parts []openai.ToolCall) {
+// addToolCalls merges parts of tool calls into the calls with the same index.
+func (c *Collector) addToolCalls(parts []openai.ToolCall) {
 	for _, part := range parts {
-		call := c.tool(part)
+		call := c.toolCall(part)
 		call.Function.Name += part.Function.Name
 		call.Function.Arguments += part.Function.Arguments
 	}
 }
 
-func (c *Collector) tool(part openai.ToolCall) *openai.ToolCall {
-	index := len(c.tools)
+func (c *Collector) toolCall(part openai.ToolCall) *openai.ToolCall {
+	index := len(c.toolCalls)
 	if part.Index != nil {
 		index = *part.Index
 	}
-	if index < 0 || index >= len(c.tools) {
-		c.tools = append(c.tools, openai.ToolCall{ID: part.ID, Type: part.Type})
-		index = len(c.tools) - 1
+	if index < 0 || index >= len(c.toolCalls) {
+		c.toolCalls = append(c.toolCalls, openai.ToolCall{ID: part.ID, Type: part.Type})
+		index = len(c.toolCalls) - 1
 	}
-	return &c.tools[index]
+	return &c.toolCalls[index]
 }
 
-// The whole answer as the protocol has it. The client library's types would add
-// fields of one provider.
+// The response body of the protocol. The client library's types would add fields
+// that are specific to one provider.
 type (
-	wholeAnswer struct {
-		ID      string        `json:"id"`
-		Object  string        `json:"object"`
-		Created int64         `json:"created"`
-		Model   string        `json:"model"`
-		Choices []wholeChoice `json:"choices"`
-		Usage   wholeUsage    `json:"usage"`
-	}
-	wholeChoice struct {
-		Index        int           `json:"index"`
-		Message      *wholeMessage `json:"message,omitempty"`
-		Text         *string       `json:"text,omitempty"`
-		FinishReason string        `json:"finish_reason"`
-	}
-	wholeMessage struct {
+	responseBody struct {
+		ID      string           `json:"id"`
+		Object  string           `json:"object"`
+		Created int64            `json:"created"`
+		Model   string           `json:"model"`
+		Choices []responseChoice `json:"choices"`
+		Usage   responseUsage    `json:"usage"`
+	}
+	responseChoice struct {
+		Index        int              `json:"index"`
+		Message      *responseMessage `json:"message,omitempty"`
+		Text         *string          `json:"text,omitempty"`
+		FinishReason string           `json:"finish_reason"`
+	}
+	responseMessage struct {
 		Role      string            `json:"role"`
 		Content   string            `json:"content"`
 		ToolCalls []openai.ToolCall `json:"tool_calls,omitempty"`
 	}
-	wholeUsage struct {
+	responseUsage struct {
 		PromptTokens     int `json:"prompt_tokens"`
 		CompletionTokens int `json:"completion_tokens"`
 		TotalTokens      int `json:"total_tokens"`
 	}
 )
 
-// CountTokens sets the usage of an answer whose engine gave none; the length of
-// the prompt stays unknown.
+// CountTokens sets the usage of an answer whose engine reported none. The length
+// of the prompt stays unknown.
 func (c *Collector) CountTokens(n int) {
 	if c.usage.TotalTokens == 0 {
 		c.usage = openai.Usage{CompletionTokens: n, TotalTokens: n}
 	}
 }
 
-// Response is the whole answer as JSON.
+// Response returns the assembled response as JSON.
 func (c *Collector) Response(kind wire.Kind, created time.Time) ([]byte, error) {
 	text := c.text.String()
-	answer := wholeAnswer{
+	answer := responseBody{
 		ID: c.id, Object: "chat.completion", Created: created.Unix(), Model: c.model,
-		Choices: []wholeChoice{{FinishReason: c.finish}},
-		Usage:   wholeUsage{c.usage.PromptTokens, c.usage.CompletionTokens, c.usage.TotalTokens},
+		Choices: []responseChoice{{FinishReason: c.finish}},
+		Usage:   responseUsage{c.usage.PromptTokens, c.usage.CompletionTokens, c.usage.TotalTokens},
 	}
 	if kind == wire.KindCompletion {
 		answer.Object = "text_completion"
 		answer.Choices[0].Text = &text
 	} else {
-		answer.Choices[0].Message = &wholeMessage{Role: openai.ChatMessageRoleAssistant, Content: text, ToolCalls: c.tools}
+		answer.Choices[0].Message = &responseMessage{Role: openai.ChatMessageRoleAssistant, Content: text, ToolCalls: c.toolCalls}
 	}
 	body, err := json.Marshal(answer)
-	return body, errors.Wrap(err, "encode the whole answer")
+	return body, errors.Wrap(err, "encode response")
 }
--- a/internal/completion/completion_test.go
+++ b/internal/completion/completion_test.go
@@ -25,7 +25,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(json.Valid(got)).To(BeTrue())
 		root := gjson.ParseBytes(got)
-		g.Expect(root.Get("x.y.0").Int()).To(Equal(int64(1)), "unknown fields stay")
+		g.Expect(root.Get("x.y.0").Int()).To(Equal(int64(1)), "unknown fields are preserved")
 		g.Expect(root.Get("max_tokens").Int()).To(Equal(int64(40 - used)))
 		want := strings.ToValidUTF8(text, "\uFFFD")
 		if kind == wire.KindChat {
@@ -78,10 +78,10 @@
 			}
 			out, err := completion.Continue(kind, body, text, 1)
 			if err != nil || !json.Valid(out) {
-				t.Fatalf("a call that was taken can't be continued: %v: %q", err, out)
+				t.Fatalf("a call that Parse accepted can't be continued: %v: %q", err, out)
 			}
 			if out, err = completion.ForEngine(out); err != nil || !gjson.GetBytes(out, "stream").Bool() {
-				t.Fatalf("a call that was taken can't be sent: %v: %q", err, out)
+				t.Fatalf("a call that Parse accepted can't be sent: %v: %q", err, out)
 			}
 		}
 	})
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -123,7 +123,7 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		// The peer may have vanished without closing; the next call finds
 		// out by a new connection.
-		c.drop(conn)
+		c.discard(conn)
 	}
 	return fromWire(err)
 }
@@ -132,7 +132,7 @@
 // not to be tried again yet, it fails at once.
 func (c *Client) connection(ctx context.Context) (*jsonrpc2.Conn, error) {
 	for {
-		conn, wait, err := c.current()
+		conn, wait, err := c.currentConn()
 		if err != nil || conn != nil {
 			return conn, err
 		}
@@ -147,15 +147,15 @@
 	}
 }
 
-// current returns the connection, or a dial to wait for, or an error; with
+// currentConn returns the connection, or a dial to wait for, or an error; with
 // none of these the caller has to dial.
-func (c *Client) current() (*jsonrpc2.Conn, <-chan struct{}, error) {
+func (c *Client) currentConn() (*jsonrpc2.Conn, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case c.closed:
 		return nil, nil, unreachable(ErrClosed)
-	case c.conn != nil && !isDone(c.conn.DisconnectNotify()):
+	case c.conn != nil && !isClosed(c.conn.DisconnectNotify()):
 		return c.conn, nil, nil
 	case c.dialing != nil:
 		return nil, c.dialing, nil
@@ -167,7 +167,7 @@
 	return nil, nil, nil
 }
 
-func isDone(ch <-chan struct{}) bool {
+func isClosed(ch <-chan struct{}) bool {
 	select {
 	case <-ch:
 		return true
@@ -177,7 +177,7 @@
 }
 
 func (c *Client) dial(ctx context.Context) (*jsonrpc2.Conn, error) {
-	conn, err := c.open(ctx)
+	conn, err := c.openConn(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	close(c.dialing)
@@ -196,7 +196,7 @@
 	return conn, nil
 }
 
-func (c *Client) open(ctx context.Context) (*jsonrpc2.Conn, error) {
+func (c *Client) openConn(ctx context.Context) (*jsonrpc2.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	raw, err := c.cfg.Dial(ctx, "tcp", c.target.Address)
@@ -208,8 +208,8 @@
 		_ = raw.Close() // the handshake's error is the one to report
 		return nil, errors.Wrap(err, "handshake")
 	}
-	return jsonrpc2.NewConn(context.Background(), newStream(conn, c.cfg.MaxMessage, 0), callsOnly{},
-		jsonrpc2.SetLogger(printer{c.cfg.Log})), nil
+	return jsonrpc2.NewConn(context.Background(), newStream(conn, c.cfg.MaxMessage, 0), noHandler{},
+		jsonrpc2.SetLogger(logAdapter{c.cfg.Log})), nil
 }
 
 // handshake makes the handshake, if there is one.
@@ -221,8 +221,8 @@
 	return conn, conn.HandshakeContext(ctx)
 }
 
-// drop gives a connection up.
-func (c *Client) drop(conn *jsonrpc2.Conn) {
+// discard gives a connection up.
+func (c *Client) discard(conn *jsonrpc2.Conn) {
 	c.mu.Lock()
 	if c.conn == conn {
 		c.conn = nil
@@ -231,8 +231,8 @@
 	_ = conn.Close() // it may be closed already
 }
 
-// callsOnly is for the side of a connection that is never called.
-type callsOnly struct{}
+// noHandler is for the side of a connection that is never called.
+type noHandler struct{}
 
 // Handle implements jsonrpc2.Handler.
-func (callsOnly) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+func (noHandler) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -47,8 +47,8 @@
 	methodGone  = control.NewMethod[echoRequest, echoReply]("test.gone", identity.RoleRouter)
 )
 
-// world is one server on a network in memory, in the fake time of a bubble.
-type world struct {
+// testEnv is one server on a network in memory, in the fake time of a bubble.
+type testEnv struct {
 	*gomega.WithT
 	t     *testing.T
 	ca    *identity.Authority
@@ -56,25 +56,25 @@
 	dials atomic.Int64
 }
 
-func play(t *testing.T, scene func(w *world)) {
+func withServer(t *testing.T, body func(w *testEnv)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{WithT: gomega.NewWithT(t), t: t, net: memnet.New()}
+		w := &testEnv{WithT: gomega.NewWithT(t), t: t, net: memnet.New()}
 		ca, err := identity.Ephemeral(identity.WithClock(time.Now))
 		w.Expect(err).NotTo(gomega.HaveOccurred())
 		w.ca = ca
 		defer w.serve()()
-		scene(w)
+		body(w)
 	})
 }
 
-func (w *world) id(role identity.Role, name string) *identity.Identity {
+func (w *testEnv) id(role identity.Role, name string) *identity.Identity {
 	id, err := w.ca.Identity(role, name)
 	w.Expect(err).NotTo(gomega.HaveOccurred())
 	return id
 }
 
-func (w *world) serve() (stop func()) {
+func (w *testEnv) serve() (stop func()) {
 	l, err := w.net.Listen(address)
 	w.Expect(err).NotTo(gomega.HaveOccurred())
 	srv := control.NewServer(control.ServerConfig{
@@ -105,7 +105,7 @@
 	}
 }
 
-func (w *world) config(role identity.Role, name string) control.ClientConfig {
+func (w *testEnv) config(role identity.Role, name string) control.ClientConfig {
 	dial := w.net.Dialer(name)
 	return control.ClientConfig{Identity: w.id(role, name), MaxMessage: maxMessage,
 		Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -118,18 +118,18 @@
 	return control.Target{Address: address, Peer: identity.Peer{Role: identity.RoleAgent, Name: name}}
 }
 
-func (w *world) client(role identity.Role) *control.Client {
+func (w *testEnv) client(role identity.Role) *control.Client {
 	c := control.NewClient(w.config(role, "c1"), target("a1"))
 	w.t.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
-func (w *world) echo(c *control.Client, text string) (echoReply, error) {
+func (w *testEnv) echo(c *control.Client, text string) (echoReply, error) {
 	return control.Call(w.t.Context(), c, methodEcho, echoRequest{Text: text})
 }
 
 func TestCallCarriesTypesAndPeer(t *testing.T) {
-	play(t, func(w *world) {
+	withServer(t, func(w *testEnv) {
 		c := w.client(identity.RoleRouter)
 		defer c.Close()
 		for _, text := range []string{"short", strings.Repeat("a text that is compressed ", 1000)} {
@@ -142,7 +142,7 @@
 }
 
 func TestRefusals(t *testing.T) {
-	play(t, func(w *world) {
+	withServer(t, func(w *testEnv) {
 		router, operator, agent := w.client(identity.RoleRouter), w.client(identity.RoleOperator), w.client(identity.RoleAgent)
 		defer router.Close()
 		defer operator.Close()
@@ -167,8 +167,8 @@
 	})
 }
 
-func TestOnlyThePeerThatWasMeantAnswers(t *testing.T) {
-	play(t, func(w *world) {
+func TestClientRejectsPeerWithAnotherName(t *testing.T) {
+	withServer(t, func(w *testEnv) {
 		c := control.NewClient(w.config(identity.RoleRouter, "c1"), target("a2"))
 		defer c.Close()
 		_, err := w.echo(c, "x")
@@ -177,8 +177,8 @@
 	})
 }
 
-func TestCallEndsInTimeAndTheNextOneWorks(t *testing.T) {
-	play(t, func(w *world) {
+func TestCallTimesOutAndNextCallSucceeds(t *testing.T) {
+	withServer(t, func(w *testEnv) {
 		c := w.client(identity.RoleRouter)
 		defer c.Close()
 		began := time.Now()
@@ -191,7 +191,7 @@
 }
 
 func TestReconnectWithBackoff(t *testing.T) {
-	play(t, func(w *world) {
+	withServer(t, func(w *testEnv) {
 		c := w.client(identity.RoleRouter)
 		defer c.Close()
 		_, err := w.echo(c, "x")
@@ -213,8 +213,8 @@
 	})
 }
 
-func TestOpenCallsOfOneConnectionAreBounded(t *testing.T) {
-	play(t, func(w *world) {
+func TestConcurrentCallsPerConnectionAreBounded(t *testing.T) {
+	withServer(t, func(w *testEnv) {
 		c := w.client(identity.RoleRouter)
 		defer c.Close()
 		var busy atomic.Int64
@@ -232,8 +232,8 @@
 	})
 }
 
-func TestPoolKeepsTheClientsUsedLast(t *testing.T) {
-	play(t, func(w *world) {
+func TestPoolEvictsLeastRecentlyUsedClient(t *testing.T) {
+	withServer(t, func(w *testEnv) {
 		p := control.NewPool(w.config(identity.RoleRouter, "c1"), 2)
 		defer p.Close()
 		first, second := p.Client(target("a1")), p.Client(target("a2"))
--- a/internal/control/method.go
+++ b/internal/control/method.go
@@ -52,7 +52,7 @@
 // Register adds a method to a server, before the server runs. It panics when
 // the name is taken.
 func Register[Req, Resp any](s *Server, m Method[Req, Resp], h Handler[Req, Resp]) {
-	s.add(m.name, &endpoint{
+	s.add(m.name, &methodHandler{
 		roles:   m.roles,
 		timeout: m.timeout,
 		serve: func(ctx context.Context, peer identity.Peer, params []byte) (any, error) {
--- a/internal/control/pool.go
+++ b/internal/control/pool.go
@@ -17,7 +17,7 @@
 	mu      sync.Mutex
 	closed  bool
 	clients map[Target]*list.Element
-	recent  *list.List // of *Client, the one used last first
+	lru  *list.List // of *Client, the one used last first
 }
 
 // NewPool returns an empty pool that keeps a number of clients; 0 is
@@ -26,41 +26,41 @@
 	if size == 0 {
 		size = DefaultPoolSize
 	}
-	return &Pool{cfg: cfg, size: size, clients: make(map[Target]*list.Element), recent: list.New()}
+	return &Pool{cfg: cfg, size: size, clients: make(map[Target]*list.Element), lru: list.New()}
 }
 
 // Client returns the client to a process. The one that wasn't used for longest
 // is closed when there are too many, and with it the calls that it still has.
 func (p *Pool) Client(target Target) *Client {
-	c, evicted := p.take(target)
+	c, evicted := p.getOrCreate(target)
 	if evicted != nil {
 		_ = evicted.Close() // nobody waits for its error
 	}
 	return c
 }
 
-// take returns the client to a process, and one to close if there is one too
+// getOrCreate returns the client to a process, and one to close if there is one too
 // many. Closing writes to the network, so that it mustn't be done under the lock.
-func (p *Pool) take(target Target) (c, evicted *Client) {
+func (p *Pool) getOrCreate(target Target) (c, evicted *Client) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.clients[target]; e != nil {
-		p.recent.MoveToFront(e)
+		p.lru.MoveToFront(e)
 		return e.Value.(*Client), nil
 	}
 	c = NewClient(p.cfg, target)
 	if p.closed {
 		return c, c
 	}
-	p.clients[target] = p.recent.PushFront(c)
-	if p.recent.Len() > p.size {
-		evicted = p.removeLast()
+	p.clients[target] = p.lru.PushFront(c)
+	if p.lru.Len() > p.size {
+		evicted = p.removeOldest()
 	}
 	return c, evicted
 }
 
-func (p *Pool) removeLast() *Client {
-	c := p.recent.Remove(p.recent.Back()).(*Client)
+func (p *Pool) removeOldest() *Client {
+	c := p.lru.Remove(p.lru.Back()).(*Client)
 	delete(p.clients, c.target)
 	return c
 }
@@ -77,8 +77,8 @@
 	defer p.mu.Unlock()
 	p.closed = true
 	var all []*Client
-	for p.recent.Len() > 0 {
-		all = append(all, p.removeLast())
+	for p.lru.Len() > 0 {
+		all = append(all, p.removeOldest())
 	}
 	return all
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -25,9 +25,9 @@
 const (
 	defaultMaxConns  = 8192
 	handshakeTimeout = 5 * time.Second
-	// openPerConn bounds the calls of one connection that are open at once.
-	openPerConn = 64
-	serverIdle  = 10 * time.Minute
+	// maxCallsPerConn bounds the calls of one connection that are open at once.
+	maxCallsPerConn = 64
+	serverIdleTimeout  = 10 * time.Minute
 )
 
 // ServerConfig is what a server needs.
@@ -51,18 +51,18 @@
 type Server struct {
 	cfg       ServerConfig
 	tls       *tls.Config
-	endpoints map[string]*endpoint
+	methods map[string]*methodHandler
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	// mu guards that nothing is added to open once Stop waits for it.
 	mu      sync.Mutex
 	stopped bool
-	open    sync.WaitGroup // connections and handlers
+	active    sync.WaitGroup // connections and handlers
 }
 
-// endpoint is a method with its types taken off.
-type endpoint struct {
+// methodHandler is a method with its types taken off.
+type methodHandler struct {
 	roles   []identity.Role
 	timeout time.Duration
 	serve   func(ctx context.Context, peer identity.Peer, params []byte) (any, error)
@@ -76,7 +76,7 @@
 	if cfg.MaxConns == 0 {
 		cfg.MaxConns = defaultMaxConns
 	}
-	s := &Server{cfg: cfg, endpoints: make(map[string]*endpoint)}
+	s := &Server{cfg: cfg, methods: make(map[string]*methodHandler)}
 	if cfg.Identity != nil {
 		s.tls = cfg.Identity.ServerConfig(cfg.Roles...)
 		s.tls.NextProtos = []string{protocol}
@@ -85,11 +85,11 @@
 	return s
 }
 
-func (s *Server) add(name string, e *endpoint) {
-	if s.endpoints[name] != nil {
+func (s *Server) add(name string, e *methodHandler) {
+	if s.methods[name] != nil {
 		panic("control: method " + name + " is registered twice")
 	}
-	s.endpoints[name] = e
+	s.methods[name] = e
 }
 
 // Addr is the address that the server listens on.
@@ -109,23 +109,23 @@
 		if err != nil {
 			return errors.Wrapf(err, "control: accept at %s", s.Addr())
 		}
-		if !s.begin(func() { s.serveConn(conn) }) {
+		if !s.startTask(func() { s.serveConn(conn) }) {
 			_ = conn.Close() // it came too late
 		}
 	}
 }
 
-// begin runs f, for which Stop waits, unless the server stops already.
-func (s *Server) begin(f func()) bool {
+// startTask runs f, for which Stop waits, unless the server stops already.
+func (s *Server) startTask(f func()) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.stopped {
-		s.open.Go(f)
+		s.active.Go(f)
 	}
 	return !s.stopped
 }
 
-func (s *Server) end() {
+func (s *Server) markStopped() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = true
@@ -135,9 +135,9 @@
 // whose contexts end.
 func (s *Server) Stop() error {
 	s.cancel()
-	s.end()
+	s.markStopped()
 	err := s.cfg.Listener.Close()
-	s.open.Wait()
+	s.active.Wait()
 	return errors.Wrap(err, "control: stop")
 }
 
@@ -148,9 +148,9 @@
 		_ = raw.Close() // the handshake's error is the one to report
 		return
 	}
-	rpc := jsonrpc2.NewConn(s.ctx, newStream(conn, s.cfg.MaxMessage, serverIdle), &session{
-		server: s, peer: peer, room: semaphore.NewWeighted(openPerConn),
-	}, jsonrpc2.SetLogger(printer{s.cfg.Log}))
+	rpc := jsonrpc2.NewConn(s.ctx, newStream(conn, s.cfg.MaxMessage, serverIdleTimeout), &session{
+		server: s, peer: peer, callSlots: semaphore.NewWeighted(maxCallsPerConn),
+	}, jsonrpc2.SetLogger(logAdapter{s.cfg.Log}))
 	<-rpc.DisconnectNotify()
 }
 
@@ -178,7 +178,7 @@
 type session struct {
 	server *Server
 	peer   identity.Peer
-	room   *semaphore.Weighted
+	callSlots   *semaphore.Weighted
 }
 
 // Handle implements jsonrpc2.Handler. Calls are answered in any order.
@@ -186,24 +186,24 @@
 	if req.Notif {
 		return // every method has a reply
 	}
-	if !s.room.TryAcquire(1) {
+	if !s.callSlots.TryAcquire(1) {
 		s.reply(ctx, conn, req.ID, nil, &Error{Code: CodeBusy, Message: "too many calls at once"})
 		return
 	}
-	begun := s.server.begin(func() {
-		defer s.room.Release(1)
+	begun := s.server.startTask(func() {
+		defer s.callSlots.Release(1)
 		result, err := s.serve(ctx, req)
 		s.reply(ctx, conn, req.ID, result, err)
 	})
 	if !begun {
-		s.room.Release(1)
+		s.callSlots.Release(1)
 	}
 }
 
 // serve runs the handler. A handler that panics must not take the process and
 // all its requests with it.
 func (s *session) serve(ctx context.Context, req *jsonrpc2.Request) (result any, err error) {
-	e := s.server.endpoints[req.Method]
+	e := s.server.methods[req.Method]
 	switch {
 	case e == nil:
 		return nil, &Error{Code: CodeUnknownMethod, Message: "unknown method " + req.Method}
@@ -233,8 +233,8 @@
 	_ = conn.ReplyWithError(ctx, id, toWire(err)) // the peer may have left
 }
 
-// printer passes the library's reports to the log.
-type printer struct{ log zerolog.Logger }
+// logAdapter passes the library's reports to the log.
+type logAdapter struct{ log zerolog.Logger }
 
 // Printf implements jsonrpc2.Logger.
-func (p printer) Printf(format string, v ...any) { p.log.Debug().Msgf(format, v...) }
+func (p logAdapter) Printf(format string, v ...any) { p.log.Debug().Msgf(format, v...) }
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -17,16 +17,16 @@
 // A frame is one byte that says how its body is written, the body's length as
 // a varint, and the body.
 const (
-	formPlain byte = 0
-	formFlate byte = 1
+	encodingPlain byte = 0
+	encodingFlate byte = 1
 )
 
 const (
 	// DefaultMaxMessage bounds a message, unpacked: a bundle of the largest
 	// fleet whole, and some.
 	DefaultMaxMessage = 2 << 20
-	// packFrom is the size in bytes from which a message is compressed.
-	packFrom = 512
+	// compressThreshold is the size in bytes from which a message is compressed.
+	compressThreshold = 512
 	// writeTimeout bounds the writing of a message to a peer that doesn't
 	// read, readTimeout the arrival of one whose first byte is there.
 	writeTimeout = 5 * time.Second
@@ -37,14 +37,14 @@
 // jsonrpc2.ObjectStream: one goroutine reads, and writers take turns.
 type stream struct {
 	conn net.Conn
-	in   *bufio.Reader
-	max  int
-	// idle bounds the time between messages from the peer; 0 is no bound.
-	idle time.Duration
+	reader   *bufio.Reader
+	maxMessage  int
+	// idleTimeout bounds the time between messages from the peer; 0 is no bound.
+	idleTimeout time.Duration
 }
 
 func newStream(c net.Conn, maxMessage int, idle time.Duration) *stream {
-	return &stream{conn: c, in: bufio.NewReader(c), max: maxMessage, idle: idle}
+	return &stream{conn: c, reader: bufio.NewReader(c), maxMessage: maxMessage, idleTimeout: idle}
 }
 
 // Close implements jsonrpc2.ObjectStream.
@@ -56,10 +56,10 @@
 	if err != nil {
 		return errors.Wrap(err, "encode message")
 	}
-	if len(body) > s.max {
-		return errors.Wrapf(ErrTooLarge, "%d bytes, at most %d", len(body), s.max)
+	if len(body) > s.maxMessage {
+		return errors.Wrapf(ErrTooLarge, "%d bytes, at most %d", len(body), s.maxMessage)
 	}
-	frame := packFrame(body)
+	frame := encodeFrame(body)
 	if err := s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return errors.Wrap(err, "write message")
 	}
@@ -71,13 +71,13 @@
 
 // ReadObject implements jsonrpc2.ObjectStream.
 func (s *stream) ReadObject(v any) error {
-	if err := s.await(); err != nil {
+	if err := s.awaitMessage(); err != nil {
 		return err
 	}
 	if err := s.conn.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
 		return errors.Wrap(err, "read message")
 	}
-	body, err := readFrame(s.in, s.max)
+	body, err := readFrame(s.reader, s.maxMessage)
 	if err != nil {
 		return err
 	}
@@ -87,21 +87,21 @@
 	return nil
 }
 
-// await waits for the first byte of the next message. Its error is io.EOF when
+// awaitMessage waits for the first byte of the next message. Its error is io.EOF when
 // the peer closed the connection in between.
-func (s *stream) await() error {
+func (s *stream) awaitMessage() error {
 	var until time.Time
-	if s.idle > 0 {
-		until = time.Now().Add(s.idle)
+	if s.idleTimeout > 0 {
+		until = time.Now().Add(s.idleTimeout)
 	}
 	if err := s.conn.SetReadDeadline(until); err != nil {
 		return errors.Wrap(err, "read message")
 	}
-	_, err := s.in.Peek(1)
+	_, err := s.reader.Peek(1)
 	return err
 }
 
-var packers = sync.Pool{New: func() any {
+var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
 		panic(err) // the level is a constant of the library
@@ -109,23 +109,23 @@
 	return w
 }}
 
-var unpackers = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
+var flateReaders = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
 
-func packFrame(body []byte) []byte {
-	form := formPlain
-	if len(body) >= packFrom {
-		form, body = formFlate, deflate(body)
+func encodeFrame(body []byte) []byte {
+	encoding := encodingPlain
+	if len(body) >= compressThreshold {
+		encoding, body = encodingFlate, deflate(body)
 	}
 	frame := make([]byte, 0, 1+binary.MaxVarintLen64+len(body))
-	frame = append(frame, form)
+	frame = append(frame, encoding)
 	frame = binary.AppendUvarint(frame, uint64(len(body)))
 	return append(frame, body...)
 }
 
 func deflate(body []byte) []byte {
 	var out bytes.Buffer
-	w := packers.Get().(*flate.Writer)
-	defer packers.Put(w)
+	w := flateWriters.Get().(*flate.Writer)
+	defer flateWriters.Put(w)
 	w.Reset(&out)
 	_, _ = w.Write(body) // a buffer takes everything
 	_ = w.Close()
@@ -136,7 +136,7 @@
 // arrived, whatever length the frame claims, and unpacks no more than
 // maxMessage bytes.
 func readFrame(in *bufio.Reader, maxMessage int) ([]byte, error) {
-	form, err := in.ReadByte()
+	encoding, err := in.ReadByte()
 	if err != nil {
 		return nil, err
 	}
@@ -151,24 +151,24 @@
 	if _, err := io.CopyN(&body, in, int64(length)); err != nil {
 		return nil, malformed(err, "read body")
 	}
-	switch form {
-	case formPlain:
+	switch encoding {
+	case encodingPlain:
 		return body.Bytes(), nil
-	case formFlate:
+	case encodingFlate:
 		return inflate(&body, maxMessage)
 	default:
-		return nil, errors.Wrapf(ErrMalformed, "form %d", form)
+		return nil, errors.Wrapf(ErrMalformed, "form %d", encoding)
 	}
 }
 
 // malformed marks an error of a library as ErrMalformed.
-func malformed(err error, doing string) error {
-	return &CallError{Kind: ErrMalformed, Err: errors.Wrap(err, doing)}
+func malformed(err error, operation string) error {
+	return &CallError{Kind: ErrMalformed, Err: errors.Wrap(err, operation)}
 }
 
 func inflate(body io.Reader, maxMessage int) ([]byte, error) {
-	r := unpackers.Get().(io.ReadCloser)
-	defer unpackers.Put(r)
+	r := flateReaders.Get().(io.ReadCloser)
+	defer flateReaders.Put(r)
 	if err := r.(flate.Resetter).Reset(body, nil); err != nil {
 		return nil, malformed(err, "unpack")
 	}
--- a/internal/control/traffic.go
+++ b/internal/control/traffic.go
@@ -16,14 +16,14 @@
 
 // Traffic counts the bytes of connections on the wire, TLS included.
 type Traffic struct {
-	in, out atomic.Uint64
+	received, sent atomic.Uint64
 }
 
 // Received returns the bytes that came in so far.
-func (t *Traffic) Received() uint64 { return t.in.Load() }
+func (t *Traffic) Received() uint64 { return t.received.Load() }
 
 // Sent returns the bytes that went out so far.
-func (t *Traffic) Sent() uint64 { return t.out.Load() }
+func (t *Traffic) Sent() uint64 { return t.sent.Load() }
 
 // RegisterMetrics publishes the counts. It panics when reg has them already.
 func (t *Traffic) RegisterMetrics(reg prometheus.Registerer) {
@@ -65,13 +65,13 @@
 // Read implements net.Conn.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.traffic.in.Add(uint64(n))
+	c.traffic.received.Add(uint64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.traffic.out.Add(uint64(n))
+	c.traffic.sent.Add(uint64(n))
 	return n, err
 }
--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -36,7 +36,7 @@
 	if validity <= 0 {
 		return nil, errors.Newf("validity %s is not positive", validity)
 	}
-	a := &Authority{now: collect(opts).now}
+	a := &Authority{now: applyOptions(opts).now}
 	_, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
 		return nil, errors.Wrap(err, "make the authority's key")
@@ -75,7 +75,7 @@
 	if !ok {
 		return nil, peerErrorf(ErrBadKeyPair, "the key can't sign")
 	}
-	return &Authority{cert: pair.Leaf, key: key, now: collect(opts).now}, nil
+	return &Authority{cert: pair.Leaf, key: key, now: applyOptions(opts).now}, nil
 }
 
 // CertPEM returns the authority's certificate, which every process trusts.
@@ -112,7 +112,7 @@
 	if err != nil {
 		return Pair{}, err
 	}
-	describe(tmpl, peer)
+	setSubject(tmpl, peer)
 	cert, err := sign(tmpl, a.cert, key.Public(), a.key)
 	if err != nil {
 		return Pair{}, err
@@ -131,14 +131,14 @@
 	return New(a.CertPEM(), pair.CertPEM, pair.KeyPEM, WithClock(a.now))
 }
 
-// describe writes who the certificate is for, and which side of a connection
+// setSubject writes who the certificate is for, and which side of a connection
 // its holder may be.
-func describe(tmpl *x509.Certificate, peer Peer) {
+func setSubject(tmpl *x509.Certificate, peer Peer) {
 	tmpl.Subject = pkix.Name{CommonName: peer.Name, OrganizationalUnit: []string{string(peer.Role)}}
 	tmpl.URIs = []*url.URL{peer.uri()}
 	tmpl.KeyUsage = x509.KeyUsageDigitalSignature
 	tmpl.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
-	if peer.Role.serves() {
+	if peer.Role.acceptsConnections() {
 		tmpl.ExtKeyUsage = append(tmpl.ExtKeyUsage, x509.ExtKeyUsageServerAuth)
 	}
 }
--- a/internal/identity/config.go
+++ b/internal/identity/config.go
@@ -23,7 +23,7 @@
 	cfg := id.baseConfig()
 	cfg.ClientAuth = tls.RequestClientCert
 	cfg.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-		return &id.cur.Load().cert, nil
+		return &id.current.Load().cert, nil
 	}
 	cfg.VerifyConnection = func(cs tls.ConnectionState) error {
 		peer, err := id.verify(cs, x509.ExtKeyUsageClientAuth)
@@ -44,7 +44,7 @@
 	cfg := id.baseConfig()
 	cfg.InsecureSkipVerify = true
 	cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-		return &id.cur.Load().cert, nil
+		return &id.current.Load().cert, nil
 	}
 	cfg.VerifyConnection = func(cs tls.ConnectionState) error {
 		peer, err := id.verify(cs, x509.ExtKeyUsageServerAuth)
@@ -88,13 +88,13 @@
 		return Peer{}, peerErrorf(ErrNoCertificate, "the peer showed none")
 	}
 	leaf := cs.PeerCertificates[0]
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range cs.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	_, err := leaf.Verify(x509.VerifyOptions{
-		Roots:         id.cur.Load().roots,
-		Intermediates: between,
+		Roots:         id.current.Load().roots,
+		Intermediates: intermediates,
 		CurrentTime:   id.now(),
 		KeyUsages:     []x509.ExtKeyUsage{usage},
 	})
--- a/internal/identity/dial.go
+++ b/internal/identity/dial.go
@@ -9,15 +9,15 @@
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NameAt tells the name of the process that should answer at an address, or
+// NameLookup tells the name of the process that should answer at an address, or
 // that none is known.
-type NameAt func(address string) (string, bool)
+type NameLookup func(address string) (string, bool)
 
 // DialTLS returns a dial for http.Transport.DialTLSContext that checks at each
 // address the name expected there, so that a VM which got the address of a
 // replaced one isn't taken for it. An address without a name is refused before
 // anything is sent. With ForceAttemptHTTP2 the transport speaks HTTP/2 over it.
-func (id *Identity) DialTLS(dial Dial, expect Role, nameAt NameAt) Dial {
+func (id *Identity) DialTLS(dial Dial, expect Role, nameAt NameLookup) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		name, ok := nameAt(address)
 		if !ok || name == AnyName {
--- a/internal/identity/dial_test.go
+++ b/internal/identity/dial_test.go
@@ -17,7 +17,7 @@
 // A router that thinks a1 is at an address must send nothing to a2 there.
 func TestDialTLSChecksTheNameAtEachAddress(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newFleet(t)
+	f := newTestAuthority(t)
 	served := 0
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		served++
@@ -26,7 +26,7 @@
 	})
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	f.must(err)
-	agent := f.member(identity.RoleAgent, "a2", time.Hour)
+	agent := f.newIdentity(identity.RoleAgent, "a2", time.Hour)
 	server := &http.Server{Handler: handler, TLSConfig: agent.ServerConfig(identity.RoleRouter), ErrorLog: log.New(io.Discard, "", 0)}
 	go func() { _ = server.ServeTLS(lis, "", "") }() // ends with Close
 	defer server.Close()
@@ -34,7 +34,7 @@
 	url := "https://" + address
 	names := map[string]string{}
 	nameAt := func(address string) (string, bool) { name, ok := names[address]; return name, ok }
-	router := f.member(identity.RoleRouter, "r1", time.Hour)
+	router := f.newIdentity(identity.RoleRouter, "r1", time.Hour)
 	client := &http.Client{Transport: &http.Transport{
 		ForceAttemptHTTP2: true,
 		DialTLSContext:    router.DialTLS((&net.Dialer{}).DialContext, identity.RoleAgent, nameAt),
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -13,16 +13,16 @@
 // Identity is a process's own certificate and the authorities it trusts. It is
 // safe for concurrent use; a reload takes effect on the next handshake.
 type Identity struct {
-	files files
+	files filePaths
 	now   func() time.Time
-	cur   atomic.Pointer[material]
+	current   atomic.Pointer[credentials]
 }
 
-// files are where the material came from; empty for one held in memory.
-type files struct{ ca, cert, key string }
+// filePaths are where the material came from; empty for one held in memory.
+type filePaths struct{ ca, cert, key string }
 
-// material is one loaded state of the files.
-type material struct {
+// credentials is one loaded state of the files.
+type credentials struct {
 	peer  Peer
 	cert  tls.Certificate
 	roots *x509.CertPool
@@ -39,7 +39,7 @@
 	return func(o *options) { o.now = now }
 }
 
-func collect(opts []Option) options {
+func applyOptions(opts []Option) options {
 	o := options{now: time.Now}
 	for _, opt := range opts {
 		opt(&o)
@@ -52,14 +52,14 @@
 // one is replaced. Errors are *FileError.
 func Load(caFile, certFile, keyFile string, opts ...Option) (*Identity, error) {
 	id := &Identity{
-		files: files{ca: caFile, cert: certFile, key: keyFile},
-		now:   collect(opts).now,
+		files: filePaths{ca: caFile, cert: certFile, key: keyFile},
+		now:   applyOptions(opts).now,
 	}
 	m, err := id.files.read()
 	if err != nil {
 		return nil, err
 	}
-	id.cur.Store(m)
+	id.current.Store(m)
 	return id, nil
 }
 
@@ -69,36 +69,36 @@
 	if err != nil {
 		return nil, err
 	}
-	id := &Identity{now: collect(opts).now}
-	id.cur.Store(m)
+	id := &Identity{now: applyOptions(opts).now}
+	id.current.Store(m)
 	return id, nil
 }
 
 // Peer returns the role and name that the certificate gives to this process.
-func (id *Identity) Peer() Peer { return id.cur.Load().peer }
+func (id *Identity) Peer() Peer { return id.current.Load().peer }
 
 // NotAfter returns when the process's certificate ends.
-func (id *Identity) NotAfter() time.Time { return id.cur.Load().cert.Leaf.NotAfter }
+func (id *Identity) NotAfter() time.Time { return id.current.Load().cert.Leaf.NotAfter }
 
 // Reload reads the files again. On an error the material in use stays, as it
 // does for an identity held in memory. The role and name may not change while
 // a process runs: others know it by them.
 func (id *Identity) Reload() error {
-	if id.files == (files{}) {
+	if id.files == (filePaths{}) {
 		return nil
 	}
 	m, err := id.files.read()
 	if err != nil {
 		return err
 	}
-	if was := id.Peer(); m.peer != was {
-		return &FileError{File: id.files.cert, Err: peerErrorf(ErrChanged, "from %s to %s", was, m.peer)}
+	if old := id.Peer(); m.peer != old {
+		return &FileError{File: id.files.cert, Err: peerErrorf(ErrChanged, "from %s to %s", old, m.peer)}
 	}
-	id.cur.Store(m)
+	id.current.Store(m)
 	return nil
 }
 
-func (f files) read() (*material, error) {
+func (f filePaths) read() (*credentials, error) {
 	var pems [3][]byte
 	for i, name := range []string{f.ca, f.cert, f.key} {
 		data, err := os.ReadFile(name)
@@ -126,7 +126,7 @@
 	return err
 }
 
-func newMaterial(caPEM, certPEM, keyPEM []byte) (*material, error) {
+func newMaterial(caPEM, certPEM, keyPEM []byte) (*credentials, error) {
 	roots, err := parseRoots(caPEM)
 	if err != nil {
 		return nil, err
@@ -139,7 +139,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &material{peer: peer, cert: cert, roots: roots}, nil
+	return &credentials{peer: peer, cert: cert, roots: roots}, nil
 }
 
 func parseRoots(caPEM []byte) (*x509.CertPool, error) {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -19,37 +19,37 @@
 
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// fleet is an authority with a clock that the test moves.
-type fleet struct {
+// testAuthority is an authority with a clock that the test moves.
+type testAuthority struct {
 	t   *testing.T
 	now time.Time
 	ca  *identity.Authority
 }
 
-func newFleet(t *testing.T) *fleet {
-	f := &fleet{t: t, now: start}
+func newTestAuthority(t *testing.T) *testAuthority {
+	f := &testAuthority{t: t, now: start}
 	ca, err := identity.Ephemeral(identity.WithClock(f.clock))
 	f.must(err)
 	f.ca = ca
 	return f
 }
 
-func (f *fleet) clock() time.Time { return f.now }
+func (f *testAuthority) clock() time.Time { return f.now }
 
-func (f *fleet) must(err error) {
+func (f *testAuthority) must(err error) {
 	f.t.Helper()
 	if err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *fleet) issue(role identity.Role, name string, validity time.Duration) identity.Pair {
+func (f *testAuthority) issue(role identity.Role, name string, validity time.Duration) identity.Pair {
 	pair, err := f.ca.Issue(role, name, validity)
 	f.must(err)
 	return pair
 }
 
-func (f *fleet) member(role identity.Role, name string, validity time.Duration) *identity.Identity {
+func (f *testAuthority) newIdentity(role identity.Role, name string, validity time.Duration) *identity.Identity {
 	pair := f.issue(role, name, validity)
 	id, err := identity.New(f.ca.CertPEM(), pair.CertPEM, pair.KeyPEM, identity.WithClock(f.clock))
 	f.must(err)
@@ -73,13 +73,13 @@
 	defer lis.Close()
 	done := make(chan error, 1)
 	go func() {
-		far, err := lis.Accept()
+		serverConn, err := lis.Accept()
 		if err != nil {
 			done <- err
 			return
 		}
-		defer far.Close()
-		conn := tls.Server(far, server)
+		defer serverConn.Close()
+		conn := tls.Server(serverConn, server)
 		err = conn.Handshake()
 		done <- err
 		if err == nil {
@@ -87,29 +87,29 @@
 			conn.Close()
 		}
 	}()
-	near, err := net.Dial("tcp", lis.Addr().String())
+	clientConn, err := net.Dial("tcp", lis.Addr().String())
 	if err != nil {
 		return result{server: err, client: err}
 	}
-	conn := tls.Client(near, client)
+	conn := tls.Client(clientConn, client)
 	err = conn.Handshake()
 	got, readErr := io.ReadAll(conn)
-	near.Close()
+	clientConn.Close()
 	return result{server: <-done, client: errors.Join(err, readErr), got: string(got)}
 }
 
-func TestStrangerGetsNothing(t *testing.T) {
-	f, other := newFleet(t), newFleet(t)
-	agent := f.member(identity.RoleAgent, "a1", 48*time.Hour)
-	router := f.member(identity.RoleRouter, "r1", time.Hour)
-	early := f.member(identity.RoleRouter, "early", time.Hour)
-	foreign := other.member(identity.RoleRouter, "r1", time.Hour)
+func TestServerRejectsUnauthorizedClients(t *testing.T) {
+	f, other := newTestAuthority(t), newTestAuthority(t)
+	agent := f.newIdentity(identity.RoleAgent, "a1", 48*time.Hour)
+	router := f.newIdentity(identity.RoleRouter, "r1", time.Hour)
+	early := f.newIdentity(identity.RoleRouter, "early", time.Hour)
+	foreign := other.newIdentity(identity.RoleRouter, "r1", time.Hour)
 	toAgent := func(id *identity.Identity) *tls.Config { return id.ClientConfig(identity.RoleAgent, "a1") }
 	// A stranger trusts anybody, so that only the server's check stops it.
 	trusting := func(cfg *tls.Config) *tls.Config { cfg.VerifyConnection = nil; return cfg }
-	old := toAgent(router)
-	old.MaxVersion = tls.VersionTLS12
-	old.MinVersion = tls.VersionTLS12
+	tls12 := toAgent(router)
+	tls12.MaxVersion = tls.VersionTLS12
+	tls12.MinVersion = tls.VersionTLS12
 
 	for _, c := range []struct {
 		name   string
@@ -120,7 +120,7 @@
 		{"member", toAgent(router), 0, nil},
 		{"no certificate", &tls.Config{InsecureSkipVerify: true}, 0, identity.ErrNoCertificate},
 		{"another authority", trusting(toAgent(foreign)), 0, identity.ErrUnknownAuthority},
-		{"wrong role", toAgent(f.member(identity.RoleOperator, "o1", time.Hour)), 0, identity.ErrWrongRole},
+		{"wrong role", toAgent(f.newIdentity(identity.RoleOperator, "o1", time.Hour)), 0, identity.ErrWrongRole},
 		{"expired", toAgent(router), 2 * time.Hour, identity.ErrExpired},
 		{"not yet valid", toAgent(early), -time.Hour, identity.ErrNotYetValid},
 	} {
@@ -142,7 +142,7 @@
 		})
 	}
 	g := gomega.NewWithT(t)
-	res := dial(agent.ServerConfig(identity.RoleRouter), old)
+	res := dial(agent.ServerConfig(identity.RoleRouter), tls12)
 	g.Expect(res.server).To(gomega.HaveOccurred(), "TLS 1.2")
 	g.Expect(res.got).To(gomega.BeEmpty())
 	res = dial(agent.ServerConfig(), toAgent(router))
@@ -150,8 +150,8 @@
 }
 
 func TestClientChecksServer(t *testing.T) {
-	f, other := newFleet(t), newFleet(t)
-	router := f.member(identity.RoleRouter, "r1", 48*time.Hour)
+	f, other := newTestAuthority(t), newTestAuthority(t)
+	router := f.newIdentity(identity.RoleRouter, "r1", 48*time.Hour)
 	for _, c := range []struct {
 		name   string
 		server *identity.Identity
@@ -159,12 +159,12 @@
 		at     time.Duration
 		want   error
 	}{
-		{"named", f.member(identity.RoleAgent, "a1", time.Hour), "a1", 0, nil},
-		{"any name", f.member(identity.RoleAgent, "a2", time.Hour), identity.AnyName, 0, nil},
-		{"wrong name", f.member(identity.RoleAgent, "a2", time.Hour), "a1", 0, identity.ErrWrongName},
-		{"wrong role", f.member(identity.RoleRouter, "a1", time.Hour), "a1", 0, identity.ErrWrongRole},
-		{"another authority", other.member(identity.RoleAgent, "a1", time.Hour), "a1", 0, identity.ErrUnknownAuthority},
-		{"expired", f.member(identity.RoleAgent, "a1", time.Hour), "a1", 2 * time.Hour, identity.ErrExpired},
+		{"named", f.newIdentity(identity.RoleAgent, "a1", time.Hour), "a1", 0, nil},
+		{"any name", f.newIdentity(identity.RoleAgent, "a2", time.Hour), identity.AnyName, 0, nil},
+		{"wrong name", f.newIdentity(identity.RoleAgent, "a2", time.Hour), "a1", 0, identity.ErrWrongName},
+		{"wrong role", f.newIdentity(identity.RoleRouter, "a1", time.Hour), "a1", 0, identity.ErrWrongRole},
+		{"another authority", other.newIdentity(identity.RoleAgent, "a1", time.Hour), "a1", 0, identity.ErrUnknownAuthority},
+		{"expired", f.newIdentity(identity.RoleAgent, "a1", time.Hour), "a1", 2 * time.Hour, identity.ErrExpired},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
@@ -184,18 +184,18 @@
 }
 
 // An operator's certificate can't answer calls, not even to one who expects it.
-func TestOperatorsDontServe(t *testing.T) {
+func TestOperatorCertificateCannotServe(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newFleet(t)
-	server := f.member(identity.RoleOperator, "o1", time.Hour).ServerConfig(identity.RoleRouter)
-	client := f.member(identity.RoleRouter, "r1", time.Hour).ClientConfig(identity.RoleOperator, "o1")
+	f := newTestAuthority(t)
+	server := f.newIdentity(identity.RoleOperator, "o1", time.Hour).ServerConfig(identity.RoleRouter)
+	client := f.newIdentity(identity.RoleRouter, "r1", time.Hour).ClientConfig(identity.RoleOperator, "o1")
 	res := dial(server, client)
 	g.Expect(errors.Is(res.client, identity.ErrWrongRole)).To(gomega.BeTrue(), "%v", res.client)
 	g.Expect(res.got).To(gomega.BeEmpty())
 }
 
-// write puts an identity's files into dir.
-func (f *fleet) write(dir string, ca []byte, pair identity.Pair) {
+// writeFiles puts an identity's files into dir.
+func (f *testAuthority) writeFiles(dir string, ca []byte, pair identity.Pair) {
 	f.must(os.WriteFile(filepath.Join(dir, "ca"), ca, 0o600))
 	f.must(os.WriteFile(filepath.Join(dir, "cert"), pair.CertPEM, 0o600))
 	f.must(os.WriteFile(filepath.Join(dir, "key"), pair.KeyPEM, 0o600))
@@ -204,16 +204,16 @@
 func TestReloadWithoutRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		f := newFleet(t)
+		f := newTestAuthority(t)
 		f.now = time.Now()
 		ca, err := identity.Ephemeral(identity.WithClock(f.clock))
 		f.must(err)
 		f.ca = ca
 		dir := t.TempDir()
-		f.write(dir, ca.CertPEM(), f.issue(identity.RoleAgent, "a1", time.Hour))
+		f.writeFiles(dir, ca.CertPEM(), f.issue(identity.RoleAgent, "a1", time.Hour))
 		agent, err := identity.Load(filepath.Join(dir, "ca"), filepath.Join(dir, "cert"), filepath.Join(dir, "key"), identity.WithClock(f.clock))
 		f.must(err)
-		router := f.member(identity.RoleRouter, "r1", 100*time.Hour)
+		router := f.newIdentity(identity.RoleRouter, "r1", 100*time.Hour)
 		server := agent.ServerConfig(identity.RoleRouter)
 		client := router.ClientConfig(identity.RoleAgent, "a1")
 
@@ -222,21 +222,21 @@
 		f.now = f.now.Add(2 * time.Hour)
 		g.Expect(errors.Is(dial(server, client).client, identity.ErrExpired)).To(gomega.BeTrue())
 
-		f.write(dir, ca.CertPEM(), f.issue(identity.RoleAgent, "a1", time.Hour))
+		f.writeFiles(dir, ca.CertPEM(), f.issue(identity.RoleAgent, "a1", time.Hour))
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		g.Expect(dial(server, client).got).To(gomega.Equal(secret))
 		g.Expect(agent.NotAfter()).To(gomega.BeTemporally("~", f.now.Add(time.Hour), time.Second))
 
-		f.write(dir, ca.CertPEM(), f.issue(identity.RoleAgent, "a2", time.Hour))
+		f.writeFiles(dir, ca.CertPEM(), f.issue(identity.RoleAgent, "a2", time.Hour))
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		g.Expect(errors.Is(<-reports, identity.ErrChanged)).To(gomega.BeTrue())
 		g.Expect(dial(server, client).got).To(gomega.Equal(secret))
 
 		// The router's authority is no longer trusted: it must be turned away.
-		other := newFleet(t)
-		f.write(dir, other.ca.CertPEM(), f.issue(identity.RoleAgent, "a1", time.Hour))
+		other := newTestAuthority(t)
+		f.writeFiles(dir, other.ca.CertPEM(), f.issue(identity.RoleAgent, "a1", time.Hour))
 		f.must(agent.Reload())
 		g.Expect(errors.Is(dial(server, client).server, identity.ErrUnknownAuthority)).To(gomega.BeTrue())
 	})
@@ -244,7 +244,7 @@
 
 func TestIssueRefuses(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newFleet(t)
+	f := newTestAuthority(t)
 	ca, err := identity.NewAuthority(time.Hour, identity.WithClock(f.clock))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	_, err = ca.Issue(identity.RoleRouter, "r1", 2*time.Hour)
@@ -271,13 +271,13 @@
 
 func TestAuthorityRoundTrip(t *testing.T) {
 	g := gomega.NewWithT(t)
-	f := newFleet(t)
+	f := newTestAuthority(t)
 	keyPEM, err := f.ca.KeyPEM()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	again, err := identity.ParseAuthority(f.ca.CertPEM(), keyPEM, identity.WithClock(f.clock))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	f.ca = again
-	router := f.member(identity.RoleRouter, "r1", time.Hour)
+	router := f.newIdentity(identity.RoleRouter, "r1", time.Hour)
 	g.Expect(router.Peer().String()).To(gomega.Equal("coveferry://router/r1"))
 
 	reg := prometheus.NewRegistry()
--- a/internal/identity/role.go
+++ b/internal/identity/role.go
@@ -29,12 +29,12 @@
 	return r == RoleRouter || r == RoleAgent || r == RoleOperator
 }
 
-// serves says whether a holder of the role accepts connections; operators
+// acceptsConnections says whether a holder of the role accepts connections; operators
 // only open them.
-func (r Role) serves() bool { return r != RoleOperator }
+func (r Role) acceptsConnections() bool { return r != RoleOperator }
 
-// nameForm is the form of a name: it stands in a URI and in file names.
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+// namePattern is the form of a name: it stands in a URI and in file names.
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
 // Peer is who a certificate speaks for.
 type Peer struct {
@@ -54,7 +54,7 @@
 	if !p.Role.Valid() {
 		return peerErrorf(ErrBadPeer, "%q is not a role; the roles are router, agent and operator", string(p.Role))
 	}
-	if !nameForm.MatchString(p.Name) {
+	if !namePattern.MatchString(p.Name) {
 		return peerErrorf(ErrBadPeer, "%q is not a name; write 1 to 63 letters, digits, dots, dashes or underscores, a letter or digit first", p.Name)
 	}
 	return nil
--- a/internal/idle/idle.go
+++ b/internal/idle/idle.go
@@ -1,7 +1,6 @@
-// Package idle has contexts that end when nothing was heard for too long, in place of
-// at a fixed moment: for calls whose answers may take long because they are long. A
-// fixed bound has such a call fail as often as it is made, however much of the answer
-// comes each time.
+// Package idle provides contexts with an idle timeout instead of a fixed deadline, for
+// calls with large answers. With a fixed deadline such a call fails on every attempt,
+// no matter how much of the answer arrives each time.
 package idle
 
 import (
@@ -11,30 +10,30 @@
 	"time"
 )
 
-// watchKey is where a context has its watch.
-type watchKey struct{}
+// timerKey is the context key of an *idleTimer.
+type timerKey struct{}
 
-// watch ends a context once its time is over. What is heard under it also counts for
-// the contexts around it.
-type watch struct {
-	outer *watch // nil if no context around it has one
-	quiet time.Duration
-	mu    sync.Mutex
-	timer *time.Timer
-	until time.Time
+// idleTimer cancels a context after its idle timeout. Activity also extends the idle
+// timers of its parent contexts.
+type idleTimer struct {
+	parent      *idleTimer // nil if no parent context has one
+	idleTimeout time.Duration
+	mu          sync.Mutex
+	timer       *time.Timer
+	deadline    time.Time
 }
 
-// WithTimeout returns a context that ends after first, or later: each Heard extends it
-// to at least quiet from then. It has no deadline to be asked for, and its cause is
-// context.DeadlineExceeded once its time is over.
-func WithTimeout(parent context.Context, first, quiet time.Duration) (context.Context, context.CancelFunc) {
-	w := &watch{quiet: quiet, until: time.Now().Add(first)}
-	w.outer, _ = parent.Value(watchKey{}).(*watch)
-	ctx, cancel := context.WithCancelCause(context.WithValue(parent, watchKey{}, w))
+// WithTimeout returns a context that expires after initial. Each call of MarkActive
+// extends it to at least idleTimeout from then. Its Deadline method reports none of
+// its own, and its cause is context.DeadlineExceeded once it has expired.
+func WithTimeout(parent context.Context, initial, idleTimeout time.Duration) (context.Context, context.CancelFunc) {
+	w := &idleTimer{idleTimeout: idleTimeout, deadline: time.Now().Add(initial)}
+	w.parent, _ = parent.Value(timerKey{}).(*idleTimer)
+	ctx, cancel := context.WithCancelCause(context.WithValue(parent, timerKey{}, w))
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(first, func() {
-		if w.over() {
+	w.timer = time.AfterFunc(initial, func() {
+		if w.expired() {
 			cancel(context.DeadlineExceeded)
 		}
 	})
@@ -44,61 +43,61 @@
 	}
 }
 
-// over says whether the time is over. If something was heard since the timer was set,
-// it isn't, and the timer is set again.
-func (w *watch) over() bool {
+// expired reports whether the deadline has passed. If it was extended since the timer
+// was set, expired resets the timer.
+func (w *idleTimer) expired() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	left := time.Until(w.until)
+	left := time.Until(w.deadline)
 	if left > 0 {
 		w.timer.Reset(left)
 	}
 	return left <= 0
 }
 
-func (w *watch) extend(now time.Time) {
+func (w *idleTimer) extend(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if until := now.Add(w.quiet); until.After(w.until) {
-		w.until = until
+	if until := now.Add(w.idleTimeout); until.After(w.deadline) {
+		w.deadline = until
 	}
 }
 
-// counterKey is where a context has its counter.
+// counterKey is the context key of a byte counter.
 type counterKey struct{}
 
-// WithCounter returns a context that has a function told how many bytes come under it, each
-// time that some do. It must not wait.
-func WithCounter(parent context.Context, came func(bytes int)) context.Context {
-	return context.WithValue(parent, counterKey{}, came)
+// WithCounter returns a context whose Readers call onRead with the number of bytes of
+// each read. onRead must not block.
+func WithCounter(parent context.Context, onRead func(bytes int)) context.Context {
+	return context.WithValue(parent, counterKey{}, onRead)
 }
 
-// Heard notes that something came for the call that the context is of. It does nothing
-// if no context around it is from WithTimeout.
+// MarkActive records activity on a context, which extends its idle timeout. It does
+// nothing unless the context or a parent is from WithTimeout.
 func Heard(ctx context.Context) {
-	w, _ := ctx.Value(watchKey{}).(*watch)
-	for now := time.Now(); w != nil; w = w.outer {
+	w, _ := ctx.Value(timerKey{}).(*idleTimer)
+	for now := time.Now(); w != nil; w = w.parent {
 		w.extend(now)
 	}
 }
 
-// maxRead bounds a single read, in bytes. A body in chunks fills what it is given while
-// a chunk lasts: reads of 385 KB took .3 s over 10 Mbit/s, and so looked like silence.
-// These take that long at .4 Mbit/s.
-const maxRead = 16 << 10
+// maxReadSize bounds a single read, in bytes. The reader of a chunked body fills the
+// whole buffer while a chunk lasts: reads of 385 KB took 0.3 s at 10 Mbit/s and were
+// taken for inactivity. Reads of this size take 0.3 s at 0.4 Mbit/s.
+const maxReadSize = 16 << 10
 
-// reader notes what comes from another reader.
+// reader marks its context active on each read that returns data.
 type reader struct {
-	ctx  context.Context
-	from io.Reader
+	ctx    context.Context
+	source io.Reader
 }
 
-// Reader returns a reader of which all that comes is heard.
+// Reader returns a reader that marks ctx active on each read that returns data.
 func Reader(ctx context.Context, from io.Reader) io.Reader { return reader{ctx, from} }
 
 // Read implements io.Reader.
 func (r reader) Read(p []byte) (int, error) {
-	n, err := r.from.Read(p[:min(len(p), maxRead)])
+	n, err := r.source.Read(p[:min(len(p), maxReadSize)])
 	if n > 0 {
 		Heard(r.ctx)
 	}
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -13,77 +13,77 @@
 )
 
 const (
-	first = 600 * time.Millisecond
-	quiet = 400 * time.Millisecond
+	initial     = 600 * time.Millisecond
+	idleTimeout = 400 * time.Millisecond
 )
 
-func play(t *testing.T, do func(g *WithT)) {
+func runInBubble(t *testing.T, body func(g *WithT)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { do(NewWithT(t)) })
+	synctest.Test(t, func(t *testing.T) { body(NewWithT(t)) })
 }
 
-func TestItEndsAsAtADeadlineIfNothingIsHeard(t *testing.T) {
-	play(t, func(g *WithT) {
-		ctx, cancel := idle.WithTimeout(context.Background(), first, quiet)
+func TestContextExpiresWithoutActivity(t *testing.T) {
+	runInBubble(t, func(g *WithT) {
+		ctx, cancel := idle.WithTimeout(context.Background(), initial, idleTimeout)
 		defer cancel()
 		begun := time.Now()
 		<-ctx.Done()
-		g.Expect(time.Since(begun)).To(Equal(first))
+		g.Expect(time.Since(begun)).To(Equal(initial))
 		g.Expect(context.Cause(ctx)).To(MatchError(context.DeadlineExceeded))
 	})
 }
 
-func TestItLastsForAsLongAsSomethingIsHeard(t *testing.T) {
-	play(t, func(g *WithT) {
-		ctx, cancel := idle.WithTimeout(context.Background(), first, quiet)
+func TestActivityExtendsTimeout(t *testing.T) {
+	runInBubble(t, func(g *WithT) {
+		ctx, cancel := idle.WithTimeout(context.Background(), initial, idleTimeout)
 		defer cancel()
 		for range 100 {
-			time.Sleep(quiet - time.Millisecond)
+			time.Sleep(idleTimeout - time.Millisecond)
 			idle.Heard(ctx)
 		}
 		g.Expect(ctx.Err()).NotTo(HaveOccurred())
 		last := time.Now()
 		<-ctx.Done()
-		g.Expect(time.Since(last)).To(Equal(quiet))
+		g.Expect(time.Since(last)).To(Equal(idleTimeout))
 	})
 }
 
-func TestWhatIsHeardEarlyShortensNothing(t *testing.T) {
-	play(t, func(g *WithT) {
-		ctx, cancel := idle.WithTimeout(context.Background(), first, quiet)
+func TestEarlyActivityKeepsInitialTimeout(t *testing.T) {
+	runInBubble(t, func(g *WithT) {
+		ctx, cancel := idle.WithTimeout(context.Background(), initial, idleTimeout)
 		defer cancel()
 		begun := time.Now()
 		idle.Heard(ctx)
 		<-ctx.Done()
-		g.Expect(time.Since(begun)).To(Equal(first))
+		g.Expect(time.Since(begun)).To(Equal(initial))
 	})
 }
 
-func TestWhatIsHeardCountsForTheContextsAround(t *testing.T) {
-	play(t, func(g *WithT) {
-		outer, cancelOuter := idle.WithTimeout(context.Background(), first, quiet)
+func TestActivityExtendsParentTimeouts(t *testing.T) {
+	runInBubble(t, func(g *WithT) {
+		outer, cancelOuter := idle.WithTimeout(context.Background(), initial, idleTimeout)
 		defer cancelOuter()
 		between, cancelBetween := context.WithCancel(outer)
 		defer cancelBetween()
-		inner, cancel := idle.WithTimeout(between, first, quiet)
+		inner, cancel := idle.WithTimeout(between, initial, idleTimeout)
 		defer cancel()
 		for range 10 {
-			time.Sleep(quiet / 2)
+			time.Sleep(idleTimeout / 2)
 			idle.Heard(inner)
 		}
 		g.Expect(outer.Err()).NotTo(HaveOccurred())
 	})
 }
 
-func TestAReaderIsHeardWhileItBringsSomething(t *testing.T) {
-	play(t, func(g *WithT) {
-		ctx, cancel := idle.WithTimeout(context.Background(), first, quiet)
+func TestReaderExtendsTimeout(t *testing.T) {
+	runInBubble(t, func(g *WithT) {
+		ctx, cancel := idle.WithTimeout(context.Background(), initial, idleTimeout)
 		defer cancel()
 		from, to := io.Pipe()
 		context.AfterFunc(ctx, func() { _ = to.CloseWithError(context.Cause(ctx)) })
 		go func() {
 			for range 20 {
-				time.Sleep(quiet / 2)
+				time.Sleep(idleTimeout / 2)
 				_, _ = to.Write([]byte("part"))
 			}
 		}()
@@ -91,15 +91,15 @@
 		got, err := io.ReadAll(idle.Reader(ctx, from))
 		g.Expect(err).To(MatchError(context.DeadlineExceeded))
 		g.Expect(got).To(HaveLen(20 * len("part")))
-		g.Expect(time.Since(begun)).To(Equal(20*quiet/2 + quiet))
+		g.Expect(time.Since(begun)).To(Equal(20*idleTimeout/2 + idleTimeout))
 	})
 }
 
-// filling is a reader that fills what it is given, a kilobyte a millisecond, as the
-// reader of a body in chunks does while a chunk lasts.
-type filling struct{ left int }
+// chunkedReader fills the buffer of each read, at one kilobyte per millisecond, as the
+// reader of a chunked body does while a chunk lasts.
+type chunkedReader struct{ left int }
 
-func (f *filling) Read(p []byte) (int, error) {
+func (f *chunkedReader) Read(p []byte) (int, error) {
 	n := min(len(p), f.left)
 	if n == 0 {
 		return 0, io.EOF
@@ -109,30 +109,30 @@
 	return n, nil
 }
 
-// A router gave up calls "after 1168260 bytes of the answer" again and again while they
-// came as fast as its link of 10 Mbit/s let them: its reads were of up to 385 KB, which
-// took .3 s, the silence that was allowed.
-func TestALongReadIsHeardInParts(t *testing.T) {
-	play(t, func(g *WithT) {
-		ctx, cancel := idle.WithTimeout(context.Background(), first, quiet)
+// Guards against an idle timeout during a single long read. A router repeatedly aborted
+// calls "after 1168260 bytes of the answer" although data arrived at the full 10 Mbit/s
+// of its link: reads of up to 385 KB took 0.3 s, which was the idle timeout.
+func TestLongReadIsSplit(t *testing.T) {
+	runInBubble(t, func(g *WithT) {
+		ctx, cancel := idle.WithTimeout(context.Background(), initial, idleTimeout)
 		defer cancel()
-		got, err := io.ReadAll(idle.Reader(ctx, &filling{left: 4 << 20}))
+		got, err := io.ReadAll(idle.Reader(ctx, &chunkedReader{left: 4 << 20}))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(got).To(HaveLen(4 << 20))
 		g.Expect(ctx.Err()).NotTo(HaveOccurred())
 	})
 }
 
-func TestItEndsWithItsParentAndWhenCancelled(t *testing.T) {
-	play(t, func(g *WithT) {
+func TestContextEndsWithParentOrCancel(t *testing.T) {
+	runInBubble(t, func(g *WithT) {
 		parent, cancelParent := context.WithCancel(context.Background())
-		ctx, cancel := idle.WithTimeout(parent, first, quiet)
+		ctx, cancel := idle.WithTimeout(parent, initial, idleTimeout)
 		cancelParent()
 		g.Expect(context.Cause(ctx)).To(MatchError(context.Canceled))
 		cancel()
-		ctx, cancel = idle.WithTimeout(context.Background(), first, quiet)
+		ctx, cancel = idle.WithTimeout(context.Background(), initial, idleTimeout)
 		cancel()
-		time.Sleep(2 * first)
+		time.Sleep(2 * initial)
 		g.Expect(context.Cause(ctx)).To(MatchError(context.Canceled))
 		idle.Heard(context.Background()) // nothing to extend
 	})
--- a/internal/logging/limit.go
+++ b/internal/logging/limit.go
@@ -11,13 +11,13 @@
 // Limit returns a logger that writes at most so many lines a second. What is left
 // out is counted under the kind; reg may be nil.
 func Limit(log zerolog.Logger, perSecond int, reg prometheus.Registerer, kind string) zerolog.Logger {
-	s := &limiter{perSecond: perSecond, left: prometheus.NewCounter(prometheus.CounterOpts{
+	s := &limiter{perSecond: perSecond, dropped: prometheus.NewCounter(prometheus.CounterOpts{
 		Name:        "coveferry_log_lines_left_out_total",
 		Help:        "Log lines that were left out to bound their volume, by kind.",
 		ConstLabels: prometheus.Labels{"kind": kind},
 	})}
 	if reg != nil {
-		reg.MustRegister(s.left)
+		reg.MustRegister(s.dropped)
 	}
 	return log.Sample(s)
 }
@@ -25,10 +25,10 @@
 // limiter implements zerolog.Sampler.
 type limiter struct {
 	perSecond int
-	left      prometheus.Counter
+	dropped      prometheus.Counter
 
 	mu    sync.Mutex
-	since time.Time
+	windowStart time.Time
 	count int
 }
 
@@ -37,13 +37,13 @@
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now.Sub(l.since) >= time.Second {
-		l.since, l.count = now, 0
+	if now.Sub(l.windowStart) >= time.Second {
+		l.windowStart, l.count = now, 0
 	}
 	l.count++
 	if l.count <= l.perSecond {
 		return true
 	}
-	l.left.Inc()
+	l.dropped.Inc()
 	return false
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -57,8 +57,8 @@
 // queue, and where the queue is full the oldest are dropped, which a line counts.
 func NewBounded(w io.Writer) zerolog.Logger {
 	plain := zerolog.New(w).With().Timestamp().Logger()
-	queue := diode.NewWriter(w, queuedLines, 0, func(missed int) {
-		plain.Warn().Int("lines", missed).Msg("log lines were dropped")
+	queue := diode.NewWriter(w, queuedLines, 0, func(dropped int) {
+		plain.Warn().Int("lines", dropped).Msg("log lines were dropped")
 	})
 	return zerolog.New(queue).Level(zerolog.InfoLevel).With().Timestamp().Logger()
 }
@@ -88,19 +88,19 @@
 // How lines that may come with every request are sampled: the first of each
 // second pass, then one in many, so that an overload stays visible.
 const (
-	NoisyBurst  = 20
-	NoisyPeriod = time.Second
-	NoisyOneIn  = 100
+	SampleBurst  = 20
+	SamplePeriod = time.Second
+	SampleOneIn  = 100
 )
 
-// Noisy returns a logger for lines that may come with every request, such as
+// Sampled returns a logger for lines that may come with every request, such as
 // refusals under overload. Its lines carry FieldSampled. Warnings and errors
 // are never left out.
-func Noisy(log zerolog.Logger) zerolog.Logger {
+func Sampled(log zerolog.Logger) zerolog.Logger {
 	burst := &zerolog.BurstSampler{
-		Burst:       NoisyBurst,
-		Period:      NoisyPeriod,
-		NextSampler: &zerolog.BasicSampler{N: NoisyOneIn},
+		Burst:       SampleBurst,
+		Period:      SamplePeriod,
+		NextSampler: &zerolog.BasicSampler{N: SampleOneIn},
 	}
 	log = log.With().Bool(FieldSampled, true).Logger()
 	return log.Sample(zerolog.LevelSampler{
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -41,20 +41,20 @@
 	g.Expect(out.String()).To(gomega.MatchJSON(`{"level":"info","request":"q1","team":"acme","tier":"gold"}`))
 }
 
-func TestNoisyLeavesOutLinesButNoWarnings(t *testing.T) {
+func TestSampledKeepsAllWarnings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		var out bytes.Buffer
-		log := logging.Noisy(zerolog.New(&out))
+		log := logging.Sampled(zerolog.New(&out))
 		count := func() int { return bytes.Count(out.Bytes(), []byte("\n")) }
 		for range 1000 {
 			log.Info().Msg("refused")
 		}
-		g.Expect(count()).To(gomega.Equal(logging.NoisyBurst + 10)) // one in 100 of the 980 others, the first among them
+		g.Expect(count()).To(gomega.Equal(logging.SampleBurst + 10)) // one in 100 of the 980 others, the first among them
 		g.Expect(out.String()).To(gomega.ContainSubstring(`"sampled":true`))
 
 		out.Reset()
-		time.Sleep(2 * logging.NoisyPeriod)
+		time.Sleep(2 * logging.SamplePeriod)
 		log.Info().Msg("a new second")
 		g.Expect(count()).To(gomega.Equal(1))
 
@@ -66,7 +66,7 @@
 	})
 }
 
-func TestLimitBoundsLinesAndCountsWhatItLeavesOut(t *testing.T) {
+func TestLimitCountsDroppedLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		var out bytes.Buffer
@@ -85,13 +85,13 @@
 	})
 }
 
-// stuck is a writer that never returns.
-type stuck struct{}
+// blockedWriter is a writer that never returns.
+type blockedWriter struct{}
 
-func (stuck) Write([]byte) (int, error) { select {} }
+func (blockedWriter) Write([]byte) (int, error) { select {} }
 
-func TestABoundedLoggerNeverKeepsItsWriterWaiting(t *testing.T) {
-	log := logging.NewBounded(stuck{})
+func TestBoundedLoggerNeverBlocks(t *testing.T) {
+	log := logging.NewBounded(blockedWriter{})
 	done := make(chan struct{})
 	go func() {
 		for range 10_000 {
--- a/internal/memnet/link.go
+++ b/internal/memnet/link.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// segment is how much of a write goes over a link at a time, so that a reader sees
+// segmentSize is how much of a write goes over a link at a time, so that a reader sees
 // a long answer come in parts, as from a socket.
-const segment = 16 << 10
+const segmentSize = 16 << 10
 
 // maxSegments is more than any test has on the way over one connection.
 const maxSegments = 1 << 14
@@ -19,7 +19,7 @@
 type Link struct {
 	mu   sync.Mutex
 	mbps float64
-	free time.Time
+	freeAt time.Time
 	sent int
 }
 
@@ -30,12 +30,12 @@
 func (l *Link) Reserve(bytes int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := time.Now(); l.free.Before(now) {
-		l.free = now
+	if now := time.Now(); l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(bytes) * 8 / l.mbps * float64(time.Microsecond)))
+	l.freeAt = l.freeAt.Add(time.Duration(float64(bytes) * 8 / l.mbps * float64(time.Microsecond)))
 	l.sent += bytes
-	return l.free
+	return l.freeAt
 }
 
 // Sent is how many bytes went over the link.
@@ -54,7 +54,7 @@
 
 // Listener returns the listener with the writes of all its connections going over
 // the link.
-func (l *Link) Listener(of net.Listener) net.Listener { return linkListener{of, l} }
+func (l *Link) Listener(inner net.Listener) net.Listener { return linkListener{inner, l} }
 
 type linkListener struct {
 	net.Listener
@@ -96,7 +96,7 @@
 
 func (c *linkConn) Write(p []byte) (int, error) {
 	for rest := bytes.Clone(p); len(rest) > 0; {
-		n := min(segment, len(rest))
+		n := min(segmentSize, len(rest))
 		c.out <- rest[:n]
 		rest = rest[n:]
 	}
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -26,19 +26,19 @@
 	mu        sync.Mutex
 	listeners map[string]*listener
 	lastPort  int
-	cuts      map[link]bool
-	conns     map[link][]net.Conn
+	cuts      map[connKey]bool
+	conns     map[connKey][]net.Conn
 }
 
-// link is the way from one peer to a listener's address.
-type link struct{ from, to string }
+// connKey is the way from one peer to a listener's address.
+type connKey struct{ from, to string }
 
 // New returns a network without listeners.
 func New() *Net {
 	return &Net{
 		listeners: make(map[string]*listener),
-		cuts:      make(map[link]bool),
-		conns:     make(map[link][]net.Conn),
+		cuts:      make(map[connKey]bool),
+		conns:     make(map[connKey][]net.Conn),
 	}
 }
 
@@ -65,15 +65,15 @@
 // Dialer returns a dial function for the peer of the given name.
 func (n *Net) Dialer(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
-		return n.dial(ctx, link{from: from, to: address})
+		return n.dial(ctx, connKey{from: from, to: address})
 	}
 }
 
-func (n *Net) dial(ctx context.Context, way link) (net.Conn, error) {
+func (n *Net) dial(ctx context.Context, key connKey) (net.Conn, error) {
 	n.mu.Lock()
-	l, cut := n.listeners[way.to], n.cuts[way]
+	l, isCut := n.listeners[key.to], n.cuts[key]
 	n.mu.Unlock()
-	if cut {
+	if isCut {
 		return nil, ErrCut
 	}
 	if l == nil {
@@ -87,12 +87,12 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	return n.keep(way, client)
+	return n.register(key, client)
 }
 
-// keep notes a connection that was made, unless its peers were cut off from each
+// register notes a connection that was made, unless its peers were cut off from each
 // other meanwhile.
-func (n *Net) keep(way link, client net.Conn) (net.Conn, error) {
+func (n *Net) register(way connKey, client net.Conn) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cuts[way] {
@@ -108,19 +108,19 @@
 func (n *Net) Cut(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	way := link{from: from, to: to}
-	n.cuts[way] = true
-	for _, c := range n.conns[way] {
+	key := connKey{from: from, to: to}
+	n.cuts[key] = true
+	for _, c := range n.conns[key] {
 		_ = c.Close() // closing twice does no harm
 	}
-	delete(n.conns, way)
+	delete(n.conns, key)
 }
 
 // Heal ends a cut.
 func (n *Net) Heal(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.cuts, link{from: from, to: to})
+	delete(n.cuts, connKey{from: from, to: to})
 }
 
 type listener struct {
--- a/internal/memnet/memnet_test.go
+++ b/internal/memnet/memnet_test.go
@@ -16,7 +16,7 @@
 
 // A connection that is being made when its peers are cut off must not outlive
 // the cut.
-func TestCutTakesConnectionsThatAreBeingMade(t *testing.T) {
+func TestCutClosesConnectionsBeingDialed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		net := memnet.New()
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -35,7 +35,7 @@
 	}
 	t := newTransport()
 	if cfg == nil {
-		return newOnceClient(t, dial)
+		return newNoRetryClient(t, dial)
 	}
 	t.DialContext = dial
 	t.TLSClientConfig = cfg
@@ -84,7 +84,7 @@
 	t.HTTP2 = nil
 	t.Protocols = new(http.Protocols)
 	t.Protocols.SetHTTP1(true)
-	client := newOnceClient(t, dialer.DialContext)
+	client := newNoRetryClient(t, dialer.DialContext)
 	// An endpoint's redirect is the caller's to follow.
 	client.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return client
--- a/internal/server/linger.go
+++ b/internal/server/linger.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// lingerStep is how often a server that stops looks whether it has become quiet.
-const lingerStep = 50 * time.Millisecond
+// idlePollInterval is how often a server that stops looks whether it has become quiet.
+const idlePollInterval = 50 * time.Millisecond
 
-// traffic counts the requests that are open. It is safe for concurrent use.
-type traffic struct {
+// requestTracker counts the requests that are open. It is safe for concurrent use.
+type requestTracker struct {
 	mu   sync.Mutex
 	open int
-	// quiet is when the last request ended.
-	quiet time.Time
+	// idleSince is when the last request ended.
+	idleSince time.Time
 }
 
-func (t *traffic) change(by int) {
+func (t *requestTracker) add(by int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.open += by
-	t.quiet = time.Now()
+	t.idleSince = time.Now()
 }
 
-// quietFor is how long no request has been open; 0 while one is.
-func (t *traffic) quietFor() time.Duration {
+// idleFor is how long no request has been open; 0 while one is.
+func (t *requestTracker) idleFor() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.open > 0 {
 		return 0
 	}
-	return time.Since(t.quiet)
+	return time.Since(t.idleSince)
 }
 
-// watch counts the requests that next serves.
-func (t *traffic) watch(next http.Handler) http.Handler {
+// track counts the requests that next serves.
+func (t *requestTracker) track(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		t.change(1)
-		defer t.change(-1)
+		t.add(1)
+		defer t.add(-1)
 		next.ServeHTTP(w, r)
 	})
 }
 
-// linger waits until no request has been open for so long, or ctx ends.
-func (t *traffic) linger(ctx context.Context, quiet time.Duration) {
-	ticker := time.NewTicker(lingerStep)
+// waitIdle waits until no request has been open for so long, or ctx ends.
+func (t *requestTracker) waitIdle(ctx context.Context, idle time.Duration) {
+	ticker := time.NewTicker(idlePollInterval)
 	defer ticker.Stop()
-	for t.quietFor() < quiet {
+	for t.idleFor() < idle {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/internal/server/once.go
+++ b/internal/server/once.go
@@ -28,16 +28,16 @@
 	return !errors.As(err, &notSent)
 }
 
-// onceTransport sends each request over HTTP/1 to arrive at most once. The library's own
+// noRetryTransport sends each request over HTTP/1 to arrive at most once. The library's own
 // transport repeats one whose connection breaks before an answer, for as long as it has kept
 // others: each without a body whose method is idempotent by the protocol, and each with an
 // idempotency key. Peers would get what no retry budget counts, with the time that was left
 // at first. Only a request of which nothing was written goes out again, as peers close
 // connections that they keep. Errors of requests that can't have arrived are *NotSentError.
-type onceTransport struct{ *http.Transport }
+type noRetryTransport struct{ *http.Transport }
 
-// newOnceClient returns a client whose transport dials plain connections.
-func newOnceClient(t *http.Transport, dial Dial) *http.Client {
+// newNoRetryClient returns a client whose transport dials plain connections.
+func newNoRetryClient(t *http.Transport, dial Dial) *http.Client {
 	t.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
@@ -45,41 +45,41 @@
 		}
 		return &countedConn{Conn: conn}, nil
 	}
-	return &http.Client{Transport: onceTransport{t}}
+	return &http.Client{Transport: noRetryTransport{t}}
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t onceTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+func (t noRetryTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	for {
 		var used usedConn
-		resp, err := t.Transport.RoundTrip(once(req, &used))
+		resp, err := t.Transport.RoundTrip(withoutRetry(req, &used))
 		switch {
 		case err == nil:
 			return resp, nil
-		case used.conn != nil && (used.written() || req.Context().Err() != nil):
+		case used.conn != nil && (used.hasWritten() || req.Context().Err() != nil):
 			return nil, err
 		}
-		next, ok := rewound(req)
+		rewound, ok := rewindBody(req)
 		if !used.reused || !ok {
 			return nil, &NotSentError{Cause: err}
 		}
-		req = next
+		req = rewound
 	}
 }
 
-// once is a request that the library doesn't repeat once something of it was written.
-func once(req *http.Request, used *usedConn) *http.Request {
-	trace := &httptrace.ClientTrace{GotConn: used.got}
+// withoutRetry is a request that the library doesn't repeat withoutRetry something of it was written.
+func withoutRetry(req *http.Request, used *usedConn) *http.Request {
+	trace := &httptrace.ClientTrace{GotConn: used.onGotConn}
 	out := req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
 	out.GetBody = nil
-	if repeats(out) {
+	if libraryMayRetry(out) {
 		out.Body = io.NopCloser(strings.NewReader("")) // an empty one, too, is more than none
 	}
 	return out
 }
 
-// repeats says whether the library takes a request for one that it may repeat.
-func repeats(req *http.Request) bool {
+// libraryMayRetry says whether the library takes a request for one that it may repeat.
+func libraryMayRetry(req *http.Request) bool {
 	if req.Body != nil && req.Body != http.NoBody {
 		return false
 	}
@@ -90,8 +90,8 @@
 	return req.Header["Idempotency-Key"] != nil || req.Header["X-Idempotency-Key"] != nil
 }
 
-// rewound is the request with its body unread; false if that can't be had.
-func rewound(req *http.Request) (*http.Request, bool) {
+// rewindBody is the request with its body unread; false if that can't be had.
+func rewindBody(req *http.Request) (*http.Request, bool) {
 	if req.Body == nil || req.Body == http.NoBody {
 		return req, true
 	}
@@ -111,20 +111,20 @@
 type usedConn struct {
 	conn   net.Conn
 	reused bool
-	before int64
+	writtenBefore int64
 }
 
-func (u *usedConn) got(info httptrace.GotConnInfo) {
+func (u *usedConn) onGotConn(info httptrace.GotConnInfo) {
 	u.conn, u.reused = info.Conn, info.Reused
 	if counted, ok := info.Conn.(*countedConn); ok {
-		u.before = counted.written.Load()
+		u.writtenBefore = counted.written.Load()
 	}
 }
 
-// written says whether something may have been written to it for the request.
-func (u *usedConn) written() bool {
+// hasWritten says whether something may have been hasWritten to it for the request.
+func (u *usedConn) hasWritten() bool {
 	counted, ok := u.conn.(*countedConn)
-	return !ok || counted.written.Load() > u.before
+	return !ok || counted.written.Load() > u.writtenBefore
 }
 
 // countedConn counts the bytes that its system took to send.
--- a/internal/server/once_test.go
+++ b/internal/server/once_test.go
@@ -14,18 +14,18 @@
 	. "github.com/onsi/gomega"
 )
 
-// breaking is a peer that answers requests until it is told to break their connections.
-type breaking struct {
-	l        net.Listener
+// breakingPeer is a peer that answers requests until it is told to break their connections.
+type breakingPeer struct {
+	listener        net.Listener
 	arrivals atomic.Int64
 	breaks   atomic.Bool
-	hold     chan struct{} // answers wait until it is closed
+	release     chan struct{} // answers wait until it is closed
 }
 
-func newBreaking(t *testing.T) *breaking {
+func newBreakingPeer(t *testing.T) *breakingPeer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	b := &breaking{l: l, hold: make(chan struct{})}
+	b := &breakingPeer{listener: l, release: make(chan struct{})}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -39,7 +39,7 @@
 	return b
 }
 
-func (b *breaking) serve(conn net.Conn) {
+func (b *breakingPeer) serve(conn net.Conn) {
 	defer conn.Close()
 	r := bufio.NewReader(conn)
 	for {
@@ -52,13 +52,13 @@
 		if b.breaks.Load() {
 			return
 		}
-		<-b.hold
+		<-b.release
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n"+(string(body) + "good")[:4])
 	}
 }
 
-// keep has the client keep some connections to it.
-func (b *breaking) keep(g *WithT, client *http.Client, connections int) {
+// openIdleConns has the client openIdleConns some connections to it.
+func (b *breakingPeer) openIdleConns(g *WithT, client *http.Client, connections int) {
 	done := make(chan error, connections)
 	for range connections {
 		go func() {
@@ -71,28 +71,28 @@
 		}()
 	}
 	g.Eventually(b.arrivals.Load).Should(Equal(int64(connections)))
-	close(b.hold)
+	close(b.release)
 	for range connections {
 		g.Expect(<-done).To(Succeed())
 	}
 }
 
-func (b *breaking) url() string { return "http://" + b.l.Addr().String() + "/" }
+func (b *breakingPeer) url() string { return "http://" + b.listener.Addr().String() + "/" }
 
 // A request whose connection broke was repeated by the library on each connection that was
 // kept, by no decision of ours. Evidence: with its own transport each of these but the POST
 // without a key arrives four times.
-func TestARequestWhoseConnectionBreaksArrivesOnce(t *testing.T) {
+func TestRequestOnBrokenConnectionArrivesOnce(t *testing.T) {
 	for _, c := range []struct{ method, body, key string }{
 		{"GET", "", ""}, {"GET", "ask", ""}, {"HEAD", "", ""}, {"OPTIONS", "", ""},
 		{"POST", "", ""}, {"POST", "ask", ""}, {"POST", "", "k"}, {"POST", "ask", "k"},
 	} {
 		t.Run(c.method+" "+c.body+" "+c.key, func(t *testing.T) {
 			g := NewWithT(t)
-			peer := newBreaking(t)
+			peer := newBreakingPeer(t)
 			client := NewDirectClient()
 			defer client.CloseIdleConnections()
-			peer.keep(g, client, 3)
+			peer.openIdleConns(g, client, 3)
 			peer.breaks.Store(true)
 			req, err := http.NewRequest(c.method, peer.url(), strings.NewReader(c.body))
 			g.Expect(err).NotTo(HaveOccurred())
@@ -107,13 +107,13 @@
 	}
 }
 
-// mute is a connection on which nothing can be written from some time on.
-type mute struct {
+// failingConn is a connection on which nothing can be written from some time on.
+type failingConn struct {
 	net.Conn
 	closed *atomic.Bool
 }
 
-func (m mute) Write(p []byte) (int, error) {
+func (m failingConn) Write(p []byte) (int, error) {
 	if m.closed.Load() {
 		return 0, errors.New("closed by its peer")
 	}
@@ -122,10 +122,10 @@
 
 // Peers close connections that are kept: a request that finds one closed has arrived nowhere,
 // and is lost to its caller unless it goes out again.
-func TestARequestOfWhichNothingWasWrittenGoesOutAgain(t *testing.T) {
+func TestUnsentRequestIsRetried(t *testing.T) {
 	for _, c := range []struct{ method, body, want string }{{"GET", "", "good"}, {"POST", "body", "body"}, {"POST", "", "good"}} {
 		g := NewWithT(t)
-		peer := newBreaking(t)
+		peer := newBreakingPeer(t)
 		var closed atomic.Bool
 		var dials atomic.Int64
 		client := NewClient(nil, func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -133,10 +133,10 @@
 			if dials.Add(1) > 3 {
 				return conn, err
 			}
-			return mute{conn, &closed}, err
+			return failingConn{conn, &closed}, err
 		})
 		defer client.CloseIdleConnections()
-		peer.keep(g, client, 3)
+		peer.openIdleConns(g, client, 3)
 		closed.Store(true)
 		req, err := http.NewRequest(c.method, peer.url(), strings.NewReader(c.body))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestARequestThatCannotArriveIsToldFromOneThatMayHave(t *testing.T) {
+func TestErrorsDistinguishUnsentRequests(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -162,10 +162,10 @@
 
 	var closed atomic.Bool
 	closed.Store(true)
-	peer := newBreaking(t)
+	peer := newBreakingPeer(t)
 	_, err = NewClient(nil, func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := TCP()(ctx, network, address)
-		return mute{conn, &closed}, err
+		return failingConn{conn, &closed}, err
 	}).Get(peer.url())
 	g.Expect(err).To(HaveOccurred())
 	g.Expect(MayHaveSent(err)).To(BeFalse(), "a new connection on which nothing can be written")
--- a/internal/server/plan.go
+++ b/internal/server/plan.go
@@ -23,10 +23,10 @@
 
 // Run carries the plan out. leave begins the notice, lastCall deals with what
 // still runs, and stop closes the listener and waits for Grace at most.
-func (p Plan) Run(leave, lastCall func(), stop func() error) error {
+func (p Plan) Run(leave, handOver func(), stop func() error) error {
 	leave()
 	time.Sleep(p.Notice)
-	timer := time.AfterFunc(p.LastCall(), lastCall)
+	timer := time.AfterFunc(p.LastCall(), handOver)
 	defer timer.Stop()
 	return stop()
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -49,16 +49,16 @@
 type Server struct {
 	cfg      Config
 	http     *http.Server
-	traffic  *traffic
+	requests  *requestTracker
 	stopping atomic.Bool
 }
 
 // New returns a server that serves once Run is called.
 func New(cfg Config) *Server {
 	cfg.Listener = closeOnce(cfg.Listener)
-	t := &traffic{}
-	return &Server{cfg: cfg, traffic: t, http: &http.Server{
-		Handler:           t.watch(cfg.Handler),
+	t := &requestTracker{}
+	return &Server{cfg: cfg, requests: t, http: &http.Server{
+		Handler:           t.track(cfg.Handler),
 		TLSConfig:         cfg.TLS,
 		ReadHeaderTimeout: cfg.HeaderTimeout,
 		MaxHeaderBytes:    cfg.MaxHeaderBytes,
@@ -71,19 +71,19 @@
 	}}
 }
 
-// onceListener closes its listener once, however often it is asked to: both a
+// closeOnceListener closes its listener once, however often it is asked to: both a
 // step of a planned stop and the HTTP library do.
-type onceListener struct {
+type closeOnceListener struct {
 	net.Listener
 	close func() error
 }
 
 func closeOnce(l net.Listener) net.Listener {
-	return onceListener{Listener: l, close: sync.OnceValue(l.Close)}
+	return closeOnceListener{Listener: l, close: sync.OnceValue(l.Close)}
 }
 
 // Close implements net.Listener.
-func (l onceListener) Close() error { return l.close() }
+func (l closeOnceListener) Close() error { return l.close() }
 
 // Addr is the address that the server listens on.
 func (s *Server) Addr() string { return s.cfg.Listener.Addr().String() }
@@ -119,7 +119,7 @@
 	defer cancel()
 	s.stopping.Store(true)
 	_ = s.cfg.Listener.Close() // an address that can't be closed is no reason to cut requests off
-	s.traffic.linger(ctx, s.cfg.Linger)
+	s.requests.waitIdle(ctx, s.cfg.Linger)
 	return s.shutdown(ctx, grace)
 }
 
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -18,7 +18,7 @@
 
 // A connection whose answer began before the stop is used once more behind its
 // end: the request is served, and told that the connection closes.
-func TestAStoppingServerServesWhatComesOnOpenConnections(t *testing.T) {
+func TestStoppingServerServesOpenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		net := memnet.New()
@@ -34,10 +34,10 @@
 				time.Sleep(5 * time.Second)
 			}),
 		})
-		ran := make(chan error)
-		go func() { ran <- srv.Run() }()
+		runErr := make(chan error)
+		go func() { runErr <- srv.Run() }()
 		client := server.NewClient(nil, net.Dialer("caller"))
-		ask := func() {
+		get := func() {
 			resp, err := client.Get("http://" + address)
 			g.Expect(err).NotTo(HaveOccurred())
 			_, err = io.Copy(io.Discard, resp.Body)
@@ -49,18 +49,18 @@
 			<-begun
 			stopped <- srv.StopWithin(time.Minute)
 		}()
-		ask()
-		g.Expect(<-ran).To(Succeed())
+		get()
+		g.Expect(<-runErr).To(Succeed())
 		_, err = net.Dialer("other")(context.Background(), "tcp", address)
 		g.Expect(err).To(MatchError(memnet.ErrRefused))
-		ask()
+		get()
 		g.Expect(<-stopped).To(Succeed())
 		g.Expect(time.Since(start)).To(BeNumerically("~", 11*time.Second, 100*time.Millisecond))
 		client.CloseIdleConnections()
 	})
 }
 
-func TestAPlanMakesItsLastCallAsLateAsItCan(t *testing.T) {
+func TestPlanHandsOverAsLateAsPossible(t *testing.T) {
 	for _, c := range []struct{ grace, margin, want time.Duration }{
 		{10 * time.Second, 2 * time.Second, 9 * time.Second},
 		{10 * time.Second, 25 * time.Second, 6 * time.Second},
@@ -69,10 +69,10 @@
 			g := NewWithT(t)
 			at := make(chan time.Duration, 3)
 			start := time.Now()
-			note := func() { at <- time.Since(start) }
+			record := func() { at <- time.Since(start) }
 			p := server.Plan{Notice: time.Second, Grace: c.grace, Margin: c.margin}
-			g.Expect(p.Run(note, note, func() error {
-				note()
+			g.Expect(p.Run(record, record, func() error {
+				record()
 				time.Sleep(c.grace)
 				return nil
 			})).To(Succeed())
--- a/internal/server/usertimeout.go
+++ b/internal/server/usertimeout.go
@@ -14,9 +14,9 @@
 
 // setUserTimeout sets TCP_USER_TIMEOUT on a socket that is about to connect.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(sendTimeout/time.Millisecond))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(sendTimeout/time.Millisecond))
 	})
-	return errors.Wrap(errors.CombineErrors(err, failed), "server: set TCP_USER_TIMEOUT")
+	return errors.Wrap(errors.CombineErrors(err, sockErr), "server: set TCP_USER_TIMEOUT")
 }
--- a/internal/slo/burn.go
+++ b/internal/slo/burn.go
@@ -109,7 +109,7 @@
 	for w, c := range counts {
 		row.Windows = append(row.Windows, Sample{Window: Window(w).String(), Counts: c, Burn: burnRate(c, objective)})
 	}
-	row.Alert = row.judge()
+	row.Alert = row.alertLevel()
 	return row
 }
 
@@ -121,8 +121,8 @@
 	return share / (1 - objective)
 }
 
-// judge returns the most urgent level of the rules that fire.
-func (r Row) judge() Level {
+// alertLevel returns the most urgent level of the rules that fire.
+func (r Row) alertLevel() Level {
 	worst := LevelNone
 	for _, rule := range Rules() {
 		if rule.fires(r) && rule.Level.AtLeast(worst) {
--- a/internal/slo/recorder.go
+++ b/internal/slo/recorder.go
@@ -51,11 +51,11 @@
 // Other when there are too many keys. A result older than the longest window,
 // or from before 1970, is dropped.
 func (r *Recorder) Record(at time.Time, key Key, res Result) Key {
-	n := bucketOf(at)
+	n := bucketNumber(at)
 	sh := r.shardOf(key)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	s, key := sh.find(key, n)
+	s, key := sh.seriesFor(key, n)
 	s.add(n, res)
 	return key
 }
@@ -65,14 +65,14 @@
 	return &r.shards[h%numShards]
 }
 
-// find returns the series for a key. A new key may take the place of one that
+// seriesFor returns the series for a key. A new key may take the place of one that
 // has left all windows; if there is none, Other takes it.
-func (sh *shard) find(key Key, n int64) (*series, Key) {
+func (sh *shard) seriesFor(key Key, n int64) (*series, Key) {
 	if s := sh.series[key]; s != nil {
 		return s, key
 	}
 	if len(sh.series) >= maxSeries {
-		sh.dropIdle(n)
+		sh.evictIdle(n)
 	}
 	if len(sh.series) >= maxSeries {
 		key = Other
@@ -85,7 +85,7 @@
 	return s, key
 }
 
-func (sh *shard) dropIdle(n int64) {
+func (sh *shard) evictIdle(n int64) {
 	for key, s := range sh.series {
 		if s.last <= n-int64(numBuckets) {
 			delete(sh.series, key)
@@ -108,8 +108,8 @@
 	s.last = max(s.last, n)
 }
 
-// sum adds up the buckets of each window ending in bucket now.
-func (s *series) sum(now int64) [numWindows]Counts {
+// sumWindows adds up the buckets of each window ending in bucket now.
+func (s *series) sumWindows(now int64) [numWindows]Counts {
 	var sums [numWindows]Counts
 	for i := range s.ring {
 		b := &s.ring[i]
@@ -138,7 +138,7 @@
 // Burn returns a row for each key with results in the windows ending now,
 // ordered by class and tier.
 func (r *Recorder) Burn(now time.Time, o Objectives) []Row {
-	sums := r.sums(bucketOf(now))
+	sums := r.sumByKey(bucketNumber(now))
 	rows := make([]Row, 0, len(sums))
 	for key, counts := range sums {
 		if counts[Window6h] != (Counts{}) {
@@ -149,7 +149,7 @@
 	return rows
 }
 
-func (r *Recorder) sums(now int64) map[Key][numWindows]Counts {
+func (r *Recorder) sumByKey(now int64) map[Key][numWindows]Counts {
 	sums := make(map[Key][numWindows]Counts)
 	for i := range r.shards {
 		r.shards[i].addTo(sums, now)
@@ -161,11 +161,11 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for key, s := range sh.series {
-		sums[key] = plus(sums[key], s.sum(now))
+		sums[key] = addCounts(sums[key], s.sumWindows(now))
 	}
 }
 
-func plus(a, b [numWindows]Counts) [numWindows]Counts {
+func addCounts(a, b [numWindows]Counts) [numWindows]Counts {
 	for w := range a {
 		a[w] = a[w].Plus(b[w])
 	}
--- a/internal/slo/report.go
+++ b/internal/slo/report.go
@@ -71,7 +71,7 @@
 		}
 		for _, row := range rep.Rows {
 			key := Key{Class: row.Class, Tier: row.Tier}
-			sums[key] = plus(sums[key], row.counts())
+			sums[key] = addCounts(sums[key], row.counts())
 			strictest[key] = max(strictest[key], row.Objective)
 		}
 	}
--- a/internal/slo/rules_test.go
+++ b/internal/slo/rules_test.go
@@ -51,7 +51,7 @@
 
 // The example may name only metrics that a router publishes, series that it
 // records itself, and results that exist.
-func TestExampleRulesNameRealMetrics(t *testing.T) {
+func TestExampleRulesUseExistingMetrics(t *testing.T) {
 	g := gomega.NewWithT(t)
 	reg := prometheus.NewRegistry()
 	m := slo.NewMetrics(reg, func() []slo.Row { return nil })
@@ -86,7 +86,7 @@
 
 // Each rule of the report stands in the example with its threshold, windows,
 // least number of requests and level.
-func TestExampleRulesHoldTheReportsRules(t *testing.T) {
+func TestExampleRulesMatchReportRules(t *testing.T) {
 	rules := readRules(t)
 	for _, rule := range slo.Rules() {
 		parts := []string{
--- a/internal/slo/slo_test.go
+++ b/internal/slo/slo_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestRecorderBoundsItsKeys(t *testing.T) {
+func TestRecorderBoundsKeys(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rec := slo.NewRecorder()
 	const names = 5000
@@ -163,7 +163,7 @@
 }
 
 // The mean of the two routers' rates is 10; of all requests 2 in 1,002 are bad.
-func TestMergeSumsCountsAndNotRates(t *testing.T) {
+func TestMergeSumsCountsNotRates(t *testing.T) {
 	g := gomega.NewWithT(t)
 	idle, busy := slo.NewRecorder(), slo.NewRecorder()
 	record(idle, start, 0, slo.Late, 2)
--- a/internal/slo/window.go
+++ b/internal/slo/window.go
@@ -36,5 +36,5 @@
 
 func (w Window) buckets() int64 { return int64(w.Span() / Bucket) }
 
-// bucketOf numbers the bucket that a time falls in.
-func bucketOf(t time.Time) int64 { return t.UnixNano() / int64(Bucket) }
+// bucketNumber numbers the bucket that a time falls in.
+func bucketNumber(t time.Time) int64 { return t.UnixNano() / int64(Bucket) }
--- a/internal/telemetry/note_test.go
+++ b/internal/telemetry/note_test.go
@@ -9,11 +9,11 @@
 	"github.com/onsi/gomega"
 )
 
-func TestNotesAreShownAndKeepNobodyFromBeingReady(t *testing.T) {
+func TestNotesDoNotAffectReadiness(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := NewReadiness("serving")
 	mux := NewMux(NewRegistry(), r)
-	ask := func() (int, Health) {
+	getHealth := func() (int, Health) {
 		w := httptest.NewRecorder()
 		mux.ServeHTTP(w, httptest.NewRequest(http.MethodGet, PathReady, nil))
 		var h Health
@@ -21,14 +21,14 @@
 		return w.Code, h
 	}
 	r.Note("bundle", "not confirmed")
-	status, h := ask()
+	status, h := getHealth()
 	g.Expect(status).To(gomega.Equal(http.StatusServiceUnavailable))
 	g.Expect(h).To(gomega.Equal(Health{Waiting: []string{"serving"}, Notes: map[string]string{"bundle": "not confirmed"}}))
 	r.Open("serving")
-	status, h = ask()
+	status, h = getHealth()
 	g.Expect(status).To(gomega.Equal(http.StatusOK))
 	g.Expect(h).To(gomega.Equal(Health{Ready: true, Notes: map[string]string{"bundle": "not confirmed"}}))
 	r.Note("bundle", "")
-	_, h = ask()
+	_, h = getHealth()
 	g.Expect(h).To(gomega.Equal(Health{Ready: true}))
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -16,7 +16,7 @@
 	return rec
 }
 
-func TestReadyNamesClosedGates(t *testing.T) {
+func TestReadyListsClosedGates(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ready := telemetry.NewReadiness("bundle", "serving")
 	mux := telemetry.NewMux(telemetry.NewRegistry(), ready)
@@ -48,7 +48,7 @@
 	g.Expect(get(mux, telemetry.PathHealth).Code).To(gomega.Equal(http.StatusOK))
 }
 
-func TestMetricsHoldProcessAndBuild(t *testing.T) {
+func TestMetricsIncludeProcessAndBuildInfo(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rec := get(telemetry.NewMux(telemetry.NewRegistry(), telemetry.NewReadiness()), telemetry.PathMetrics)
 	g.Expect(rec.Code).To(gomega.Equal(http.StatusOK))
