--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -15,11 +15,11 @@
 	"coveferry/internal/identity"
 )
 
-// Bounds of a client.
+// Limits of a client.
 const (
 	dialTimeout = 2 * time.Second
-	// minBackoff and maxBackoff bound the delay before a connection is tried
-	// again; it grows by backoffFactor and is spread by backoffJitter.
+	// minBackoff and maxBackoff bound the delay before a reconnect, which
+	// grows by backoffFactor and is randomized by backoffJitter.
 	minBackoff    = 100 * time.Millisecond
 	maxBackoff    = 5 * time.Second
 	backoffFactor = 2
@@ -29,13 +29,13 @@
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// ClientConfig is what the clients of a process have in common.
+// ClientConfig is the configuration shared by the clients of a process.
 type ClientConfig struct {
-	// Identity shows who this process is; without one, connections are plain.
+	// Identity authenticates this process; if nil, connections don't use TLS.
 	Identity *identity.Identity
-	// Dial opens connections; nil is TCP's.
+	// Dial opens connections; nil means TCP.
 	Dial Dial
-	// MaxMessage bounds a message in bytes; 0 is DefaultMaxMessage.
+	// MaxMessage is the maximum message size in bytes; 0 means DefaultMaxMessage.
 	MaxMessage int
 	// Traffic counts the bytes of all connections; it may be nil.
 	Traffic *Traffic
@@ -52,14 +52,15 @@
 	return c
 }
 
-// Target is a process to talk to.
+// Target identifies the process that a client connects to.
 type Target struct {
 	Address string
-	// Peer is who must answer. Its name may be identity.AnyName.
+	// Peer is the identity that the process must have. Its name may be
+	// identity.AnyName.
 	Peer identity.Peer
 }
 
-// Client talks to one process. It is safe for concurrent use.
+// Client calls the methods of one process. It is safe for concurrent use.
 type Client struct {
 	cfg    ClientConfig
 	target Target
@@ -68,13 +69,13 @@
 	mu      sync.Mutex
 	closed  bool
 	conn    *jsonrpc2.Conn
-	dialing chan struct{} // closed when the dial under way has ended; nil if none is
+	dialing chan struct{} // closed when the current dial ends; nil if there is none
 	backoff *backoff.ExponentialBackOff
 	retryAt time.Time
 	lastErr error
 }
 
-// NewClient returns a client, which connects with its first call.
+// NewClient returns a client, which connects on its first call.
 func NewClient(cfg ClientConfig, target Target) *Client {
 	cfg = cfg.withDefaults()
 	c := &Client{cfg: cfg, target: target, backoff: newBackoff()}
@@ -98,7 +99,7 @@
 // Address returns the address of the process.
 func (c *Client) Address() string { return c.target.Address }
 
-// Close closes the connection; calls under way and later ones fail.
+// Close closes the connection. Calls in flight and later calls fail.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	c.closed = true
@@ -121,15 +122,15 @@
 	}
 	err = conn.Call(ctx, method, req, resp)
 	if errors.Is(err, context.DeadlineExceeded) {
-		// The peer may have vanished without closing; the next call finds
-		// out by a new connection.
+		// The peer may be gone without having closed the connection, so the
+		// next call opens a new one.
 		c.discard(conn)
 	}
 	return fromWire(err)
 }
 
-// connection returns the open connection or opens one. While a failed one is
-// not to be tried again yet, it fails at once.
+// connection returns the open connection or opens one. It fails at once during
+// the backoff after a failed dial.
 func (c *Client) connection(ctx context.Context) (*jsonrpc2.Conn, error) {
 	for {
 		conn, wait, err := c.currentConn()
@@ -147,8 +148,8 @@
 	}
 }
 
-// currentConn returns the connection, or a dial to wait for, or an error; with
-// none of these the caller has to dial.
+// currentConn returns the open connection, or a channel that is closed when the
+// current dial ends, or an error. If all are nil, the caller has to dial.
 func (c *Client) currentConn() (*jsonrpc2.Conn, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,7 +189,7 @@
 		return nil, unreachable(err)
 	}
 	if c.closed {
-		_ = conn.Close() // nobody uses it
+		_ = conn.Close() // the client was closed during the dial
 		return nil, unreachable(ErrClosed)
 	}
 	c.backoff.Reset()
@@ -212,7 +213,7 @@
 		jsonrpc2.SetLogger(logAdapter{c.cfg.Log})), nil
 }
 
-// handshake makes the handshake, if there is one.
+// handshake performs the TLS handshake if the client uses TLS.
 func (c *Client) handshake(ctx context.Context, raw net.Conn) (net.Conn, error) {
 	if c.tls == nil {
 		return raw, nil
@@ -221,7 +222,7 @@
 	return conn, conn.HandshakeContext(ctx)
 }
 
-// discard gives a connection up.
+// discard closes a connection, so that the next call opens a new one.
 func (c *Client) discard(conn *jsonrpc2.Conn) {
 	c.mu.Lock()
 	if c.conn == conn {
@@ -231,7 +232,7 @@
 	_ = conn.Close() // it may be closed already
 }
 
-// noHandler is for the side of a connection that is never called.
+// noHandler is the handler of the client side, which receives no calls.
 type noHandler struct{}
 
 // Handle implements jsonrpc2.Handler.
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -47,7 +47,7 @@
 	methodGone  = control.NewMethod[echoRequest, echoReply]("test.gone", identity.RoleRouter)
 )
 
-// testEnv is one server on a network in memory, in the fake time of a bubble.
+// testEnv is one server on an in-memory network, in the fake time of synctest.
 type testEnv struct {
 	*gomega.WithT
 	t     *testing.T
@@ -156,14 +156,14 @@
 		}
 		w.Expect(call(operator, methodEcho, echoRequest{})).To(gomega.Succeed())
 		w.Expect(call(operator, methodHang, echoRequest{})).To(hasCode(control.CodeForbidden))
-		w.Expect(call(agent, methodEcho, echoRequest{})).To(gomega.MatchError(control.ErrBroken), "agents may not connect")
+		w.Expect(call(agent, methodEcho, echoRequest{})).To(gomega.MatchError(control.ErrBroken), "agents are not allowed to connect")
 		w.Expect(call(router, methodGone, echoRequest{})).To(hasCode(control.CodeUnknownMethod))
 		w.Expect(call(router, methodEcho, echoRequest{Bad: true})).To(hasCode(control.CodeInvalid))
 		w.Expect(call(router, methodEcho, echoRequest{Text: "refuse"})).To(hasCode(control.CodeUnavailable))
 		w.Expect(call(router, methodPanic, echoRequest{})).To(hasCode(control.CodeInternal))
 		w.Expect(call(router, methodGrow, echoRequest{Text: "x"})).To(hasCode(control.CodeInternal), "the reply is too large")
 		w.Expect(call(router, methodEcho, echoRequest{Text: strings.Repeat("x", maxMessage)})).To(gomega.MatchError(control.ErrTooLarge))
-		w.Expect(call(router, methodEcho, echoRequest{})).To(gomega.Succeed(), "refusals leave the connection whole")
+		w.Expect(call(router, methodEcho, echoRequest{})).To(gomega.Succeed(), "the connection stays usable after refusals")
 	})
 }
 
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -7,31 +7,31 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// Why a call has no reply. Test for them with errors.Is.
+// Reasons why a call has no reply, for errors.Is.
 var (
-	// ErrUnreachable: there was no connection, so the call was never sent.
+	// ErrUnreachable: no connection could be made, so the call was never sent.
 	ErrUnreachable = errors.New("control: unreachable")
-	// ErrBroken: the connection broke or the time ran out during the call,
-	// which may or may not have been carried out.
+	// ErrBroken: the connection broke or the call timed out; the peer may or
+	// may not have handled the call.
 	ErrBroken = errors.New("control: no reply")
-	// ErrTooLarge: a message is larger than the bound.
+	// ErrTooLarge: a message exceeds the maximum size.
 	ErrTooLarge = errors.New("control: message too large")
-	// ErrMalformed: a frame of the channel can't be read.
+	// ErrMalformed: a frame can't be decoded.
 	ErrMalformed = errors.New("control: malformed message")
 	// ErrClosed: the client or the pool was closed.
 	ErrClosed = errors.New("control: closed")
 )
 
-// CallError says why a call has no reply, and what lies below.
+// CallError is the reason why a call has no reply, with the underlying error.
 type CallError struct {
 	Kind error // one of the errors above
 	Err  error
 }
 
-// Error returns the reason and what lies below.
+// Error returns the reason and the underlying error.
 func (e *CallError) Error() string { return e.Kind.Error() + ": " + e.Err.Error() }
 
-// Unwrap returns what lies below.
+// Unwrap returns the underlying error.
 func (e *CallError) Unwrap() error { return e.Err }
 
 // Is reports whether target is the reason of this error.
@@ -39,19 +39,19 @@
 
 func unreachable(err error) error { return &CallError{Kind: ErrUnreachable, Err: err} }
 
-// Code says why a peer refused a call.
+// Code is the reason why a peer refused a call.
 type Code int64
 
-// The codes of refusals. Those of JSON-RPC keep their numbers.
+// Error codes. Those defined by JSON-RPC keep their numbers.
 const (
 	CodeUnknownMethod Code = jsonrpc2.CodeMethodNotFound
 	CodeInvalid       Code = jsonrpc2.CodeInvalidParams
 	CodeInternal      Code = jsonrpc2.CodeInternalError
 	// CodeForbidden: the caller's role may not call the method.
 	CodeForbidden Code = 403
-	// CodeBusy: the caller has too many calls open at this peer.
+	// CodeBusy: the caller has too many concurrent calls at this peer.
 	CodeBusy Code = 429
-	// CodeUnavailable: the peer can't answer now, such as while it starts.
+	// CodeUnavailable: the peer can't answer now, for example during startup.
 	CodeUnavailable Code = 503
 )
 
@@ -64,13 +64,13 @@
 // Error returns the peer's message and the code.
 func (e *Error) Error() string { return fmt.Sprintf("%s (code %d)", e.Message, e.Code) }
 
-// HasCode says whether an error is a refusal with the code.
+// HasCode reports whether err is a refusal with the given code.
 func HasCode(err error, code Code) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == code
 }
 
-// toWire turns a handler's error into that of the library.
+// toWire converts a handler's error to an error of the JSON-RPC library.
 func toWire(err error) *jsonrpc2.Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -79,7 +79,7 @@
 	return &jsonrpc2.Error{Code: int64(CodeInternal), Message: err.Error()}
 }
 
-// fromWire turns the library's errors of a call into those of this package.
+// fromWire converts an error of the JSON-RPC library to one of this package.
 func fromWire(err error) error {
 	var remote *jsonrpc2.Error
 	switch {
--- a/internal/control/method.go
+++ b/internal/control/method.go
@@ -11,25 +11,25 @@
 	"coveferry/internal/identity"
 )
 
-// DefaultTimeout bounds a call whose method says nothing else.
+// DefaultTimeout is the call timeout of methods that set no other.
 const DefaultTimeout = 5 * time.Second
 
-// Method is one method of the channel: its name, the types of its request and
-// reply, and who may call it.
+// Method describes a method of the control channel: its name, the types of its
+// request and reply, and the roles that may call it.
 type Method[Req, Resp any] struct {
 	name    string
 	roles   []identity.Role
 	timeout time.Duration
 }
 
-// NewMethod describes a method that holders of the given roles may call; with
-// none given, nobody.
+// NewMethod returns a method that peers with the given roles may call. Without
+// roles, no peer may call it.
 func NewMethod[Req, Resp any](name string, roles ...identity.Role) Method[Req, Resp] {
 	return Method[Req, Resp]{name: name, roles: slices.Clone(roles), timeout: DefaultTimeout}
 }
 
-// WithTimeout returns the method with another bound on the time of a call, at
-// the client and in the handler.
+// WithTimeout returns the method with another timeout, which applies at the client
+// and in the handler.
 func (m Method[Req, Resp]) WithTimeout(d time.Duration) Method[Req, Resp] {
 	m.timeout = d
 	return m
@@ -38,19 +38,19 @@
 // Name returns the method's name on the wire.
 func (m Method[Req, Resp]) Name() string { return m.name }
 
-// Checker is a request that knows what is wrong with it. Check is called
-// before the handler, and its error goes back as CodeInvalid.
+// Checker is implemented by requests that validate themselves. Check is called
+// before the handler, and its error is returned with CodeInvalid.
 type Checker interface {
 	Check() error
 }
 
-// Handler answers the calls of a method. The peer is who the certificate of
-// the connection names. An error that is a *Error goes back with its code, any
-// other as CodeInternal.
+// Handler answers the calls of a method. The peer is the identity in the
+// certificate of the connection. An error that is a *Error is returned with its
+// code, any other with CodeInternal.
 type Handler[Req, Resp any] func(ctx context.Context, peer identity.Peer, req Req) (Resp, error)
 
-// Register adds a method to a server, before the server runs. It panics when
-// the name is taken.
+// Register adds a method to a server. It must be called before Run, and panics if
+// the method is already registered.
 func Register[Req, Resp any](s *Server, m Method[Req, Resp], h Handler[Req, Resp]) {
 	s.add(m.name, &methodHandler{
 		roles:   m.roles,
@@ -65,8 +65,8 @@
 	})
 }
 
-// decode reads and checks the parameters of a call. Unknown keys are left
-// alone, as a newer peer may send them.
+// decode parses and validates the parameters of a call. Unknown keys are ignored
+// because a newer peer may send them.
 func decode[Req any](params []byte) (Req, error) {
 	var req Req
 	if err := json.Unmarshal(params, &req); err != nil {
@@ -80,9 +80,9 @@
 	return req, nil
 }
 
-// Call calls a method and waits for the reply, for the method's time at most.
-// The error is a *Error if the peer refused, ErrUnreachable if there was no
-// connection, so that the call didn't arrive, or ErrBroken if it may have.
+// Call calls a method and waits for the reply, at most for the method's timeout.
+// The error is a *Error if the peer refused the call, ErrUnreachable if there was
+// no connection, so that the call didn't arrive, or ErrBroken if it may have.
 func Call[Req, Resp any](ctx context.Context, c *Client, m Method[Req, Resp], req Req) (Resp, error) {
 	var resp Resp
 	ctx, cancel := context.WithTimeout(ctx, m.timeout)
--- a/internal/control/pool.go
+++ b/internal/control/pool.go
@@ -5,11 +5,10 @@
 	"sync"
 )
 
-// DefaultPoolSize is how many connections a pool keeps.
+// DefaultPoolSize is the number of clients that a pool keeps by default.
 const DefaultPoolSize = 32
 
-// Pool keeps clients to the processes that were talked to last. It is safe for
-// concurrent use.
+// Pool is an LRU cache of clients. It is safe for concurrent use.
 type Pool struct {
 	cfg  ClientConfig
 	size int
@@ -17,11 +16,10 @@
 	mu      sync.Mutex
 	closed  bool
 	clients map[Target]*list.Element
-	lru  *list.List // of *Client, the one used last first
+	lru     *list.List // of *Client, most recently used first
 }
 
-// NewPool returns an empty pool that keeps a number of clients; 0 is
-// DefaultPoolSize.
+// NewPool returns an empty pool of the given size; 0 means DefaultPoolSize.
 func NewPool(cfg ClientConfig, size int) *Pool {
 	if size == 0 {
 		size = DefaultPoolSize
@@ -29,18 +27,19 @@
 	return &Pool{cfg: cfg, size: size, clients: make(map[Target]*list.Element), lru: list.New()}
 }
 
-// Client returns the client to a process. The one that wasn't used for longest
-// is closed when there are too many, and with it the calls that it still has.
+// Client returns the client for a process. If the pool is full, it closes the
+// least recently used client, which fails that client's calls in flight.
 func (p *Pool) Client(target Target) *Client {
 	c, evicted := p.getOrCreate(target)
 	if evicted != nil {
-		_ = evicted.Close() // nobody waits for its error
+		_ = evicted.Close() // the caller has no use for the error
 	}
 	return c
 }
 
-// getOrCreate returns the client to a process, and one to close if there is one too
-// many. Closing writes to the network, so that it mustn't be done under the lock.
+// getOrCreate returns the client for a process, and the evicted client if the pool
+// was full. The caller closes the evicted client, because closing writes to the
+// network and must not happen under the lock.
 func (p *Pool) getOrCreate(target Target) (c, evicted *Client) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -65,10 +64,10 @@
 	return c
 }
 
-// Close closes all clients.
+// Close closes all clients. Clients requested later are closed from the start.
 func (p *Pool) Close() {
 	for _, c := range p.removeAll() {
-		_ = c.Close() // nobody waits for its error
+		_ = c.Close() // the caller has no use for the error
 	}
 }
 
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -17,30 +17,31 @@
 	"coveferry/internal/identity"
 )
 
-// protocol is what both sides offer by ALPN, so that a connection to a port of
-// another kind fails in the handshake.
+// protocol is the ALPN protocol of both sides, so that the handshake fails on a
+// port that serves another protocol.
 const protocol = "coveferry-control"
 
-// Bounds of a server.
+// Limits of a server.
 const (
 	defaultMaxConns  = 8192
 	handshakeTimeout = 5 * time.Second
-	// maxCallsPerConn bounds the calls of one connection that are open at once.
-	maxCallsPerConn = 64
-	serverIdleTimeout  = 10 * time.Minute
+	// maxCallsPerConn is the maximum number of concurrent calls per connection.
+	maxCallsPerConn   = 64
+	serverIdleTimeout = 10 * time.Minute
 )
 
-// ServerConfig is what a server needs.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Listener net.Listener
-	// Identity shows who this process is. Roles may connect at all; each
-	// method narrows them. Without an identity, where an environment offers no
-	// certificates, connections are plain and all peers count as routers.
+	// Identity authenticates this process. Peers with one of the Roles may
+	// connect; each method restricts them further. If Identity is nil, in an
+	// environment without certificates, connections don't use TLS and all peers
+	// are treated as routers.
 	Identity *identity.Identity
 	Roles    []identity.Role
-	// MaxMessage bounds a message in bytes; 0 is DefaultMaxMessage.
+	// MaxMessage is the maximum message size in bytes; 0 means DefaultMaxMessage.
 	MaxMessage int
-	// MaxConns bounds the connections open at once; 0 is 8,192.
+	// MaxConns is the maximum number of open connections; 0 means 8,192.
 	MaxConns int
 	// Traffic counts the bytes of all connections; it may be nil.
 	Traffic *Traffic
@@ -49,26 +50,27 @@
 
 // Server answers the calls of peers.
 type Server struct {
-	cfg       ServerConfig
-	tls       *tls.Config
+	cfg     ServerConfig
+	tls     *tls.Config
 	methods map[string]*methodHandler
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	// mu guards that nothing is added to open once Stop waits for it.
+	// mu guards stopped, so that no task is added to active once Stop waits
+	// for it.
 	mu      sync.Mutex
 	stopped bool
-	active    sync.WaitGroup // connections and handlers
+	active  sync.WaitGroup // open connections and running handlers
 }
 
-// methodHandler is a method with its types taken off.
+// methodHandler is a registered method without its type parameters.
 type methodHandler struct {
 	roles   []identity.Role
 	timeout time.Duration
 	serve   func(ctx context.Context, peer identity.Peer, params []byte) (any, error)
 }
 
-// NewServer returns a server that answers once Run is called.
+// NewServer returns a server, which accepts connections once Run is called.
 func NewServer(cfg ServerConfig) *Server {
 	if cfg.MaxMessage == 0 {
 		cfg.MaxMessage = DefaultMaxMessage
@@ -92,17 +94,17 @@
 	s.methods[name] = e
 }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.cfg.Listener.Addr().String() }
 
-// Run answers calls until Stop; it then returns nil.
+// Run serves connections until Stop is called, and then returns nil.
 func (s *Server) Run() error {
 	l := netutil.LimitListener(s.cfg.Listener, s.cfg.MaxConns)
 	for {
 		conn, err := l.Accept()
 		if s.ctx.Err() != nil {
 			if err == nil {
-				_ = conn.Close() // it came too late
+				_ = conn.Close() // accepted after Stop
 			}
 			return nil
 		}
@@ -110,12 +112,13 @@
 			return errors.Wrapf(err, "control: accept at %s", s.Addr())
 		}
 		if !s.startTask(func() { s.serveConn(conn) }) {
-			_ = conn.Close() // it came too late
+			_ = conn.Close() // accepted after Stop
 		}
 	}
 }
 
-// startTask runs f, for which Stop waits, unless the server stops already.
+// startTask runs f in a goroutine that Stop waits for. It returns false if the
+// server has been stopped.
 func (s *Server) startTask(f func()) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,8 +134,8 @@
 	s.stopped = true
 }
 
-// Stop closes the listener and all connections and waits for the handlers,
-// whose contexts end.
+// Stop closes the listener and all connections, cancels the contexts of the
+// handlers and waits for them.
 func (s *Server) Stop() error {
 	s.cancel()
 	s.markStopped()
@@ -154,7 +157,7 @@
 	<-rpc.DisconnectNotify()
 }
 
-// accept makes the handshake, if there is one.
+// accept performs the TLS handshake if the server uses TLS.
 func (s *Server) accept(raw net.Conn) (net.Conn, identity.Peer, error) {
 	if s.tls == nil {
 		return raw, identity.Peer{Role: identity.RoleRouter}, nil
@@ -176,15 +179,15 @@
 
 // session is one peer's connection to a server.
 type session struct {
-	server *Server
-	peer   identity.Peer
-	callSlots   *semaphore.Weighted
+	server    *Server
+	peer      identity.Peer
+	callSlots *semaphore.Weighted
 }
 
-// Handle implements jsonrpc2.Handler. Calls are answered in any order.
+// Handle implements jsonrpc2.Handler. Calls are handled concurrently.
 func (s *session) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	if req.Notif {
-		return // every method has a reply
+		return // every method has a reply, so notifications are ignored
 	}
 	if !s.callSlots.TryAcquire(1) {
 		s.reply(ctx, conn, req.ID, nil, &Error{Code: CodeBusy, Message: "too many calls at once"})
@@ -200,8 +203,8 @@
 	}
 }
 
-// serve runs the handler. A handler that panics must not take the process and
-// all its requests with it.
+// serve runs the handler. It recovers a panic, so that one handler can't end the
+// process with all its requests.
 func (s *session) serve(ctx context.Context, req *jsonrpc2.Request) (result any, err error) {
 	e := s.server.methods[req.Method]
 	switch {
@@ -227,13 +230,13 @@
 	if err == nil {
 		err = conn.Reply(ctx, id, result)
 		if !errors.Is(err, ErrTooLarge) {
-			return // sent, or the peer has left
+			return // sent, or the peer has disconnected
 		}
 	}
-	_ = conn.ReplyWithError(ctx, id, toWire(err)) // the peer may have left
+	_ = conn.ReplyWithError(ctx, id, toWire(err)) // the peer may have disconnected
 }
 
-// logAdapter passes the library's reports to the log.
+// logAdapter writes the library's messages to the log.
 type logAdapter struct{ log zerolog.Logger }
 
 // Printf implements jsonrpc2.Logger.
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -14,32 +14,32 @@
 	"github.com/cockroachdb/errors"
 )
 
-// A frame is one byte that says how its body is written, the body's length as
-// a varint, and the body.
+// A frame consists of one byte for the encoding of the body, the length of the
+// body as a varint, and the body.
 const (
 	encodingPlain byte = 0
 	encodingFlate byte = 1
 )
 
 const (
-	// DefaultMaxMessage bounds a message, unpacked: a bundle of the largest
-	// fleet whole, and some.
+	// DefaultMaxMessage bounds an uncompressed message. It leaves room for a
+	// full bundle of the largest fleet.
 	DefaultMaxMessage = 2 << 20
-	// compressThreshold is the size in bytes from which a message is compressed.
+	// compressThreshold is the minimum size in bytes of a compressed message.
 	compressThreshold = 512
-	// writeTimeout bounds the writing of a message to a peer that doesn't
-	// read, readTimeout the arrival of one whose first byte is there.
+	// writeTimeout bounds the write of a message to a slow peer, readTimeout
+	// the read of a message after its first byte.
 	writeTimeout = 5 * time.Second
 	readTimeout  = 5 * time.Second
 )
 
-// stream carries JSON messages in frames over one connection. It is a
-// jsonrpc2.ObjectStream: one goroutine reads, and writers take turns.
+// stream sends and receives JSON messages in frames over one connection. It is a
+// jsonrpc2.ObjectStream: one goroutine reads, and the library serializes writes.
 type stream struct {
-	conn net.Conn
-	reader   *bufio.Reader
-	maxMessage  int
-	// idleTimeout bounds the time between messages from the peer; 0 is no bound.
+	conn       net.Conn
+	reader     *bufio.Reader
+	maxMessage int
+	// idleTimeout bounds the time between messages from the peer; 0 means no limit.
 	idleTimeout time.Duration
 }
 
@@ -64,7 +64,7 @@
 		return errors.Wrap(err, "write message")
 	}
 	if _, err = s.conn.Write(frame); err != nil {
-		_ = s.conn.Close() // part of a frame may be out, so nothing can follow it
+		_ = s.conn.Close() // part of the frame may have been sent, so no other can follow
 	}
 	return errors.Wrap(err, "write message")
 }
@@ -87,8 +87,8 @@
 	return nil
 }
 
-// awaitMessage waits for the first byte of the next message. Its error is io.EOF when
-// the peer closed the connection in between.
+// awaitMessage waits for the first byte of the next message. The error is io.EOF if
+// the peer closed the connection between messages.
 func (s *stream) awaitMessage() error {
 	var until time.Time
 	if s.idleTimeout > 0 {
@@ -104,7 +104,7 @@
 var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
-		panic(err) // the level is a constant of the library
+		panic(err) // can't happen: the level is valid
 	}
 	return w
 }}
@@ -127,13 +127,13 @@
 	w := flateWriters.Get().(*flate.Writer)
 	defer flateWriters.Put(w)
 	w.Reset(&out)
-	_, _ = w.Write(body) // a buffer takes everything
+	_, _ = w.Write(body) // writes to a buffer don't fail
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// readFrame returns the body of the next frame. It holds no more than what
-// arrived, whatever length the frame claims, and unpacks no more than
+// readFrame returns the body of the next frame. It allocates memory only for data
+// that has arrived, whatever length the frame declares, and decompresses at most
 // maxMessage bytes.
 func readFrame(in *bufio.Reader, maxMessage int) ([]byte, error) {
 	encoding, err := in.ReadByte()
@@ -157,11 +157,11 @@
 	case encodingFlate:
 		return inflate(&body, maxMessage)
 	default:
-		return nil, errors.Wrapf(ErrMalformed, "form %d", encoding)
+		return nil, errors.Wrapf(ErrMalformed, "unknown encoding %d", encoding)
 	}
 }
 
-// malformed marks an error of a library as ErrMalformed.
+// malformed wraps a library's error as ErrMalformed.
 func malformed(err error, operation string) error {
 	return &CallError{Kind: ErrMalformed, Err: errors.Wrap(err, operation)}
 }
--- a/internal/control/stream_test.go
+++ b/internal/control/stream_test.go
@@ -28,7 +28,7 @@
 		}
 		again, err := readFrame(bufio.NewReader(bytes.NewReader(encodeFrame(body))), fuzzMaxMessage)
 		if err != nil || !bytes.Equal(again, body) {
-			t.Fatalf("packed and read again: %q, %v; want %q", again, err, body)
+			t.Fatalf("encoded and read again: %q, %v; want %q", again, err, body)
 		}
 	})
 }
@@ -39,12 +39,12 @@
 		frame []byte
 		want  error
 	}{
-		"too long a claim":     {[]byte{encodingPlain, 0xff, 0xff, 0x03}, ErrTooLarge},
-		"too large unpacked":   {bomb, ErrTooLarge},
-		"cut off":              {[]byte{encodingPlain, 5, 'x'}, ErrMalformed},
-		"unknown form":         {[]byte{9, 1, 'x'}, ErrMalformed},
-		"not compressed":       {[]byte{encodingFlate, 2, 0xff, 0xff}, ErrMalformed},
-		"a length that's none": {append([]byte{encodingPlain}, bytes.Repeat([]byte{0xff}, 11)...), ErrMalformed},
+		"declared length too large": {[]byte{encodingPlain, 0xff, 0xff, 0x03}, ErrTooLarge},
+		"too large decompressed":    {bomb, ErrTooLarge},
+		"truncated":                 {[]byte{encodingPlain, 5, 'x'}, ErrMalformed},
+		"unknown encoding":          {[]byte{9, 1, 'x'}, ErrMalformed},
+		"not compressed":            {[]byte{encodingFlate, 2, 0xff, 0xff}, ErrMalformed},
+		"invalid length":            {append([]byte{encodingPlain}, bytes.Repeat([]byte{0xff}, 11)...), ErrMalformed},
 	} {
 		_, err := readFrame(bufio.NewReader(bytes.NewReader(c.frame)), fuzzMaxMessage)
 		gomega.NewWithT(t).Expect(errors.Is(err, c.want)).To(gomega.BeTrue(), "%s: %v", name, err)
--- a/internal/control/traffic.go
+++ b/internal/control/traffic.go
@@ -8,24 +8,24 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// The metrics of the channel.
+// Metrics of the control channel.
 const (
 	MetricReceived = "coveferry_control_received_bytes_total"
 	MetricSent     = "coveferry_control_sent_bytes_total"
 )
 
-// Traffic counts the bytes of connections on the wire, TLS included.
+// Traffic counts the bytes sent and received over connections, including TLS.
 type Traffic struct {
 	received, sent atomic.Uint64
 }
 
-// Received returns the bytes that came in so far.
+// Received returns the number of bytes received so far.
 func (t *Traffic) Received() uint64 { return t.received.Load() }
 
-// Sent returns the bytes that went out so far.
+// Sent returns the number of bytes sent so far.
 func (t *Traffic) Sent() uint64 { return t.sent.Load() }
 
-// RegisterMetrics publishes the counts. It panics when reg has them already.
+// RegisterMetrics registers the counters. It panics if reg already has them.
 func (t *Traffic) RegisterMetrics(reg prometheus.Registerer) {
 	reg.MustRegister(
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
@@ -37,8 +37,8 @@
 	)
 }
 
-// Count returns a dial function whose connections are counted, for those that
-// aren't the channel's.
+// WrapDial returns a dial function that counts the bytes of its connections, for
+// connections other than those of the control channel.
 func (t *Traffic) Count(dial Dial) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
@@ -49,7 +49,8 @@
 	}
 }
 
-// wrap counts a connection; a nil Traffic leaves it as it is.
+// wrap returns a connection whose bytes are counted. A nil Traffic returns c
+// unchanged.
 func (t *Traffic) wrap(c net.Conn) net.Conn {
 	if t == nil {
 		return c
--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// clockSkew is how far before its issue a certificate is valid already,
-	// because VMs' clocks differ.
+	// clockSkew is how long before its issue a certificate becomes valid,
+	// because the clocks of VMs differ.
 	clockSkew = 5 * time.Minute
-	// ephemeralValidity outlasts any process that keeps nothing.
+	// ephemeralValidity is longer than the lifetime of any process.
 	ephemeralValidity = 10 * 365 * 24 * time.Hour
 	serialBits        = 127
 	authorityName     = "coveferry authority"
 )
 
-// Authority signs the certificates of a fleet's processes.
+// Authority is a certificate authority for the processes of a fleet.
 type Authority struct {
 	cert *x509.Certificate
 	key  crypto.Signer
 	now  func() time.Time
 }
 
-// NewAuthority makes an authority with a new Ed25519 key.
+// NewAuthority creates an authority with a new Ed25519 key.
 func NewAuthority(validity time.Duration, opts ...Option) (*Authority, error) {
 	if validity <= 0 {
 		return nil, errors.Newf("validity %s is not positive", validity)
@@ -56,13 +56,13 @@
 	return a, err
 }
 
-// Ephemeral makes an authority that lives in memory only, for `coveferryd
-// standalone` and for tests.
+// Ephemeral creates an authority whose key is never stored, for `coveferryd
+// standalone` and tests.
 func Ephemeral(opts ...Option) (*Authority, error) {
 	return NewAuthority(ephemeralValidity, opts...)
 }
 
-// ParseAuthority reads an authority's certificate and key, Ed25519 or ECDSA.
+// ParseAuthority parses an authority's certificate and its Ed25519 or ECDSA key.
 func ParseAuthority(certPEM, keyPEM []byte, opts ...Option) (*Authority, error) {
 	pair, err := tls.X509KeyPair(certPEM, keyPEM)
 	if err != nil {
@@ -84,11 +84,11 @@
 // KeyPEM returns the authority's private key.
 func (a *Authority) KeyPEM() ([]byte, error) { return encodeKey(a.key) }
 
-// NotAfter returns when the authority's certificate ends.
+// NotAfter returns when the authority's certificate expires.
 func (a *Authority) NotAfter() time.Time { return a.cert.NotAfter }
 
-// Issue makes a key and signs a certificate for a role and name. A validity
-// that ends after the authority's is ErrOutlives.
+// Issue creates a key and signs a certificate for a role and name. It returns
+// ErrOutlives if the certificate would expire after the authority's.
 func (a *Authority) Issue(role Role, name string, validity time.Duration) (Pair, error) {
 	if validity <= 0 {
 		return Pair{}, errors.Newf("validity %s is not positive", validity)
@@ -121,8 +121,8 @@
 	return Pair{CertPEM: encodeCert(cert.Raw), KeyPEM: keyPEM}, err
 }
 
-// Identity issues a certificate that lasts as long as the authority and keeps
-// it in memory, with the authority's clock.
+// Identity issues a certificate that is valid as long as the authority's. The
+// identity is kept in memory and uses the authority's clock.
 func (a *Authority) Identity(role Role, name string) (*Identity, error) {
 	pair, err := a.issue(Peer{Role: role, Name: name}, a.cert.NotAfter)
 	if err != nil {
@@ -131,8 +131,8 @@
 	return New(a.CertPEM(), pair.CertPEM, pair.KeyPEM, WithClock(a.now))
 }
 
-// setSubject writes who the certificate is for, and which side of a connection
-// its holder may be.
+// setSubject sets the role and name of the certificate, and whether its holder may
+// act as client, server or both.
 func setSubject(tmpl *x509.Certificate, peer Peer) {
 	tmpl.Subject = pkix.Name{CommonName: peer.Name, OrganizationalUnit: []string{string(peer.Role)}}
 	tmpl.URIs = []*url.URL{peer.uri()}
--- a/internal/identity/config.go
+++ b/internal/identity/config.go
@@ -9,15 +9,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// protocols are what ALPN offers: HTTP/2, then HTTP/1.1.
+// protocols are the ALPN protocols: HTTP/2, then HTTP/1.1.
 var protocols = []string{"h2", "http/1.1"}
 
-// ServerConfig returns the settings of a listener that talks only to holders
-// of the allowed roles; with none given, to nobody.
+// ServerConfig returns the TLS config of a listener that accepts only peers with
+// one of the allowed roles. Without roles it accepts no peer.
 //
-// The handshake asks for a certificate rather than requiring one, because only
-// VerifyConnection can say with a typed error why a peer was turned away. It
-// runs on every handshake, with or without a certificate.
+// The handshake requests a certificate rather than requiring one, because only
+// VerifyConnection can return a typed error for a rejected peer. It runs on every
+// handshake, with or without a certificate.
 func (id *Identity) ServerConfig(allowed ...Role) *tls.Config {
 	allowed = slices.Clone(allowed)
 	cfg := id.baseConfig()
@@ -35,11 +35,11 @@
 	return cfg
 }
 
-// ClientConfig returns the settings of connections to one peer. With AnyName
-// every holder of the role will do.
+// ClientConfig returns the TLS config for connections to one peer. With AnyName it
+// accepts every peer with the role.
 //
-// The library's own check is off because it compares host names;
-// VerifyConnection checks the chain, the time, the role and the name.
+// The verification of crypto/tls is disabled because it compares host names.
+// VerifyConnection verifies the chain, the validity period, the role and the name.
 func (id *Identity) ClientConfig(expect Role, name string) *tls.Config {
 	cfg := id.baseConfig()
 	cfg.InsecureSkipVerify = true
@@ -62,8 +62,9 @@
 	return cfg
 }
 
-// baseConfig turns session resumption off: connections live long, and a
-// resumed one would outlast a change of the authorities.
+// baseConfig returns the common TLS config. It disables session resumption, because
+// connections are long-lived and a resumed session would survive a change of the
+// trusted authorities.
 func (id *Identity) baseConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -73,8 +74,8 @@
 	}
 }
 
-// PeerOf returns who is at the other end of a connection whose handshake has
-// succeeded, for handlers that treat roles differently.
+// PeerOf returns the identity of the peer of a connection whose handshake has
+// succeeded, for handlers that depend on the role.
 func PeerOf(cs *tls.ConnectionState) (Peer, error) {
 	if cs == nil || len(cs.PeerCertificates) == 0 {
 		return Peer{}, peerErrorf(ErrNoCertificate, "")
@@ -82,7 +83,8 @@
 	return peerOf(cs.PeerCertificates[0])
 }
 
-// verify checks the peer's chain against the authorities trusted now.
+// verify checks the peer's certificate chain against the currently trusted
+// authorities.
 func (id *Identity) verify(cs tls.ConnectionState, usage x509.ExtKeyUsage) (Peer, error) {
 	if len(cs.PeerCertificates) == 0 {
 		return Peer{}, peerErrorf(ErrNoCertificate, "the peer showed none")
@@ -104,7 +106,7 @@
 	return peerOf(leaf)
 }
 
-// chainError turns an error of x509 into one of this package.
+// chainError converts an error of package x509 to one of this package.
 func (id *Identity) chainError(leaf *x509.Certificate, err error) error {
 	var invalid x509.CertificateInvalidError
 	var unknown x509.UnknownAuthorityError
@@ -124,7 +126,7 @@
 	}
 }
 
-// peerOf reads the one URI of a certificate.
+// peerOf parses the URI of a certificate, which must have exactly one.
 func peerOf(cert *x509.Certificate) (Peer, error) {
 	if len(cert.URIs) != 1 {
 		return Peer{}, peerErrorf(ErrNoIdentity, "%d URIs, want 1", len(cert.URIs))
--- a/internal/identity/describe.go
+++ b/internal/identity/describe.go
@@ -8,7 +8,7 @@
 
 const day = 24 * time.Hour
 
-// Description tells what a certificate says.
+// Description is a summary of a certificate.
 type Description struct {
 	Authority bool
 	Peer      Peer // unset for an authority
@@ -17,7 +17,7 @@
 	name      string
 }
 
-// Describe reads all certificates of a PEM text.
+// Describe returns descriptions of all certificates in a PEM text.
 func Describe(certPEM []byte) ([]Description, error) {
 	certs, err := parseCerts(certPEM)
 	if err != nil {
@@ -43,11 +43,11 @@
 	return d, err
 }
 
-// Subject names the authority or the peer.
+// Subject returns the name of the authority or the URI of the peer.
 func (d Description) Subject() string { return d.name }
 
-// CheckAt returns ErrExpired or ErrNotYetValid when the certificate isn't
-// valid at the time.
+// CheckAt returns ErrExpired or ErrNotYetValid if the certificate isn't valid at
+// the given time.
 func (d Description) CheckAt(now time.Time) error {
 	switch {
 	case now.Before(d.NotBefore):
@@ -58,7 +58,8 @@
 	return nil
 }
 
-// ValidityAt tells in words when the certificate ends, seen from a time.
+// ValidityAt returns a text that says when the certificate expires or expired,
+// relative to now.
 func (d Description) ValidityAt(now time.Time) string {
 	end := d.NotAfter.UTC().Format(time.RFC3339)
 	if now.After(d.NotAfter) {
--- a/internal/identity/dial.go
+++ b/internal/identity/dial.go
@@ -9,14 +9,14 @@
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NameLookup tells the name of the process that should answer at an address, or
-// that none is known.
+// NameLookup returns the name of the process expected at an address, or false if
+// none is known.
 type NameLookup func(address string) (string, bool)
 
-// DialTLS returns a dial for http.Transport.DialTLSContext that checks at each
-// address the name expected there, so that a VM which got the address of a
-// replaced one isn't taken for it. An address without a name is refused before
-// anything is sent. With ForceAttemptHTTP2 the transport speaks HTTP/2 over it.
+// DialTLS returns a function for http.Transport.DialTLSContext that verifies the
+// name expected at each address, so that a VM that took over the address of a
+// replaced VM is rejected. An address without a known name is refused before
+// anything is sent. With ForceAttemptHTTP2 the transport uses HTTP/2.
 func (id *Identity) DialTLS(dial Dial, expect Role, nameAt NameLookup) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		name, ok := nameAt(address)
@@ -29,7 +29,7 @@
 		}
 		secure := tls.Client(conn, id.ClientConfig(expect, name))
 		if err := secure.HandshakeContext(ctx); err != nil {
-			_ = conn.Close() // the handshake's error says more
+			_ = conn.Close() // the handshake's error is the one to report
 			return nil, err
 		}
 		return secure, nil
--- a/internal/identity/dial_test.go
+++ b/internal/identity/dial_test.go
@@ -14,7 +14,7 @@
 	"coveferry/internal/identity"
 )
 
-// A router that thinks a1 is at an address must send nothing to a2 there.
+// A router that expects a1 at an address must send nothing if a2 answers there.
 func TestDialTLSChecksTheNameAtEachAddress(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newTestAuthority(t)
--- a/internal/identity/errors.go
+++ b/internal/identity/errors.go
@@ -6,37 +6,36 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Why a peer was turned away, or why a certificate or key can't be used. Test
-// for them with errors.Is.
+// Reasons why a peer was rejected, or why a certificate or key can't be used, for
+// errors.Is.
 var (
-	// ErrNoCertificate: the peer showed no certificate.
+	// ErrNoCertificate: the peer sent no certificate.
 	ErrNoCertificate = errors.New("no certificate")
 	// ErrUnknownAuthority: no authority in the CA file signed the certificate.
 	ErrUnknownAuthority = errors.New("certificate of an unknown authority")
-	// ErrExpired: the certificate, or the authority's, has ended.
+	// ErrExpired: the certificate, or the authority's, has expired.
 	ErrExpired = errors.New("certificate expired")
-	// ErrNotYetValid: the certificate's validity has not begun.
+	// ErrNotYetValid: the certificate's validity has not started.
 	ErrNotYetValid = errors.New("certificate not yet valid")
-	// ErrWrongRole: the peer is known, but its role may not do this.
+	// ErrWrongRole: the peer's certificate is valid, but its role is not allowed.
 	ErrWrongRole = errors.New("wrong role")
-	// ErrWrongName: the peer has the right role, but is another one than meant.
+	// ErrWrongName: the peer has the expected role but another name.
 	ErrWrongName = errors.New("wrong name")
-	// ErrBadPeer: a role or name is not of the allowed form.
+	// ErrBadPeer: a role or name is invalid.
 	ErrBadPeer = errors.New("bad role or name")
-	// ErrNoIdentity: the certificate's URI doesn't say a role and a name.
+	// ErrNoIdentity: the certificate has no URI with a role and a name.
 	ErrNoIdentity = errors.New("certificate without an identity")
-	// ErrBadCertificate: the certificate breaks another rule of X.509.
+	// ErrBadCertificate: the certificate is invalid for another reason.
 	ErrBadCertificate = errors.New("bad certificate")
-	// ErrBadKeyPair: the PEM can't be read, or key and certificate don't match.
+	// ErrBadKeyPair: the PEM can't be parsed, or key and certificate don't match.
 	ErrBadKeyPair = errors.New("bad certificate or key")
 	// ErrChanged: a reload would have changed the process's role or name.
 	ErrChanged = errors.New("identity changed")
-	// ErrOutlives: a certificate was to end after its authority.
+	// ErrOutlives: a certificate would expire after its authority.
 	ErrOutlives = errors.New("certificate would outlive its authority")
 )
 
-// PeerError says why a peer was turned away. It unwraps to one of the errors
-// above.
+// PeerError is one of the errors above with a detail.
 type PeerError struct {
 	Kind   error
 	Detail string
@@ -57,14 +56,14 @@
 	return &PeerError{Kind: kind, Detail: fmt.Sprintf(format, args...)}
 }
 
-// FileError says which file could not be used.
+// FileError is an error about a file.
 type FileError struct {
 	File string
 	Err  error
 }
 
-// Error returns the file's name and what is wrong with it.
+// Error returns the file's name and the underlying error.
 func (e *FileError) Error() string { return e.File + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the file.
+// Unwrap returns the underlying error.
 func (e *FileError) Unwrap() error { return e.Err }
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -10,31 +10,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Identity is a process's own certificate and the authorities it trusts. It is
-// safe for concurrent use; a reload takes effect on the next handshake.
+// Identity is the certificate of a process and the authorities it trusts. It is
+// safe for concurrent use. A reload takes effect on the next handshake.
 type Identity struct {
-	files filePaths
-	now   func() time.Time
-	current   atomic.Pointer[credentials]
+	files   filePaths
+	now     func() time.Time
+	current atomic.Pointer[credentials]
 }
 
-// filePaths are where the material came from; empty for one held in memory.
+// filePaths are the paths of the PEM files; empty for an identity kept in memory.
 type filePaths struct{ ca, cert, key string }
 
-// credentials is one loaded state of the files.
+// credentials are the parsed contents of the files.
 type credentials struct {
 	peer  Peer
 	cert  tls.Certificate
 	roots *x509.CertPool
 }
 
-// Option changes how identities and authorities work.
+// Option configures identities and authorities.
 type Option func(*options)
 
 type options struct{ now func() time.Time }
 
-// WithClock sets the clock by which certificates are issued and checked. It
-// becomes tls.Config.Time; without it the system's clock is used.
+// WithClock sets the clock for issuing and verifying certificates, also as
+// tls.Config.Time. The default is the system clock.
 func WithClock(now func() time.Time) Option {
 	return func(o *options) { o.now = now }
 }
@@ -47,9 +47,9 @@
 	return o
 }
 
-// Load reads the trusted authorities, the process's certificate and its key
-// from PEM files. The CA file may hold several authorities, as it does while
-// one is replaced. Errors are *FileError.
+// Load reads the trusted authorities, the process's certificate and its key from
+// PEM files. The CA file may hold several authorities, for example during a CA
+// rotation. Errors are *FileError.
 func Load(caFile, certFile, keyFile string, opts ...Option) (*Identity, error) {
 	id := &Identity{
 		files: filePaths{ca: caFile, cert: certFile, key: keyFile},
@@ -63,7 +63,7 @@
 	return id, nil
 }
 
-// New makes an identity from PEM held in memory.
+// New creates an identity from PEM data.
 func New(caPEM, certPEM, keyPEM []byte, opts ...Option) (*Identity, error) {
 	m, err := newMaterial(caPEM, certPEM, keyPEM)
 	if err != nil {
@@ -74,15 +74,15 @@
 	return id, nil
 }
 
-// Peer returns the role and name that the certificate gives to this process.
+// Peer returns the role and name in the process's certificate.
 func (id *Identity) Peer() Peer { return id.current.Load().peer }
 
-// NotAfter returns when the process's certificate ends.
+// NotAfter returns when the process's certificate expires.
 func (id *Identity) NotAfter() time.Time { return id.current.Load().cert.Leaf.NotAfter }
 
-// Reload reads the files again. On an error the material in use stays, as it
-// does for an identity held in memory. The role and name may not change while
-// a process runs: others know it by them.
+// Reload reads the files again. On an error the current credentials stay in use.
+// For an identity kept in memory Reload does nothing. The role and name must not
+// change while a process runs, because peers identify it by them.
 func (id *Identity) Reload() error {
 	if id.files == (filePaths{}) {
 		return nil
@@ -117,7 +117,8 @@
 	return m, nil
 }
 
-// unwrapPath drops the file's name from an error of os, as FileError has it.
+// unwrapPath removes the file name from an error of package os, because FileError
+// includes it.
 func unwrapPath(err error) error {
 	var path *os.PathError
 	if errors.As(err, &path) {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -19,7 +19,7 @@
 
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// testAuthority is an authority with a clock that the test moves.
+// testAuthority is an authority with a clock that the test controls.
 type testAuthority struct {
 	t   *testing.T
 	now time.Time
@@ -56,15 +56,16 @@
 	return id
 }
 
-// result is what each side saw of one connection.
+// result is the outcome of one connection at each side.
 type result struct {
 	server, client error
-	got            string // what the client could read
+	got            string // text read by the client
 }
 
 const secret = "for the fleet only"
 
-// dial connects two TLS ends; the server sends a secret when its handshake is done.
+// dial connects a TLS client and server. The server sends a secret after its
+// handshake.
 func dial(server, client *tls.Config) result {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -105,7 +106,8 @@
 	early := f.newIdentity(identity.RoleRouter, "early", time.Hour)
 	foreign := other.newIdentity(identity.RoleRouter, "r1", time.Hour)
 	toAgent := func(id *identity.Identity) *tls.Config { return id.ClientConfig(identity.RoleAgent, "a1") }
-	// A stranger trusts anybody, so that only the server's check stops it.
+	// An unauthorized client accepts any server, so that only the server's
+	// check can reject it.
 	trusting := func(cfg *tls.Config) *tls.Config { cfg.VerifyConnection = nil; return cfg }
 	tls12 := toAgent(router)
 	tls12.MaxVersion = tls.VersionTLS12
@@ -129,7 +131,7 @@
 			f.now = start.Add(c.at)
 			defer func() { f.now = start }()
 			if c.at < 0 {
-				trusting(c.client) // the agent's certificate hasn't begun either
+				trusting(c.client) // the agent's certificate isn't valid yet either
 			}
 			res := dial(agent.ServerConfig(identity.RoleRouter), c.client)
 			if c.want == nil {
@@ -171,7 +173,7 @@
 			f.now = start.Add(c.at)
 			defer func() { f.now = start }()
 			server := c.server.ServerConfig(identity.RoleRouter)
-			server.VerifyConnection = nil // a false server takes anybody
+			server.VerifyConnection = nil // an impostor accepts any client
 			res := dial(server, router.ClientConfig(identity.RoleAgent, c.expect))
 			if c.want == nil {
 				g.Expect(res.client).NotTo(gomega.HaveOccurred())
@@ -183,7 +185,8 @@
 	}
 }
 
-// An operator's certificate can't answer calls, not even to one who expects it.
+// An operator's certificate is not valid for a server, even if the client expects
+// an operator.
 func TestOperatorCertificateCannotServe(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newTestAuthority(t)
@@ -194,7 +197,7 @@
 	g.Expect(res.got).To(gomega.BeEmpty())
 }
 
-// writeFiles puts an identity's files into dir.
+// writeFiles writes an identity's files into dir.
 func (f *testAuthority) writeFiles(dir string, ca []byte, pair identity.Pair) {
 	f.must(os.WriteFile(filepath.Join(dir, "ca"), ca, 0o600))
 	f.must(os.WriteFile(filepath.Join(dir, "cert"), pair.CertPEM, 0o600))
@@ -234,7 +237,7 @@
 		g.Expect(errors.Is(<-reports, identity.ErrChanged)).To(gomega.BeTrue())
 		g.Expect(dial(server, client).got).To(gomega.Equal(secret))
 
-		// The router's authority is no longer trusted: it must be turned away.
+		// The router's authority is no longer trusted, so the router must be rejected.
 		other := newTestAuthority(t)
 		f.writeFiles(dir, other.ca.CertPEM(), f.issue(identity.RoleAgent, "a1", time.Hour))
 		f.must(agent.Reload())
@@ -257,7 +260,8 @@
 	}
 }
 
-// The clock passes between any two looks at it, as a real one does.
+// The clock advances between any two readings, as a real one does, and must not
+// make the certificate expire after its authority.
 func TestIdentityLastsAsLongAsItsAuthority(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := start
--- a/internal/identity/pem.go
+++ b/internal/identity/pem.go
@@ -18,7 +18,7 @@
 	KeyPEM  []byte
 }
 
-// parseCerts reads all certificates of a PEM text; there must be at least one.
+// parseCerts parses all certificates of a PEM text, which must have at least one.
 func parseCerts(text []byte) ([]*x509.Certificate, error) {
 	var certs []*x509.Certificate
 	for {
--- a/internal/identity/role.go
+++ b/internal/identity/role.go
@@ -8,13 +8,13 @@
 // Scheme is the URI scheme of identities.
 const Scheme = "coveferry"
 
-// AnyName, given to ClientConfig, accepts every holder of the role.
+// AnyName makes ClientConfig accept every peer with the role.
 const AnyName = ""
 
-// Role is what a process is in the system; it decides what it may call.
+// Role is the kind of a process. It determines what the process may call.
 type Role string
 
-// The roles that certificates are issued for.
+// The roles of certificates.
 const (
 	RoleRouter   Role = "router"
 	RoleAgent    Role = "agent"
@@ -24,19 +24,19 @@
 // Roles lists all roles in a fixed order.
 func Roles() []Role { return []Role{RoleRouter, RoleAgent, RoleOperator} }
 
-// Valid says whether r is one of the known roles.
+// Valid reports whether r is one of the known roles.
 func (r Role) Valid() bool {
 	return r == RoleRouter || r == RoleAgent || r == RoleOperator
 }
 
-// acceptsConnections says whether a holder of the role accepts connections; operators
-// only open them.
+// acceptsConnections reports whether processes with the role act as servers.
+// Operators are only clients.
 func (r Role) acceptsConnections() bool { return r != RoleOperator }
 
-// namePattern is the form of a name: it stands in a URI and in file names.
+// namePattern matches valid names, which are used in URIs and file names.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// Peer is who a certificate speaks for.
+// Peer is the identity in a certificate.
 type Peer struct {
 	Role Role
 	Name string
@@ -49,7 +49,7 @@
 	return &url.URL{Scheme: Scheme, Host: string(p.Role), Path: "/" + p.Name}
 }
 
-// check returns an error when the role or the name is not of the allowed form.
+// check returns an error if the role or the name is invalid.
 func (p Peer) check() error {
 	if !p.Role.Valid() {
 		return peerErrorf(ErrBadPeer, "%q is not a role; the roles are router, agent and operator", string(p.Role))
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// parsePeer reads an identity's URI. Only the canonical spelling is taken, so
-// that two spellings can't stand for one peer.
+// parsePeer parses an identity's URI. Only the canonical form is accepted, so that
+// two URIs can't identify the same peer.
 func parsePeer(u *url.URL) (Peer, error) {
 	if u.Scheme != Scheme || len(u.Path) < 2 {
 		return Peer{}, peerErrorf(ErrBadPeer, "%q is not of the form %s://ROLE/NAME", u, Scheme)
--- a/internal/identity/watch.go
+++ b/internal/identity/watch.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Watch reloads the files every interval until ctx ends, and tells report of
-// each error. It reads three small files each time, so a minute is often
-// enough: certificates are replaced days before they end.
+// Watch reloads the files every interval until ctx ends, and calls report with
+// each error. It reads three small files each time. An interval of a minute is
+// short enough, because certificates are replaced days before they expire.
 func (id *Identity) Watch(ctx context.Context, interval time.Duration, report func(error)) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
--- a/internal/idle/idle.go
+++ b/internal/idle/idle.go
@@ -101,8 +101,8 @@
 	if n > 0 {
 		Heard(r.ctx)
 	}
-	if came, ok := r.ctx.Value(counterKey{}).(func(int)); ok && n > 0 {
-		came(n)
+	if onRead, ok := r.ctx.Value(counterKey{}).(func(int)); ok && n > 0 {
+		onRead(n)
 	}
 	return n, err
 }
--- a/internal/logging/limit.go
+++ b/internal/logging/limit.go
@@ -8,8 +8,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Limit returns a logger that writes at most so many lines a second. What is left
-// out is counted under the kind; reg may be nil.
+// Limit returns a logger that writes at most perSecond lines per second. Dropped
+// lines are counted by kind; reg may be nil.
 func Limit(log zerolog.Logger, perSecond int, reg prometheus.Registerer, kind string) zerolog.Logger {
 	s := &limiter{perSecond: perSecond, dropped: prometheus.NewCounter(prometheus.CounterOpts{
 		Name:        "coveferry_log_lines_left_out_total",
@@ -25,11 +25,11 @@
 // limiter implements zerolog.Sampler.
 type limiter struct {
 	perSecond int
-	dropped      prometheus.Counter
+	dropped   prometheus.Counter
 
-	mu    sync.Mutex
+	mu          sync.Mutex
 	windowStart time.Time
-	count int
+	count       int
 }
 
 // Sample implements zerolog.Sampler.
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the loggers of all processes from their settings and
-// lists the names of the fields that their lines share.
+// Package logging creates the loggers of all processes from their settings and
+// defines the names of common log fields.
 package logging
 
 import (
@@ -12,14 +12,14 @@
 	"coveferry/internal/settings"
 )
 
-// Fields that lines share. Others are named where they are logged.
+// Common log fields. Other fields are named where they are logged.
 const (
 	FieldRole     = "role"     // router, agent, standalone
 	FieldVM       = "vm"       // of the process
 	FieldEndpoint = "endpoint" // of the agent
-	FieldRequest  = "request"  // id, as callers get it
+	FieldRequest  = "request"  // id, as sent to callers
 	FieldTeam     = "team"
-	FieldIdentity = "identity" // of a request by its content, the same each time it comes
+	FieldIdentity = "identity" // of a request, derived from its content
 	FieldClass    = "class"
 	FieldTier     = "tier"    // by name
 	FieldBundle   = "bundle"  // version in force
@@ -30,31 +30,31 @@
 	FieldListen   = "listen"  // address of a listener
 	FieldPeer     = "peer"    // URI of the process at the other end
 	FieldReason   = "reason"  // of a refusal
-	FieldSampled  = "sampled" // on lines that may stand for others left out
+	FieldSampled  = "sampled" // on lines that are subject to sampling
 )
 
-// timeFormat tells lines of several processes apart that follow from each other.
+// timeFormat has milliseconds, to order the lines of several processes.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func init() { zerolog.TimeFieldFormat = timeFormat }
 
-// New returns a logger that writes to w by the settings.
+// New returns a logger that writes to w with the level and format of the settings.
 func New(s settings.Log, w io.Writer) zerolog.Logger {
 	if s.Format == settings.FormatConsole {
 		w = zerolog.ConsoleWriter{Out: w}
 	}
 	level, err := zerolog.ParseLevel(string(s.Level))
-	if err != nil { // the settings' check rules this out
+	if err != nil { // excluded by the validation of the settings
 		level = zerolog.InfoLevel
 	}
 	return zerolog.New(w).Level(level).With().Timestamp().Logger()
 }
 
-// queuedLines bounds the lines that wait to be written by NewBounded.
+// queuedLines is the queue size of loggers from NewBounded.
 const queuedLines = 512
 
-// NewBounded returns a logger whose lines never keep their writer waiting: they
-// queue, and where the queue is full the oldest are dropped, which a line counts.
+// NewBounded returns a logger that never blocks. Lines are queued; if the queue is
+// full, the oldest are dropped, and a log line reports their number.
 func NewBounded(w io.Writer) zerolog.Logger {
 	plain := zerolog.New(w).With().Timestamp().Logger()
 	queue := diode.NewWriter(w, queuedLines, 0, func(dropped int) {
@@ -63,7 +63,7 @@
 	return zerolog.New(queue).Level(zerolog.InfoLevel).With().Timestamp().Logger()
 }
 
-// Request names a request on all lines about it. Empty members are left out.
+// Request holds the log fields of a request. Empty fields are omitted.
 type Request struct {
 	ID    string
 	Team  string
@@ -71,8 +71,8 @@
 	Tier  string
 }
 
-// ForRequest returns a logger whose lines carry the request's fields. To hand
-// it on with a context use its WithContext and zerolog.Ctx.
+// ForRequest returns a logger with the fields of a request. To pass it in a
+// context, use its WithContext and zerolog.Ctx.
 func ForRequest(log zerolog.Logger, r Request) zerolog.Logger {
 	ctx := log.With()
 	for _, f := range []struct{ name, value string }{
@@ -85,17 +85,17 @@
 	return ctx.Logger()
 }
 
-// How lines that may come with every request are sampled: the first of each
-// second pass, then one in many, so that an overload stays visible.
+// Sampling of lines that may be logged for every request: the first SampleBurst
+// lines of each period, then one in SampleOneIn, so that an overload stays visible.
 const (
 	SampleBurst  = 20
 	SamplePeriod = time.Second
 	SampleOneIn  = 100
 )
 
-// Sampled returns a logger for lines that may come with every request, such as
-// refusals under overload. Its lines carry FieldSampled. Warnings and errors
-// are never left out.
+// Sampled returns a logger for lines that may be logged for every request, such as
+// refusals under overload. Its lines have FieldSampled. Warnings and errors are
+// never dropped.
 func Sampled(log zerolog.Logger) zerolog.Logger {
 	burst := &zerolog.BurstSampler{
 		Burst:       SampleBurst,
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -28,9 +28,9 @@
 
 	out.Reset()
 	log = logging.New(settings.Log{Level: settings.LogInfo, Format: settings.FormatConsole}, &out)
-	log.Info().Msg("for people")
+	log.Info().Msg("readable")
 	g.Expect(json.Valid(out.Bytes())).To(gomega.BeFalse())
-	g.Expect(out.String()).To(gomega.ContainSubstring("for people"))
+	g.Expect(out.String()).To(gomega.ContainSubstring("readable"))
 }
 
 func TestForRequestNamesTheRequest(t *testing.T) {
@@ -55,12 +55,12 @@
 
 		out.Reset()
 		time.Sleep(2 * logging.SamplePeriod)
-		log.Info().Msg("a new second")
+		log.Info().Msg("in a new period")
 		g.Expect(count()).To(gomega.Equal(1))
 
 		out.Reset()
 		for range 500 {
-			log.Warn().Msg("must be seen")
+			log.Warn().Msg("never dropped")
 		}
 		g.Expect(count()).To(gomega.Equal(500))
 	})
@@ -85,7 +85,7 @@
 	})
 }
 
-// blockedWriter is a writer that never returns.
+// blockedWriter is a writer whose writes never return.
 type blockedWriter struct{}
 
 func (blockedWriter) Write([]byte) (int, error) { select {} }
@@ -95,13 +95,13 @@
 	done := make(chan struct{})
 	go func() {
 		for range 10_000 {
-			log.Info().Msg("a line that nobody takes")
+			log.Info().Msg("a line that is never written")
 		}
 		close(done)
 	}()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("logging waits for its reader")
+		t.Fatal("the logger blocks on its writer")
 	}
 }
--- a/internal/memnet/link.go
+++ b/internal/memnet/link.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// segmentSize is how much of a write goes over a link at a time, so that a reader sees
-// a long answer come in parts, as from a socket.
+// segmentSize is the number of bytes of a write sent over a link at a time, so that a
+// reader receives a long answer in parts, as from a socket.
 const segmentSize = 16 << 10
 
-// maxSegments is more than any test has on the way over one connection.
+// maxSegments is more than any test has in flight on one connection.
 const maxSegments = 1 << 14
 
-// Link is the link of one VM: what is sent over it waits for what was sent before,
-// by all its connections. It is safe for concurrent use.
+// Link simulates the network link of one VM. All its connections share the bandwidth,
+// and data is sent in the order of the writes. It is safe for concurrent use.
 type Link struct {
-	mu   sync.Mutex
-	mbps float64
+	mu     sync.Mutex
+	mbps   float64
 	freeAt time.Time
-	sent int
+	sent   int
 }
 
-// NewLink returns an idle link of so many Mbit/s.
+// NewLink returns an idle link with a bandwidth in Mbit/s.
 func NewLink(mbps float64) *Link { return &Link{mbps: mbps} }
 
-// Reserve returns when so many bytes more will have been sent.
+// Reserve adds a number of bytes to the link's queue and returns when they will have
+// been sent.
 func (l *Link) Reserve(bytes int) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,22 +39,21 @@
 	return l.freeAt
 }
 
-// Sent is how many bytes went over the link.
+// Sent returns the number of bytes sent over the link.
 func (l *Link) Sent() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sent
 }
 
-// Conn returns the connection with its writes going over the link.
+// Conn returns a connection whose writes are sent over the link.
 func (l *Link) Conn(c net.Conn) net.Conn {
 	lc := &linkConn{Conn: c, link: l, out: make(chan []byte, maxSegments), closed: make(chan struct{})}
 	go lc.send()
 	return lc
 }
 
-// Listener returns the listener with the writes of all its connections going over
-// the link.
+// Listener returns a listener whose connections send their writes over the link.
 func (l *Link) Listener(inner net.Listener) net.Listener { return linkListener{inner, l} }
 
 type linkListener struct {
@@ -69,13 +69,13 @@
 	return l.link.Conn(c), nil
 }
 
-// linkConn is a connection that sends over a link. Writes return at once, as a
-// writer that slept under a lock would stop the clock of a test in fake time.
+// linkConn is a connection that sends over a link. Writes return at once, because a
+// writer that slept while it held a lock would stop the fake clock of a test.
 type linkConn struct {
 	net.Conn
 	link *Link
 	out  chan []byte
-	// closed ends the sender.
+	// closed stops the sending goroutine.
 	closed    chan struct{}
 	closeOnce sync.Once
 }
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,6 +1,6 @@
-// Package memnet is a network in memory for tests: listeners and connections
-// made of net.Pipe, so that whole sessions run under testing/synctest in fake
-// time. Peers can be cut off from each other, as in a partition.
+// Package memnet provides an in-memory network for tests. Its connections are made
+// of net.Pipe, so that whole sessions run under testing/synctest in fake time. It
+// can simulate network partitions between peers.
 package memnet
 
 import (
@@ -12,16 +12,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrRefused is what dialling an address without a listener gives.
+// ErrRefused is the error of dialing an address without a listener.
 var ErrRefused = errors.New("memnet: connection refused")
 
-// ErrCut is what dialling across a cut gives.
+// ErrCut is the error of dialing across a partition.
 var ErrCut = errors.New("memnet: the peers are cut off from each other")
 
-// backlog is how many connections wait to be accepted.
+// backlog is the maximum number of connections waiting to be accepted.
 const backlog = 1024
 
-// Net is a network. It is safe for concurrent use.
+// Net is an in-memory network. It is safe for concurrent use.
 type Net struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
@@ -30,7 +30,7 @@
 	conns     map[connKey][]net.Conn
 }
 
-// connKey is the way from one peer to a listener's address.
+// connKey identifies the connections from one peer to a listener's address.
 type connKey struct{ from, to string }
 
 // New returns a network without listeners.
@@ -42,7 +42,7 @@
 	}
 }
 
-// Listen opens a listener; port 0 takes a free one.
+// Listen opens a listener. Port 0 selects a free port.
 func (n *Net) Listen(address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -90,33 +90,33 @@
 	return n.register(key, client)
 }
 
-// register notes a connection that was made, unless its peers were cut off from each
-// other meanwhile.
+// register records a new connection, unless its peers were partitioned during the
+// dial.
 func (n *Net) register(way connKey, client net.Conn) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cuts[way] {
-		_ = client.Close() // the listener's end breaks with it
+		_ = client.Close() // also closes the listener's end
 		return nil, ErrCut
 	}
 	n.conns[way] = append(n.conns[way], client)
 	return client, nil
 }
 
-// Cut breaks the connections of a peer to an address and lets no new ones
-// through until Heal.
+// Cut closes the connections of a peer to an address and refuses new ones until
+// Heal is called.
 func (n *Net) Cut(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	key := connKey{from: from, to: to}
 	n.cuts[key] = true
 	for _, c := range n.conns[key] {
-		_ = c.Close() // closing twice does no harm
+		_ = c.Close() // may be closed already
 	}
 	delete(n.conns, key)
 }
 
-// Heal ends a cut.
+// Heal ends a partition.
 func (n *Net) Heal(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/memnet/memnet_test.go
+++ b/internal/memnet/memnet_test.go
@@ -14,8 +14,7 @@
 	backlog = 1024 // connections that wait to be accepted
 )
 
-// A connection that is being made when its peers are cut off must not outlive
-// the cut.
+// A connection that is being dialed when Cut is called must not be established.
 func TestCutClosesConnectionsBeingDialed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -32,7 +31,7 @@
 			_, err := dial(t.Context(), "tcp", address)
 			result <- err
 		}()
-		synctest.Wait() // the dial waits for room
+		synctest.Wait() // the dial waits because the backlog is full
 		net.Cut("a", address)
 		_, err = l.Accept()
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Bounds of the client that routers reach agents with.
+// Limits of the client for connections between the system's own processes.
 const (
 	dialTimeout = 2 * time.Second
 	keepAlive   = 15 * time.Second
 	// maxIdlePerPeer keeps a connection for each request that a plain HTTP
 	// peer, such as an engine, may hold at once.
 	maxIdlePerPeer = 512
-	// pingAfter is how long a connection may be silent before it is asked
-	// for a sign of life, and pingTimeout how long that may take.
+	// pingAfter is how long a connection may be idle before a ping is sent,
+	// and pingTimeout how long the reply may take.
 	pingAfter   = 5 * time.Second
 	pingTimeout = 2 * time.Second
 	// continueTimeout is longer than any deadline.
@@ -26,9 +26,10 @@
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewClient returns a client for talk between the system's own processes. With
-// TLS settings it uses HTTP/2, so that the streams to one agent share a
-// connection; without, each request arrives once at most. A nil dial is TCP's.
+// NewClient returns a client for connections between the system's own processes.
+// With a TLS config it uses HTTP/2, so that the streams to one agent share a
+// connection. Without one it uses plain HTTP, and each request arrives at most
+// once. A nil dial means TCP.
 func NewClient(cfg *tls.Config, dial Dial) *http.Client {
 	if dial == nil {
 		dial = TCP()
@@ -43,8 +44,8 @@
 	return &http.Client{Transport: t}
 }
 
-// NewTLSClient returns a client like NewClient's whose connections come from a
-// dial that makes the TLS handshake itself, as identity.DialTLS does.
+// NewTLSClient returns a client like that of NewClient whose dial function
+// performs the TLS handshake itself, as identity.DialTLS does.
 func NewTLSClient(dial Dial) *http.Client {
 	t := newTransport()
 	t.DialTLSContext = dial
@@ -52,25 +53,25 @@
 	return &http.Client{Transport: t}
 }
 
-// Bounds of the client that reaches endpoints without agents.
+// Limits of the client for endpoints without an agent.
 const (
-	// deadPeerIdle, deadPeerProbe and deadPeerProbes find a peer that is gone
-	// without a word, such as a VM that lost power, within some five seconds.
-	// Silence of a peer whose VM lives ends nothing.
+	// deadPeerIdle, deadPeerProbe and deadPeerProbes configure TCP keepalive to
+	// detect a peer that disappeared without closing, such as a VM that lost
+	// power, within about five seconds. A peer on a running VM may be idle for
+	// any time.
 	deadPeerIdle   = 2 * time.Second
 	deadPeerProbe  = time.Second
 	deadPeerProbes = 3
-	// directDialTimeout is long beside the milliseconds of a connection that
-	// comes about, and short enough to try another endpoint.
+	// directDialTimeout is long compared with the milliseconds that a
+	// successful dial takes, and short enough to try another endpoint.
 	directDialTimeout = 500 * time.Millisecond
-	// directIdle is shorter than the idle timeouts of usual servers, which
-	// begin at five seconds: a request that meets a closing connection is lost.
+	// directIdle is shorter than the idle timeouts of common servers, which
+	// start at five seconds: a request sent on a closing connection is lost.
 	directIdle = 4 * time.Second
 )
 
-// NewDirectClient returns a client for endpoints that are reached over plain
-// HTTP/1.1, each answer on a connection of its own while it lasts. Each request arrives once
-// at most.
+// NewDirectClient returns a client for endpoints over plain HTTP/1.1, with one
+// connection per concurrent request. Each request arrives at most once.
 func NewDirectClient() *http.Client {
 	dialer := &net.Dialer{
 		Timeout: directDialTimeout,
@@ -85,12 +86,12 @@
 	t.Protocols = new(http.Protocols)
 	t.Protocols.SetHTTP1(true)
 	client := newNoRetryClient(t, dialer.DialContext)
-	// An endpoint's redirect is the caller's to follow.
+	// Redirects of an endpoint are returned to the caller.
 	client.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return client
 }
 
-// TCP returns the dial of the machine's own network.
+// TCP returns a dial function for TCP.
 func TCP() Dial {
 	return (&net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}).DialContext
 }
@@ -101,8 +102,8 @@
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: maxIdlePerPeer,
 		IdleConnTimeout:     idleTimeout,
-		// A request that expects "100 Continue" keeps its body back until
-		// the peer asks; its context ends the wait.
+		// A request that expects "100 Continue" withholds its body until the
+		// peer sends it; its context ends the wait.
 		ExpectContinueTimeout: continueTimeout,
 		HTTP2: &http.HTTP2Config{
 			MaxReceiveBufferPerStream: streamBuffer,
--- a/internal/server/linger.go
+++ b/internal/server/linger.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// idlePollInterval is how often a server that stops looks whether it has become quiet.
+// idlePollInterval is how often a stopping server checks whether it is idle.
 const idlePollInterval = 50 * time.Millisecond
 
-// requestTracker counts the requests that are open. It is safe for concurrent use.
+// requestTracker counts open requests. It is safe for concurrent use.
 type requestTracker struct {
 	mu   sync.Mutex
 	open int
-	// idleSince is when the last request ended.
+	// idleSince is when a request last started or ended.
 	idleSince time.Time
 }
 
@@ -25,7 +25,7 @@
 	t.idleSince = time.Now()
 }
 
-// idleFor is how long no request has been open; 0 while one is.
+// idleFor returns how long no request has been open; 0 while one is.
 func (t *requestTracker) idleFor() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -35,7 +35,7 @@
 	return time.Since(t.idleSince)
 }
 
-// track counts the requests that next serves.
+// track returns a handler that counts the requests of next.
 func (t *requestTracker) track(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		t.add(1)
@@ -44,7 +44,7 @@
 	})
 }
 
-// waitIdle waits until no request has been open for so long, or ctx ends.
+// waitIdle waits until no request has been open for the given time, or ctx ends.
 func (t *requestTracker) waitIdle(ctx context.Context, idle time.Duration) {
 	ticker := time.NewTicker(idlePollInterval)
 	defer ticker.Stop()
--- a/internal/server/listener_test.go
+++ b/internal/server/listener_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// countingListener fails when it is closed a second time, as a socket does.
+// countingListener fails if it is closed twice, as a socket does.
 type countingListener struct {
 	net.Listener
 	closed int
--- a/internal/server/once.go
+++ b/internal/server/once.go
@@ -12,31 +12,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// NotSentError is a request of which nothing was written to a connection, so that it can't
-// have arrived.
+// NotSentError is the error of a request of which nothing was written to a connection, so
+// that it can't have arrived.
 type NotSentError struct{ Cause error }
 
 // Error implements error.
 func (e *NotSentError) Error() string { return "server: nothing was sent: " + e.Cause.Error() }
 
-// Unwrap returns why.
+// Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// MayHaveSent says whether a request that ended with the error may have arrived.
+// MayHaveSent reports whether a request that failed with err may have arrived.
 func MayHaveSent(err error) bool {
 	var notSent *NotSentError
 	return !errors.As(err, &notSent)
 }
 
-// noRetryTransport sends each request over HTTP/1 to arrive at most once. The library's own
-// transport repeats one whose connection breaks before an answer, for as long as it has kept
-// others: each without a body whose method is idempotent by the protocol, and each with an
-// idempotency key. Peers would get what no retry budget counts, with the time that was left
-// at first. Only a request of which nothing was written goes out again, as peers close
-// connections that they keep. Errors of requests that can't have arrived are *NotSentError.
+// noRetryTransport sends requests over HTTP/1 that arrive at most once. http.Transport
+// retries a request whose connection breaks before the response, on every idle connection it
+// has: requests without a body whose method is idempotent, and requests with an idempotency
+// key. Such retries are not counted by any retry budget and carry the remaining time of the
+// first send. noRetryTransport resends only a request of which nothing was written, because
+// peers close idle connections. Errors of requests that can't have arrived are *NotSentError.
 type noRetryTransport struct{ *http.Transport }
 
-// newNoRetryClient returns a client whose transport dials plain connections.
+// newNoRetryClient returns a client without TLS whose transport is a noRetryTransport.
 func newNoRetryClient(t *http.Transport, dial Dial) *http.Client {
 	t.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -67,18 +67,19 @@
 	}
 }
 
-// withoutRetry is a request that the library doesn't repeat withoutRetry something of it was written.
+// withoutRetry returns the request in a form that http.Transport doesn't retry after part
+// of it was written.
 func withoutRetry(req *http.Request, used *usedConn) *http.Request {
 	trace := &httptrace.ClientTrace{GotConn: used.onGotConn}
 	out := req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
 	out.GetBody = nil
 	if libraryMayRetry(out) {
-		out.Body = io.NopCloser(strings.NewReader("")) // an empty one, too, is more than none
+		out.Body = io.NopCloser(strings.NewReader("")) // http.Transport only retries without a body
 	}
 	return out
 }
 
-// libraryMayRetry says whether the library takes a request for one that it may repeat.
+// libraryMayRetry reports whether http.Transport may retry a request.
 func libraryMayRetry(req *http.Request) bool {
 	if req.Body != nil && req.Body != http.NoBody {
 		return false
@@ -90,7 +91,8 @@
 	return req.Header["Idempotency-Key"] != nil || req.Header["X-Idempotency-Key"] != nil
 }
 
-// rewindBody is the request with its body unread; false if that can't be had.
+// rewindBody returns the request with an unread body, or false if the body can't be read
+// again.
 func rewindBody(req *http.Request) (*http.Request, bool) {
 	if req.Body == nil || req.Body == http.NoBody {
 		return req, true
@@ -107,10 +109,11 @@
 	return next, true
 }
 
-// usedConn is the connection that a request got, if any, and what had been written to it.
+// usedConn records the connection of a request, if it got one, and the number of bytes
+// written to it before.
 type usedConn struct {
-	conn   net.Conn
-	reused bool
+	conn          net.Conn
+	reused        bool
 	writtenBefore int64
 }
 
@@ -121,13 +124,13 @@
 	}
 }
 
-// hasWritten says whether something may have been hasWritten to it for the request.
+// hasWritten reports whether part of the request may have been written.
 func (u *usedConn) hasWritten() bool {
 	counted, ok := u.conn.(*countedConn)
 	return !ok || counted.written.Load() > u.writtenBefore
 }
 
-// countedConn counts the bytes that its system took to send.
+// countedConn counts the bytes accepted by the kernel for sending.
 type countedConn struct {
 	net.Conn
 	written atomic.Int64
--- a/internal/server/once_test.go
+++ b/internal/server/once_test.go
@@ -14,12 +14,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// breakingPeer is a peer that answers requests until it is told to break their connections.
+// breakingPeer answers requests until breaks is set, and then closes their connections
+// without an answer.
 type breakingPeer struct {
-	listener        net.Listener
+	listener net.Listener
 	arrivals atomic.Int64
 	breaks   atomic.Bool
-	release     chan struct{} // answers wait until it is closed
+	release  chan struct{} // answers are held back until it is closed
 }
 
 func newBreakingPeer(t *testing.T) *breakingPeer {
@@ -57,7 +58,7 @@
 	}
 }
 
-// openIdleConns has the client openIdleConns some connections to it.
+// openIdleConns makes the client hold the given number of idle connections to the peer.
 func (b *breakingPeer) openIdleConns(g *WithT, client *http.Client, connections int) {
 	done := make(chan error, connections)
 	for range connections {
@@ -79,9 +80,9 @@
 
 func (b *breakingPeer) url() string { return "http://" + b.listener.Addr().String() + "/" }
 
-// A request whose connection broke was repeated by the library on each connection that was
-// kept, by no decision of ours. Evidence: with its own transport each of these but the POST
-// without a key arrives four times.
+// http.Transport retries a request whose connection breaks on each idle connection. With a
+// plain http.Transport each of these requests, except the POST without a key, arrives four
+// times.
 func TestRequestOnBrokenConnectionArrivesOnce(t *testing.T) {
 	for _, c := range []struct{ method, body, key string }{
 		{"GET", "", ""}, {"GET", "ask", ""}, {"HEAD", "", ""}, {"OPTIONS", "", ""},
@@ -102,12 +103,12 @@
 			_, err = client.Do(req)
 			g.Expect(err).To(HaveOccurred())
 			g.Expect(MayHaveSent(err)).To(BeTrue())
-			g.Expect(peer.arrivals.Load()).To(Equal(int64(4)), "three that were kept, and one")
+			g.Expect(peer.arrivals.Load()).To(Equal(int64(4)), "three for the idle connections, and one")
 		})
 	}
 }
 
-// failingConn is a connection on which nothing can be written from some time on.
+// failingConn is a connection whose writes fail once closed is set.
 type failingConn struct {
 	net.Conn
 	closed *atomic.Bool
@@ -120,8 +121,8 @@
 	return m.Conn.Write(p)
 }
 
-// Peers close connections that are kept: a request that finds one closed has arrived nowhere,
-// and is lost to its caller unless it goes out again.
+// Peers close idle connections. A request of which nothing could be written to such a
+// connection must be sent again, or the caller gets an error for it.
 func TestUnsentRequestIsRetried(t *testing.T) {
 	for _, c := range []struct{ method, body, want string }{{"GET", "", "good"}, {"POST", "body", "body"}, {"POST", "", "good"}} {
 		g := NewWithT(t)
@@ -168,10 +169,10 @@
 		return failingConn{conn, &closed}, err
 	}).Get(peer.url())
 	g.Expect(err).To(HaveOccurred())
-	g.Expect(MayHaveSent(err)).To(BeFalse(), "a new connection on which nothing can be written")
+	g.Expect(MayHaveSent(err)).To(BeFalse(), "writes to the new connection fail")
 
 	peer.breaks.Store(true)
 	_, err = NewDirectClient().Get(peer.url())
 	g.Expect(err).To(HaveOccurred())
-	g.Expect(MayHaveSent(err)).To(BeTrue(), "broken behind the request")
+	g.Expect(MayHaveSent(err)).To(BeTrue(), "the connection broke after the request was sent")
 }
--- a/internal/server/plan.go
+++ b/internal/server/plan.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Plan is how a process stops without cutting off what it holds.
+// ShutdownPlan describes a graceful shutdown of a process.
 type Plan struct {
-	// Notice is how long new requests are still answered, by a refusal or
-	// with "Connection: close", so that none meets a closing connection
-	// before its sender knows.
+	// Notice is how long new requests are still answered, with a refusal or
+	// "Connection: close", so that no client sends one on a connection that
+	// closes without warning.
 	Notice time.Duration
-	// Grace is how long requests under way may go on after that.
+	// Grace is how long open requests may continue after Notice.
 	Grace time.Duration
-	// Margin is how long before the end of Grace the last call is made for
-	// what still runs, at most half of Grace.
+	// Margin is how long before the end of Grace the requests that still run
+	// are handed over, at most half of Grace.
 	Margin time.Duration
-	// Linger is the Linger of the server that stops by this plan.
+	// Linger is the Linger of the server that is stopped.
 	Linger time.Duration
 }
 
-// LastCall is when the last call is made, counted from the end of Notice. It is
-// as late as can be, since what ends by itself until then needs none.
+// HandoverDelay returns the time from the end of Notice to the handover. It is as
+// late as possible, since requests that end before it need no handover.
 func (p Plan) LastCall() time.Duration { return p.Grace - min(p.Margin, p.Grace/2) }
 
-// Run carries the plan out. leave begins the notice, lastCall deals with what
-// still runs, and stop closes the listener and waits for Grace at most.
+// Run executes the plan. leave starts the notice, handOver moves or ends the
+// requests that still run, and stop closes the listener and waits at most for
+// Grace.
 func (p Plan) Run(leave, handOver func(), stop func() error) error {
 	leave()
 	time.Sleep(p.Notice)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,5 +1,5 @@
-// Package server runs an HTTP server as an actor of oklog/run and stops it
-// gracefully: requests under way are finished within a bound.
+// Package server runs an HTTP server as an actor of oklog/run and shuts it down
+// gracefully. It also provides the HTTP clients of the system's processes.
 package server
 
 import (
@@ -16,32 +16,32 @@
 	"github.com/rs/zerolog"
 )
 
-// Bounds of every server.
+// Limits of every server.
 const (
-	// maxStreams bounds the open requests of one HTTP/2 connection; an
-	// agent's queue holds them all.
+	// maxStreams bounds the open requests of one HTTP/2 connection. A request
+	// stays open while it waits in an agent's queue.
 	maxStreams = 4096
-	// streamBuffer bounds what a peer may send ahead in one stream.
+	// streamBuffer is the flow-control window of one stream in bytes.
 	streamBuffer = 64 << 10
 	idleTimeout  = 2 * time.Minute
 )
 
-// Config is what a server needs.
+// Config configures a Server.
 type Config struct {
 	Listener net.Listener
 	Handler  http.Handler
 	TLS      *tls.Config // nil serves plain HTTP
-	// HeaderTimeout and MaxHeaderBytes bound a request's head.
+	// HeaderTimeout and MaxHeaderBytes bound the header of a request.
 	HeaderTimeout  time.Duration
 	MaxHeaderBytes int
-	// Log takes what the library reports, such as failed handshakes.
+	// Log receives the errors of the HTTP library, such as failed handshakes.
 	Log zerolog.Logger
-	// Grace is how long requests under way may go on after Stop.
+	// Grace is how long open requests may continue after Stop.
 	Grace time.Duration
 	// Linger is how long no request must have been open before StopWithin
-	// closes connections. The library closes one as soon as its answer ends,
-	// and a peer that wasn't told in the answer's head may send the next
-	// request in that moment, which would be lost.
+	// closes connections. The library closes a connection as soon as its
+	// response ends. A peer whose response header didn't announce this may send
+	// its next request at that moment, and the request would be lost.
 	Linger time.Duration
 }
 
@@ -49,11 +49,11 @@
 type Server struct {
 	cfg      Config
 	http     *http.Server
-	requests  *requestTracker
+	requests *requestTracker
 	stopping atomic.Bool
 }
 
-// New returns a server that serves once Run is called.
+// New returns a server, which accepts connections once Run is called.
 func New(cfg Config) *Server {
 	cfg.Listener = closeOnce(cfg.Listener)
 	t := &requestTracker{}
@@ -71,8 +71,8 @@
 	}}
 }
 
-// closeOnceListener closes its listener once, however often it is asked to: both a
-// step of a planned stop and the HTTP library do.
+// closeOnceListener closes its listener only once, because both StopWithin and the
+// HTTP library close it.
 type closeOnceListener struct {
 	net.Listener
 	close func() error
@@ -85,10 +85,11 @@
 // Close implements net.Listener.
 func (l closeOnceListener) Close() error { return l.close() }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.cfg.Listener.Addr().String() }
 
-// Run serves until Stop; it then returns nil at once, while Stop still waits.
+// Run serves until Stop is called. It then returns nil at once, while Stop still
+// waits for open requests.
 func (s *Server) Run() error {
 	err := s.serve()
 	if errors.Is(err, http.ErrServerClosed) || s.stopping.Load() {
@@ -104,21 +105,21 @@
 	return s.http.ServeTLS(s.cfg.Listener, "", "")
 }
 
-// Stop takes no new connections, waits for requests under way for the grace,
-// and then cuts off what is left, which its error says.
+// Stop closes the listener and waits for open requests up to Grace. It then closes
+// the remaining connections and returns an error if there were any.
 func (s *Server) Stop() error {
 	ctx, cancel := context.WithTimeout(context.Background(), s.cfg.Grace)
 	defer cancel()
 	return s.shutdown(ctx, s.cfg.Grace)
 }
 
-// StopWithin is Stop with another grace. Before it closes connections it waits,
-// within the grace, until Linger has passed without a request.
+// StopWithin is Stop with another grace period. Before it closes connections it
+// waits, within the grace period, until Linger has passed without a request.
 func (s *Server) StopWithin(grace time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
 	s.stopping.Store(true)
-	_ = s.cfg.Listener.Close() // an address that can't be closed is no reason to cut requests off
+	_ = s.cfg.Listener.Close() // a failure must not keep open requests from completing
 	s.requests.waitIdle(ctx, s.cfg.Linger)
 	return s.shutdown(ctx, grace)
 }
@@ -131,8 +132,8 @@
 	return nil
 }
 
-// Grace is how long requests under way may go on after Stop.
+// Grace returns how long open requests may continue after Stop.
 func (s *Server) Grace() time.Duration { return s.cfg.Grace }
 
-// Kill ends the server at once, as a crash would, for experiments.
+// Kill closes the server at once, to simulate a crash.
 func (s *Server) Kill() error { return s.http.Close() }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -16,8 +16,9 @@
 
 const address = "127.0.0.1:80"
 
-// A connection whose answer began before the stop is used once more behind its
-// end: the request is served, and told that the connection closes.
+// A client whose response began before the shutdown may reuse the connection after
+// it. The server must still answer that request, and announce that the connection
+// closes.
 func TestStoppingServerServesOpenConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -79,7 +80,7 @@
 			g.Expect([]time.Duration{<-at, <-at, <-at}).To(Equal([]time.Duration{0, time.Second, c.want}))
 		})
 	}
-	synctest.Test(t, func(t *testing.T) { // what ends by itself needs no last call
+	synctest.Test(t, func(t *testing.T) { // no handover if all requests end before it
 		p := server.Plan{Grace: time.Minute, Margin: time.Second}
 		g := NewWithT(t)
 		g.Expect(p.Run(func() {}, func() { t.Error("called") }, func() error { return nil })).To(Succeed())
--- a/internal/server/usertimeout.go
+++ b/internal/server/usertimeout.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// sendTimeout is how long bytes that were sent may stay unacknowledged before
-// their connection counts as broken.
+// sendTimeout is how long sent data may remain unacknowledged before the
+// connection is closed as broken.
 const sendTimeout = deadPeerIdle + deadPeerProbes*deadPeerProbe
 
 // setUserTimeout sets TCP_USER_TIMEOUT on a socket that is about to connect.
--- a/internal/slo/burn.go
+++ b/internal/slo/burn.go
@@ -6,24 +6,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// DefaultObjective is the share of requests that must be good.
+// DefaultObjective is the default share of requests that must be good.
 const DefaultObjective = 0.95
 
-// MinRequests is how many requests the long window of a rule must hold before
-// the rule can fire: of a handful, one bad one would call somebody out of bed.
+// MinRequests is the minimum number of requests in the long window for a rule to
+// fire. Without it, one bad request among a few would page somebody.
 const MinRequests = 20
 
 // ErrObjective: an objective is not a share strictly between 0 and 1.
 var ErrObjective = errors.New("objective is not between 0 and 1")
 
-// Objectives say what share of each class's requests must be good.
+// Objectives hold the share of requests that must be good, by class.
 type Objectives struct {
-	// Default is for the classes not named; 0 stands for DefaultObjective.
+	// Default applies to classes not in ByClass; 0 means DefaultObjective.
 	Default float64
 	ByClass map[string]float64
 }
 
-// For returns a class's objective.
+// For returns the objective of a class.
 func (o Objectives) For(class string) float64 {
 	if v, ok := o.ByClass[class]; ok {
 		return v
@@ -49,25 +49,25 @@
 
 func validObjective(v float64) bool { return v > 0 && v < 1 }
 
-// Level is how urgent a burn is.
+// Level is the severity of an alert.
 type Level string
 
-// The levels, least urgent first.
+// The levels, least severe first.
 const (
 	LevelNone   Level = "none"
-	LevelTicket Level = "ticket" // look at it within days
-	LevelPage   Level = "page"   // wake somebody
+	LevelTicket Level = "ticket" // to be handled within days
+	LevelPage   Level = "page"   // to be handled immediately
 )
 
 var levels = []Level{LevelNone, LevelTicket, LevelPage}
 
-// AtLeast says whether l is as urgent as other, or more.
+// AtLeast reports whether l is at least as severe as other.
 func (l Level) AtLeast(other Level) bool {
 	return slices.Index(levels, l) >= slices.Index(levels, other)
 }
 
-// Rule fires when the burn rate is at its threshold or above in both windows:
-// the long one shows that it matters, the short one that it still goes on.
+// Rule fires if the burn rate is at or above its threshold in both windows. The
+// long window shows that the burn is significant, the short one that it continues.
 type Rule struct {
 	Level Level
 	Burn  float64
@@ -75,9 +75,9 @@
 	Short Window
 }
 
-// Rules are the SRE workbook's for what a router can see; its slower ones need
-// days, which no process of the system lives for sure, and stand in the
-// example rules for Prometheus.
+// Rules returns the alerting rules of the SRE workbook that a router can evaluate.
+// The slower rules of the workbook need windows of days, longer than a process is
+// certain to run; they are in the example rules for Prometheus.
 func Rules() []Rule {
 	return []Rule{
 		{Level: LevelPage, Burn: 14.4, Long: Window1h, Short: Window5m},
@@ -86,7 +86,7 @@
 	}
 }
 
-// Row is the state of one class and tier.
+// Row is the SLO state of one class and tier.
 type Row struct {
 	Class     string   `json:"class"`
 	Tier      string   `json:"tier"`
@@ -95,12 +95,12 @@
 	Alert     Level    `json:"alert"`
 }
 
-// Sample is what one window holds.
+// Sample holds the counts and burn rate of one window.
 type Sample struct {
 	Window string `json:"window"`
 	Counts
-	// Burn is how many times faster than the objective allows the budget
-	// is used up: 1 uses all of it, 0 none. It is 0 without requests.
+	// Burn is the burn rate: 1 uses exactly the error budget, 0 none of it.
+	// It is 0 without requests.
 	Burn float64 `json:"burn"`
 }
 
@@ -121,7 +121,7 @@
 	return share / (1 - objective)
 }
 
-// alertLevel returns the most urgent level of the rules that fire.
+// alertLevel returns the most severe level of the rules that fire.
 func (r Row) alertLevel() Level {
 	worst := LevelNone
 	for _, rule := range Rules() {
@@ -132,8 +132,8 @@
 	return worst
 }
 
-// roundingSlack keeps a burn that is exactly at a threshold from missing it by
-// the rounding of 1 - objective.
+// roundingSlack lets a burn rate exactly at a threshold fire despite the rounding
+// of 1 - objective.
 const roundingSlack = 1e-9
 
 func (u Rule) fires(r Row) bool {
--- a/internal/slo/event.go
+++ b/internal/slo/event.go
@@ -1,33 +1,33 @@
-// Package slo reports how fast each class and tier uses up its error budget:
-// the burn rate over several windows, after the SRE workbook's alerting on
-// service levels. The core is pure; time is handed in.
+// Package slo reports the error budget burn rate of each class and tier over
+// several windows, following the multiwindow alerting of the SRE workbook. The
+// calculations have no side effects and receive the time as an argument.
 package slo
 
 import "time"
 
-// Result is how one request counts towards its class's objective.
+// Result is the classification of a request against its class's objective.
 type Result int
 
-// The results, in the order of their columns.
+// The results, in the order of the counters.
 const (
-	// Good: complete, and its first token came within the target.
+	// Good: complete, with the first token within the target.
 	Good Result = iota
-	// Late: complete, but its first token came after the target.
+	// Late: complete, but with the first token after the target.
 	Late
-	// Failed: the answer ended incomplete or with an error.
+	// Failed: the answer was incomplete or ended with an error.
 	Failed
-	// Refused: told honestly that it did not run. It counts as bad: the
-	// caller did not get what was paid for.
+	// Refused: not run, and reported to the caller as such. It counts as bad,
+	// because the caller got no answer.
 	Refused
-	// Canceled: the caller left before the answer was complete. It counts
-	// neither as good nor as bad.
+	// Canceled: the caller disconnected before the answer was complete. It
+	// counts neither as good nor as bad.
 	Canceled
 	numResults
 )
 
 var resultNames = [numResults]string{"good", "late", "failed", "refused", "canceled"}
 
-// String is the result's label in metrics.
+// String returns the result's label in metrics.
 func (r Result) String() string {
 	if r < 0 || r >= numResults {
 		return "unknown"
@@ -35,20 +35,20 @@
 	return resultNames[r]
 }
 
-// Outcome is what the router knows of a request that has ended.
+// Outcome describes how a request ended.
 type Outcome struct {
 	// FirstToken is the time from arrival to the first token.
 	FirstToken time.Duration
-	// Target is the class's target for it.
+	// Target is the class's target for FirstToken.
 	Target   time.Duration
 	Complete bool
 	Refused  bool
 	Canceled bool
 }
 
-// Judge turns an outcome into a result. A complete answer counts as such even
-// when the caller left right after it; a request that its caller gave up while
-// it waited counts as canceled, although it did not run.
+// Classify returns the result of an outcome. A complete answer counts as complete
+// even if the caller disconnected right after it. A request that its caller
+// canceled while it was queued counts as canceled, although it did not run.
 func Judge(o Outcome) Result {
 	switch {
 	case o.Complete && o.FirstToken <= o.Target:
@@ -64,16 +64,16 @@
 	}
 }
 
-// Key is what results are counted by.
+// Key identifies a series of counts.
 type Key struct {
 	Class string
 	Tier  string
 }
 
-// Other takes the results of the keys beyond the bound on memory.
+// Other collects the results of keys beyond the limit on the number of keys.
 var Other = Key{Class: "other", Tier: "other"}
 
-// Counts are numbers of requests by result.
+// Counts holds the number of requests by result.
 type Counts struct {
 	Good     uint64 `json:"good"`
 	Late     uint64 `json:"late"`
@@ -82,10 +82,10 @@
 	Canceled uint64 `json:"canceled"`
 }
 
-// Bad is the number of requests that miss the objective.
+// Bad returns the number of bad requests.
 func (c Counts) Bad() uint64 { return c.Late + c.Failed + c.Refused }
 
-// Total is the number of requests that the objective is about.
+// Total returns the number of good and bad requests.
 func (c Counts) Total() uint64 { return c.Good + c.Bad() }
 
 // Plus returns the sum of both counts.
--- a/internal/slo/fetch.go
+++ b/internal/slo/fetch.go
@@ -8,17 +8,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxReportBytes bounds the report that Fetch reads.
+// MaxReportBytes is the maximum size of a report that Fetch reads.
 const MaxReportBytes = 1 << 20
 
-// Why a report could not be had, besides ErrNotReport.
+// Reasons why a report could not be read, besides ErrNotReport.
 var (
 	ErrUnreachable = errors.New("router unreachable")
 	ErrStatus      = errors.New("router answered with an error")
 	ErrTooLarge    = errors.New("report too large")
 )
 
-// Fetch reads the report at a URL.
+// Fetch downloads and parses the report at a URL.
 func Fetch(ctx context.Context, client *http.Client, url string) (Report, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/slo/metrics.go
+++ b/internal/slo/metrics.go
@@ -8,15 +8,15 @@
 	MetricBurn   = "coveferry_slo_burn_rate"
 )
 
-// Metrics publishes the results and the burn rates.
+// Metrics exports the results and the burn rates.
 type Metrics struct {
 	events *prometheus.CounterVec
 	burn   *prometheus.Desc
 	rows   func() []Row
 }
 
-// NewMetrics registers the metrics; rows is asked for the burn rates at each
-// scrape. It panics when reg has them already.
+// NewMetrics registers the metrics. It calls rows for the burn rates on each
+// scrape. It panics if reg already has the metrics.
 func NewMetrics(reg prometheus.Registerer, rows func() []Row) *Metrics {
 	m := &Metrics{
 		events: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/slo/recorder.go
+++ b/internal/slo/recorder.go
@@ -11,13 +11,12 @@
 
 const (
 	numShards = 16
-	// maxSeries bounds the keys of a shard. A series takes 23 KB, so the
-	// recorder stays below 7 MB whatever is recorded.
+	// maxSeries bounds the number of keys per shard. A series takes 23 KB, so
+	// the recorder never exceeds 7 MB.
 	maxSeries = 16
 )
 
-// Recorder counts results by key in buckets of time. It is safe for concurrent
-// use.
+// Recorder counts results by key in time buckets. It is safe for concurrent use.
 type Recorder struct {
 	shards [numShards]shard
 }
@@ -27,10 +26,10 @@
 	series map[Key]*series
 }
 
-// series is a ring of buckets; a bucket's place is its number modulo the ring.
+// series is a ring of buckets, indexed by the bucket's number modulo the ring size.
 type series struct {
 	ring [numBuckets]bucket
-	last int64 // the newest bucket's number
+	last int64 // number of the newest bucket
 }
 
 type bucket struct {
@@ -47,9 +46,9 @@
 	return r
 }
 
-// Record counts a result at a time, and returns the key it was counted under:
-// Other when there are too many keys. A result older than the longest window,
-// or from before 1970, is dropped.
+// Record counts a result at the given time. It returns the key that the result was
+// counted under, which is Other if there are too many keys. A result older than
+// the longest window, or from before 1970, is dropped.
 func (r *Recorder) Record(at time.Time, key Key, res Result) Key {
 	n := bucketNumber(at)
 	sh := r.shardOf(key)
@@ -65,8 +64,8 @@
 	return &r.shards[h%numShards]
 }
 
-// seriesFor returns the series for a key. A new key may take the place of one that
-// has left all windows; if there is none, Other takes it.
+// seriesFor returns the series of a key. If the shard is full, it evicts series
+// without results in any window, and uses Other if there are none.
 func (sh *shard) seriesFor(key Key, n int64) (*series, Key) {
 	if s := sh.series[key]; s != nil {
 		return s, key
@@ -108,7 +107,7 @@
 	s.last = max(s.last, n)
 }
 
-// sumWindows adds up the buckets of each window ending in bucket now.
+// sumWindows sums the buckets of each window that ends with bucket now.
 func (s *series) sumWindows(now int64) [numWindows]Counts {
 	var sums [numWindows]Counts
 	for i := range s.ring {
@@ -135,8 +134,8 @@
 	}
 }
 
-// Burn returns a row for each key with results in the windows ending now,
-// ordered by class and tier.
+// BurnRates returns a row for each key with results in the windows that end now,
+// sorted by class and tier.
 func (r *Recorder) Burn(now time.Time, o Objectives) []Row {
 	sums := r.sumByKey(bucketNumber(now))
 	rows := make([]Row, 0, len(sums))
--- a/internal/slo/report.go
+++ b/internal/slo/report.go
@@ -8,14 +8,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Format is the version of the report's schema.
+// Format is the version of the report schema.
 const Format = 1
 
-// ErrNotReport: a text is not a report of this format.
+// ErrNotReport: a text is not a valid report of this format.
 var ErrNotReport = errors.New("not an SLO report")
 
-// Report is the state of all classes and tiers at one router, or at several
-// once merged.
+// Report is the SLO state of all classes and tiers at one router, or at several
+// routers if merged.
 type Report struct {
 	Format  int       `json:"format"`
 	Routers []string  `json:"routers"`
@@ -23,8 +23,8 @@
 	Rows    []Row     `json:"rows"`
 }
 
-// Parse reads a report and checks its form. Unknown members are passed over,
-// so that a newer router may say more.
+// Parse parses and validates a report. Unknown fields are ignored, because a newer
+// router may send them.
 func Parse(text []byte) (Report, error) {
 	var rep Report
 	if err := json.Unmarshal(text, &rep); err != nil {
@@ -56,10 +56,10 @@
 	return nil
 }
 
-// Merge sums the counts of several routers' reports and works out the rates
-// anew: a mean of rates would weigh an idle router like a busy one. Where the
-// objectives differ, as while a bundle rolls out, the strictest holds. Reports
-// must have passed Parse.
+// Merge sums the counts of several routers' reports and recomputes the burn rates.
+// A mean of the rates would give an idle router the same weight as a busy one. If
+// the objectives differ, as during the rollout of a bundle, the strictest applies.
+// The reports must be valid according to Parse.
 func Merge(reports ...Report) Report {
 	merged := Report{Format: Format, Routers: []string{}, Rows: []Row{}}
 	sums := make(map[Key][numWindows]Counts)
@@ -91,7 +91,7 @@
 	return counts
 }
 
-// Worst is the most urgent level of all rows.
+// Worst returns the most severe alert level of all rows.
 func (r Report) Worst() Level {
 	worst := LevelNone
 	for _, row := range r.Rows {
--- a/internal/slo/rules_test.go
+++ b/internal/slo/rules_test.go
@@ -49,8 +49,8 @@
 	resultLabel = regexp.MustCompile(`result(?:=~|!=)"([a-z|]+)"`)
 )
 
-// The example may name only metrics that a router publishes, series that it
-// records itself, and results that exist.
+// The example rules must use only metrics that a router exports, series that the
+// rules record, and existing results.
 func TestExampleRulesUseExistingMetrics(t *testing.T) {
 	g := gomega.NewWithT(t)
 	reg := prometheus.NewRegistry()
@@ -84,8 +84,8 @@
 	}
 }
 
-// Each rule of the report stands in the example with its threshold, windows,
-// least number of requests and level.
+// Each rule of the report must be in the example with the same threshold, windows,
+// minimum number of requests and level.
 func TestExampleRulesMatchReportRules(t *testing.T) {
 	rules := readRules(t)
 	for _, rule := range slo.Rules() {
--- a/internal/slo/slo_test.go
+++ b/internal/slo/slo_test.go
@@ -19,14 +19,14 @@
 
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// event is one entry of the naive recorder, a list.
+// event is one entry of the naive recorder, which is a list of events.
 type event struct {
 	at  time.Time
 	key slo.Key
 	res slo.Result
 }
 
-// naiveCounts goes through all events for one key and window.
+// naiveCounts counts the events of one key and window.
 func naiveCounts(events []event, key slo.Key, w slo.Window, now time.Time) slo.Counts {
 	bucket := func(t time.Time) int64 { return t.Unix() / int64(slo.Bucket/time.Second) }
 	var c slo.Counts
@@ -40,8 +40,8 @@
 	return c
 }
 
-// Whatever is recorded, in whatever order, the windows hold what a list of all
-// events holds.
+// For any sequence of results, the windows must have the counts computed from a
+// list of all events.
 func TestRecorderAgainstList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rec := slo.NewRecorder()
@@ -98,14 +98,14 @@
 	}
 	g.Expect(total).To(gomega.BeEquivalentTo(names))
 
-	// Once all windows have passed, a new key takes an idle one's place.
+	// After the longest window, a new key replaces an idle one.
 	later := start.Add(7 * time.Hour)
 	key := slo.Key{Class: "new", Tier: "t"}
 	g.Expect(rec.Record(later, key, slo.Good)).To(gomega.Equal(key))
 	g.Expect(rec.Burn(later, slo.Objectives{})).To(gomega.HaveLen(1))
 }
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	const target = time.Second
 	for _, c := range []struct {
 		o    slo.Outcome
@@ -123,7 +123,7 @@
 	}
 }
 
-// record puts n results into the recorder, old ones into the past.
+// record records n results at now - ago.
 func record(rec *slo.Recorder, now time.Time, ago time.Duration, res slo.Result, n int) {
 	for range n {
 		rec.Record(now.Add(-ago), slo.Key{Class: "receipt", Tier: "gold"}, res)
@@ -136,7 +136,7 @@
 		res slo.Result
 		n   int
 	}
-	longAgo := batch{5 * time.Hour, slo.Good, 10_000} // keeps the 6h window calm
+	longAgo := batch{5 * time.Hour, slo.Good, 10_000} // keeps the burn rate of the 6h window low
 	for _, c := range []struct {
 		name    string
 		batches []batch
@@ -145,13 +145,13 @@
 		{"all good", []batch{{0, slo.Good, 100}}, slo.LevelNone},
 		{"14.4x in 1h and 5m", []batch{{0, slo.Refused, 72}, {0, slo.Good, 28}, longAgo}, slo.LevelPage},
 		{"just below 14.4x in 1h", []batch{{0, slo.Refused, 71}, {0, slo.Good, 29}, longAgo}, slo.LevelNone},
-		{"14.4x in 1h, over since 5m", []batch{{20 * time.Minute, slo.Late, 72}, {0, slo.Good, 28}, longAgo}, slo.LevelNone},
+		{"14.4x in 1h, none in 5m", []batch{{20 * time.Minute, slo.Late, 72}, {0, slo.Good, 28}, longAgo}, slo.LevelNone},
 		{"6x in 6h and 30m", []batch{{20 * time.Minute, slo.Failed, 30}, {20 * time.Minute, slo.Good, 70}}, slo.LevelPage},
 		{"3x in 6h and 30m", []batch{{20 * time.Minute, slo.Late, 15}, {20 * time.Minute, slo.Good, 85}}, slo.LevelTicket},
-		{"3x in 6h, over since 30m", []batch{{40 * time.Minute, slo.Late, 15}, {0, slo.Good, 85}}, slo.LevelNone},
-		{"too few to judge", []batch{{0, slo.Late, slo.MinRequests - 1}}, slo.LevelNone},
-		{"callers who left are not bad", []batch{{0, slo.Good, 20}, {0, slo.Canceled, 500}}, slo.LevelNone},
-		{"callers who left don't dilute", []batch{{0, slo.Good, 85}, {0, slo.Late, 15}, {0, slo.Canceled, 500}}, slo.LevelTicket},
+		{"3x in 6h, none in 30m", []batch{{40 * time.Minute, slo.Late, 15}, {0, slo.Good, 85}}, slo.LevelNone},
+		{"too few requests", []batch{{0, slo.Late, slo.MinRequests - 1}}, slo.LevelNone},
+		{"canceled requests are not bad", []batch{{0, slo.Good, 20}, {0, slo.Canceled, 500}}, slo.LevelNone},
+		{"canceled requests are not good", []batch{{0, slo.Good, 85}, {0, slo.Late, 15}, {0, slo.Canceled, 500}}, slo.LevelTicket},
 	} {
 		rec := slo.NewRecorder()
 		for _, b := range c.batches {
--- a/internal/slo/tracker.go
+++ b/internal/slo/tracker.go
@@ -8,23 +8,23 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Path is where a router serves its report.
+// Path is the HTTP path of a router's report.
 const Path = "/slo"
 
-// Config is what a Tracker needs.
+// Config configures a Tracker.
 type Config struct {
 	// Router is the router's name in reports.
 	Router string
 	// Now is the clock.
 	Now func() time.Time
-	// Objectives is asked anew for each report, as bundles change.
+	// Objectives is called for each report, because bundles change.
 	Objectives func() Objectives
 	// Registry receives the metrics.
 	Registry prometheus.Registerer
 }
 
-// Tracker ties a recorder to a clock, the metrics and HTTP. It is safe for
-// concurrent use.
+// Tracker combines a Recorder with a clock, the metrics and an HTTP handler. It is
+// safe for concurrent use.
 type Tracker struct {
 	cfg     Config
 	rec     *Recorder
@@ -47,12 +47,12 @@
 
 func (t *Tracker) rows() []Row { return t.rec.Burn(t.cfg.Now(), t.cfg.Objectives()) }
 
-// Report returns the state now.
+// Report returns the current report.
 func (t *Tracker) Report() Report {
 	return Report{Format: Format, Routers: []string{t.cfg.Router}, At: t.cfg.Now().UTC(), Rows: t.rows()}
 }
 
-// ServeHTTP answers GET with the report in JSON.
+// ServeHTTP serves the report as JSON.
 func (t *Tracker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet {
 		w.Header().Set("Allow", http.MethodGet)
@@ -66,5 +66,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Cache-Control", "no-store")
-	_, _ = w.Write(append(text, '\n')) // an error means that the reader left
+	_, _ = w.Write(append(text, '\n')) // fails only if the client disconnected
 }
--- a/internal/slo/window.go
+++ b/internal/slo/window.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Window is a span of time, ending now, over which a burn rate is taken.
+// Window is a time span, ending now, over which a burn rate is computed.
 type Window int
 
 // The windows, shortest first.
@@ -14,21 +14,21 @@
 	numWindows
 )
 
-// Bucket is the resolution of the recorder. A window of n buckets holds the
-// current one, which is not yet full, and the n-1 before it.
+// Bucket is the time resolution of the recorder. A window of n buckets consists of
+// the current, incomplete bucket and the n-1 before it.
 const Bucket = 30 * time.Second
 
-// numBuckets is how many buckets the longest window holds.
+// numBuckets is the number of buckets in the longest window.
 const numBuckets = int(6 * time.Hour / Bucket)
 
 var windowSpans = [numWindows]time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour}
 
 var windowNames = [numWindows]string{"5m", "30m", "1h", "6h"}
 
-// Span is the window's length.
+// Span returns the window's length.
 func (w Window) Span() time.Duration { return windowSpans[w] }
 
-// String is the window's label in metrics and reports.
+// String returns the window's label in metrics and reports.
 func (w Window) String() string { return windowNames[w] }
 
 // Windows lists all windows, shortest first.
@@ -36,5 +36,5 @@
 
 func (w Window) buckets() int64 { return int64(w.Span() / Bucket) }
 
-// bucketNumber numbers the bucket that a time falls in.
+// bucketNumber returns the number of the bucket that contains t.
 func bucketNumber(t time.Time) int64 { return t.UnixNano() / int64(Bucket) }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry serves what operators and the platform ask of a process:
-// /metrics, /healthz (is it alive?) and /readyz (may it be given work?).
+// Package telemetry serves the metrics, liveness and readiness of a process over
+// HTTP: /metrics, /healthz and /readyz.
 package telemetry
 
 import (
@@ -14,22 +14,22 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Paths that are served.
+// HTTP paths.
 const (
 	PathMetrics = "/metrics"
 	PathHealth  = "/healthz"
 	PathReady   = "/readyz"
 )
 
-// Readiness holds the gates that must all be open for a process to be ready.
-// It is safe for concurrent use.
+// Readiness is a set of gates. A process is ready while all gates are open.
+// Readiness is safe for concurrent use.
 type Readiness struct {
 	mu     sync.Mutex
 	closed []string
 	notes  map[string]string
 }
 
-// NewReadiness returns a readiness whose gates of the given names are closed.
+// NewReadiness returns a Readiness with the given gates, all closed.
 func NewReadiness(gates ...string) *Readiness {
 	return &Readiness{closed: slices.Clone(gates)}
 }
@@ -50,15 +50,15 @@
 	}
 }
 
-// Closed lists the gates that are closed; the process is ready if none is.
+// Closed returns the names of the closed gates.
 func (r *Readiness) Closed() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.closed)
 }
 
-// Note says something about the process that doesn't keep it from being given
-// work, under a topic; an empty text takes it back.
+// SetNote sets the note of a topic in the health report. Notes don't affect
+// readiness. An empty text removes the note.
 func (r *Readiness) Note(topic, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,7 +72,7 @@
 	r.notes[topic] = text
 }
 
-// health says how the process is.
+// health returns the current health report.
 func (r *Readiness) health() Health {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,13 +82,13 @@
 // Health is the body of /readyz and /healthz.
 type Health struct {
 	Ready bool `json:"ready"`
-	// Waiting lists the gates that are closed.
+	// Waiting lists the closed gates.
 	Waiting []string `json:"waiting,omitempty"`
-	// Notes tell by topic what an operator should know besides.
+	// Notes are further information for operators, by topic.
 	Notes map[string]string `json:"notes,omitempty"`
 }
 
-// NewRegistry returns a registry with the process's own metrics.
+// NewRegistry returns a registry with Go runtime, process and build metrics.
 func NewRegistry() *prometheus.Registry {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(
@@ -99,8 +99,8 @@
 	return reg
 }
 
-// NewMux returns a mux that serves metrics and health, to which a process may
-// add pages of its own.
+// NewMux returns a mux that serves metrics and health. A process may add handlers
+// of its own.
 func NewMux(reg *prometheus.Registry, ready *Readiness) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+PathMetrics, promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
@@ -122,5 +122,5 @@
 func writeHealth(w http.ResponseWriter, h Health, status int) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(h) // whoever asked may have left
+	_ = json.NewEncoder(w).Encode(h) // the client may have disconnected
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -33,7 +33,7 @@
 	g.Expect(rec.Code).To(gomega.Equal(http.StatusOK))
 	g.Expect(rec.Body.String()).To(gomega.MatchJSON(`{"ready":true}`))
 
-	// Closing twice is closing once: it is named once, and one Open will do.
+	// Closing a gate twice lists it once, and one Open opens it.
 	ready.Close("serving")
 	ready.Close("serving")
 	g.Expect(get(mux, telemetry.PathReady).Body.String()).To(gomega.MatchJSON(`{"ready":false,"waiting":["serving"]}`))
@@ -41,7 +41,7 @@
 	g.Expect(get(mux, telemetry.PathReady).Code).To(gomega.Equal(http.StatusOK))
 }
 
-// A process that may not be given work yet is alive all the same.
+// Liveness does not depend on readiness.
 func TestHealthyWhileNotReady(t *testing.T) {
 	g := gomega.NewWithT(t)
 	mux := telemetry.NewMux(telemetry.NewRegistry(), telemetry.NewReadiness("bundle"))
