--- a/internal/agent/engine.go
+++ b/internal/agent/engine.go
@@ -90,8 +90,8 @@
 // transport retries requests with an idempotency key or an idempotent method if
 // it can read the body again.
 func (c *engineClient) newSingleUseRequest(ctx context.Context, a *attempt, method, path string, body []byte) (*http.Request, error) {
-	once := io.NopCloser(bytes.NewReader(body)) // without a body the transport may retry; an empty reader prevents it
-	req, err := http.NewRequestWithContext(ctx, method, c.engine.URL+path, once)
+	reader := io.NopCloser(bytes.NewReader(body)) // without a body the transport may retry; an empty reader prevents it
+	req, err := http.NewRequestWithContext(ctx, method, c.engine.URL+path, reader)
 	if err != nil {
 		return nil, errors.Wrap(err, "make the engine's request")
 	}
--- a/internal/agent/errors.go
+++ b/internal/agent/errors.go
@@ -15,8 +15,8 @@
 // errDeadline is the cause with which a job is stopped at its deadline.
 var errDeadline = errors.New("the deadline passed")
 
-// errLeaving is the cause with which a job is stopped so that its router takes
-// it elsewhere.
+// errLeaving is the cause with which a job is stopped so that its router sends it
+// to another endpoint.
 var errLeaving = errors.New("the endpoint is leaving")
 
 // errWithdrawn: the router withheld the body because another endpoint read it
--- a/internal/agent/keys.go
+++ b/internal/agent/keys.go
@@ -188,20 +188,20 @@
 // serveAgree answers another agent's query. Over TLS an agent can only query on
 // its own behalf.
 func (ag *Agent) serveAgree(w http.ResponseWriter, r *http.Request) {
-	var ask once.Ask
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAgreeBytes)).Decode(&ask); err != nil {
+	var query once.Ask
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAgreeBytes)).Decode(&query); err != nil {
 		http.Error(w, "malformed question", http.StatusBadRequest)
 		return
 	}
 	if r.TLS != nil {
 		peer, err := identity.PeerOf(r.TLS)
-		if err != nil || peer.Role != identity.RoleAgent || peer.Name != ask.From.Name {
+		if err != nil || peer.Role != identity.RoleAgent || peer.Name != query.From.Name {
 			http.Error(w, "an agent asks on its own behalf", http.StatusForbidden)
 			return
 		}
 	}
 	ag.keys.mu.Lock()
-	answer := ag.keys.keeper.Asked(time.Now(), ask)
+	answer := ag.keys.keeper.Asked(time.Now(), query)
 	ag.keys.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(answer) // on failure the peer sends the query again
--- a/internal/agent/keys_test.go
+++ b/internal/agent/keys_test.go
@@ -105,7 +105,7 @@
 
 func TestPeerRoleRestrictsRequests(t *testing.T) {
 	withKeys(t, func(g *WithT, ag *agent.Agent, svc *service.Service) {
-		ask := `{"target":"service:filings","from":{"name":"f","vm":""},"list":"x"}`
+		query := `{"target":"service:filings","from":{"name":"f","vm":""},"list":"x"}`
 		for _, c := range []struct {
 			req  *http.Request
 			peer string
@@ -113,9 +113,9 @@
 		}{
 			{newKeyedRequest(g, "a", time.Now()), "coveferry://agent/f", http.StatusForbidden},
 			{newKeyedRequest(g, "b", time.Now()), "coveferry://router/r", http.StatusOK},
-			{httptest.NewRequest(http.MethodPost, wire.PathAgree, strings.NewReader(ask)), "coveferry://router/f", http.StatusForbidden},
-			{httptest.NewRequest(http.MethodPost, wire.PathAgree, strings.NewReader(ask)), "coveferry://agent/g", http.StatusForbidden},
-			{httptest.NewRequest(http.MethodPost, wire.PathAgree, strings.NewReader(ask)), "coveferry://agent/f", http.StatusOK},
+			{httptest.NewRequest(http.MethodPost, wire.PathAgree, strings.NewReader(query)), "coveferry://router/f", http.StatusForbidden},
+			{httptest.NewRequest(http.MethodPost, wire.PathAgree, strings.NewReader(query)), "coveferry://agent/g", http.StatusForbidden},
+			{httptest.NewRequest(http.MethodPost, wire.PathAgree, strings.NewReader(query)), "coveferry://agent/f", http.StatusOK},
 		} {
 			w := httptest.NewRecorder()
 			ag.Handler().ServeHTTP(w, withPeer(c.req, c.peer))
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -11,7 +11,7 @@
 var (
 	// ErrUnreachable: no connection could be made, so the call was never sent.
 	ErrUnreachable = errors.New("control: unreachable")
-	// ErrBroken: the connection broke or the call timed out; the peer may or
+	// ErrNoReply: the connection broke or the call timed out; the peer may or
 	// may not have handled the call.
 	ErrBroken = errors.New("control: no reply")
 	// ErrTooLarge: a message exceeds the maximum size.
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -193,12 +193,12 @@
 		s.reply(ctx, conn, req.ID, nil, &Error{Code: CodeBusy, Message: "too many calls at once"})
 		return
 	}
-	begun := s.server.startTask(func() {
+	started := s.server.startTask(func() {
 		defer s.callSlots.Release(1)
 		result, err := s.serve(ctx, req)
 		s.reply(ctx, conn, req.ID, result, err)
 	})
-	if !begun {
+	if !started {
 		s.callSlots.Release(1)
 	}
 }
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -90,11 +90,11 @@
 // awaitMessage waits for the first byte of the next message. The error is io.EOF if
 // the peer closed the connection between messages.
 func (s *stream) awaitMessage() error {
-	var until time.Time
+	var deadline time.Time
 	if s.idleTimeout > 0 {
-		until = time.Now().Add(s.idleTimeout)
+		deadline = time.Now().Add(s.idleTimeout)
 	}
-	if err := s.conn.SetReadDeadline(until); err != nil {
+	if err := s.conn.SetReadDeadline(deadline); err != nil {
 		return errors.Wrap(err, "read message")
 	}
 	_, err := s.reader.Peek(1)
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -65,7 +65,7 @@
 
 // New creates an identity from PEM data.
 func New(caPEM, certPEM, keyPEM []byte, opts ...Option) (*Identity, error) {
-	m, err := newMaterial(caPEM, certPEM, keyPEM)
+	m, err := newCredentials(caPEM, certPEM, keyPEM)
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +110,7 @@
 	if _, err := parseRoots(pems[0]); err != nil {
 		return nil, &FileError{File: f.ca, Err: err}
 	}
-	m, err := newMaterial(pems[0], pems[1], pems[2])
+	m, err := newCredentials(pems[0], pems[1], pems[2])
 	if err != nil {
 		return nil, &FileError{File: f.cert, Err: err}
 	}
@@ -127,7 +127,7 @@
 	return err
 }
 
-func newMaterial(caPEM, certPEM, keyPEM []byte) (*credentials, error) {
+func newCredentials(caPEM, certPEM, keyPEM []byte) (*credentials, error) {
 	roots, err := parseRoots(caPEM)
 	if err != nil {
 		return nil, err
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -108,7 +108,7 @@
 	toAgent := func(id *identity.Identity) *tls.Config { return id.ClientConfig(identity.RoleAgent, "a1") }
 	// An unauthorized client accepts any server, so that only the server's
 	// check can reject it.
-	trusting := func(cfg *tls.Config) *tls.Config { cfg.VerifyConnection = nil; return cfg }
+	acceptAnyServer := func(cfg *tls.Config) *tls.Config { cfg.VerifyConnection = nil; return cfg }
 	tls12 := toAgent(router)
 	tls12.MaxVersion = tls.VersionTLS12
 	tls12.MinVersion = tls.VersionTLS12
@@ -121,7 +121,7 @@
 	}{
 		{"member", toAgent(router), 0, nil},
 		{"no certificate", &tls.Config{InsecureSkipVerify: true}, 0, identity.ErrNoCertificate},
-		{"another authority", trusting(toAgent(foreign)), 0, identity.ErrUnknownAuthority},
+		{"another authority", acceptAnyServer(toAgent(foreign)), 0, identity.ErrUnknownAuthority},
 		{"wrong role", toAgent(f.newIdentity(identity.RoleOperator, "o1", time.Hour)), 0, identity.ErrWrongRole},
 		{"expired", toAgent(router), 2 * time.Hour, identity.ErrExpired},
 		{"not yet valid", toAgent(early), -time.Hour, identity.ErrNotYetValid},
@@ -131,7 +131,7 @@
 			f.now = start.Add(c.at)
 			defer func() { f.now = start }()
 			if c.at < 0 {
-				trusting(c.client) // the agent's certificate isn't valid yet either
+				acceptAnyServer(c.client) // the agent's certificate isn't valid yet either
 			}
 			res := dial(agent.ServerConfig(identity.RoleRouter), c.client)
 			if c.want == nil {
--- a/internal/idle/idle.go
+++ b/internal/idle/idle.go
@@ -48,18 +48,18 @@
 func (w *idleTimer) expired() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	left := time.Until(w.deadline)
-	if left > 0 {
-		w.timer.Reset(left)
+	remaining := time.Until(w.deadline)
+	if remaining > 0 {
+		w.timer.Reset(remaining)
 	}
-	return left <= 0
+	return remaining <= 0
 }
 
 func (w *idleTimer) extend(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if until := now.Add(w.idleTimeout); until.After(w.deadline) {
-		w.deadline = until
+	if extended := now.Add(w.idleTimeout); extended.After(w.deadline) {
+		w.deadline = extended
 	}
 }
 
@@ -93,7 +93,7 @@
 }
 
 // Reader returns a reader that marks ctx active on each read that returns data.
-func Reader(ctx context.Context, from io.Reader) io.Reader { return reader{ctx, from} }
+func Reader(ctx context.Context, source io.Reader) io.Reader { return reader{ctx, source} }
 
 // Read implements io.Reader.
 func (r reader) Read(p []byte) (int, error) {
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -63,9 +63,9 @@
 	runInBubble(t, func(g *WithT) {
 		outer, cancelOuter := idle.WithTimeout(context.Background(), initial, idleTimeout)
 		defer cancelOuter()
-		between, cancelBetween := context.WithCancel(outer)
-		defer cancelBetween()
-		inner, cancel := idle.WithTimeout(between, initial, idleTimeout)
+		middle, cancelMiddle := context.WithCancel(outer)
+		defer cancelMiddle()
+		inner, cancel := idle.WithTimeout(middle, initial, idleTimeout)
 		defer cancel()
 		for range 10 {
 			time.Sleep(idleTimeout / 2)
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -12,8 +12,8 @@
 const (
 	dialTimeout = 2 * time.Second
 	keepAlive   = 15 * time.Second
-	// maxIdlePerPeer keeps a connection for each request that a plain HTTP
-	// peer, such as an engine, may hold at once.
+	// maxIdlePerPeer is enough idle connections for all concurrent requests of
+	// a plain HTTP peer, such as an engine.
 	maxIdlePerPeer = 512
 	// pingAfter is how long a connection may be idle before a ping is sent,
 	// and pingTimeout how long the reply may take.
--- a/internal/server/plan.go
+++ b/internal/server/plan.go
@@ -4,28 +4,28 @@
 
 // ShutdownPlan describes a graceful shutdown of a process.
 type Plan struct {
-	// Notice is how long new requests are still answered, with a refusal or
+	// DrainTime is how long new requests are still answered, with a refusal or
 	// "Connection: close", so that no client sends one on a connection that
 	// closes without warning.
 	Notice time.Duration
-	// Grace is how long open requests may continue after Notice.
+	// Grace is how long open requests may continue after DrainTime.
 	Grace time.Duration
-	// Margin is how long before the end of Grace the requests that still run
-	// are handed over, at most half of Grace.
+	// HandoverMargin is how long before the end of Grace the requests that
+	// still run are handed over, at most half of Grace.
 	Margin time.Duration
-	// Linger is the Linger of the server that is stopped.
+	// QuietPeriod is the QuietPeriod of the server that is stopped.
 	Linger time.Duration
 }
 
-// HandoverDelay returns the time from the end of Notice to the handover. It is as
-// late as possible, since requests that end before it need no handover.
+// HandoverDelay returns the time from the end of DrainTime to the handover. It is
+// as late as possible, since requests that end before it need no handover.
 func (p Plan) LastCall() time.Duration { return p.Grace - min(p.Margin, p.Grace/2) }
 
-// Run executes the plan. leave starts the notice, handOver moves or ends the
-// requests that still run, and stop closes the listener and waits at most for
-// Grace.
-func (p Plan) Run(leave, handOver func(), stop func() error) error {
-	leave()
+// Run executes the plan. drain makes the process refuse new requests, handOver
+// moves or ends the requests that still run, and stop closes the listener and
+// waits at most for Grace.
+func (p Plan) Run(drain, handOver func(), stop func() error) error {
+	drain()
 	time.Sleep(p.Notice)
 	timer := time.AfterFunc(p.LastCall(), handOver)
 	defer timer.Stop()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -38,7 +38,7 @@
 	Log zerolog.Logger
 	// Grace is how long open requests may continue after Stop.
 	Grace time.Duration
-	// Linger is how long no request must have been open before StopWithin
+	// QuietPeriod is how long no request must have been open before StopWithin
 	// closes connections. The library closes a connection as soon as its
 	// response ends. A peer whose response header didn't announce this may send
 	// its next request at that moment, and the request would be lost.
@@ -114,7 +114,7 @@
 }
 
 // StopWithin is Stop with another grace period. Before it closes connections it
-// waits, within the grace period, until Linger has passed without a request.
+// waits, within the grace period, until QuietPeriod has passed without a request.
 func (s *Server) StopWithin(grace time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
--- a/internal/slo/burn.go
+++ b/internal/slo/burn.go
@@ -138,6 +138,6 @@
 
 func (u Rule) fires(r Row) bool {
 	long, short := r.Windows[u.Long], r.Windows[u.Short]
-	least := u.Burn - roundingSlack
-	return long.Total() >= MinRequests && long.Burn >= least && short.Burn >= least
+	threshold := u.Burn - roundingSlack
+	return long.Total() >= MinRequests && long.Burn >= threshold && short.Burn >= threshold
 }
