--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// parseAttempt reads an attempt.
+// parseAttempt reads an attempt's envelope. readBody reads its body later.
 func (ag *Agent) parseAttempt(w http.ResponseWriter, r *http.Request) (*attempt, *wire.Refusal) {
 	a := &attempt{w: w, contentType: r.Header.Get("Content-Type")}
 	if err := wire.Decode(r.Header, wire.HeaderEnvelope, &a.env); err != nil {
--- a/internal/agent/engine.go
+++ b/internal/agent/engine.go
@@ -90,10 +90,10 @@
 // transport retries requests with an idempotency key or an idempotent method if
 // it can read the body again.
 func (c *engineClient) newSingleUseRequest(ctx context.Context, a *attempt, method, path string, body []byte) (*http.Request, error) {
-	reader := io.NopCloser(bytes.NewReader(body)) // without a body the transport may retry; an empty reader prevents it
+	reader := io.NopCloser(bytes.NewReader(body)) // hides that the body can be read again or is empty
 	req, err := http.NewRequestWithContext(ctx, method, c.engine.URL+path, reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make the engine's request")
+		return nil, errors.Wrap(err, "create engine request")
 	}
 	req.ContentLength = int64(len(body))
 	setCommonHeaders(req, a)
--- a/internal/agent/errors.go
+++ b/internal/agent/errors.go
@@ -30,7 +30,7 @@
 var errStalled = errors.New("the engine stalled")
 
 // errRelay: writing to the router failed.
-var errRelay = errors.New("the router left")
+var errRelay = errors.New("the router disconnected")
 
 // errKeyMoved: the agent can no longer guarantee that the attempt's key runs at
 // most once.
--- a/internal/agent/fence.go
+++ b/internal/agent/fence.go
@@ -105,7 +105,7 @@
 }
 
 // skewAllowance is the clock skew between a router and this VM that is tolerated
-// when the age of a router's first message is computed.
+// when the transit time of a router's first attempt is computed.
 const skewAllowance = 2 * time.Second
 
 // remainingTime returns the time until an attempt's deadline: the remaining time
--- a/internal/agent/keys.go
+++ b/internal/agent/keys.go
@@ -166,23 +166,23 @@
 	var answer once.Answer
 	body, err := json.Marshal(q.Ask)
 	if err != nil {
-		return answer, errors.Wrap(err, "encode a question")
+		return answer, errors.Wrap(err, "encode query")
 	}
 	url := k.cfg.Scheme + "://" + q.To.Address + wire.PathAgree
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return answer, errors.Wrap(err, "make a question")
+		return answer, errors.Wrap(err, "create query request")
 	}
 	resp, err := k.cfg.Peers.Do(req)
 	if err != nil {
-		return answer, errors.Wrap(err, "ask a peer")
+		return answer, errors.Wrap(err, "send query")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return answer, errors.Newf("a peer answered with status %d", resp.StatusCode)
+		return answer, errors.Newf("peer returned status %d", resp.StatusCode)
 	}
 	err = json.NewDecoder(io.LimitReader(resp.Body, maxAgreeBytes)).Decode(&answer)
-	return answer, errors.Wrap(err, "decode a peer's answer")
+	return answer, errors.Wrap(err, "decode query answer")
 }
 
 // serveAgree answers another agent's query. Over TLS an agent can only query on
--- a/internal/completion/chunk.go
+++ b/internal/completion/chunk.go
@@ -93,7 +93,7 @@
 	}
 	end, err := sjson.Set(last, content, empty)
 	if err != nil {
-		return "", errors.Wrap(err, "empty the last chunk")
+		return "", errors.Wrap(err, "clear the text of the last chunk")
 	}
 	end, err = sjson.Set(end, "choices.0.finish_reason", finishLength)
 	return end, errors.Wrap(err, "set finish_reason")
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -161,7 +161,7 @@
 	case c.dialing != nil:
 		return nil, c.dialing, nil
 	case time.Now().Before(c.retryAt):
-		return nil, nil, unreachable(errors.Wrap(c.lastErr, "not tried again yet"))
+		return nil, nil, unreachable(errors.Wrap(c.lastErr, "in backoff after a failed dial"))
 	}
 	c.conn = nil
 	c.dialing = make(chan struct{})
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -47,7 +47,7 @@
 	CodeUnknownMethod Code = jsonrpc2.CodeMethodNotFound
 	CodeInvalid       Code = jsonrpc2.CodeInvalidParams
 	CodeInternal      Code = jsonrpc2.CodeInternalError
-	// CodeForbidden: the caller's role may not call the method.
+	// CodeForbidden: the caller's role is not allowed to call the method.
 	CodeForbidden Code = 403
 	// CodeBusy: the caller has too many concurrent calls at this peer.
 	CodeBusy Code = 429
--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -39,7 +39,7 @@
 	a := &Authority{now: applyOptions(opts).now}
 	_, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make the authority's key")
+		return nil, errors.Wrap(err, "generate authority key")
 	}
 	now := a.now()
 	tmpl, err := template(now, now.Add(validity))
@@ -88,7 +88,7 @@
 func (a *Authority) NotAfter() time.Time { return a.cert.NotAfter }
 
 // Issue creates a key and signs a certificate for a role and name. It returns
-// ErrOutlives if the certificate would expire after the authority's.
+// ErrValidityTooLong if the certificate would expire after the authority's.
 func (a *Authority) Issue(role Role, name string, validity time.Duration) (Pair, error) {
 	if validity <= 0 {
 		return Pair{}, errors.Newf("validity %s is not positive", validity)
@@ -106,7 +106,7 @@
 	}
 	_, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return Pair{}, errors.Wrap(err, "make a key")
+		return Pair{}, errors.Wrap(err, "generate key")
 	}
 	tmpl, err := template(a.now(), end)
 	if err != nil {
@@ -146,7 +146,7 @@
 func template(now, end time.Time) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errors.Wrap(err, "choose a serial number")
+		return nil, errors.Wrap(err, "generate serial number")
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
@@ -158,7 +158,7 @@
 func sign(tmpl, parent *x509.Certificate, pub crypto.PublicKey, key crypto.Signer) (*x509.Certificate, error) {
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, parent, pub, key)
 	if err != nil {
-		return nil, errors.Wrap(err, "sign a certificate")
+		return nil, errors.Wrap(err, "sign certificate")
 	}
 	return x509.ParseCertificate(der)
 }
--- a/internal/identity/config.go
+++ b/internal/identity/config.go
@@ -87,7 +87,7 @@
 // authorities.
 func (id *Identity) verify(cs tls.ConnectionState, usage x509.ExtKeyUsage) (Peer, error) {
 	if len(cs.PeerCertificates) == 0 {
-		return Peer{}, peerErrorf(ErrNoCertificate, "the peer showed none")
+		return Peer{}, peerErrorf(ErrNoCertificate, "the peer sent none")
 	}
 	leaf := cs.PeerCertificates[0]
 	intermediates := x509.NewCertPool()
@@ -116,7 +116,7 @@
 	case !errors.As(err, &invalid):
 		return peerErrorf(ErrBadCertificate, "%v", err)
 	case invalid.Reason == x509.IncompatibleUsage:
-		return peerErrorf(ErrWrongRole, "%q may not be on this side of a connection", leaf.Subject.CommonName)
+		return peerErrorf(ErrWrongRole, "%q is not valid for this side of a connection", leaf.Subject.CommonName)
 	case invalid.Reason != x509.Expired:
 		return peerErrorf(ErrBadCertificate, "%v", err)
 	case id.now().Before(leaf.NotBefore):
--- a/internal/identity/errors.go
+++ b/internal/identity/errors.go
@@ -31,7 +31,7 @@
 	ErrBadKeyPair = errors.New("bad certificate or key")
 	// ErrChanged: a reload would have changed the process's role or name.
 	ErrChanged = errors.New("identity changed")
-	// ErrOutlives: a certificate would expire after its authority.
+	// ErrValidityTooLong: a certificate would expire after its authority.
 	ErrOutlives = errors.New("certificate would outlive its authority")
 )
 
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -16,7 +16,7 @@
 var ErrRefused = errors.New("memnet: connection refused")
 
 // ErrCut is the error of dialing across a partition.
-var ErrCut = errors.New("memnet: the peers are cut off from each other")
+var ErrCut = errors.New("memnet: the peers are partitioned")
 
 // backlog is the maximum number of connections waiting to be accepted.
 const backlog = 1024
@@ -55,7 +55,7 @@
 		address = net.JoinHostPort(host, fmt.Sprint(n.lastPort))
 	}
 	if n.listeners[address] != nil {
-		return nil, errors.Newf("memnet: %s is taken", address)
+		return nil, errors.Newf("memnet: %s is already in use", address)
 	}
 	l := &listener{net: n, address: address, accept: make(chan net.Conn, backlog), closed: make(chan struct{})}
 	n.listeners[address] = l
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -57,8 +57,8 @@
 const (
 	// deadPeerIdle, deadPeerProbe and deadPeerProbes configure TCP keepalive to
 	// detect a peer that disappeared without closing, such as a VM that lost
-	// power, within about five seconds. A peer on a running VM may be idle for
-	// any time.
+	// power, within about five seconds. They never disconnect an idle peer
+	// whose VM is running.
 	deadPeerIdle   = 2 * time.Second
 	deadPeerProbe  = time.Second
 	deadPeerProbes = 3
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -127,7 +127,7 @@
 func (s *Server) shutdown(ctx context.Context, grace time.Duration) error {
 	if err := s.http.Shutdown(ctx); err != nil {
 		_ = s.http.Close() // the first error is the one to report
-		return errors.Wrapf(err, "requests at %s were cut off after %s", s.Addr(), grace)
+		return errors.Wrapf(err, "requests at %s were aborted after %s", s.Addr(), grace)
 	}
 	return nil
 }
