--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -22,8 +22,8 @@
 
 const serviceAddress = "127.0.0.1:8001"
 
-// withService runs play against an agent before a plain service.
-func withService(t *testing.T, body func(g *WithT, ag *agent.Agent, svc *service.Service)) {
+// withService calls run with an agent in front of a plain service.
+func withService(t *testing.T, run func(g *WithT, ag *agent.Agent, svc *service.Service)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -38,7 +38,7 @@
 			Endpoint: "e", Engine: agent.Engine{URL: "http://" + serviceAddress},
 			Policy: fifo.New(fifo.Config{Slots: 1}), MaxBody: 1 << 10, Client: client,
 		})
-		body(g, ag, svc)
+		run(g, ag, svc)
 		client.CloseIdleConnections()
 		g.Expect(srv.Kill()).To(Succeed())
 	})
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -31,7 +31,7 @@
 	headerSent    bool     // the answer header was sent
 	unflushed     bool     // data was written since the last flush
 	flushErr      error    // set by the first flush that failed
-	ran           wire.Run // whether any run took effect; empty means RunNot
+	ran           wire.Run // whether the engine ran the attempt, over all runs; empty means RunNot
 	runCount      int      // number of times it was sent to the engine
 }
 
@@ -128,7 +128,7 @@
 	if a.env.Kind == wire.KindService {
 		err = relayService(a.w, resp.Body)
 	} else {
-		err = ag.relayUntilStall(a, job, resp.Body, cancel)
+		err = ag.relayWithStallCheck(a, job, resp.Body, cancel)
 	}
 	if a.progress.finished {
 		return nil // an error after the final chunk doesn't affect the answer
--- a/internal/agent/engine.go
+++ b/internal/agent/engine.go
@@ -40,7 +40,8 @@
 type engineClient struct {
 	engine Engine
 	http   *http.Client
-	// failures records whether recent runs failed.
+	// failures records that the engine failed and has not passed a health check
+	// since.
 	failures failureState
 }
 
@@ -133,8 +134,9 @@
 	return id
 }
 
-// sendError returns whether a request that could not be sent ran, and the error.
-// Only a request that never got a connection is certain not to have run.
+// sendError converts an error of http.Client.Do, and returns whether the request
+// may have run. Only a request that never got a connection is certain not to have
+// run.
 func sendError(ctx context.Context, connected bool, err error) (wire.Run, error) {
 	run, reason := wire.RunNot, wire.ReasonEngineDown
 	if connected {
--- a/internal/agent/fence.go
+++ b/internal/agent/fence.go
@@ -115,10 +115,10 @@
 	return time.Duration(env.DeadlineMillis)*time.Millisecond - max(0, ag.transitTime(env))
 }
 
-// transitTime returns how long an attempt was in transit. The router sends the
-// last reading of this agent's clock that it received, and how long before the
-// attempt it received it, so the clocks need not be synchronized. The result is
-// too long by the time the reading took to reach the router. For a router that
+// transitTime returns how long an attempt was in transit. The router sends back the
+// last clock reading that it received from this agent, and the age of that reading
+// when it sent the attempt, so the clocks need not be synchronized. The result is
+// too long by the time that the reading took to reach the router. For a router that
 // has no reading yet, the wall clocks are compared, less skewAllowance.
 func (ag *Agent) transitTime(env *wire.Envelope) time.Duration {
 	if env.Heard.Incarnation == ag.incarnation {
--- a/internal/agent/keys.go
+++ b/internal/agent/keys.go
@@ -30,16 +30,20 @@
 )
 
 // Keys configures how an agent ensures that an idempotency key runs at most once.
+// Each key has one home among the endpoints of its model or service. The agent of
+// the home remembers the key and decides whether it may run.
 type Keys struct {
 	// Once bounds the store of keys; Self must name the agent's endpoint and
 	// its VM. With the zero value attempts with keys are refused.
 	Once once.Config
 	// Peers sends requests to other agents. Scheme is "https" or, without
-	// certificates, "http". If Peers is nil, agents never agree on a list of
-	// more than one endpoint.
+	// certificates, "http". If Peers is nil, an agent never gets the others'
+	// agreement on a list of more than one endpoint among which the keys of a
+	// model or service are divided.
 	Peers  *http.Client
 	Scheme string
-	// PassThrough makes the agent forward keys to the engine without checking them.
+	// SkipCheck makes the agent run attempts without checking their keys. Keys
+	// are forwarded to the engine in either case.
 	Ignore bool
 }
 
@@ -84,7 +88,8 @@
 	return k.keeper.Waiting()
 }
 
-// UpdateEndpoints makes the agent the home of keys according to the endpoints of a snapshot.
+// UpdateKeyHomes makes the agent the home of the keys that the endpoints of a
+// snapshot assign to it.
 func (ag *Agent) Adopt(s *bundle.Snapshot) {
 	view := once.ViewOf(s.Bundle())
 	ag.keys.mu.Lock()
--- a/internal/agent/keys_test.go
+++ b/internal/agent/keys_test.go
@@ -45,8 +45,8 @@
 	return bundle.NewSnapshot(b)
 }
 
-// withKeys runs play against an agent of one slot that is home of all keys.
-func withKeys(t *testing.T, body func(g *WithT, ag *agent.Agent, svc *service.Service)) {
+// withKeys calls run with an agent of one slot that is the home of all keys.
+func withKeys(t *testing.T, run func(g *WithT, ag *agent.Agent, svc *service.Service)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -68,7 +68,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = ag.RunKeys(ctx) }()
 		time.Sleep(2 * cfg.Skew)
-		body(g, ag, svc)
+		run(g, ag, svc)
 		cancel()
 		client.CloseIdleConnections()
 		g.Expect(srv.Kill()).To(Succeed())
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -15,9 +15,9 @@
 // probeTimeout bounds a health check of the engine.
 const probeTimeout = time.Second
 
-// failureState records that the engine failed. An engine that is down but still
-// accepts connections would otherwise receive one request after the other, each
-// with unknown run status.
+// failureState records that the engine failed and has not passed a health check
+// since. An engine that is down but still accepts connections would otherwise
+// receive one request after the other, each with unknown run status.
 type failureState struct{ failed atomic.Bool }
 
 // recordResult sets the state if a run ended by a failure of the engine.
--- a/internal/agent/stall.go
+++ b/internal/agent/stall.go
@@ -19,8 +19,9 @@
 	timer     *time.Timer
 }
 
-// watchStall returns a reader that calls onStall once if the engine stalls. The
-// caller must call stop when it is done reading.
+// watchStall returns a reader that calls onStall each time a read waits longer than
+// stallTime after the first token of the run. The caller must call stop when it is
+// done reading.
 func watchStall(body io.Reader, tokenSeen func() bool, onStall func()) (watched *watchedBody, stop func()) {
 	timer := time.AfterFunc(stallTime, onStall)
 	timer.Stop()
@@ -47,8 +48,8 @@
 	}
 }
 
-// relayUntilStall relays an answer, and calls handleStall if the engine stalls.
-func (ag *Agent) relayUntilStall(a *attempt, job *queuedJob, body io.Reader, cancel context.CancelCauseFunc) error {
+// relayWithStallCheck relays an answer, and calls handleStall if the engine stalls.
+func (ag *Agent) relayWithStallCheck(a *attempt, job *queuedJob, body io.Reader, cancel context.CancelCauseFunc) error {
 	tokensBefore := a.progress.tokens
 	tokenSeen := func() bool { return a.progress.tokens > tokensBefore }
 	watched, stop := watchStall(body, tokenSeen, func() { ag.handleStall(a, cancel) })
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -40,11 +40,11 @@
 }
 
 var (
-	methodEcho  = control.NewMethod[echoRequest, echoReply]("test.echo", identity.RoleRouter, identity.RoleOperator)
-	methodHang  = control.NewMethod[echoRequest, echoReply]("test.hang", identity.RoleRouter).WithTimeout(time.Second)
-	methodPanic = control.NewMethod[echoRequest, echoReply]("test.panic", identity.RoleRouter)
-	methodGrow  = control.NewMethod[echoRequest, echoReply]("test.grow", identity.RoleRouter)
-	methodGone  = control.NewMethod[echoRequest, echoReply]("test.gone", identity.RoleRouter)
+	methodEcho         = control.NewMethod[echoRequest, echoReply]("test.echo", identity.RoleRouter, identity.RoleOperator)
+	methodHang         = control.NewMethod[echoRequest, echoReply]("test.hang", identity.RoleRouter).WithTimeout(time.Second)
+	methodPanic        = control.NewMethod[echoRequest, echoReply]("test.panic", identity.RoleRouter)
+	methodGrow         = control.NewMethod[echoRequest, echoReply]("test.grow", identity.RoleRouter)
+	methodUnregistered = control.NewMethod[echoRequest, echoReply]("test.gone", identity.RoleRouter)
 )
 
 // testEnv is one server on an in-memory network, in the fake time of synctest.
@@ -157,7 +157,7 @@
 		w.Expect(call(operator, methodEcho, echoRequest{})).To(gomega.Succeed())
 		w.Expect(call(operator, methodHang, echoRequest{})).To(hasCode(control.CodeForbidden))
 		w.Expect(call(agent, methodEcho, echoRequest{})).To(gomega.MatchError(control.ErrBroken), "agents are not allowed to connect")
-		w.Expect(call(router, methodGone, echoRequest{})).To(hasCode(control.CodeUnknownMethod))
+		w.Expect(call(router, methodUnregistered, echoRequest{})).To(hasCode(control.CodeUnknownMethod))
 		w.Expect(call(router, methodEcho, echoRequest{Bad: true})).To(hasCode(control.CodeInvalid))
 		w.Expect(call(router, methodEcho, echoRequest{Text: "refuse"})).To(hasCode(control.CodeUnavailable))
 		w.Expect(call(router, methodPanic, echoRequest{})).To(hasCode(control.CodeInternal))
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,6 +1,6 @@
-// Package control implements the control channel between the system's own
-// processes and operators: JSON-RPC 2.0 over mutual TLS. Each method has a typed
-// request and reply and a list of roles that may call it:
+// Package control implements the control channel by which the system's own
+// processes call each other and operators call them: JSON-RPC 2.0 over mutual TLS.
+// Each method has a typed request and reply and a list of roles that may call it:
 //
 //	var methodPing = control.NewMethod[PingRequest, PingReply]("ping", identity.RoleRouter)
 //
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -11,8 +11,8 @@
 var (
 	// ErrUnreachable: no connection could be made, so the call was never sent.
 	ErrUnreachable = errors.New("control: unreachable")
-	// ErrNoReply: the connection broke or the call timed out; the peer may or
-	// may not have handled the call.
+	// ErrOutcomeUnknown: the connection broke or the call timed out; the peer
+	// may or may not have handled the call.
 	ErrBroken = errors.New("control: no reply")
 	// ErrTooLarge: a message exceeds the maximum size.
 	ErrTooLarge = errors.New("control: message too large")
--- a/internal/control/method.go
+++ b/internal/control/method.go
@@ -82,7 +82,8 @@
 
 // Call calls a method and waits for the reply, at most for the method's timeout.
 // The error is a *Error if the peer refused the call, ErrUnreachable if there was
-// no connection, so that the call didn't arrive, or ErrNoReply if it may have.
+// no connection, so that the call didn't arrive, or ErrOutcomeUnknown if it may
+// have.
 func Call[Req, Resp any](ctx context.Context, c *Client, m Method[Req, Resp], req Req) (Resp, error) {
 	var resp Resp
 	ctx, cancel := context.WithTimeout(ctx, m.timeout)
--- a/internal/control/stream.go
+++ b/internal/control/stream.go
@@ -177,7 +177,7 @@
 		return nil, malformed(err, "unpack")
 	}
 	if len(out) > maxMessage {
-		return nil, errors.Wrapf(ErrTooLarge, "more than %d bytes unpacked", maxMessage)
+		return nil, errors.Wrapf(ErrTooLarge, "more than %d bytes decompressed", maxMessage)
 	}
 	return out, nil
 }
--- a/internal/identity/config.go
+++ b/internal/identity/config.go
@@ -120,9 +120,9 @@
 	case invalid.Reason != x509.Expired:
 		return peerErrorf(ErrBadCertificate, "%v", err)
 	case id.now().Before(leaf.NotBefore):
-		return peerErrorf(ErrNotYetValid, "%q begins %s", leaf.Subject.CommonName, leaf.NotBefore.UTC())
+		return peerErrorf(ErrNotYetValid, "%q is valid from %s", leaf.Subject.CommonName, leaf.NotBefore.UTC())
 	default:
-		return peerErrorf(ErrExpired, "%q ended %s", leaf.Subject.CommonName, invalid.Cert.NotAfter.UTC())
+		return peerErrorf(ErrExpired, "%q expired %s", leaf.Subject.CommonName, invalid.Cert.NotAfter.UTC())
 	}
 }
 
--- a/internal/identity/describe.go
+++ b/internal/identity/describe.go
@@ -51,9 +51,9 @@
 func (d Description) CheckAt(now time.Time) error {
 	switch {
 	case now.Before(d.NotBefore):
-		return peerErrorf(ErrNotYetValid, "%s begins %s", d.name, d.NotBefore.UTC().Format(time.RFC3339))
+		return peerErrorf(ErrNotYetValid, "%s is valid from %s", d.name, d.NotBefore.UTC().Format(time.RFC3339))
 	case now.After(d.NotAfter):
-		return peerErrorf(ErrExpired, "%s ended %s", d.name, d.NotAfter.UTC().Format(time.RFC3339))
+		return peerErrorf(ErrExpired, "%s expired %s", d.name, d.NotAfter.UTC().Format(time.RFC3339))
 	}
 	return nil
 }
--- a/internal/idle/idle.go
+++ b/internal/idle/idle.go
@@ -82,8 +82,9 @@
 }
 
 // maxReadSize bounds a single read, in bytes. The reader of a chunked body fills the
-// whole buffer while a chunk lasts: reads of 385 KB took 0.3 s at 10 Mbit/s and were
-// taken for inactivity. Reads of this size take 0.3 s at 0.4 Mbit/s.
+// whole buffer while a chunk lasts: a read of 385 KB takes 0.3 s at 10 Mbit/s, which an
+// idle timeout of 0.3 s takes for inactivity. A read of this size takes 0.3 s only at
+// 0.4 Mbit/s.
 const maxReadSize = 16 << 10
 
 // reader marks its context active on each read that returns data.
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -109,9 +109,9 @@
 	return n, nil
 }
 
-// Guards against an idle timeout during a single long read. A router repeatedly aborted
-// calls "after 1168260 bytes of the answer" although data arrived at the full 10 Mbit/s
-// of its link: reads of up to 385 KB took 0.3 s, which was the idle timeout.
+// Guards against an idle timeout during one long read: without the split a router aborts
+// calls "after 1168260 bytes of the answer" although data arrives at the full 10 Mbit/s
+// of its link, since reads of up to 385 KB take 0.3 s, its idle timeout.
 func TestLongReadIsSplit(t *testing.T) {
 	runInBubble(t, func(g *WithT) {
 		ctx, cancel := idle.WithTimeout(context.Background(), initial, idleTimeout)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -41,7 +41,7 @@
 	g.Expect(out.String()).To(gomega.MatchJSON(`{"level":"info","request":"q1","team":"acme","tier":"gold"}`))
 }
 
-func TestSampledKeepsAllWarnings(t *testing.T) {
+func TestSampledDropsLinesButNoWarnings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		var out bytes.Buffer
@@ -66,7 +66,7 @@
 	})
 }
 
-func TestLimitCountsDroppedLines(t *testing.T) {
+func TestLimitBoundsLinesAndCountsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		var out bytes.Buffer
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -92,14 +92,14 @@
 
 // register records a new connection, unless its peers were partitioned during the
 // dial.
-func (n *Net) register(way connKey, client net.Conn) (net.Conn, error) {
+func (n *Net) register(key connKey, client net.Conn) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cuts[way] {
+	if n.cuts[key] {
 		_ = client.Close() // also closes the listener's end
 		return nil, ErrCut
 	}
-	n.conns[way] = append(n.conns[way], client)
+	n.conns[key] = append(n.conns[key], client)
 	return client, nil
 }
 
--- a/internal/server/client.go
+++ b/internal/server/client.go
@@ -36,7 +36,7 @@
 	}
 	t := newTransport()
 	if cfg == nil {
-		return newNoRetryClient(t, dial)
+		return newAtMostOnceClient(t, dial)
 	}
 	t.DialContext = dial
 	t.TLSClientConfig = cfg
@@ -85,7 +85,7 @@
 	t.HTTP2 = nil
 	t.Protocols = new(http.Protocols)
 	t.Protocols.SetHTTP1(true)
-	client := newNoRetryClient(t, dialer.DialContext)
+	client := newAtMostOnceClient(t, dialer.DialContext)
 	// Redirects of an endpoint are returned to the caller.
 	client.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return client
--- a/internal/server/linger.go
+++ b/internal/server/linger.go
@@ -14,15 +14,15 @@
 type requestTracker struct {
 	mu   sync.Mutex
 	open int
-	// idleSince is when a request last started or ended.
-	idleSince time.Time
+	// lastChange is when a request last started or ended.
+	lastChange time.Time
 }
 
 func (t *requestTracker) add(by int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.open += by
-	t.idleSince = time.Now()
+	t.lastChange = time.Now()
 }
 
 // idleFor returns how long no request has been open; 0 while one is.
@@ -32,7 +32,7 @@
 	if t.open > 0 {
 		return 0
 	}
-	return time.Since(t.idleSince)
+	return time.Since(t.lastChange)
 }
 
 // track returns a handler that counts the requests of next.
--- a/internal/server/once.go
+++ b/internal/server/once.go
@@ -28,16 +28,17 @@
 	return !errors.As(err, &notSent)
 }
 
-// noRetryTransport sends requests over HTTP/1 that arrive at most once. http.Transport
+// atMostOnceTransport sends requests over HTTP/1 that arrive at most once. http.Transport
 // retries a request whose connection breaks before the response, on every idle connection it
 // has: requests without a body whose method is idempotent, and requests with an idempotency
-// key. Such retries are not counted by any retry budget and carry the remaining time of the
-// first send. noRetryTransport resends only a request of which nothing was written, because
-// peers close idle connections. Errors of requests that can't have arrived are *NotSentError.
-type noRetryTransport struct{ *http.Transport }
-
-// newNoRetryClient returns a client without TLS whose transport is a noRetryTransport.
-func newNoRetryClient(t *http.Transport, dial Dial) *http.Client {
+// key. Such retries are not counted by any retry budget and carry the remaining time that was
+// computed for the first send, which is too long by then. atMostOnceTransport resends only a
+// request of which nothing was written, because peers close idle connections. Errors of
+// requests that can't have arrived are *NotSentError.
+type atMostOnceTransport struct{ *http.Transport }
+
+// newAtMostOnceClient returns a client without TLS whose transport is an atMostOnceTransport.
+func newAtMostOnceClient(t *http.Transport, dial Dial) *http.Client {
 	t.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
@@ -45,11 +46,11 @@
 		}
 		return &countedConn{Conn: conn}, nil
 	}
-	return &http.Client{Transport: noRetryTransport{t}}
+	return &http.Client{Transport: atMostOnceTransport{t}}
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t noRetryTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+func (t atMostOnceTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	for {
 		var used usedConn
 		resp, err := t.Transport.RoundTrip(withoutRetry(req, &used))
@@ -73,14 +74,14 @@
 	trace := &httptrace.ClientTrace{GotConn: used.onGotConn}
 	out := req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
 	out.GetBody = nil
-	if libraryMayRetry(out) {
+	if transportMayRetry(out) {
 		out.Body = io.NopCloser(strings.NewReader("")) // http.Transport only retries without a body
 	}
 	return out
 }
 
-// libraryMayRetry reports whether http.Transport may retry a request.
-func libraryMayRetry(req *http.Request) bool {
+// transportMayRetry reports whether http.Transport may retry a request.
+func transportMayRetry(req *http.Request) bool {
 	if req.Body != nil && req.Body != http.NoBody {
 		return false
 	}
--- a/internal/server/once_test.go
+++ b/internal/server/once_test.go
@@ -103,7 +103,7 @@
 			_, err = client.Do(req)
 			g.Expect(err).To(HaveOccurred())
 			g.Expect(MayHaveSent(err)).To(BeTrue())
-			g.Expect(peer.arrivals.Load()).To(Equal(int64(4)), "three for the idle connections, and one")
+			g.Expect(peer.arrivals.Load()).To(Equal(int64(4)), "three requests that opened the idle connections, and this one once")
 		})
 	}
 }
--- a/internal/server/plan.go
+++ b/internal/server/plan.go
@@ -13,7 +13,8 @@
 	// HandoverMargin is how long before the end of Grace the requests that
 	// still run are handed over, at most half of Grace.
 	Margin time.Duration
-	// QuietPeriod is the QuietPeriod of the server that is stopped.
+	// QuietPeriod is passed to the server as Config.QuietPeriod; Run doesn't
+	// use it.
 	Linger time.Duration
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -39,7 +39,7 @@
 	// Grace is how long open requests may continue after Stop.
 	Grace time.Duration
 	// QuietPeriod is how long no request must have been open before StopWithin
-	// closes connections. The library closes a connection as soon as its
+	// closes connections. net/http closes a connection as soon as its
 	// response ends. A peer whose response header didn't announce this may send
 	// its next request at that moment, and the request would be lost.
 	Linger time.Duration
--- a/internal/slo/burn.go
+++ b/internal/slo/burn.go
@@ -99,8 +99,9 @@
 type Sample struct {
 	Window string `json:"window"`
 	Counts
-	// Burn is the burn rate: 1 uses exactly the error budget, 0 none of it.
-	// It is 0 without requests.
+	// Burn is how many times faster than the objective allows the error budget
+	// is used up: 1 uses exactly the budget, 0 none of it. It is 0 without
+	// requests.
 	Burn float64 `json:"burn"`
 }
 
--- a/internal/slo/event.go
+++ b/internal/slo/event.go
@@ -82,10 +82,12 @@
 	Canceled uint64 `json:"canceled"`
 }
 
-// Bad returns the number of bad requests.
+// Bad returns the number of requests that miss the objective: late, failed or
+// refused.
 func (c Counts) Bad() uint64 { return c.Late + c.Failed + c.Refused }
 
-// Total returns the number of good and bad requests.
+// Total returns the number of requests that count towards the objective, which is
+// all but the canceled ones.
 func (c Counts) Total() uint64 { return c.Good + c.Bad() }
 
 // Plus returns the sum of both counts.
--- a/internal/slo/recorder.go
+++ b/internal/slo/recorder.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// BurnRates returns a row for each key with results in the windows that end now,
-// sorted by class and tier.
+// Rows returns a row for each key with results in the windows that end now, sorted
+// by class and tier.
 func (r *Recorder) Burn(now time.Time, o Objectives) []Row {
 	sums := r.sumByKey(bucketNumber(now))
 	rows := make([]Row, 0, len(sums))
