--- a/internal/control/pool.go
+++ b/internal/control/pool.go
@@ -5,11 +5,10 @@
 	"sync"
 )
 
-// DefaultPoolSize is how many connections a pool keeps.
+// DefaultPoolSize is the number of clients that a pool keeps by default.
 const DefaultPoolSize = 32
 
-// Pool keeps clients to the processes that were talked to last. It is safe for
-// concurrent use.
+// Pool is an LRU cache of clients. It is safe for concurrent use.
 type Pool struct {
 	cfg  ClientConfig
 	size int
@@ -17,58 +16,58 @@
 	mu      sync.Mutex
 	closed  bool
 	clients map[Target]*list.Element
-	recent  *list.List // of *Client, the one used last first
+	lru     *list.List // of *Client, most recently used first
 }
 
-// NewPool returns an empty pool that keeps a number of clients; 0 is
-// DefaultPoolSize.
+// NewPool returns an empty pool of the given size; 0 means DefaultPoolSize.
 func NewPool(cfg ClientConfig, size int) *Pool {
 	if size == 0 {
 		size = DefaultPoolSize
 	}
-	return &Pool{cfg: cfg, size: size, clients: make(map[Target]*list.Element), recent: list.New()}
+	return &Pool{cfg: cfg, size: size, clients: make(map[Target]*list.Element), lru: list.New()}
 }
 
-// Client returns the client to a process. The one that wasn't used for longest
-// is closed when there are too many, and with it the calls that it still has.
+// Client returns the client for a process. If the pool is full, it closes the
+// least recently used client, which fails that client's calls in flight.
 func (p *Pool) Client(target Target) *Client {
-	c, evicted := p.take(target)
+	c, evicted := p.getOrCreate(target)
 	if evicted != nil {
-		_ = evicted.Close() // nobody waits for its error
+		_ = evicted.Close() // the caller has no use for the error
 	}
 	return c
 }
 
-// take returns the client to a process, and one to close if there is one too
-// many. Closing writes to the network, so that it mustn't be done under the lock.
-func (p *Pool) take(target Target) (c, evicted *Client) {
+// getOrCreate returns the client for a process, and the evicted client if the pool
+// was full. The caller closes the evicted client, because closing writes to the
+// network and must not happen under the lock.
+func (p *Pool) getOrCreate(target Target) (c, evicted *Client) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.clients[target]; e != nil {
-		p.recent.MoveToFront(e)
+		p.lru.MoveToFront(e)
 		return e.Value.(*Client), nil
 	}
 	c = NewClient(p.cfg, target)
 	if p.closed {
 		return c, c
 	}
-	p.clients[target] = p.recent.PushFront(c)
-	if p.recent.Len() > p.size {
-		evicted = p.removeLast()
+	p.clients[target] = p.lru.PushFront(c)
+	if p.lru.Len() > p.size {
+		evicted = p.removeOldest()
 	}
 	return c, evicted
 }
 
-func (p *Pool) removeLast() *Client {
-	c := p.recent.Remove(p.recent.Back()).(*Client)
+func (p *Pool) removeOldest() *Client {
+	c := p.lru.Remove(p.lru.Back()).(*Client)
 	delete(p.clients, c.target)
 	return c
 }
 
-// Close closes all clients.
+// Close closes all clients. Clients requested later are closed from the start.
 func (p *Pool) Close() {
 	for _, c := range p.removeAll() {
-		_ = c.Close() // nobody waits for its error
+		_ = c.Close() // the caller has no use for the error
 	}
 }
 
@@ -77,8 +76,8 @@
 	defer p.mu.Unlock()
 	p.closed = true
 	var all []*Client
-	for p.recent.Len() > 0 {
-		all = append(all, p.removeLast())
+	for p.lru.Len() > 0 {
+		all = append(all, p.removeOldest())
 	}
 	return all
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -17,30 +17,31 @@
 	"coveferry/internal/identity"
 )
 
-// protocol is what both sides offer by ALPN, so that a connection to a port of
-// another kind fails in the handshake.
+// protocol is the ALPN protocol of both sides, so that the handshake fails on a
+// port that serves another protocol.
 const protocol = "coveferry-control"
 
-// Bounds of a server.
+// Limits of a server.
 const (
 	defaultMaxConns  = 8192
 	handshakeTimeout = 5 * time.Second
-	// openPerConn bounds the calls of one connection that are open at once.
-	openPerConn = 64
-	serverIdle  = 10 * time.Minute
+	// maxCallsPerConn is the maximum number of concurrent calls per connection.
+	maxCallsPerConn   = 64
+	serverIdleTimeout = 10 * time.Minute
 )
 
-// ServerConfig is what a server needs.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Listener net.Listener
-	// Identity shows who this process is. Roles may connect at all; each
-	// method narrows them. Without an identity, where an environment offers no
-	// certificates, connections are plain and all peers count as routers.
+	// Identity authenticates this process. Peers with one of the Roles may
+	// connect; each method restricts them further. If Identity is nil, in an
+	// environment without certificates, connections don't use TLS and all peers
+	// are treated as routers.
 	Identity *identity.Identity
 	Roles    []identity.Role
-	// MaxMessage bounds a message in bytes; 0 is DefaultMaxMessage.
+	// MaxMessage is the maximum message size in bytes; 0 means DefaultMaxMessage.
 	MaxMessage int
-	// MaxConns bounds the connections open at once; 0 is 8,192.
+	// MaxConns is the maximum number of open connections; 0 means 8,192.
 	MaxConns int
 	// Traffic counts the bytes of all connections; it may be nil.
 	Traffic *Traffic
@@ -49,26 +50,27 @@
 
 // Server answers the calls of peers.
 type Server struct {
-	cfg       ServerConfig
-	tls       *tls.Config
-	endpoints map[string]*endpoint
+	cfg     ServerConfig
+	tls     *tls.Config
+	methods map[string]*methodHandler
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	// mu guards that nothing is added to open once Stop waits for it.
+	// mu guards stopped, so that no task is added to active once Stop waits
+	// for it.
 	mu      sync.Mutex
 	stopped bool
-	open    sync.WaitGroup // connections and handlers
+	active  sync.WaitGroup // open connections and running handlers
 }
 
-// endpoint is a method with its types taken off.
-type endpoint struct {
+// methodHandler is a registered method without its type parameters.
+type methodHandler struct {
 	roles   []identity.Role
 	timeout time.Duration
 	serve   func(ctx context.Context, peer identity.Peer, params []byte) (any, error)
 }
 
-// NewServer returns a server that answers once Run is called.
+// NewServer returns a server, which accepts connections once Run is called.
 func NewServer(cfg ServerConfig) *Server {
 	if cfg.MaxMessage == 0 {
 		cfg.MaxMessage = DefaultMaxMessage
@@ -76,7 +78,7 @@
 	if cfg.MaxConns == 0 {
 		cfg.MaxConns = defaultMaxConns
 	}
-	s := &Server{cfg: cfg, endpoints: make(map[string]*endpoint)}
+	s := &Server{cfg: cfg, methods: make(map[string]*methodHandler)}
 	if cfg.Identity != nil {
 		s.tls = cfg.Identity.ServerConfig(cfg.Roles...)
 		s.tls.NextProtos = []string{protocol}
@@ -85,59 +87,60 @@
 	return s
 }
 
-func (s *Server) add(name string, e *endpoint) {
-	if s.endpoints[name] != nil {
+func (s *Server) add(name string, e *methodHandler) {
+	if s.methods[name] != nil {
 		panic("control: method " + name + " is registered twice")
 	}
-	s.endpoints[name] = e
+	s.methods[name] = e
 }
 
-// Addr is the address that the server listens on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.cfg.Listener.Addr().String() }
 
-// Run answers calls until Stop; it then returns nil.
+// Run serves connections until Stop is called, and then returns nil.
 func (s *Server) Run() error {
 	l := netutil.LimitListener(s.cfg.Listener, s.cfg.MaxConns)
 	for {
 		conn, err := l.Accept()
 		if s.ctx.Err() != nil {
 			if err == nil {
-				_ = conn.Close() // it came too late
+				_ = conn.Close() // accepted after Stop
 			}
 			return nil
 		}
 		if err != nil {
 			return errors.Wrapf(err, "control: accept at %s", s.Addr())
 		}
-		if !s.begin(func() { s.serveConn(conn) }) {
-			_ = conn.Close() // it came too late
+		if !s.startTask(func() { s.serveConn(conn) }) {
+			_ = conn.Close() // accepted after Stop
 		}
 	}
 }
 
-// begin runs f, for which Stop waits, unless the server stops already.
-func (s *Server) begin(f func()) bool {
+// startTask runs f in a goroutine that Stop waits for. It returns false if the
+// server has been stopped.
+func (s *Server) startTask(f func()) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.stopped {
-		s.open.Go(f)
+		s.active.Go(f)
 	}
 	return !s.stopped
 }
 
-func (s *Server) end() {
+func (s *Server) markStopped() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stopped = true
 }
 
-// Stop closes the listener and all connections and waits for the handlers,
-// whose contexts end.
+// Stop closes the listener and all connections, cancels the contexts of the
+// handlers and waits for them.
 func (s *Server) Stop() error {
 	s.cancel()
-	s.end()
+	s.markStopped()
 	err := s.cfg.Listener.Close()
-	s.open.Wait()
+	s.active.Wait()
 	return errors.Wrap(err, "control: stop")
 }
 
@@ -148,13 +151,13 @@
 		_ = raw.Close() // the handshake's error is the one to report
 		return
 	}
-	rpc := jsonrpc2.NewConn(s.ctx, newStream(conn, s.cfg.MaxMessage, serverIdle), &session{
-		server: s, peer: peer, room: semaphore.NewWeighted(openPerConn),
-	}, jsonrpc2.SetLogger(printer{s.cfg.Log}))
+	rpc := jsonrpc2.NewConn(s.ctx, newStream(conn, s.cfg.MaxMessage, serverIdleTimeout), &session{
+		server: s, peer: peer, callSlots: semaphore.NewWeighted(maxCallsPerConn),
+	}, jsonrpc2.SetLogger(logAdapter{s.cfg.Log}))
 	<-rpc.DisconnectNotify()
 }
 
-// accept makes the handshake, if there is one.
+// accept performs the TLS handshake if the server uses TLS.
 func (s *Server) accept(raw net.Conn) (net.Conn, identity.Peer, error) {
 	if s.tls == nil {
 		return raw, identity.Peer{Role: identity.RoleRouter}, nil
@@ -176,34 +179,34 @@
 
 // session is one peer's connection to a server.
 type session struct {
-	server *Server
-	peer   identity.Peer
-	room   *semaphore.Weighted
+	server    *Server
+	peer      identity.Peer
+	callSlots *semaphore.Weighted
 }
 
-// Handle implements jsonrpc2.Handler. Calls are answered in any order.
+// Handle implements jsonrpc2.Handler. Calls are handled concurrently.
 func (s *session) Handle(ctx context.Context, conn *jsonrpc2.Conn, req *jsonrpc2.Request) {
 	if req.Notif {
-		return // every method has a reply
+		return // every method has a reply, so notifications are ignored
 	}
-	if !s.room.TryAcquire(1) {
+	if !s.callSlots.TryAcquire(1) {
 		s.reply(ctx, conn, req.ID, nil, &Error{Code: CodeBusy, Message: "too many calls at once"})
 		return
 	}
-	begun := s.server.begin(func() {
-		defer s.room.Release(1)
+	started := s.server.startTask(func() {
+		defer s.callSlots.Release(1)
 		result, err := s.serve(ctx, req)
 		s.reply(ctx, conn, req.ID, result, err)
 	})
-	if !begun {
-		s.room.Release(1)
+	if !started {
+		s.callSlots.Release(1)
 	}
 }
 
-// serve runs the handler. A handler that panics must not take the process and
-// all its requests with it.
+// serve runs the handler. It recovers a panic, so that one handler can't end the
+// process with all its requests.
 func (s *session) serve(ctx context.Context, req *jsonrpc2.Request) (result any, err error) {
-	e := s.server.endpoints[req.Method]
+	e := s.server.methods[req.Method]
 	switch {
 	case e == nil:
 		return nil, &Error{Code: CodeUnknownMethod, Message: "unknown method " + req.Method}
@@ -227,14 +230,14 @@
 	if err == nil {
 		err = conn.Reply(ctx, id, result)
 		if !errors.Is(err, ErrTooLarge) {
-			return // sent, or the peer has left
+			return // sent, or the peer has disconnected
 		}
 	}
-	_ = conn.ReplyWithError(ctx, id, toWire(err)) // the peer may have left
+	_ = conn.ReplyWithError(ctx, id, toWire(err)) // the peer may have disconnected
 }
 
-// printer passes the library's reports to the log.
-type printer struct{ log zerolog.Logger }
+// logAdapter writes the library's messages to the log.
+type logAdapter struct{ log zerolog.Logger }
 
 // Printf implements jsonrpc2.Logger.
-func (p printer) Printf(format string, v ...any) { p.log.Debug().Msgf(format, v...) }
+func (p logAdapter) Printf(format string, v ...any) { p.log.Debug().Msgf(format, v...) }
--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	// clockSkew is how far before its issue a certificate is valid already,
-	// because VMs' clocks differ.
+	// clockSkew is how long before its issue a certificate becomes valid,
+	// because the clocks of VMs differ.
 	clockSkew = 5 * time.Minute
-	// ephemeralValidity outlasts any process that keeps nothing.
+	// ephemeralValidity is longer than the lifetime of any process.
 	ephemeralValidity = 10 * 365 * 24 * time.Hour
 	serialBits        = 127
 	authorityName     = "coveferry authority"
 )
 
-// Authority signs the certificates of a fleet's processes.
+// Authority is a certificate authority for the processes of a fleet.
 type Authority struct {
 	cert *x509.Certificate
 	key  crypto.Signer
 	now  func() time.Time
 }
 
-// NewAuthority makes an authority with a new Ed25519 key.
+// NewAuthority creates an authority with a new Ed25519 key.
 func NewAuthority(validity time.Duration, opts ...Option) (*Authority, error) {
 	if validity <= 0 {
 		return nil, errors.Newf("validity %s is not positive", validity)
 	}
-	a := &Authority{now: collect(opts).now}
+	a := &Authority{now: applyOptions(opts).now}
 	_, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make the authority's key")
+		return nil, errors.Wrap(err, "generate authority key")
 	}
 	now := a.now()
 	tmpl, err := template(now, now.Add(validity))
@@ -56,13 +56,13 @@
 	return a, err
 }
 
-// Ephemeral makes an authority that lives in memory only, for `coveferryd
-// standalone` and for tests.
+// Ephemeral creates an authority whose key is never stored, for `coveferryd
+// standalone` and tests.
 func Ephemeral(opts ...Option) (*Authority, error) {
 	return NewAuthority(ephemeralValidity, opts...)
 }
 
-// ParseAuthority reads an authority's certificate and key, Ed25519 or ECDSA.
+// ParseAuthority parses an authority's certificate and its Ed25519 or ECDSA key.
 func ParseAuthority(certPEM, keyPEM []byte, opts ...Option) (*Authority, error) {
 	pair, err := tls.X509KeyPair(certPEM, keyPEM)
 	if err != nil {
@@ -75,7 +75,7 @@
 	if !ok {
 		return nil, peerErrorf(ErrBadKeyPair, "the key can't sign")
 	}
-	return &Authority{cert: pair.Leaf, key: key, now: collect(opts).now}, nil
+	return &Authority{cert: pair.Leaf, key: key, now: applyOptions(opts).now}, nil
 }
 
 // CertPEM returns the authority's certificate, which every process trusts.
@@ -84,18 +84,18 @@
 // KeyPEM returns the authority's private key.
 func (a *Authority) KeyPEM() ([]byte, error) { return encodeKey(a.key) }
 
-// NotAfter returns when the authority's certificate ends.
+// NotAfter returns when the authority's certificate expires.
 func (a *Authority) NotAfter() time.Time { return a.cert.NotAfter }
 
-// Issue makes a key and signs a certificate for a role and name. A validity
-// that ends after the authority's is ErrOutlives.
+// Issue creates a key and signs a certificate for a role and name. It returns
+// ErrValidityTooLong if the certificate would expire after the authority's.
 func (a *Authority) Issue(role Role, name string, validity time.Duration) (Pair, error) {
 	if validity <= 0 {
 		return Pair{}, errors.Newf("validity %s is not positive", validity)
 	}
 	end := a.now().Add(validity)
 	if end.After(a.cert.NotAfter) {
-		return Pair{}, peerErrorf(ErrOutlives, "the authority ends %s", a.cert.NotAfter.UTC().Format(time.RFC3339))
+		return Pair{}, peerErrorf(ErrOutlives, "the authority's certificate expires %s", a.cert.NotAfter.UTC().Format(time.RFC3339))
 	}
 	return a.issue(Peer{Role: role, Name: name}, end)
 }
@@ -106,13 +106,13 @@
 	}
 	_, key, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return Pair{}, errors.Wrap(err, "make a key")
+		return Pair{}, errors.Wrap(err, "generate key")
 	}
 	tmpl, err := template(a.now(), end)
 	if err != nil {
 		return Pair{}, err
 	}
-	describe(tmpl, peer)
+	setSubject(tmpl, peer)
 	cert, err := sign(tmpl, a.cert, key.Public(), a.key)
 	if err != nil {
 		return Pair{}, err
@@ -121,8 +121,8 @@
 	return Pair{CertPEM: encodeCert(cert.Raw), KeyPEM: keyPEM}, err
 }
 
-// Identity issues a certificate that lasts as long as the authority and keeps
-// it in memory, with the authority's clock.
+// Identity issues a certificate that is valid as long as the authority's. The
+// identity is kept in memory and uses the authority's clock.
 func (a *Authority) Identity(role Role, name string) (*Identity, error) {
 	pair, err := a.issue(Peer{Role: role, Name: name}, a.cert.NotAfter)
 	if err != nil {
@@ -131,14 +131,14 @@
 	return New(a.CertPEM(), pair.CertPEM, pair.KeyPEM, WithClock(a.now))
 }
 
-// describe writes who the certificate is for, and which side of a connection
-// its holder may be.
-func describe(tmpl *x509.Certificate, peer Peer) {
+// setSubject sets the role and name of the certificate, and whether its holder may
+// act as client, server or both.
+func setSubject(tmpl *x509.Certificate, peer Peer) {
 	tmpl.Subject = pkix.Name{CommonName: peer.Name, OrganizationalUnit: []string{string(peer.Role)}}
 	tmpl.URIs = []*url.URL{peer.uri()}
 	tmpl.KeyUsage = x509.KeyUsageDigitalSignature
 	tmpl.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
-	if peer.Role.serves() {
+	if peer.Role.acceptsConnections() {
 		tmpl.ExtKeyUsage = append(tmpl.ExtKeyUsage, x509.ExtKeyUsageServerAuth)
 	}
 }
@@ -146,7 +146,7 @@
 func template(now, end time.Time) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errors.Wrap(err, "choose a serial number")
+		return nil, errors.Wrap(err, "generate serial number")
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
@@ -158,7 +158,7 @@
 func sign(tmpl, parent *x509.Certificate, pub crypto.PublicKey, key crypto.Signer) (*x509.Certificate, error) {
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, parent, pub, key)
 	if err != nil {
-		return nil, errors.Wrap(err, "sign a certificate")
+		return nil, errors.Wrap(err, "sign certificate")
 	}
 	return x509.ParseCertificate(der)
 }
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -10,36 +10,36 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Identity is a process's own certificate and the authorities it trusts. It is
-// safe for concurrent use; a reload takes effect on the next handshake.
+// Identity is the certificate of a process and the authorities it trusts. It is
+// safe for concurrent use. A reload takes effect on the next handshake.
 type Identity struct {
-	files files
-	now   func() time.Time
-	cur   atomic.Pointer[material]
+	files   filePaths
+	now     func() time.Time
+	current atomic.Pointer[credentials]
 }
 
-// files are where the material came from; empty for one held in memory.
-type files struct{ ca, cert, key string }
+// filePaths are the paths of the PEM files; empty for an identity kept in memory.
+type filePaths struct{ ca, cert, key string }
 
-// material is one loaded state of the files.
-type material struct {
+// credentials are the parsed contents of the files.
+type credentials struct {
 	peer  Peer
 	cert  tls.Certificate
 	roots *x509.CertPool
 }
 
-// Option changes how identities and authorities work.
+// Option configures identities and authorities.
 type Option func(*options)
 
 type options struct{ now func() time.Time }
 
-// WithClock sets the clock by which certificates are issued and checked. It
-// becomes tls.Config.Time; without it the system's clock is used.
+// WithClock sets the clock for issuing and verifying certificates, also as
+// tls.Config.Time. The default is the system clock.
 func WithClock(now func() time.Time) Option {
 	return func(o *options) { o.now = now }
 }
 
-func collect(opts []Option) options {
+func applyOptions(opts []Option) options {
 	o := options{now: time.Now}
 	for _, opt := range opts {
 		opt(&o)
@@ -47,58 +47,58 @@
 	return o
 }
 
-// Load reads the trusted authorities, the process's certificate and its key
-// from PEM files. The CA file may hold several authorities, as it does while
-// one is replaced. Errors are *FileError.
+// Load reads the trusted authorities, the process's certificate and its key from
+// PEM files. The CA file may hold several authorities, for example during a CA
+// rotation. Errors are *FileError.
 func Load(caFile, certFile, keyFile string, opts ...Option) (*Identity, error) {
 	id := &Identity{
-		files: files{ca: caFile, cert: certFile, key: keyFile},
-		now:   collect(opts).now,
+		files: filePaths{ca: caFile, cert: certFile, key: keyFile},
+		now:   applyOptions(opts).now,
 	}
 	m, err := id.files.read()
 	if err != nil {
 		return nil, err
 	}
-	id.cur.Store(m)
+	id.current.Store(m)
 	return id, nil
 }
 
-// New makes an identity from PEM held in memory.
+// New creates an identity from PEM data.
 func New(caPEM, certPEM, keyPEM []byte, opts ...Option) (*Identity, error) {
-	m, err := newMaterial(caPEM, certPEM, keyPEM)
+	m, err := newCredentials(caPEM, certPEM, keyPEM)
 	if err != nil {
 		return nil, err
 	}
-	id := &Identity{now: collect(opts).now}
-	id.cur.Store(m)
+	id := &Identity{now: applyOptions(opts).now}
+	id.current.Store(m)
 	return id, nil
 }
 
-// Peer returns the role and name that the certificate gives to this process.
-func (id *Identity) Peer() Peer { return id.cur.Load().peer }
+// Peer returns the role and name in the process's certificate.
+func (id *Identity) Peer() Peer { return id.current.Load().peer }
 
-// NotAfter returns when the process's certificate ends.
-func (id *Identity) NotAfter() time.Time { return id.cur.Load().cert.Leaf.NotAfter }
+// NotAfter returns when the process's certificate expires.
+func (id *Identity) NotAfter() time.Time { return id.current.Load().cert.Leaf.NotAfter }
 
-// Reload reads the files again. On an error the material in use stays, as it
-// does for an identity held in memory. The role and name may not change while
-// a process runs: others know it by them.
+// Reload reads the files again. On an error the current credentials stay in use.
+// For an identity kept in memory Reload does nothing. The role and name must not
+// change while a process runs, because peers identify it by them.
 func (id *Identity) Reload() error {
-	if id.files == (files{}) {
+	if id.files == (filePaths{}) {
 		return nil
 	}
 	m, err := id.files.read()
 	if err != nil {
 		return err
 	}
-	if was := id.Peer(); m.peer != was {
-		return &FileError{File: id.files.cert, Err: peerErrorf(ErrChanged, "from %s to %s", was, m.peer)}
+	if old := id.Peer(); m.peer != old {
+		return &FileError{File: id.files.cert, Err: peerErrorf(ErrChanged, "from %s to %s", old, m.peer)}
 	}
-	id.cur.Store(m)
+	id.current.Store(m)
 	return nil
 }
 
-func (f files) read() (*material, error) {
+func (f filePaths) read() (*credentials, error) {
 	var pems [3][]byte
 	for i, name := range []string{f.ca, f.cert, f.key} {
 		data, err := os.ReadFile(name)
@@ -110,14 +110,15 @@
 	if _, err := parseRoots(pems[0]); err != nil {
 		return nil, &FileError{File: f.ca, Err: err}
 	}
-	m, err := newMaterial(pems[0], pems[1], pems[2])
+	m, err := newCredentials(pems[0], pems[1], pems[2])
 	if err != nil {
 		return nil, &FileError{File: f.cert, Err: err}
 	}
 	return m, nil
 }
 
-// unwrapPath drops the file's name from an error of os, as FileError has it.
+// unwrapPath removes the file name from an error of package os, because FileError
+// includes it.
 func unwrapPath(err error) error {
 	var path *os.PathError
 	if errors.As(err, &path) {
@@ -126,7 +127,7 @@
 	return err
 }
 
-func newMaterial(caPEM, certPEM, keyPEM []byte) (*material, error) {
+func newCredentials(caPEM, certPEM, keyPEM []byte) (*credentials, error) {
 	roots, err := parseRoots(caPEM)
 	if err != nil {
 		return nil, err
@@ -139,7 +140,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &material{peer: peer, cert: cert, roots: roots}, nil
+	return &credentials{peer: peer, cert: cert, roots: roots}, nil
 }
 
 func parseRoots(caPEM []byte) (*x509.CertPool, error) {
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -28,9 +28,9 @@
 
 	out.Reset()
 	log = logging.New(settings.Log{Level: settings.LogInfo, Format: settings.FormatConsole}, &out)
-	log.Info().Msg("for people")
+	log.Info().Msg("readable")
 	g.Expect(json.Valid(out.Bytes())).To(gomega.BeFalse())
-	g.Expect(out.String()).To(gomega.ContainSubstring("for people"))
+	g.Expect(out.String()).To(gomega.ContainSubstring("readable"))
 }
 
 func TestForRequestNamesTheRequest(t *testing.T) {
@@ -41,32 +41,32 @@
 	g.Expect(out.String()).To(gomega.MatchJSON(`{"level":"info","request":"q1","team":"acme","tier":"gold"}`))
 }
 
-func TestNoisyLeavesOutLinesButNoWarnings(t *testing.T) {
+func TestSampledDropsLinesButNoWarnings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		var out bytes.Buffer
-		log := logging.Noisy(zerolog.New(&out))
+		log := logging.Sampled(zerolog.New(&out))
 		count := func() int { return bytes.Count(out.Bytes(), []byte("\n")) }
 		for range 1000 {
 			log.Info().Msg("refused")
 		}
-		g.Expect(count()).To(gomega.Equal(logging.NoisyBurst + 10)) // one in 100 of the 980 others, the first among them
+		g.Expect(count()).To(gomega.Equal(logging.SampleBurst + 10)) // one in 100 of the 980 others, the first among them
 		g.Expect(out.String()).To(gomega.ContainSubstring(`"sampled":true`))
 
 		out.Reset()
-		time.Sleep(2 * logging.NoisyPeriod)
-		log.Info().Msg("a new second")
+		time.Sleep(2 * logging.SamplePeriod)
+		log.Info().Msg("in a new period")
 		g.Expect(count()).To(gomega.Equal(1))
 
 		out.Reset()
 		for range 500 {
-			log.Warn().Msg("must be seen")
+			log.Warn().Msg("never dropped")
 		}
 		g.Expect(count()).To(gomega.Equal(500))
 	})
 }
 
-func TestLimitBoundsLinesAndCountsWhatItLeavesOut(t *testing.T) {
+func TestLimitBoundsLinesAndCountsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		var out bytes.Buffer
@@ -85,23 +85,23 @@
 	})
 }
 
-// stuck is a writer that never returns.
-type stuck struct{}
+// blockedWriter is a writer whose writes never return.
+type blockedWriter struct{}
 
-func (stuck) Write([]byte) (int, error) { select {} }
+func (blockedWriter) Write([]byte) (int, error) { select {} }
 
-func TestABoundedLoggerNeverKeepsItsWriterWaiting(t *testing.T) {
-	log := logging.NewBounded(stuck{})
+func TestBoundedLoggerNeverBlocks(t *testing.T) {
+	log := logging.NewBounded(blockedWriter{})
 	done := make(chan struct{})
 	go func() {
 		for range 10_000 {
-			log.Info().Msg("a line that nobody takes")
+			log.Info().Msg("a line that is never written")
 		}
 		close(done)
 	}()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("logging waits for its reader")
+		t.Fatal("the logger blocks on its writer")
 	}
 }
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,6 +1,6 @@
-// Package memnet is a network in memory for tests: listeners and connections
-// made of net.Pipe, so that whole sessions run under testing/synctest in fake
-// time. Peers can be cut off from each other, as in a partition.
+// Package memnet provides an in-memory network for tests. Its connections are made
+// of net.Pipe, so that whole sessions run under testing/synctest in fake time. It
+// can simulate network partitions between peers.
 package memnet
 
 import (
@@ -12,37 +12,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrRefused is what dialling an address without a listener gives.
+// ErrRefused is the error of dialing an address without a listener.
 var ErrRefused = errors.New("memnet: connection refused")
 
-// ErrCut is what dialling across a cut gives.
-var ErrCut = errors.New("memnet: the peers are cut off from each other")
+// ErrCut is the error of dialing across a partition.
+var ErrCut = errors.New("memnet: the peers are partitioned")
 
-// backlog is how many connections wait to be accepted.
+// backlog is the maximum number of connections waiting to be accepted.
 const backlog = 1024
 
-// Net is a network. It is safe for concurrent use.
+// Net is an in-memory network. It is safe for concurrent use.
 type Net struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
 	lastPort  int
-	cuts      map[link]bool
-	conns     map[link][]net.Conn
+	cuts      map[connKey]bool
+	conns     map[connKey][]net.Conn
 }
 
-// link is the way from one peer to a listener's address.
-type link struct{ from, to string }
+// connKey identifies the connections from one peer to a listener's address.
+type connKey struct{ from, to string }
 
 // New returns a network without listeners.
 func New() *Net {
 	return &Net{
 		listeners: make(map[string]*listener),
-		cuts:      make(map[link]bool),
-		conns:     make(map[link][]net.Conn),
+		cuts:      make(map[connKey]bool),
+		conns:     make(map[connKey][]net.Conn),
 	}
 }
 
-// Listen opens a listener; port 0 takes a free one.
+// Listen opens a listener. Port 0 selects a free port.
 func (n *Net) Listen(address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -55,7 +55,7 @@
 		address = net.JoinHostPort(host, fmt.Sprint(n.lastPort))
 	}
 	if n.listeners[address] != nil {
-		return nil, errors.Newf("memnet: %s is taken", address)
+		return nil, errors.Newf("memnet: %s is already in use", address)
 	}
 	l := &listener{net: n, address: address, accept: make(chan net.Conn, backlog), closed: make(chan struct{})}
 	n.listeners[address] = l
@@ -65,15 +65,15 @@
 // Dialer returns a dial function for the peer of the given name.
 func (n *Net) Dialer(from string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
-		return n.dial(ctx, link{from: from, to: address})
+		return n.dial(ctx, connKey{from: from, to: address})
 	}
 }
 
-func (n *Net) dial(ctx context.Context, way link) (net.Conn, error) {
+func (n *Net) dial(ctx context.Context, key connKey) (net.Conn, error) {
 	n.mu.Lock()
-	l, cut := n.listeners[way.to], n.cuts[way]
+	l, isCut := n.listeners[key.to], n.cuts[key]
 	n.mu.Unlock()
-	if cut {
+	if isCut {
 		return nil, ErrCut
 	}
 	if l == nil {
@@ -87,40 +87,40 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	return n.keep(way, client)
+	return n.register(key, client)
 }
 
-// keep notes a connection that was made, unless its peers were cut off from each
-// other meanwhile.
-func (n *Net) keep(way link, client net.Conn) (net.Conn, error) {
+// register records a new connection, unless its peers were partitioned during the
+// dial.
+func (n *Net) register(key connKey, client net.Conn) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cuts[way] {
-		_ = client.Close() // the listener's end breaks with it
+	if n.cuts[key] {
+		_ = client.Close() // also closes the listener's end
 		return nil, ErrCut
 	}
-	n.conns[way] = append(n.conns[way], client)
+	n.conns[key] = append(n.conns[key], client)
 	return client, nil
 }
 
-// Cut breaks the connections of a peer to an address and lets no new ones
-// through until Heal.
+// Cut closes the connections of a peer to an address and refuses new ones until
+// Heal is called.
 func (n *Net) Cut(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	way := link{from: from, to: to}
-	n.cuts[way] = true
-	for _, c := range n.conns[way] {
-		_ = c.Close() // closing twice does no harm
+	key := connKey{from: from, to: to}
+	n.cuts[key] = true
+	for _, c := range n.conns[key] {
+		_ = c.Close() // may be closed already
 	}
-	delete(n.conns, way)
+	delete(n.conns, key)
 }
 
-// Heal ends a cut.
+// Heal ends a partition.
 func (n *Net) Heal(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.cuts, link{from: from, to: to})
+	delete(n.cuts, connKey{from: from, to: to})
 }
 
 type listener struct {
--- a/internal/memnet/memnet_test.go
+++ b/internal/memnet/memnet_test.go
@@ -14,9 +14,8 @@
 	backlog = 1024 // connections that wait to be accepted
 )
 
-// A connection that is being made when its peers are cut off must not outlive
-// the cut.
-func TestCutTakesConnectionsThatAreBeingMade(t *testing.T) {
+// A connection that is being dialed when Cut is called must not be established.
+func TestCutClosesConnectionsBeingDialed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		net := memnet.New()
@@ -32,7 +31,7 @@
 			_, err := dial(t.Context(), "tcp", address)
 			result <- err
 		}()
-		synctest.Wait() // the dial waits for room
+		synctest.Wait() // the dial waits because the backlog is full
 		net.Cut("a", address)
 		_, err = l.Accept()
 		g.Expect(err).NotTo(HaveOccurred())
