--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -26,14 +26,14 @@
 	"coveferry/internal/telemetry"
 )
 
-// resumeFactor bounds an attempt's body at an agent: the router has held it to
-// the bundle's bound, and the answer so far comes on top when it is resumed.
+// resumeFactor times the bundle's request limit bounds an attempt's body at an agent: the
+// router enforces the limit, and a resumed request also carries the response so far.
 const resumeFactor = 2
 
-// Agent runs an agent by the settings file until the environment's context
-// ends. It then refuses new attempts and finishes those it holds.
+// Agent runs an agent with a settings file until the environment's context ends. It then
+// refuses new attempts and finishes the running ones.
 func Agent(env *cli.Env, settingsFile string) error {
-	paceCollector(collectorPercent)
+	setGCPercent(defaultGCPercent)
 	s, err := settings.LoadAgent(settingsFile)
 	if err != nil {
 		return cli.BadInput(err)
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	snapshot := bundles.first(env.Ctx)
+	snapshot := bundles.waitForFirst(env.Ctx)
 	if snapshot == nil {
 		return nil // told to stop
 	}
@@ -60,10 +60,10 @@
 	if err != nil {
 		return err
 	}
-	orders := newPlacement(s, id, reg, log)
+	placementRunner := newPlacement(s, id, reg, log)
 	announcer := newAnnouncer(ag, bundles.node.Snapshot, id, log)
-	goodbye := membership.NewGoodbye(announcer)
-	routers, err := newRouterServer(s, announcer.Wrap(orders.Wrap(ag.Handler())), id, log)
+	announcement := membership.NewGoodbye(announcer)
+	routers, err := newRouterServer(s, announcer.Wrap(placementRunner.Wrap(ag.Handler())), id, log)
 	if err != nil {
 		return err
 	}
@@ -76,28 +76,27 @@
 		return err
 	}
 	var g run.Group
-	var failed error
-	addUntil(&g, env.Ctx)
+	var stopErr error
+	addContextActor(&g, env.Ctx)
 	addServer(&g, routers, func() error {
-		log.Info().Msg("stopping: new attempts are refused, those held are finished")
+		log.Info().Msg("stopping: refusing new attempts and finishing running ones")
 		ready.Close(gateServing)
-		return agentPlan(s.Shutdown).Run(leave(ag, orders, goodbye), handOver(ag, log), routers.Stop)
-	}, &failed)
-	addServer(&g, admin, admin.Stop, &failed)
+		return agentPlan(s.Shutdown).Run(startDrain(ag, placementRunner, announcement), handOver(ag, log), routers.Stop)
+	}, &stopErr)
+	addServer(&g, admin, admin.Stop, &stopErr)
 	addIdentity(&g, id, log)
 	addKeys(&g, ag)
 	bundles.node.Register(peers)
-	bundles.then(followAll(adopt(ag, string(s.Endpoint), log), place(orders)))
-	addRunner(&g, orders.Run)
-	addControl(&g, peers, &failed)
+	bundles.subscribe(notifyAll(applyBundle(ag, string(s.Endpoint), log), followPlacement(placementRunner)))
+	addRunner(&g, placementRunner.Run)
+	addControl(&g, peers, &stopErr)
 	addBundles(&g, bundles)
 	ready.Open(gateServing)
 	log.Info().Str("listen", routers.Addr()).Uint64(logging.FieldBundle, snapshot.Version()).Msg("serving")
-	return errors.CombineErrors(g.Run(), failed)
+	return errors.CombineErrors(g.Run(), stopErr)
 }
 
-// addKeys adds the actor that looks after the idempotency keys whose home the
-// agent is.
+// addKeys adds the actor that maintains the idempotency keys assigned to the agent.
 func addKeys(g *run.Group, ag *agent.Agent) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error { return ag.RunKeys(ctx) }, func(error) { cancel() })
@@ -129,14 +128,15 @@
 	}), nil
 }
 
-// adopt returns what puts a bundle in force at an agent. One that doesn't list
-// its endpoint leaves the bounds as they were: routers send it nothing more.
-func adopt(ag *agent.Agent, name string, log zerolog.Logger) func(*bundle.Snapshot) {
+// applyBundle returns a function that puts a bundle in force at an agent. If the bundle
+// doesn't list the agent's endpoint, the limits stay as they are, since routers send it
+// nothing more.
+func applyBundle(ag *agent.Agent, name string, log zerolog.Logger) func(*bundle.Snapshot) {
 	return func(snapshot *bundle.Snapshot) {
 		ag.Adopt(snapshot)
 		endpoint, err := ownEndpoint(snapshot, name)
 		if err != nil {
-			log.Warn().Err(err).Msg("the endpoint is no longer in the bundle")
+			log.Warn().Err(err).Msg("endpoint is no longer in the bundle")
 			return
 		}
 		limits := snapshot.Bundle().Limits
@@ -173,21 +173,21 @@
 	}), nil
 }
 
-// How an agent leaves, besides the time that the settings give.
+// Timing of an agent's shutdown, in addition to the time in the settings.
 const (
-	// leaveNotice is how long refusals are answered before the listener closes.
-	leaveNotice = 2 * time.Second
-	// handOverMargin covers the start of an attempt's rest elsewhere.
+	// drainNotice is how long new attempts get a refusal before the listener closes.
+	drainNotice = 2 * time.Second
+	// handOverMargin is the time for moved attempts to start elsewhere.
 	handOverMargin = 5 * time.Second
 )
 
 func agentPlan(s settings.Shutdown) server.Plan {
-	return server.Plan{Notice: leaveNotice, Grace: s.StreamsGrace.Std(), Margin: handOverMargin}
+	return server.Plan{Notice: drainNotice, Grace: s.StreamsGrace.Std(), Margin: handOverMargin}
 }
 
-// leave refuses new attempts from now on, and tells the routers while refusals
-// are still answered.
-func leave(ag *agent.Agent, orders *placement.Runner, g *membership.Goodbye) func() {
+// startDrain returns a function that makes the agent refuse new attempts and notify the
+// routers while refusals are still sent.
+func startDrain(ag *agent.Agent, orders *placement.Runner, g *membership.Goodbye) func() {
 	return func() {
 		orders.Leave()
 		ag.Leave()
@@ -195,7 +195,8 @@
 	}
 }
 
-// handOver is the last call for what still runs at an agent that leaves.
+// handOver returns a function that moves the attempts still running on a stopping agent to
+// other agents.
 func handOver(ag *agent.Agent, log zerolog.Logger) func() {
 	return func() {
 		moved, stay := ag.HandOver()
@@ -203,7 +204,8 @@
 	}
 }
 
-// healthPath is empty for a plain service, whose paths are its own.
+// healthPath returns the engine's health path, or an empty path for a plain service, whose
+// paths aren't known.
 func healthPath(endpoint *bundle.Endpoint) string {
 	if len(endpoint.Models) == 0 {
 		return ""
--- a/internal/daemon/bundles.go
+++ b/internal/daemon/bundles.go
@@ -23,29 +23,29 @@
 	"coveferry/internal/telemetry"
 )
 
-// noteBundle is the topic under which /readyz tells of the bundle.
-const noteBundle = "bundle"
+// bundleTopic is the topic of the bundle's status on /readyz.
+const bundleTopic = "bundle"
 
 // bundles keeps a process's bundle up to date.
 type bundles struct {
 	node     *rollout.Node
 	services []*rollout.Service
 	log      zerolog.Logger
-	ready    chan struct{} // closed when there is a bundle to serve by
+	ready    chan struct{} // closed when a usable bundle is available
 	stop     context.CancelFunc
-	ended    chan struct{}
+	done     chan struct{}
 
-	mu     sync.Mutex
-	follow func(*bundle.Snapshot)
+	mu         sync.Mutex
+	onSnapshot func(*bundle.Snapshot)
 }
 
-// startBundles begins with the bundle file that the settings name, if there is
-// one, and hears of versions from now on. stop ends it, unless the group that
-// it is added to has done so.
+// startBundles loads the bundle file from the settings, if one is set, and starts receiving
+// newer versions. The caller must call stop, unless the run group to which the bundles are
+// added does so.
 func startBundles(s settings.Process, id *identity.Identity, reg prometheus.Registerer, ready *telemetry.Readiness, log zerolog.Logger) (*bundles, error) {
 	traffic := &control.Traffic{}
 	traffic.RegisterMetrics(reg)
-	b := &bundles{log: log, ready: make(chan struct{}), ended: make(chan struct{})}
+	b := &bundles{log: log, ready: make(chan struct{}), done: make(chan struct{})}
 	for _, u := range s.ConfigService {
 		base, err := url.Parse(u.String())
 		if err != nil {
@@ -64,14 +64,14 @@
 		Services: b.services,
 		Apply:    b.apply,
 		OnReadiness: func(r rollout.Readiness) {
-			ready.Note(noteBundle, unconfirmed(r))
+			ready.Note(bundleTopic, unconfirmedReason(r))
 			if r.Ready {
 				once.Do(func() { close(b.ready) })
 			}
 		},
 		Log: log, Metrics: reg,
 	})
-	if err := b.begin(s); err != nil {
+	if err := b.loadFile(s); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -81,15 +81,16 @@
 }
 
 func (b *bundles) run(ctx context.Context) {
-	defer close(b.ended)
+	defer close(b.done)
 	_ = b.node.Run(ctx) // it ends with ctx, without an error
 	for _, s := range b.services {
 		s.Close()
 	}
 }
 
-// begin takes the bundle file. One that has expired only tells whom to ask.
-func (b *bundles) begin(s settings.Process) error {
+// loadFile loads the bundle file. An expired bundle is only used as a list of processes to
+// contact.
+func (b *bundles) loadFile(s settings.Process) error {
 	if s.BundleFile == "" {
 		return nil
 	}
@@ -99,7 +100,7 @@
 	}
 	err = b.node.Begin(file)
 	if errors.Is(err, bundle.ErrExpired) {
-		b.log.Warn().Err(err).Msg("the bundle file only tells which other processes there are")
+		b.log.Warn().Err(err).Msg("bundle file has expired; it is only used to find other processes")
 		return nil
 	}
 	if err != nil {
@@ -120,49 +121,49 @@
 	return rollout.WholeFile{Source: string(src), Signature: string(sig)}, nil
 }
 
-// first waits for a bundle to serve by: one that others confirm, or the one at
-// hand after a bounded wait. It returns nil if ctx ends before that.
-func (b *bundles) first(ctx context.Context) *bundle.Snapshot {
-	begun := time.Now()
+// waitForFirst waits until there is a usable bundle: one that other processes confirm or,
+// after a bounded wait, the local one. It returns nil if ctx ends first.
+func (b *bundles) waitForFirst(ctx context.Context) *bundle.Snapshot {
+	started := time.Now()
 	b.log.Info().Msg("waiting for a bundle")
 	select {
 	case <-b.ready:
 	case <-ctx.Done():
 		b.stop()
-		<-b.ended
+		<-b.done
 		return nil
 	}
 	b.log.Info().Uint64(logging.FieldBundle, b.node.Snapshot().Version()).
-		Bool("confirmed", b.node.Readiness().Confirmed).Dur("waited", time.Since(begun)).Msg("bundle to serve by")
+		Bool("confirmed", b.node.Readiness().Confirmed).Dur("waited", time.Since(started)).Msg("bundle available")
 	return b.node.Snapshot()
 }
 
-// then calls follow with the bundle in force, and with each later one.
-func (b *bundles) then(follow func(*bundle.Snapshot)) {
+// subscribe calls onSnapshot with the current bundle and with each later one.
+func (b *bundles) subscribe(onSnapshot func(*bundle.Snapshot)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.follow = follow
-	follow(b.node.Snapshot())
+	b.onSnapshot = onSnapshot
+	onSnapshot(b.node.Snapshot())
 }
 
 func (b *bundles) apply(s *bundle.Snapshot) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.follow != nil {
-		b.follow(s)
+	if b.onSnapshot != nil {
+		b.onSnapshot(s)
 	}
 }
 
 // addBundles adds the actor that keeps the bundle up to date.
 func addBundles(g *run.Group, b *bundles) {
-	g.Add(func() error { <-b.ended; return nil }, func(error) { b.stop() })
+	g.Add(func() error { <-b.done; return nil }, func(error) { b.stop() })
 }
 
-// unconfirmed says why a process serves by a bundle that it isn't sure of.
-func unconfirmed(r rollout.Readiness) string {
+// unconfirmedReason explains why a process serves with a bundle that isn't confirmed.
+func unconfirmedReason(r rollout.Readiness) string {
 	if r.Confirmed {
 		return ""
 	}
-	return fmt.Sprintf("no other process confirmed yet that there is no newer bundle: %d of %d were heard, in %d of %d failure domains",
+	return fmt.Sprintf("bundle not confirmed as the latest: %d of %d processes answered, in %d of %d failure domains",
 		r.Peers, r.WantPeers, r.Domains, r.WantDomains)
 }
--- a/internal/daemon/collector.go
+++ b/internal/daemon/collector.go
@@ -5,18 +5,18 @@
 	"runtime/debug"
 )
 
-// collectorPercent lets the heap grow to three times what is live before it is
-// collected. Routers and agents hold few megabytes and make much garbage, so at
-// the default pace the collector runs dozens of times a second; note 0009 has
-// the figures.
-const collectorPercent = 200
+// defaultGCPercent lets the heap grow to three times the live size before a collection.
+// Routers and agents hold a few megabytes of live data and allocate a lot, so at the default
+// of 100 the garbage collector runs dozens of times a second; see note 0009 for the
+// measurements.
+const defaultGCPercent = 200
 
-// environmentPercent is the variable by which operators set the pace.
-const environmentPercent = "GOGC"
+// gcPercentEnv is the standard Go variable with which operators override the percentage.
+const gcPercentEnv = "GOGC"
 
-// paceCollector sets the collector's pace, unless the operator has.
-func paceCollector(percent int) {
-	if _, set := os.LookupEnv(environmentPercent); !set {
+// setGCPercent sets the garbage collection percentage unless GOGC is set.
+func setGCPercent(percent int) {
+	if _, set := os.LookupEnv(gcPercentEnv); !set {
 		debug.SetGCPercent(percent)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts the parts of each role together from its settings and
-// runs them until the process is told to stop.
+// Package daemon assembles the components of each role from its settings and runs them until
+// the process is told to stop.
 package daemon
 
 import (
@@ -23,7 +23,7 @@
 	"coveferry/internal/telemetry"
 )
 
-// Bounds of the servers that only operators and the platform talk to.
+// Limits of the servers for operators and the platform.
 const (
 	adminHeaderTimeout  = 5 * time.Second
 	adminMaxHeaderBytes = 16 << 10
@@ -33,21 +33,21 @@
 // gateServing is the readiness gate that is closed before and after serving.
 const gateServing = "serving"
 
-// addUntil adds the actor that ends the group with the context.
-func addUntil(g *run.Group, ctx context.Context) {
+// addContextActor adds the actor that ends the group when the context ends.
+func addContextActor(g *run.Group, ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	g.Add(func() error { <-ctx.Done(); return nil }, func(error) { cancel() })
 }
 
-// addServer adds a server. run.Group interrupts actors in the order in which
-// they were added, one after the other, so that order is the order of stopping.
-func addServer(g *run.Group, s *server.Server, stop func() error, failed *error) {
+// addServer adds a server. run.Group interrupts actors in the order in which they were added,
+// one after the other, so servers stop in the order of these calls.
+func addServer(g *run.Group, s *server.Server, stop func() error, stopErr *error) {
 	g.Add(s.Run, func(error) {
-		*failed = errors.CombineErrors(*failed, stop())
+		*stopErr = errors.CombineErrors(*stopErr, stop())
 	})
 }
 
-// newAdminServer serves metrics and health.
+// newAdminServer returns a server for metrics, health and readiness.
 func newAdminServer(address string, h http.Handler) (*server.Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -68,9 +68,9 @@
 	return id, nil
 }
 
-// newTracker counts how requests met their targets, against the objectives of
-// the snapshot in force.
-func newTracker(name string, reg prometheus.Registerer, inForce func() *bundle.Snapshot) *slo.Tracker {
+// newSLOTracker returns a tracker that counts how requests meet their targets, against the
+// objectives of the current snapshot.
+func newSLOTracker(name string, reg prometheus.Registerer, inForce func() *bundle.Snapshot) *slo.Tracker {
 	return slo.NewTracker(slo.Config{
 		Router:     name,
 		Now:        time.Now,
@@ -79,7 +79,7 @@
 	})
 }
 
-// objectives are those of the classes that state one.
+// objectives returns the objectives of the classes that set one.
 func objectives(s *bundle.Snapshot) slo.Objectives {
 	o := slo.Objectives{ByClass: make(map[string]float64)}
 	for _, c := range s.Bundle().Classes {
@@ -90,7 +90,7 @@
 	return o
 }
 
-// newRouterMux serves a router's metrics, health, report and members.
+// newRouterMux serves a router's metrics, health, SLO report and members.
 func newRouterMux(reg *prometheus.Registry, ready *telemetry.Readiness, t *slo.Tracker, m *membership.Tracker) *http.ServeMux {
 	mux := telemetry.NewMux(reg, ready)
 	mux.Handle(slo.Path, t)
@@ -98,15 +98,15 @@
 	return mux
 }
 
-// certificateInterval is how often certificates are read again.
+// certificateInterval is the interval between reloads of the certificate files.
 const certificateInterval = time.Minute
 
-// addIdentity adds the actor that follows changes of the certificates' files.
+// addIdentity adds the actor that reloads changed certificate files.
 func addIdentity(g *run.Group, id *identity.Identity, log zerolog.Logger) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error {
 		id.Watch(ctx, certificateInterval, func(err error) {
-			log.Error().Err(err).Msg("certificates could not be read again; the old ones stay")
+			log.Error().Err(err).Msg("reloading certificates failed; keeping the old ones")
 		})
 		return nil
 	}, func(error) { cancel() })
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -9,7 +9,7 @@
 	"coveferry/internal/slo"
 )
 
-func TestObjectivesComeFromTheBundle(t *testing.T) {
+func TestObjectivesFromBundle(t *testing.T) {
 	g := NewWithT(t)
 	o := objectives(bundle.NewSnapshot(&bundle.Bundle{
 		Classes: []bundle.Class{{Name: "receipts", Objective: 0.99}, {Name: "reviews"}},
--- a/internal/daemon/direct.go
+++ b/internal/daemon/direct.go
@@ -33,55 +33,54 @@
 	"coveferry/internal/upstream"
 )
 
-// Direct is what a router needs that reaches its endpoints without agents and
-// takes its configuration from a service that can only be read.
-type Direct struct {
+// DirectConfig configures a router that sends requests to endpoints directly, without agents,
+// and reads its configuration from a read-only service.
+type DirectConfig struct {
 	VM            string
 	FailureDomain string
-	// Regions has the region of each failure domain that routers and endpoints may be in,
-	// this router's among them or not.
+	// Regions maps each failure domain of routers and endpoints to its region. It may lack
+	// this router's own failure domain.
 	Regions map[string]string
-	// Control is where other routers reach this one; without it each reads the
-	// source for itself. Seeds are the control addresses of some of them.
+	// Control is the address on which other routers reach this one; without it each router
+	// reads the source itself. Seeds are the control addresses of some routers.
 	Control string
 	Seeds   []string
-	// Cores and LinkMbps are this VM's share of the processor and its link, by
-	// which routers choose who reads for others; 0 if that isn't known.
+	// Cores and LinkMbps are the CPU and network capacity available to this VM, by which
+	// routers elect the readers that read for others; 0 if unknown.
 	Cores    float64
 	LinkMbps float64
-	// Memory is how many bytes this process may take, beyond which it is ended; 0 if that
-	// isn't known.
+	// Memory is the process's memory limit in bytes, beyond which it is killed; 0 if unknown.
 	Memory int64
-	// Callers, Ready and Metrics are the addresses to listen on; without a
-	// metrics address none are served.
+	// Callers, Ready and Metrics are listen addresses. If Metrics is empty, no metrics are
+	// served.
 	Callers, Ready, Metrics string
-	// ReadyPattern is the method and path by which the balancer asks.
+	// ReadyPattern is the method and path of the load balancer's readiness check.
 	ReadyPattern string
 	Store        follow.Store
 	Protocol     upstream.Protocol
-	// Health asks the endpoint at an address whether it is healthy and the one
-	// of that name.
+	// Health checks that the endpoint at an address is healthy and has the given name.
 	Health func(ctx context.Context, c *http.Client, address, path, endpoint string) (upstream.Health, error)
-	// Reload reads the settings again; its bounds then hold.
+	// Reload reads the settings again and returns the new bounds.
 	Reload func() (DirectBounds, error)
 	Bounds DirectBounds
 }
 
-// DirectBounds are what the operator demands of a router.
+// DirectBounds are the operator's requirements of a router.
 type DirectBounds struct {
-	// RevokeWithin is how soon a revoked key must no longer work, wherever;
-	// 0 demands nothing.
+	// RevokeWithin is the time within which a revoked key must stop working on all routers; 0
+	// means no requirement.
 	RevokeWithin time.Duration
-	// DrainWithin is how soon an endpoint that leaves must get no new work, and
-	// ConfigWithin how soon a configuration must be in force; 0 demands nothing.
+	// DrainWithin is the time within which a draining endpoint must stop getting new requests,
+	// ConfigWithin the time within which a new configuration must be in force; 0 means no
+	// requirement.
 	DrainWithin  time.Duration
 	ConfigWithin time.Duration
-	// StopWithin is the time between the word to stop and the end by force.
+	// StopWithin is the time between the stop signal and the forced kill.
 	StopWithin time.Duration
-	// RetryRatio and RetryWindow bound what endpoints get beyond the first
-	// attempt of each request, and RetrySlack is how many more each service may get in
-	// a window, each from all routers together. RetryBounded says that a ratio is stated,
-	// which may be 0.
+	// RetryRatio and RetryWindow bound the attempts beyond the first one of each request, and
+	// RetrySlack is the number of additional retries that each service may get in a window,
+	// all counted over all routers. RetryBounded reports whether a ratio is set, which may be
+	// 0.
 	RetryBounded bool
 	RetryRatio   float64
 	RetryWindow  time.Duration
@@ -89,24 +88,24 @@
 }
 
 const (
-	// directCollectorPercent keeps the heap small, as memory is dear on entry
-	// VMs: at 40 a router peaked at 19.9 MB and took 18% more processor time
-	// than at 100, where it peaked at 22.7 MB.
-	directCollectorPercent = 50
-	// Bounds on what callers may send before a configuration is known.
+	// directGCPercent keeps the heap small, since memory is scarce on entry VMs: at 40 a
+	// router peaked at 19.9 MB and took 18% more CPU time than at 100, where it peaked at 22.7
+	// MB.
+	directGCPercent = 50
+	// Limits on callers' requests; they hold before a configuration is known.
 	directHeaderTimeout  = 10 * time.Second
 	directMaxHeaderBytes = 64 << 10
 	directBodyTimeout    = 30 * time.Second
 	directMaxOpen        = 2000
 	directMaxBodyBytes   = 32 << 20
-	// maxNowhere bounds the names in a line on what may be served nowhere.
-	maxNowhere = 16
+	// maxLoggedNames bounds the route and team names in one log line.
+	maxLoggedNames = 16
 )
 
-// RunDirect runs a router that reaches its endpoints without agents until the
-// environment's context ends.
-func RunDirect(env *cli.Env, cfg Direct) error {
-	paceCollector(directCollectorPercent)
+// RunDirect runs a router that sends requests to endpoints directly, until the environment's
+// context ends.
+func RunDirect(env *cli.Env, cfg DirectConfig) error {
+	setGCPercent(directGCPercent)
 	limitHeap(cfg.Memory)
 	log := logging.NewBounded(env.Stdout).With().Str(logging.FieldRole, "direct").Str(logging.FieldVM, cfg.VM).Logger()
 	d, err := newDirect(cfg, log)
@@ -120,8 +119,8 @@
 }
 
 type directRouter struct {
-	cfg      Direct
-	bounds   atomic.Pointer[DirectBounds] // as the settings last said
+	cfg      DirectConfig
+	bounds   atomic.Pointer[DirectBounds] // from the settings last read
 	log      zerolog.Logger
 	reg      *prometheus.Registry
 	ready    *telemetry.Readiness
@@ -135,31 +134,31 @@
 	poison   *poison.Table
 	peers    *peers.Source // nil where each router reads for itself
 	control  *control.Server
-	share    endpointrate.Share // of what endpoints take from all routers
+	share    endpointrate.Share // this router's share of endpoints' rate limits
 	retries  *retry.Budget
 }
 
-func newDirect(cfg Direct, log zerolog.Logger) (*directRouter, error) {
+func newDirect(cfg DirectConfig, log zerolog.Logger) (*directRouter, error) {
 	d := &directRouter{cfg: cfg, log: log, reg: telemetry.NewRegistry(), client: server.NewDirectClient()}
 	d.bounds.Store(&cfg.Bounds)
 	d.ready = telemetry.NewReadiness(gateServing)
 	policy := balance.NewPromptAware()
 	d.pool = balance.NewPool(balance.Config{
-		Policy: policy, Seed: membership.SeedOf(cfg.VM), Part: d.part, OnLimit: d.logLimit,
+		Policy: policy, Seed: membership.SeedOf(cfg.VM), Part: d.endpointRateShare, OnLimit: d.logLimit,
 		OnSilentDomain: d.logSilentDomain,
 	})
 	d.registerLimits()
 	d.registerSilences()
-	d.members = newMembers(cfg.VM, d.pool, d.reg, log)
-	d.poison = newPoison(cfg.VM, d.reg, log, d.checkLost)
+	d.members = newMembershipTracker(cfg.VM, d.pool, d.reg, log)
+	d.poison = newPoisonTable(cfg.VM, d.reg, log, d.checkCrashed)
 	source, err := d.startPeers()
 	if err != nil {
 		return nil, err
 	}
 	d.follower = follow.New(follow.Config{
-		Source: source, Timing: timing(cfg.Bounds), Log: log, Metrics: d.reg,
-		OnDirectory: func(dir *directory.Directory) { d.list.take(dir) },
-		OnConfig:    d.logNowhere,
+		Source: source, Timing: sourceTiming(cfg.Bounds), Log: log, Metrics: d.reg,
+		OnDirectory: func(dir *directory.Directory) { d.list.update(dir) },
+		OnConfig:    d.logUnservable,
 	})
 	if d.peers != nil {
 		d.peers.Tell(d.follower)
@@ -185,8 +184,8 @@
 }
 
 func (d *directRouter) newRouter() *router.Router {
-	open, bodies := directRoom(d.cfg.Memory)
-	retries := directRetries(d.cfg.Bounds, d.routers, membership.SeedOf(d.cfg.VM))
+	open, bodies := directMemoryLimits(d.cfg.Memory)
+	retries := directRetries(d.cfg.Bounds, d.fleetSize, membership.SeedOf(d.cfg.VM))
 	d.retries = retries.Budget
 	d.reg.MustRegister(newRetryUsage(d.retries))
 	return router.New(router.Config{
@@ -215,19 +214,19 @@
 }
 
 const (
-	// trustShare of RevokeWithin is how old knowledge of keys may be. What
-	// remains covers the way of a request from its caller.
-	trustShare = 0.94
-	// unreadyShare of the trusted age is where a router asks the balancer to
-	// turn away: it will soon have to refuse.
+	// keyAgeShare of RevokeWithin is the maximum age of key data. The rest allows for the time
+	// a request takes from its caller to this router.
+	keyAgeShare = 0.94
+	// unreadyShare of the maximum key age is the age at which a router reports not ready,
+	// because it will soon have to refuse requests.
 	unreadyShare = 0.6
 )
 
 func (d *directRouter) maxKeyAge() time.Duration {
-	return time.Duration(trustShare * float64(d.bounds.Load().RevokeWithin))
+	return time.Duration(keyAgeShare * float64(d.bounds.Load().RevokeWithin))
 }
 
-// table is the route table in force, nil before the first.
+// table returns the route table in force, nil before the first one.
 func (d *directRouter) table() *route.Table {
 	t := d.follower.Table()
 	if t == nil && d.peers != nil {
@@ -240,22 +239,23 @@
 	return d.follower.Directory().For(service)
 }
 
-// regionOf is the region of an endpoint's failure domain, empty if the settings don't name it.
+// regionOf returns the region of an endpoint's failure domain, empty if the settings don't
+// list it.
 func (d *directRouter) regionOf(e *bundle.Endpoint) string { return d.cfg.Regions[e.FailureDomain] }
 
-// logNowhere warns of routes and teams that allow no region that there is: their requests are
-// refused.
-func (d *directRouter) logNowhere(c *route.Config) {
+// logUnservable warns of routes and teams whose allowed regions include no existing region:
+// their requests are refused.
+func (d *directRouter) logUnservable(c *route.Config) {
 	routes, teams := c.Nowhere(slices.Collect(maps.Values(d.cfg.Regions)))
 	if len(routes) == 0 && len(teams) == 0 {
 		return
 	}
-	d.log.Warn().Uint64("version", c.Version).Strs("routes", routes[:min(len(routes), maxNowhere)]).
-		Strs("teams", teams[:min(len(teams), maxNowhere)]).Int("routes_all", len(routes)).Int("teams_all", len(teams)).
-		Msg("routes and teams allow no region that there is, or none that can be read: their requests are refused")
+	d.log.Warn().Uint64("version", c.Version).Strs("routes", routes[:min(len(routes), maxLoggedNames)]).
+		Strs("teams", teams[:min(len(teams), maxLoggedNames)]).Int("routes_all", len(routes)).Int("teams_all", len(teams)).
+		Msg("routes and teams allow no existing region, or their list of regions is unreadable: their requests are refused")
 }
 
-// serveReady tells the balancer whether to send new connections here.
+// serveReady answers the load balancer's readiness check.
 func (d *directRouter) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !d.isReady() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -267,13 +267,13 @@
 		return false
 	}
 	limit := time.Duration(unreadyShare * float64(d.maxKeyAge()))
-	return limit == 0 || d.follower.Age() < limit && d.sourceLost() < limit
+	return limit == 0 || d.follower.Age() < limit && d.originUnavailableFor() < limit
 }
 
 func (d *directRouter) run(ctx context.Context) error {
 	var g run.Group
 	var failed error
-	addUntil(&g, ctx)
+	addContextActor(&g, ctx)
 	addServer(&g, d.callers, d.stop, &failed)
 	mux := http.NewServeMux()
 	mux.HandleFunc(d.cfg.ReadyPattern, d.serveReady)
@@ -291,16 +291,17 @@
 	}
 	d.addPeers(&g, &failed)
 	addLoop(&g, d.follower.Run)
-	addLoop(&g, membership.NewHealthProber(d.members, d.list.health).Run)
+	addLoop(&g, membership.NewHealthProber(d.members, d.list.checkHealth).Run)
 	addLoop(&g, d.watchSilence)
 	addLoop(&g, d.followSettings)
 	d.ready.Open(gateServing)
 	return errors.CombineErrors(g.Run(), failed)
 }
 
-// stop lets the balancer turn away, then finishes what is under way.
+// stop reports not ready so that the load balancer stops sending connections, then finishes
+// open requests.
 func (d *directRouter) stop() error {
-	d.log.Info().Msg("stopping: new connections go elsewhere, open requests are finished")
+	d.log.Info().Msg("stopping: reporting not ready and finishing open requests")
 	d.ready.Close(gateServing)
 	plan := stopPlan(d.bounds.Load().StopWithin)
 	return plan.Run(d.router.Leave, d.router.EndOpen, func() error {
--- a/internal/daemon/directlimits.go
+++ b/internal/daemon/directlimits.go
@@ -6,18 +6,19 @@
 	"coveferry/internal/balance"
 )
 
-// logLimit writes a line when an endpoint names a limit, another one, or none any more.
+// logLimit logs when an endpoint sets, changes or removes its rate limit.
 func (d *directRouter) logLimit(e balance.LimitEvent) {
 	line := d.log.Info().Str("endpoint", e.Endpoint).Bool("from_router", e.FromPeer)
 	if !e.Named {
-		line.Msg("endpoint no longer limits its requests")
+		line.Msg("endpoint no longer has a rate limit")
 		return
 	}
-	line.Float64("limit", e.PerSecond).Msg("endpoint limits its requests a second from all routers")
+	line.Float64("limit", e.PerSecond).Msg("endpoint limits the requests per second from all routers")
 }
 
-// registerLimits has metrics tell of the limits that endpoints name. Summed over the routers,
-// parts are what may be sent and requests what is; the limits are the same at each.
+// registerLimits registers metrics of endpoints' rate limits. Summed over the routers, the
+// parts are the allowed rate and the requests the actual one; the limits are the same on each
+// router.
 func (d *directRouter) registerLimits() {
 	gauge := func(name, help string, value func(balance.LimitSum) float64) {
 		d.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 {
--- a/internal/daemon/directlist.go
+++ b/internal/daemon/directlist.go
@@ -15,16 +15,16 @@
 	"coveferry/internal/upstream"
 )
 
-// endpointList has a direct router use the endpoints that the list shows, as far as they
-// may be sent work.
+// endpointList applies changes of the endpoint directory to membership and the pool, and
+// checks the health of endpoints.
 type endpointList struct {
 	d *directRouter
-	// last is the list that was taken last. Only take uses it.
-	last *directory.Directory
+	// previous is the directory of the last update. Only update uses it.
+	previous *directory.Directory
 }
 
 func newEndpointList(d *directRouter) *endpointList {
-	l := &endpointList{d: d, last: directory.Empty()}
+	l := &endpointList{d: d, previous: directory.Empty()}
 	for _, gauge := range []struct {
 		name, help string
 		value      func() int
@@ -35,35 +35,35 @@
 	} {
 		d.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: gauge.name, Help: gauge.help}, func() float64 { return float64(gauge.value()) }))
 	}
-	d.members.OnReturning(l.returning)
+	d.members.OnReturning(l.onReturning)
 	return l
 }
 
-// returning takes an endpoint whose connections had failed for a process that has just started.
-// Where the list can't be read nothing else tells of it: with three routers one got 15 requests
-// in its first second, of 12 that it bore. A router that reached hardly any endpoint was cut off
-// itself.
-func (l *endpointList) returning(name string) {
+// onReturning treats an endpoint whose connections had failed as a newly started process.
+// While the directory can't be read nothing else reports a restart: with three routers, one
+// endpoint got 15 requests in its first second although it could handle 12. If most endpoints
+// are suspect, the router itself was probably cut off, and nothing is marked cold.
+func (l *endpointList) onReturning(name string) {
 	entry, ok := l.d.follower.Directory().Entry(name)
 	if !ok || l.d.pool.MostUnsure(name) {
 		return
 	}
-	cold := l.service(entry.Endpoint.Services).Cold
+	cold := l.serviceOf(entry.Endpoint.Services).Cold
 	if cold.Rate <= 0 {
 		return
 	}
 	l.d.pool.SetCold(time.Now(), name, cold.For)
 	l.d.log.Info().Str("endpoint", name).Dur("for", cold.For).
-		Msg("endpoint returns and may be another process: it gets what a cold one takes")
+		Msg("endpoint is reachable again and may have restarted: it is limited to the rate of a cold endpoint")
 }
 
-// take has membership follow the list of endpoints. It is called by one goroutine.
-func (l *endpointList) take(dir *directory.Directory) {
-	last := l.last
-	l.last = dir
+// update applies a directory to membership and the pool. It is called by one goroutine.
+func (l *endpointList) update(dir *directory.Directory) {
+	last := l.previous
+	l.previous = dir
 	entries := dir.Entries()
 	l.d.log.Info().Int("endpoints", len(entries)).Int("kept", dir.Kept()).Strs("evacuated", dir.Evacuated()).
-		Uint64("revision", dir.Revision()).Msg("list of endpoints changed")
+		Uint64("revision", dir.Revision()).Msg("endpoint list changed")
 	l.logEvacuations(last, dir)
 	places := make([]membership.Place, len(entries))
 	vms := make([]membership.VM, len(entries))
@@ -74,37 +74,37 @@
 		vms[i] = membership.VM{Name: e.Endpoint.VM, Leaving: !dir.TakesWork(e.Endpoint.Name)}
 	}
 	l.d.members.Learn(membership.Bundle{Places: places})
-	// What is cold is known before it takes work again.
-	l.noteCold(last, dir, entries)
+	// Mark cold endpoints before they accept work again.
+	l.markCold(last, dir, entries)
 	l.d.members.Learn(membership.ListRead{VMs: vms, At: time.Unix(int64(dir.Revision()), 0)})
 }
 
-// logEvacuations writes a line for each order that was given or removed.
+// logEvacuations logs each evacuation order that was added or removed.
 func (l *endpointList) logEvacuations(last, dir *directory.Directory) {
 	for _, domain := range dir.Evacuated() {
 		if last.IsEvacuated(domain) {
 			continue
 		}
-		endpoints := len(inDomain(dir, domain))
+		endpoints := len(endpointsInDomain(dir, domain))
 		log := l.d.log.Warn().Str("failure_domain", domain).Int("endpoints", endpoints)
 		if endpoints == 0 {
-			log.Msg("order to evacuate a failure domain in which there is no endpoint: is the name right?")
+			log.Msg("evacuation order for a failure domain without endpoints: check its name")
 			continue
 		}
-		log.Msg("failure domain is evacuated: its endpoints get no new work until the order is removed")
+		log.Msg("failure domain is evacuated: its endpoints get no new requests until the order is removed")
 	}
 	for _, domain := range last.Evacuated() {
 		if !dir.IsEvacuated(domain) {
-			l.d.log.Warn().Str("failure_domain", domain).Int("endpoints", len(inDomain(dir, domain))).
-				Msg("failure domain is taken back: its endpoints get work again, as cold ones at first")
+			l.d.log.Warn().Str("failure_domain", domain).Int("endpoints", len(endpointsInDomain(dir, domain))).
+				Msg("evacuation ended: endpoints of the failure domain get requests again, at first at the rate of cold endpoints")
 		}
 	}
 }
 
-// noteCold tells the pool of endpoints that are cold: those that say so, those that another
-// process has taken over, and those of a failure domain that is taken back, whose caches
-// others may have used meanwhile.
-func (l *endpointList) noteCold(last, dir *directory.Directory, entries []directory.Entry) {
+// markCold marks endpoints as cold in the pool: those that report it, those that have
+// restarted, and those whose failure domain is no longer evacuated, since other work may have
+// displaced their caches in the meantime.
+func (l *endpointList) markCold(last, dir *directory.Directory, entries []directory.Entry) {
 	now := time.Now()
 	for _, e := range entries {
 		name := e.Endpoint.Name
@@ -113,15 +113,16 @@
 			l.d.pool.SetCold(now, name, e.Cold)
 		}
 		restarted := known && e.Incarnation != before.Incarnation
-		takenBack := last.IsEvacuated(e.Endpoint.FailureDomain) && !dir.IsEvacuated(e.Endpoint.FailureDomain)
-		if restarted || takenBack {
-			l.d.pool.SetCold(now, name, l.service(e.Endpoint.Services).Cold.For)
+		evacuationEnded := last.IsEvacuated(e.Endpoint.FailureDomain) && !dir.IsEvacuated(e.Endpoint.FailureDomain)
+		if restarted || evacuationEnded {
+			l.d.pool.SetCold(now, name, l.serviceOf(e.Endpoint.Services).Cold.For)
 		}
 	}
 }
 
-// service is what the table says of the first of the services; the zero value if nothing.
-func (l *endpointList) service(services []string) route.Service {
+// serviceOf returns the route table's entry for the first of the services, or the zero value
+// if there is none.
+func (l *endpointList) serviceOf(services []string) route.Service {
 	table := l.d.follower.Table()
 	if table == nil || len(services) == 0 {
 		return route.Service{}
@@ -132,8 +133,8 @@
 	return route.Service{}
 }
 
-// inDomain lists the endpoints of a failure domain.
-func inDomain(dir *directory.Directory, domain string) []directory.Entry {
+// endpointsInDomain returns the entries whose endpoint is in a failure domain.
+func endpointsInDomain(dir *directory.Directory, domain string) []directory.Entry {
 	return slices.DeleteFunc(dir.Entries(), func(e directory.Entry) bool { return e.Endpoint.FailureDomain != domain })
 }
 
@@ -152,9 +153,10 @@
 	return open
 }
 
-// health asks an endpoint whether it is healthy. One that is evacuated, or limits its requests
-// and has had this router's part, is not asked: a health check takes a place like any request.
-func (l *endpointList) health(ctx context.Context, name string) (bool, error) {
+// checkHealth probes an endpoint's health. It skips endpoints that are evacuated, and
+// rate-limited endpoints for which this router has used up its share, since a health check
+// takes up capacity like any request.
+func (l *endpointList) checkHealth(ctx context.Context, name string) (bool, error) {
 	dir := l.d.follower.Directory()
 	entry, ok := dir.Entry(name)
 	if !ok {
@@ -172,12 +174,13 @@
 		l.d.pool.SetCold(time.Now(), name, health.Cold)
 	}
 	if health.RateLimit.Statement == upstream.LimitNamed {
-		// That a check names none says little: answers to requests do.
+		// A health response without a limit doesn't mean that there is none; responses to
+		// requests decide that.
 		l.d.pool.HearLimit(time.Now(), sent, name, health.RateLimit)
 	}
 	return health.Sent, err
 }
 
 func (l *endpointList) healthPath(services []string) string {
-	return cmp.Or(l.service(services).HealthPath, "/")
+	return cmp.Or(l.serviceOf(services).HealthPath, "/")
 }
--- a/internal/daemon/directlist_test.go
+++ b/internal/daemon/directlist_test.go
@@ -18,31 +18,32 @@
 	"coveferry/internal/upstream"
 )
 
-// oneEndpoint is a store with an endpoint in a failure domain that is evacuated.
-type oneEndpoint struct{ follow.Store }
+// evacuatedStore is a store with one endpoint, in an evacuated failure domain.
+type evacuatedStore struct{ follow.Store }
 
-func (oneEndpoint) Orders(context.Context) (follow.Orders, error) {
+func (evacuatedStore) Orders(context.Context) (follow.Orders, error) {
 	return follow.Orders{Config: &route.Config{Version: 1}, Evacuated: []string{"x"}, Revision: 1}, nil
 }
 
-func (oneEndpoint) Page(context.Context, string, bool) (follow.Page, error) {
+func (evacuatedStore) Page(context.Context, string, bool) (follow.Page, error) {
 	entry := directory.Entry{Endpoint: bundle.Endpoint{Name: "e", VM: "e", Address: "10.0.0.1:80", FailureDomain: "x", Services: []string{"s"}, Slots: 4}}
 	return follow.Page{Reading: directory.Reading{Entries: []directory.Entry{entry}, Revision: 1}}, nil
 }
 
-func (oneEndpoint) Await(ctx context.Context, _ uint64, _ time.Duration) (follow.Reading, error) {
+func (evacuatedStore) Await(ctx context.Context, _ uint64, _ time.Duration) (follow.Reading, error) {
 	<-ctx.Done()
 	return follow.Reading{}, ctx.Err()
 }
 
-// A health check takes a place like any request, and an evacuated failure domain gets nothing.
-func TestAnEvacuatedEndpointIsNotAskedForItsHealth(t *testing.T) {
+// A health check takes up capacity like any request, and an evacuated failure domain must get
+// nothing.
+func TestHealthCheckSkipsEvacuatedEndpoint(t *testing.T) {
 	g := NewWithT(t)
-	asked := 0
-	d, err := newDirect(Direct{
-		VM: "vm", FailureDomain: "y", Callers: "127.0.0.1:0", Store: oneEndpoint{},
+	calls := 0
+	d, err := newDirect(DirectConfig{
+		VM: "vm", FailureDomain: "y", Callers: "127.0.0.1:0", Store: evacuatedStore{},
 		Health: func(context.Context, *http.Client, string, string, string) (upstream.Health, error) {
-			asked++
+			calls++
 			return upstream.Health{Sent: true}, nil
 		},
 	}, zerolog.Nop())
@@ -51,20 +52,20 @@
 	defer cancel()
 	go d.follower.Run(ctx)
 	g.Eventually(func() int { return d.follower.Directory().Len() }).Should(Equal(1))
-	_, err = d.list.health(ctx, "e")
+	_, err = d.list.checkHealth(ctx, "e")
 	g.Expect(err).To(MatchError(membership.ErrNotAsked))
-	g.Expect(asked).To(BeZero())
+	g.Expect(calls).To(BeZero())
 	g.Expect(d.pool.TakesWork("e")).To(BeFalse())
 }
 
-// One that limits its requests gets no more checks than requests.
-func TestAnEndpointThatNamesALimitIsNotAskedForItsHealthBeyondIt(t *testing.T) {
+// A health check counts against an endpoint's rate limit like a request.
+func TestHealthChecksCountAgainstRateLimit(t *testing.T) {
 	g := NewWithT(t)
-	asked := 0
-	d, err := newDirect(Direct{
-		VM: "vm", FailureDomain: "y", Callers: "127.0.0.1:0", Store: &endpointInUse{},
+	calls := 0
+	d, err := newDirect(DirectConfig{
+		VM: "vm", FailureDomain: "y", Callers: "127.0.0.1:0", Store: &activeStore{},
 		Health: func(context.Context, *http.Client, string, string, string) (upstream.Health, error) {
-			asked++
+			calls++
 			return upstream.Health{Sent: true, RateLimit: upstream.RateLimit{Statement: upstream.LimitNamed, PerSecond: 1}}, nil
 		},
 	}, zerolog.Nop())
@@ -73,22 +74,22 @@
 	defer cancel()
 	go d.follower.Run(ctx)
 	g.Eventually(func() int { return d.follower.Directory().Len() }).Should(Equal(1))
-	_, err = d.list.health(ctx, "e")
+	_, err = d.list.checkHealth(ctx, "e")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(d.pool.Limits().Endpoints).To(Equal(1), "a check tells of a limit as well")
+	g.Expect(d.pool.Limits().Endpoints).To(Equal(1), "the limit in a health response applies")
 	refused := 0
 	for range 5 {
-		if _, err := d.list.health(ctx, "e"); errors.Is(err, membership.ErrNotAsked) {
+		if _, err := d.list.checkHealth(ctx, "e"); errors.Is(err, membership.ErrNotAsked) {
 			refused++
 		}
 	}
-	g.Expect(asked).To(BeNumerically("<=", 2))
+	g.Expect(calls).To(BeNumerically("<=", 2))
 	g.Expect(refused).To(BeNumerically(">=", 4))
 }
 
-// endpointInUse is a store with an endpoint that may be sent work.
-type endpointInUse struct{ oneEndpoint }
+// activeStore is a store with one endpoint that may get requests.
+type activeStore struct{ evacuatedStore }
 
-func (endpointInUse) Orders(context.Context) (follow.Orders, error) {
+func (activeStore) Orders(context.Context) (follow.Orders, error) {
 	return follow.Orders{Config: &route.Config{Version: 1}, Revision: 1}, nil
 }
--- a/internal/daemon/directpeers.go
+++ b/internal/daemon/directpeers.go
@@ -16,25 +16,24 @@
 )
 
 const (
-	// peerEvery is the time between two questions to a reader: a tenth of the
-	// shortest bound on configurations that is known, at some kilobytes a
-	// second.
-	peerEvery = 250 * time.Millisecond
-	// peerWaits is how many waits old the word of another router may be: a call
-	// tells of the moment at which it was sent, so that in calm times what a reader
-	// knows gets two waits old before the next one ends. Beyond that, and the slack
-	// of a call, others are asked and then the source itself.
-	peerWaits = 2
+	// peerPollInterval is the interval at which a reader is polled: a tenth of the shortest
+	// known bound on configuration changes, at a cost of a few kilobytes a second.
+	peerPollInterval = 250 * time.Millisecond
+	// maxAgeWaits is the maximum age of another router's data, in waits: a response reflects
+	// the time at which its call was sent, so without changes a reader's data gets two waits
+	// old before the next call ends. When data is older than that plus the slack of a call,
+	// other routers are asked and then the source itself.
+	maxAgeWaits = 2
 )
 
-// peerAge is how old the word of another router may be. It holds whether keys have
-// to be revoked in time or not.
-func peerAge(b DirectBounds) time.Duration {
-	return peerWaits*waitFor(b) + watchSlack
+// maxPeerAge returns the maximum age of another router's data. It applies whether or not
+// RevokeWithin is set.
+func maxPeerAge(b DirectBounds) time.Duration {
+	return maxAgeWaits*watchWait(b) + watchSlack
 }
 
-// startPeers returns the source to follow: that of the settings, shared with the
-// other routers if they can reach this one.
+// startPeers returns the source to follow: the configured one, shared with the other routers
+// if they can reach this one.
 func (d *directRouter) startPeers() (follow.Source, error) {
 	reader := follow.Reader{Store: d.cfg.Store, CallTimeout: readTimeout}
 	if d.cfg.Control == "" {
@@ -54,9 +53,9 @@
 		Seeds:          d.cfg.Seeds,
 		Source:         reader,
 		Pool:           control.NewPool(control.ClientConfig{Log: d.log}, 0),
-		Every:          peerEvery,
-		MaxAge:         peerAge(d.cfg.Bounds),
-		Outage:         timing(d.cfg.Bounds).Outage,
+		Every:          peerPollInterval,
+		MaxAge:         maxPeerAge(d.cfg.Bounds),
+		Outage:         sourceTiming(d.cfg.Bounds).Outage,
 		Log:            d.log,
 		Metrics:        d.reg,
 	})
@@ -65,7 +64,7 @@
 	return d.peers, nil
 }
 
-// addPeers adds what shares readings with other routers.
+// addPeers adds the actors that share the source's data with other routers.
 func (d *directRouter) addPeers(g *run.Group, failed *error) {
 	if d.peers == nil {
 		return
@@ -74,18 +73,19 @@
 	addLoop(g, d.peers.Run)
 }
 
-// sourceLost is for how long this router has lost sight of the source. Callers
-// are better served by routers that see it themselves, though others' word keeps
-// this one's knowledge fresh.
-func (d *directRouter) sourceLost() time.Duration {
+// originUnavailableFor returns how long this router has been unable to read the source itself.
+// Callers are better served by routers that can, even though peers keep this router's data
+// fresh.
+func (d *directRouter) originUnavailableFor() time.Duration {
 	if d.peers == nil {
 		return 0
 	}
 	return d.peers.SourceLost()
 }
 
-// routers is how many routers there are, as far as this one has heard.
-func (d *directRouter) routers() int {
+// fleetSize returns the number of routers known to this one, or an upper estimate if it knows
+// no other.
+func (d *directRouter) fleetSize() int {
 	if d.peers == nil {
 		return peers.LargestFleet
 	}
@@ -96,10 +96,11 @@
 	return 1 + others
 }
 
-// part is this router's part, in requests a second, of what an endpoint takes from all routers.
-func (d *directRouter) part(now time.Time, b endpointrate.Bound) float64 {
+// endpointRateShare returns this router's share, in requests a second, of an endpoint's rate
+// limit for all routers.
+func (d *directRouter) endpointRateShare(now time.Time, b endpointrate.Bound) float64 {
 	if d.peers == nil {
-		return b.PerSecond / peers.LargestFleet // it hears of no other
+		return b.PerSecond / peers.LargestFleet // no peers are known
 	}
 	return d.share.Of(now, b)
 }
--- a/internal/daemon/directreading.go
+++ b/internal/daemon/directreading.go
@@ -6,69 +6,67 @@
 	"coveferry/internal/follow"
 )
 
-// Shares of the operator's bounds by which a direct router sets how it reads the source.
+// Shares of the operator's bounds that determine how a direct router reads the source.
 const (
-	// waitShare of RevokeWithin is how long one call waits for news, so that
-	// several may fail in a row before keys are no longer trusted.
-	waitShare = 0.2
-	// newsShare is the same of DrainWithin and ConfigWithin: a call that is lost is
-	// noticed after its wait and some slack, and the next one must still bring the
-	// news within the bound.
-	newsShare = 0.35
-	// paceShare of DrainWithin lies between two calls at least, so that where
-	// something changes all the time several may fail before a leaving endpoint
-	// must be out of use; and spareShare of what a call that is lost and the next one
-	// leave of DrainWithin, where that is more: where heartbeats are news each wait ends at
-	// once, and a reader calls as often as it may.
-	paceShare  = 0.1
-	spareShare = 0.5
-	// outageSlacks is how many calls without a wait must have failed for the
-	// service to count as having been away, beyond what knowledge ages in calm
-	// times: a call tells of the moment at which it was sent, so that what is known
-	// gets two waits old before the next one ends. Entries lapse after three
-	// heartbeats, which take longer.
+	// revokeWaitShare of RevokeWithin is the wait of one watch call, so that several calls may
+	// fail in a row before keys are no longer trusted.
+	revokeWaitShare = 0.2
+	// updateWaitShare is the same share of DrainWithin and ConfigWithin: a failed call is
+	// noticed after its wait and some slack, and the next one must still deliver the change
+	// within the bound.
+	updateWaitShare = 0.35
+	// minIntervalShare of DrainWithin is the minimum interval between two calls, so that under
+	// constant changes several calls may fail before a draining endpoint must be out of use.
+	// If larger, spareShare of the time that a failed call and its successor leave of
+	// DrainWithin is used instead: where heartbeats count as changes each wait ends at once,
+	// and a reader calls as often as the interval allows.
+	minIntervalShare = 0.1
+	spareShare       = 0.5
+	// outageSlacks is the number of calls without a wait that must fail before the service
+	// counts as having been down, beyond the normal age of data: a response reflects the time
+	// at which its call was sent, so data gets two waits old before the next call ends.
+	// Entries expire only later, after three heartbeats.
 	outageSlacks = 2
 )
 
 const (
-	// defaultWait is how long a call waits for news where no bound demands
-	// less, and defaultPace lies between two calls at least.
-	defaultWait = 5 * time.Second
-	defaultPace = 200 * time.Millisecond
-	// minWait and minPace bound what is asked of the service however short a bound
-	// is: some answers' time, and ten calls a second of each reader.
-	minWait = 200 * time.Millisecond
-	minPace = 100 * time.Millisecond
-	// readTimeout bounds the silence in one call, before its answer and in it; the
-	// service answers in milliseconds, in a quarter of a second when it is slow.
+	// defaultWait is the wait of a watch call, and defaultMinInterval the minimum interval
+	// between two calls, if no bound requires less.
+	defaultWait        = 5 * time.Second
+	defaultMinInterval = 200 * time.Millisecond
+	// minWait and minMinInterval bound the load on the service however short a bound is: a
+	// wait of several response times, and ten calls a second per reader.
+	minWait        = 200 * time.Millisecond
+	minMinInterval = 100 * time.Millisecond
+	// readTimeout bounds the time without data in one call, before and during its response.
+	// The service responds in milliseconds, or in a quarter of a second when it is slow.
 	readTimeout = 600 * time.Millisecond
-	// watchSlack is the same for a call that waits, where it comes on top of the wait.
+	// watchSlack is the corresponding timeout of a watch call, added to its wait.
 	watchSlack = 400 * time.Millisecond
-	// listReturn is how long entries may take to be back after the service was
-	// away; the operators say about two seconds.
-	listReturn = 2500 * time.Millisecond
+	// entryReturnTime is how long endpoints may take to be listed again after an outage of the
+	// service; the operators state about two seconds.
+	entryReturnTime = 2500 * time.Millisecond
 )
 
-// timing is how the source is asked so that the operator's bounds hold.
-func timing(b DirectBounds) follow.Timing {
-	t := follow.Timing{Wait: waitFor(b), Slack: watchSlack, Pace: defaultPace, Return: listReturn}
+// sourceTiming returns the timing of calls to the source that satisfies the operator's bounds.
+func sourceTiming(b DirectBounds) follow.Timing {
+	t := follow.Timing{Wait: watchWait(b), Slack: watchSlack, Pace: defaultMinInterval, Return: entryReturnTime}
 	if b.DrainWithin > 0 {
 		spare := b.DrainWithin - (t.Wait + t.Slack + readTimeout)
-		pace := max(time.Duration(paceShare*float64(b.DrainWithin)), min(t.Wait, time.Duration(spareShare*float64(spare))))
-		t.Pace = max(minPace, pace)
+		minInterval := max(time.Duration(minIntervalShare*float64(b.DrainWithin)), min(t.Wait, time.Duration(spareShare*float64(spare))))
+		t.Pace = max(minMinInterval, minInterval)
 	}
-	t.Outage = peerWaits*t.Wait + outageSlacks*t.Slack
+	t.Outage = maxAgeWaits*t.Wait + outageSlacks*t.Slack
 	return t
 }
 
-// waitFor is how long a call waits for news, by the shortest of the bounds that
-// are in force.
-func waitFor(b DirectBounds) time.Duration {
+// watchWait returns the wait of a watch call, derived from the shortest bound that is set.
+func watchWait(b DirectBounds) time.Duration {
 	wait := defaultWait
 	for _, bound := range []struct {
 		within time.Duration
 		share  float64
-	}{{b.RevokeWithin, waitShare}, {b.DrainWithin, newsShare}, {b.ConfigWithin, newsShare}} {
+	}{{b.RevokeWithin, revokeWaitShare}, {b.DrainWithin, updateWaitShare}, {b.ConfigWithin, updateWaitShare}} {
 		if bound.within > 0 {
 			wait = min(wait, time.Duration(bound.share*float64(bound.within)))
 		}
--- a/internal/daemon/directreading_test.go
+++ b/internal/daemon/directreading_test.go
@@ -7,17 +7,17 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestTimesFollowTheOperatorsBounds(t *testing.T) {
+func TestSourceTimingFollowsBounds(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		bounds DirectBounds
 		wait   time.Duration
 		pace   time.Duration
 	}{
-		{"none", DirectBounds{}, defaultWait, defaultPace},
-		{"keys", DirectBounds{RevokeWithin: 5 * time.Second}, time.Second, defaultPace},
+		{"none", DirectBounds{}, defaultWait, defaultMinInterval},
+		{"keys", DirectBounds{RevokeWithin: 5 * time.Second}, time.Second, defaultMinInterval},
 		{"drains", DirectBounds{DrainWithin: 2 * time.Second}, 700 * time.Millisecond, 200 * time.Millisecond},
-		{"configurations", DirectBounds{ConfigWithin: 3 * time.Second}, 1050 * time.Millisecond, defaultPace},
+		{"configurations", DirectBounds{ConfigWithin: 3 * time.Second}, 1050 * time.Millisecond, defaultMinInterval},
 		{
 			"all, the shortest counts",
 			DirectBounds{RevokeWithin: 3 * time.Second, DrainWithin: 2 * time.Second, ConfigWithin: 6 * time.Second},
@@ -27,27 +27,26 @@
 			"a drain that leaves time", DirectBounds{RevokeWithin: 5 * time.Second, DrainWithin: 4 * time.Second, ConfigWithin: 4 * time.Second},
 			time.Second, time.Second,
 		},
-		{"very short", DirectBounds{RevokeWithin: 1, DrainWithin: 1, ConfigWithin: 1}, minWait, minPace},
+		{"very short", DirectBounds{RevokeWithin: 1, DrainWithin: 1, ConfigWithin: 1}, minWait, minMinInterval},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
-			got := timing(c.bounds)
+			got := sourceTiming(c.bounds)
 			g.Expect(got.Wait.Round(time.Microsecond)).To(Equal(c.wait))
 			g.Expect(got.Pace).To(Equal(c.pace))
-			// A router that asks another one sees knowledge that is two waits old
-			// become fresh from one question to the next.
-			g.Expect(got.Outage).To(BeNumerically(">", 2*got.Wait+peerEvery+got.Slack))
-			// What a reader knows in calm times has to be good enough for others,
-			// whichever bounds are in force.
-			g.Expect(peerAge(c.bounds)).To(BeNumerically(">=", 2*got.Wait+peerEvery))
+			// Data from another router may be two waits old until the next poll refreshes it.
+			g.Expect(got.Outage).To(BeNumerically(">", 2*got.Wait+peerPollInterval+got.Slack))
+			// The data of a reader must be fresh enough for other routers without changes,
+			// whichever bounds are set.
+			g.Expect(maxPeerAge(c.bounds)).To(BeNumerically(">=", 2*got.Wait+peerPollInterval))
 		})
 	}
 }
 
-func TestALostCallLeavesTimeForAnotherOneWithinTheBound(t *testing.T) {
+func TestFailedCallLeavesTimeForRetryWithinBound(t *testing.T) {
 	for _, within := range []time.Duration{2 * time.Second, 3 * time.Second, 6 * time.Second} {
 		for _, b := range []DirectBounds{{DrainWithin: within}, {ConfigWithin: within}, {DrainWithin: within, ConfigWithin: 2 * within}} {
-			got := timing(b)
+			got := sourceTiming(b)
 			NewWithT(t).Expect(got.Wait+got.Slack+readTimeout).To(BeNumerically("<", within), "%+v", b)
 			if spare := got.Wait + got.Slack + readTimeout + got.Pace; b.DrainWithin >= 3*time.Second {
 				NewWithT(t).Expect(spare).To(BeNumerically("<", within), "after a pause, %+v", b)
@@ -56,15 +55,15 @@
 	}
 }
 
-func TestKeysAreTrustedLongerThanPeersAreBelieved(t *testing.T) {
+func TestMaxKeyAgeExceedsMaxPeerAge(t *testing.T) {
 	for _, within := range []time.Duration{2 * time.Second, 5 * time.Second, 20 * time.Second} {
 		b := DirectBounds{RevokeWithin: within}
-		trusted := time.Duration(trustShare * float64(within))
-		NewWithT(t).Expect(peerAge(b)).To(BeNumerically("<", trusted-readTimeout), "%s", within)
+		trusted := time.Duration(keyAgeShare * float64(within))
+		NewWithT(t).Expect(maxPeerAge(b)).To(BeNumerically("<", trusted-readTimeout), "%s", within)
 	}
 }
 
-func TestAStopLeavesTimeForItsEnd(t *testing.T) {
+func TestStopPlanLeavesTimeToExit(t *testing.T) {
 	for _, within := range []time.Duration{2 * time.Second, 8 * time.Second, time.Minute} {
 		g := NewWithT(t)
 		p := stopPlan(within)
--- a/internal/daemon/directretries.go
+++ b/internal/daemon/directretries.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// budgetShare of the operator's ratio is used for retries: callers' own
-	// count as requests, but those at the window's edges may count twice.
+	// budgetShare of the operator's ratio is used for retries: callers' own retries count as
+	// requests, but those at the window's edges may count twice.
 	budgetShare = 0.75
-	// slackShare of the operator's slack is used for retries. It is shared among the
-	// routers that are known: one that starts while a fleet is cut knows of its part only.
+	// slackShare of the operator's slack is used for retries. It is divided among the known
+	// routers, and a router that starts during a network partition knows only those on its
+	// side.
 	slackShare = 0.5
-	// retryFloor is how many retries a second all routers may make besides their share of
-	// the requests where the operator states no slack.
+	// retryFloor is the number of retries a second that all routers together may make beyond
+	// their ratio of the requests if the operator sets no slack.
 	retryFloor = 0.1
 )
 
-// directRetries bounds retries for each service over all routers, of which routers tells
-// how many there are.
+// directRetries returns a policy that bounds the retries of each service over all routers;
+// routers returns their number.
 func directRetries(b DirectBounds, routers func() int, seed uint64) *retry.Policy {
 	ratio, floor := retryShares(b)
 	return &retry.Policy{ChargeAll: true, Budget: retry.NewBudget(retry.BudgetConfig{
@@ -29,7 +30,7 @@
 	})}
 }
 
-// retryShares are what routers use of the operator's bounds, as a retry.BudgetConfig takes them.
+// retryShares converts the operator's bounds to the ratio and floor of a retry.BudgetConfig.
 func retryShares(b DirectBounds) (ratio, floor float64) {
 	ratio, floor = budgetShare*b.RetryRatio, retryFloor
 	if b.RetryBounded && b.RetryRatio == 0 {
@@ -41,8 +42,8 @@
 	return ratio, floor
 }
 
-// retryUsage has metrics tell how much of its part of each service's retries this router has
-// used. Summed over the routers, what is allowed stays below what the operator allows.
+// retryUsage exports how much of its share of each service's retries this router has used.
+// Summed over the routers, the allowed retries stay below the operator's bound.
 type retryUsage struct {
 	budget           *retry.Budget
 	retries, allowed *prometheus.Desc
--- a/internal/daemon/directretries_test.go
+++ b/internal/daemon/directretries_test.go
@@ -12,8 +12,8 @@
 	"coveferry/internal/settings"
 )
 
-// What a router thinks that it may send again couldn't be seen while it happened.
-func TestMetricsTellHowMuchOfTheRetriesIsUsed(t *testing.T) {
+// Without these metrics the remaining retry budget couldn't be observed while a router runs.
+func TestRetryUsageMetrics(t *testing.T) {
 	g := NewWithT(t)
 	policy := directRetries(DirectBounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 52}, func() int { return 3 }, 1)
 	for range 20 {
@@ -33,28 +33,27 @@
 	g.Expect(values["coveferry_router_retries_allowed"]).To(BeNumerically("~", 0.15*20, 0.01), "a router that has just started")
 }
 
-// The story: where no slack is stated, 880 routers made 880 repeats in ten seconds for as many
-// requests.
-// The cause: the floor that stands in for the slack was each router's own.
-// The evidence: this test, in which the parts of 880 routers came to 1,012 repeats.
-func TestRoutersShareWhatTheyMayRepeatWithoutASlack(t *testing.T) {
+// Guards against a default slack per router: without a configured slack, 880 routers made 880
+// retries in ten seconds for as many requests, because each had the whole floor for itself. In
+// this test the shares of 880 routers came to 1,012 retries.
+func TestRoutersShareDefaultRetrySlack(t *testing.T) {
 	const ratio, floor = 0.2, 1.0 // one in ten seconds
 	for _, routers := range []int{1, 3, 12, 31, 103, 300, 880} {
-		parts := 0.0
-		now := time.Now().Add(time.Minute) // they have run for a while
+		allowed := 0.0
+		now := time.Now().Add(time.Minute) // after the startup phase
 		for i := range routers {
 			policy := directRetries(DirectBounds{RetryRatio: ratio, RetryWindow: 10 * time.Second}, func() int { return routers }, uint64(i+1))
 			policy.First(now, "s", 0)
-			parts += policy.Budget.UsageOfAll(now)["s"].Allowed
+			allowed += policy.Budget.UsageOfAll(now)["s"].Allowed
 		}
-		NewWithT(t).Expect(parts).To(BeNumerically("<=", ratio*float64(routers)+floor), "%d routers", routers)
+		NewWithT(t).Expect(allowed).To(BeNumerically("<=", ratio*float64(routers)+floor), "%d routers", routers)
 	}
 }
 
-// The story: with a ratio of 0, which allows none, a tenth of the requests was repeated.
-// The cause: a budget takes its default for what is 0, and 0 was handed to it as it is.
-// The evidence: this test, in which a router with agents made 110 for 1,000 requests.
-func TestARatioOfZeroAllowsNoRepeatsByRequests(t *testing.T) {
+// Guards against a ratio of 0 being replaced by the default: the budget takes its default for
+// 0, and 0 was passed to it unchanged, so a tenth of the requests was retried. In this test a
+// router with agents made 110 retries for 1,000 requests.
+func TestZeroRetryRatioAllowsNoRetriesPerRequest(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now().Add(time.Minute)
 	made := func(policy *retry.Policy) (n int) {
@@ -75,10 +74,10 @@
 	g.Expect(made(directRetries(bounds, func() int { return 1 }, 1))).To(BeNumerically("~", 100, 5), "bounds that aren't stated")
 }
 
-func TestRetriesFollowTheSettings(t *testing.T) {
+func TestReloadUpdatesRetryBudget(t *testing.T) {
 	g := NewWithT(t)
 	bounds := DirectBounds{RetryBounded: true, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 52}
-	d := &directRouter{cfg: Direct{Reload: func() (DirectBounds, error) { return bounds, nil }}, log: zerolog.Nop()}
+	d := &directRouter{cfg: DirectConfig{Reload: func() (DirectBounds, error) { return bounds, nil }}, log: zerolog.Nop()}
 	d.bounds.Store(&bounds)
 	d.retries = directRetries(bounds, func() int { return 1 }, 1).Budget
 	now := time.Now().Add(time.Minute)
--- a/internal/daemon/directroom.go
+++ b/internal/daemon/directroom.go
@@ -2,22 +2,23 @@
 
 import "runtime/debug"
 
-// Parts of a VM's memory, where the settings tell it, and what takes it.
+// Shares of a VM's memory, used if the settings state its size.
 const (
 	// openShare is for open requests, each of which takes openBytes: two connections with
-	// their buffers, and what is known of the request.
+	// their buffers, and the request's state.
 	openShare = 0.6
 	openBytes = 96 << 10
-	// bodyShare is for bodies.
+	// bodyShare is for buffered request bodies.
 	bodyShare = 0.15
-	// heapShare is how much the heap takes before it is collected more and more often: beyond
-	// the VM's memory the process ends, with all that it has open.
+	// heapShare is the soft memory limit, beyond which the garbage collector runs more and
+	// more often. If the process exceeds the VM's memory it is killed, and all its open
+	// requests are lost.
 	heapShare = 0.7
 )
 
-// directRoom is how many requests may be open and how many bytes of bodies may be held on a VM
-// with so many bytes of memory, 0 if that isn't known.
-func directRoom(memory int64) (open, bodies int64) {
+// directMemoryLimits returns the maximum number of open requests and of buffered body bytes on
+// a VM with the given memory in bytes, 0 if unknown.
+func directMemoryLimits(memory int64) (open, bodies int64) {
 	if memory <= 0 {
 		return directMaxOpen, directMaxBodyBytes
 	}
@@ -26,7 +27,7 @@
 	return max(1, min(open, directMaxOpen)), min(bodies, directMaxBodyBytes)
 }
 
-// limitHeap has the collector keep the heap within its share of the VM's memory.
+// limitHeap sets the garbage collector's soft memory limit to heapShare of the VM's memory.
 func limitHeap(memory int64) {
 	if memory <= 0 {
 		return
--- a/internal/daemon/directroom_test.go
+++ b/internal/daemon/directroom_test.go
@@ -23,25 +23,25 @@
 	"coveferry/internal/upstream"
 )
 
-func TestWhatARouterHoldsForCallersFitsItsVM(t *testing.T) {
+func TestMemoryLimitsFitVM(t *testing.T) {
 	for _, mb := range []int64{32, 88, 112, 144, 536} {
 		g := NewWithT(t)
 		memory := mb << 20
-		open, bodies := directRoom(memory)
+		open, bodies := directMemoryLimits(memory)
 		const idle = 24 << 20 // of a router that knows some thousand endpoints
 		g.Expect(open*openBytes+bodies).To(BeNumerically("<", memory*8/10), "%d MB", mb)
 		if mb >= 100 {
 			g.Expect(open*openBytes+bodies+idle).To(BeNumerically("<", memory), "%d MB", mb)
 		}
 	}
-	open, bodies := directRoom(0)
+	open, bodies := directMemoryLimits(0)
 	NewWithT(t).Expect(open).To(Equal(int64(directMaxOpen)))
 	NewWithT(t).Expect(bodies).To(Equal(int64(directMaxBodyBytes)))
 }
 
-// streamForever is an endpoint whose answers go on for as long as they are read. It keeps no
-// more of a connection than a few bytes.
-func streamForever(conn net.Conn) {
+// serveEndlessStream answers with a stream that goes on as long as it is read. It buffers only
+// a few bytes per connection.
+func serveEndlessStream(conn net.Conn) {
 	req, err := http.ReadRequest(bufio.NewReaderSize(conn, 16))
 	if err != nil {
 		return
@@ -55,9 +55,9 @@
 	}
 }
 
-// Each open request of a caller that doesn't read takes no more than what is counted for it,
-// the caller's and the endpoint's side in this process included.
-func TestARequestOfACallerThatDoesNotReadTakesLittleMemory(t *testing.T) {
+// An open request whose caller doesn't read must not take more memory than openBytes,
+// including the endpoint's side of the connection in this process.
+func TestStalledCallerMemoryIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	const requests = 200
 	endpoint, err := net.Listen("tcp", "127.0.0.1:0")
@@ -69,7 +69,7 @@
 			if err != nil {
 				return
 			}
-			go streamForever(conn)
+			go serveEndlessStream(conn)
 		}
 	}()
 	table, err := route.NewTable(route.Config{
@@ -94,7 +94,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	srv := server.New(server.Config{Listener: l, Handler: http.HandlerFunc(rt.ServeRouted), Grace: time.Second, HeaderTimeout: time.Second})
 	go func() { _ = srv.Run() }()
-	before := inUse()
+	before := memoryInUse()
 	var callers []net.Conn
 	for i := range requests {
 		conn, err := net.Dial("tcp", l.Addr().String())
@@ -105,7 +105,7 @@
 		callers = append(callers, conn)
 	}
 	time.Sleep(300 * time.Millisecond)
-	each := (inUse() - before) / requests
+	each := (memoryInUse() - before) / requests
 	t.Logf("%d bytes each", each)
 	g.Expect(each).To(BeNumerically("<", openBytes))
 	for _, conn := range callers {
@@ -114,8 +114,8 @@
 	g.Expect(srv.Stop()).To(Succeed())
 }
 
-// inUse is the memory of the heap and of the stacks.
-func inUse() int64 {
+// memoryInUse returns the bytes of the heap and the stacks.
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/daemon/directsettings.go
+++ b/internal/daemon/directsettings.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// settingsTick is the time between two readings of the settings file without
-	// a signal.
-	settingsTick = 5 * time.Second
+	// settingsPollInterval is the interval at which the settings file is read again without a
+	// signal.
+	settingsPollInterval = 5 * time.Second
 )
 
-// followSettings reads the settings again at each SIGHUP, and from time to time
-// without one, as they may change silently. The bounds on keys, stops and retries then
-// hold; addresses, the pace of reading and the window of retries are those of the start.
+// followSettings reloads the settings on each SIGHUP, and periodically because they may change
+// without a signal. New bounds on keys, stops and retries apply; addresses, the timing of
+// source reads and the retry window keep their values from startup.
 func (d *directRouter) followSettings(ctx context.Context) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	tick := time.NewTicker(settingsTick)
+	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -35,18 +35,18 @@
 	}
 }
 
-// reload puts the bounds of the settings in force. asked says that an operator
-// waits for a word.
-func (d *directRouter) reload(asked bool) {
+// reload applies the bounds of the settings. If requested is true, an operator asked for it,
+// and the result is logged even without a change.
+func (d *directRouter) reload(requested bool) {
 	bounds, err := d.cfg.Reload()
 	if err != nil {
-		d.log.Error().Err(err).Msg("settings could not be read again; the old ones stay")
+		d.log.Error().Err(err).Msg("reloading settings failed; keeping the old ones")
 		return
 	}
 	changed := bounds != *d.bounds.Load()
 	d.bounds.Store(&bounds)
 	d.retries.Allow(retryShares(bounds))
-	if asked || changed {
-		d.log.Info().Bool("changed", changed).Dur("max_key_age", d.maxKeyAge()).Msg("settings read again")
+	if requested || changed {
+		d.log.Info().Bool("changed", changed).Dur("max_key_age", d.maxKeyAge()).Msg("settings reloaded")
 	}
 }
--- a/internal/daemon/directsilence.go
+++ b/internal/daemon/directsilence.go
@@ -10,9 +10,9 @@
 	"coveferry/internal/membership"
 )
 
-// watchSilence has endpoints asked for their health from which nothing comes
-// though requests are open there. The requests themselves wait on, but for streams
-// that go on from copies once the endpoint is taken for lost.
+// watchSilence triggers health checks of endpoints that send nothing although they have open
+// requests. The requests keep waiting, except streams, which resume from copies once the
+// endpoint is considered lost.
 func (d *directRouter) watchSilence(ctx context.Context) {
 	tick := time.NewTicker(balance.SilenceTick)
 	defer tick.Stop()
@@ -29,18 +29,18 @@
 	}
 }
 
-// logSilentDomain writes a line when nothing is heard of a failure domain any more, and when
-// something is again.
+// logSilentDomain logs when a failure domain becomes unresponsive and when it responds again.
 func (d *directRouter) logSilentDomain(e balance.SilentDomain) {
 	line := d.log.Warn().Str("failure_domain", e.FailureDomain).Str("of", e.Group)
 	if !e.Silent {
-		line.Msg("failure domain is no longer avoided for its silence")
+		line.Msg("failure domain responds again and is no longer avoided")
 		return
 	}
-	line.Int("endpoints", e.Endpoints).Msg("failure domain is avoided: nothing is heard of its endpoints")
+	line.Int("endpoints", e.Endpoints).Msg("failure domain is avoided: none of its endpoints respond")
 }
 
-// registerSilences has a metric tell of failure domains that are avoided for their silence.
+// registerSilences registers the number of failure domains that are avoided because they don't
+// respond.
 func (d *directRouter) registerSilences() {
 	d.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "coveferry_silent_failure_domains",
--- a/internal/daemon/directstop.go
+++ b/internal/daemon/directstop.go
@@ -6,23 +6,22 @@
 	"coveferry/internal/server"
 )
 
-// How a direct router stops.
+// Timing of a direct router's shutdown.
 const (
-	// noticeShare of StopWithin is the most that passes before a stopping
-	// router refuses new requests.
+	// noticeShare of StopWithin is the longest time before a stopping router refuses new
+	// requests.
 	noticeShare = 0.33
-	// directNotice is how long the balancer goes on sending connections after a
-	// router has said that it takes no more: two questions a second apart.
+	// directNotice is how long the load balancer may still send connections after the router
+	// reports not ready: two readiness checks, one second apart.
 	directNotice = 2500 * time.Millisecond
-	// directMargin is what a stop leaves for callers to be told that their
-	// answers end early, and again for the process to end by itself.
+	// directMargin is the time left for telling callers that their responses end early, and
+	// again for the process to exit.
 	directMargin = 400 * time.Millisecond
-	// directLinger is the quiet after which a stopping router closes
-	// connections.
+	// directLinger is how long a connection must be idle before a stopping router closes it.
 	directLinger = 300 * time.Millisecond
 )
 
-// stopPlan is how a direct router stops within so long.
+// stopPlan returns the shutdown plan for a router that must exit within the given time.
 func stopPlan(within time.Duration) server.Plan {
 	notice := min(directNotice, time.Duration(noticeShare*float64(within)))
 	return server.Plan{Notice: notice, Grace: within - notice - directMargin, Margin: directMargin}
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -12,25 +12,25 @@
 	"coveferry/internal/limits"
 )
 
-// mostHomes bounds the connections to homes of team limits. A router that asks
-// more homes in turn opens connections again and again.
-const mostHomes = 1024
+// maxLimitHomes bounds the connections to the routers that keep the counts of team limits. A
+// router that asks more of them in turn keeps reopening connections.
+const maxLimitHomes = 1024
 
-// teamLimits hold teams to their limits together with the other routers.
+// teamLimits enforces team limits together with the other routers.
 type teamLimits struct {
 	limiter *limits.Limiter
 	pool    *control.Pool
 }
 
 func newTeamLimits(id *identity.Identity, reg prometheus.Registerer, log zerolog.Logger) teamLimits {
-	pool := control.NewPool(control.ClientConfig{Identity: id, Log: log}, mostHomes)
+	pool := control.NewPool(control.ClientConfig{Identity: id, Log: log}, maxLimitHomes)
 	return teamLimits{pool: pool, limiter: limits.New(limits.Config{
 		Name: id.Peer().Name, Sender: limits.NewSender(pool), Log: log, Metrics: reg,
 	})}
 }
 
-// addLimits adds what asks other routers and answers them. The server mustn't
-// run yet.
+// addLimits adds the actor that exchanges team limit requests with other routers. It must be
+// called before the server runs.
 func addLimits(g *run.Group, t teamLimits, srv *control.Server) {
 	t.limiter.Register(srv)
 	addRunner(g, func(ctx context.Context) {
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -19,10 +19,9 @@
 	"coveferry/internal/settings"
 )
 
-// agentScheme is that of agents' addresses.
 const agentScheme = "https"
 
-// newControlServer listens where the system's own processes and operators call.
+// newControlServer listens for other processes of the system and operators.
 func newControlServer(p settings.Process, id *identity.Identity, log zerolog.Logger) (*control.Server, error) {
 	l, err := net.Listen("tcp", p.ControlListen.String())
 	if err != nil {
@@ -32,33 +31,32 @@
 }
 
 // addControl adds the server of the control channel.
-func addControl(g *run.Group, srv *control.Server, failed *error) {
+func addControl(g *run.Group, srv *control.Server, stopErr *error) {
 	g.Add(srv.Run, func(error) {
-		*failed = errors.CombineErrors(*failed, srv.Stop())
+		*stopErr = errors.CombineErrors(*stopErr, srv.Stop())
 	})
 }
 
-// addRunner adds what runs until its context ends.
+// addRunner adds an actor that runs until the group ends.
 func addRunner(g *run.Group, runner func(context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error { runner(ctx); return nil }, func(error) { cancel() })
 }
 
-func newMembers(name string, pool *balance.Pool, reg prometheus.Registerer, log zerolog.Logger) *membership.Tracker {
+func newMembershipTracker(name string, pool *balance.Pool, reg prometheus.Registerer, log zerolog.Logger) *membership.Tracker {
 	return membership.NewTracker(membership.Config{
 		Name: name, Pool: pool, Tuning: membership.Tuning{Seed: membership.SeedOf(name)}, Log: log, Metrics: reg,
 	})
 }
 
-// apply puts a snapshot in force at a router. Its endpoints are those that
-// membership then knows.
+// apply puts a snapshot in force at a router. Membership takes its endpoints from it.
 func (p *routerParts) apply(s *bundle.Snapshot) {
 	p.router.Swap(s)
 	p.members.SetBundle(s.Bundle())
 }
 
-// addMembers adds what brings a router's members up to date, besides its own
-// attempts.
+// addMembers adds the actors that keep a router's membership up to date, apart from the
+// outcomes of its own requests.
 func addMembers(g *run.Group, s *settings.Router, parts *routerParts, srv *control.Server, id *identity.Identity, log zerolog.Logger) {
 	client := server.NewClient(nil, nil)
 	var platform []*membership.Platform
@@ -77,7 +75,7 @@
 	addRunner(g, membership.NewProber(parts.members, parts.client, agentScheme).Run)
 }
 
-// newAnnouncer tells routers when the agent leaves.
+// newAnnouncer returns the announcer that tells routers when the agent leaves.
 func newAnnouncer(ag *agent.Agent, snapshot func() *bundle.Snapshot, id *identity.Identity, log zerolog.Logger) *membership.Announcer {
 	return membership.NewAnnouncer(membership.AnnouncerConfig{
 		Status:  ag.Status,
--- a/internal/daemon/onplatform/onplatform.go
+++ b/internal/daemon/onplatform/onplatform.go
@@ -1,5 +1,5 @@
-// Package onplatform puts a router that reaches its endpoints itself together with the
-// platform that it runs on. Neither knows the other.
+// Package onplatform connects a direct router with the platform on which it runs. Neither
+// depends on the other.
 package onplatform
 
 import (
@@ -9,15 +9,14 @@
 	"coveferry/platform"
 )
 
-// Config is the configuration of a router that runs on the platform, by the
-// settings file at a path. A metricsPort of 0 serves no metrics. The error is a
-// *platform.SettingsError.
-func Config(path string, metricsPort int) (daemon.Direct, error) {
+// Config returns the configuration of a router on the platform from the settings file at path.
+// If metricsPort is 0, no metrics are served. The error is a *platform.SettingsError.
+func Config(path string, metricsPort int) (daemon.DirectConfig, error) {
 	s, err := platform.LoadSettings(path)
 	if err != nil {
-		return daemon.Direct{}, err
+		return daemon.DirectConfig{}, err
 	}
-	cfg := daemon.Direct{
+	cfg := daemon.DirectConfig{
 		VM:            s.VM,
 		FailureDomain: s.FailureDomain,
 		Regions:       s.Regions,
--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -13,8 +13,8 @@
 	"coveferry/internal/settings"
 )
 
-// newPlacement returns what gives orders to the agent's engine. Without a
-// placement in the bundle it gives none.
+// newPlacement returns the runner that sends placement orders to the agent's engine. It sends
+// none if the bundle has no placement.
 func newPlacement(s *settings.Agent, id *identity.Identity, reg prometheus.Registerer, log zerolog.Logger) *placement.Runner {
 	return placement.New(placement.Config{
 		Endpoint:  string(s.Endpoint),
@@ -27,16 +27,16 @@
 	})
 }
 
-// followAll calls each with a bundle that comes in force.
-func followAll(each ...func(*bundle.Snapshot)) func(*bundle.Snapshot) {
+// notifyAll returns a function that passes a new bundle to each subscriber.
+func notifyAll(subscribers ...func(*bundle.Snapshot)) func(*bundle.Snapshot) {
 	return func(s *bundle.Snapshot) {
-		for _, follow := range each {
-			follow(s)
+		for _, onSnapshot := range subscribers {
+			onSnapshot(s)
 		}
 	}
 }
 
-// place has the runner act by a bundle.
-func place(r *placement.Runner) func(*bundle.Snapshot) {
+// followPlacement returns a function that applies a bundle's placement.
+func followPlacement(r *placement.Runner) func(*bundle.Snapshot) {
 	return func(s *bundle.Snapshot) { r.Follow(s.Bundle()) }
 }
--- a/internal/daemon/poison.go
+++ b/internal/daemon/poison.go
@@ -14,17 +14,17 @@
 	"coveferry/internal/poison"
 )
 
-// newPoison returns a table of the requests under which endpoints end. It writes a line
-// and counts when one is held back or no longer. check is told which endpoints ended under one
-// that is held back by what this router has seen itself.
-func newPoison(vm string, reg prometheus.Registerer, log zerolog.Logger, check func(endpoints []string)) *poison.Table {
+// newPoisonTable returns a table of quarantined requests: those that seem to crash endpoints.
+// It logs and counts them. checkCrashed is called with the endpoints that seem to have crashed
+// when this router's own observations led to a quarantine.
+func newPoisonTable(vm string, reg prometheus.Registerer, log zerolog.Logger, checkCrashed func(endpoints []string)) *poison.Table {
 	t := poison.NewTable(poison.Config{Router: vm, OnEvent: func(e poison.Event) {
-		line, text := log.Warn(), "request is held back: endpoints end under it"
+		line, text := log.Warn(), "request is quarantined: endpoints crash while running it"
 		if !e.Held {
-			line, text = log.Info(), "request is no longer held back: it was answered, or its endpoints live on"
+			line, text = log.Info(), "request is no longer quarantined: it was answered, or its endpoints are still running"
 		}
 		if e.Held && e.Own {
-			check(e.Endpoints)
+			checkCrashed(e.Endpoints)
 		}
 		line.Stringer(logging.FieldIdentity, e.Identity).Strs("endpoints", e.Endpoints).Msg(text)
 	}})
@@ -35,13 +35,14 @@
 	return t
 }
 
-// lostCheckTimeout is long beside an answer in milliseconds, and leaves what it shows well
-// within the time in which no endpoint starts again.
-const lostCheckTimeout = 500 * time.Millisecond
+// crashCheckTimeout is long compared with a response time of milliseconds, and short enough
+// that no endpoint can have restarted in the meantime.
+const crashCheckTimeout = 500 * time.Millisecond
 
-// checkLost asks endpoints for their health that seem to have ended under a request: one that
-// only resets connections answers, and the request is no longer held back for it.
-func (d *directRouter) checkLost(processes []string) {
+// checkCrashed checks the health of endpoints that seem to have crashed under a request. If
+// one responds, it only reset connections, and the request is no longer quarantined because of
+// it.
+func (d *directRouter) checkCrashed(processes []string) {
 	for _, process := range processes {
 		name, incarnation, _ := strings.Cut(process, "/")
 		entry, listed := d.follower.Directory().Entry(name)
@@ -49,10 +50,10 @@
 			continue
 		}
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), lostCheckTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 			defer cancel()
 			sent := clock.Boot()
-			if _, err := d.list.health(ctx, name); err == nil {
+			if _, err := d.list.checkHealth(ctx, name); err == nil {
 				d.poison.Survived(process, sent)
 			}
 		}()
--- a/internal/daemon/policies.go
+++ b/internal/daemon/policies.go
@@ -13,8 +13,8 @@
 	"coveferry/internal/settings"
 )
 
-// balancePolicy returns the policy that the settings name; their check lets
-// no other name through.
+// balancePolicy returns the policy with the configured name. Validation of the settings
+// rejects unknown names.
 func balancePolicy(s settings.Balance) balance.Policy {
 	policies := []balance.Policy{
 		balance.LoadAware{}, balance.HotCold{}, balance.PowerOfTwo{},
@@ -30,7 +30,7 @@
 
 func retryPolicy(s settings.Retry) attempts.Policy {
 	budget := retry.BudgetConfig{Ratio: s.BudgetRatio}
-	if s.BudgetRatio == 0 { // the operator wants none
+	if s.BudgetRatio == 0 { // retries are disabled
 		budget.Ratio, budget.Floor = retry.None, retry.None
 	}
 	return &retry.Policy{MaxAttempts: s.MaxAttempts, Budget: retry.NewBudget(budget)}
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -25,11 +25,11 @@
 	"coveferry/internal/telemetry"
 )
 
-// Router runs a router by the settings file until the environment's context
-// ends. It then stops being ready, serves on while the balancer turns away,
-// and finishes the answers under way.
+// Router runs a router with a settings file until the environment's context ends. It then
+// reports not ready, keeps serving until the load balancer has stopped sending connections,
+// and finishes open responses.
 func Router(env *cli.Env, settingsFile string) error {
-	paceCollector(collectorPercent)
+	setGCPercent(defaultGCPercent)
 	s, err := settings.LoadRouter(settingsFile)
 	if err != nil {
 		return cli.BadInput(err)
@@ -44,12 +44,12 @@
 	}
 	id.RegisterMetrics(reg)
 	var rt *router.Router
-	service := newTracker(string(s.VM), reg, func() *bundle.Snapshot { return rt.Snapshot() })
+	service := newSLOTracker(string(s.VM), reg, func() *bundle.Snapshot { return rt.Snapshot() })
 	bundles, err := startBundles(s.Process, id, reg, ready, log)
 	if err != nil {
 		return err
 	}
-	snapshot := bundles.first(env.Ctx)
+	snapshot := bundles.waitForFirst(env.Ctx)
 	if snapshot == nil {
 		return nil // told to stop
 	}
@@ -71,28 +71,28 @@
 		return err
 	}
 	var g run.Group
-	var failed error
-	addUntil(&g, env.Ctx)
+	var stopErr error
+	addContextActor(&g, env.Ctx)
 	addServer(&g, callers, func() error {
 		log.Info().Stringer("balancer_grace", s.Shutdown.BalancerGrace.Std()).Msg("stopping")
 		ready.Close(gateServing)
 		plan := routerPlan(s.Shutdown)
 		return plan.Run(rt.Leave, rt.EndOpen, func() error { return callers.StopWithin(plan.Grace) })
-	}, &failed)
-	addServer(&g, admin, admin.Stop, &failed)
+	}, &stopErr)
+	addServer(&g, admin, admin.Stop, &stopErr)
 	addMembers(&g, s, parts, peers, id, log)
 	addLimits(&g, parts.limits, peers)
 	bundles.node.Register(peers)
-	bundles.then(parts.apply)
-	addControl(&g, peers, &failed)
+	bundles.subscribe(parts.apply)
+	addControl(&g, peers, &stopErr)
 	addBundles(&g, bundles)
 	addIdentity(&g, id, log)
 	ready.Open(gateServing)
 	log.Info().Str("listen", callers.Addr()).Uint64(logging.FieldBundle, rt.Snapshot().Version()).Msg("serving")
-	return errors.CombineErrors(g.Run(), failed)
+	return errors.CombineErrors(g.Run(), stopErr)
 }
 
-// routerParts are a router and what its membership shares with it.
+// routerParts holds a router and the components that it shares with its membership.
 type routerParts struct {
 	router  *router.Router
 	client  *http.Client
@@ -106,7 +106,7 @@
 	client := server.NewTLSClient(id.DialTLS(server.TCP(), identity.RoleAgent, nameAt))
 	inForce := func() *bundle.Snapshot { return rt.Snapshot() }
 	pool := balance.NewPool(balance.Config{Policy: balancePolicy(s.Balance), Seed: uint64(os.Getpid())})
-	members := newMembers(id.Peer().Name, pool, reg, log)
+	members := newMembershipTracker(id.Peer().Name, pool, reg, log)
 	teams := newTeamLimits(id, reg, log)
 	rt = router.New(router.Config{
 		Name:         id.Peer().Name,
@@ -122,7 +122,7 @@
 		MaxBodyBytes: int64(s.Limits.MaxBodyMemory),
 		Limits:       teams.limiter,
 		Observer:     members,
-		Poison:       newPoison(id.Peer().Name, reg, log, func([]string) {}), // agents outlive their engines
+		Poison:       newPoisonTable(id.Peer().Name, reg, log, func([]string) {}), // agents keep running when their engines crash
 		Service:      service,
 		Routing:      router.BundleRouting(inForce, server.NewDirectClient()),
 		Log:          log,
@@ -149,12 +149,11 @@
 	}), nil
 }
 
-// endMargin is what a router's stop leaves for its callers to be told that
-// their answers end early.
+// endMargin is the time left at shutdown for telling callers that their responses end early.
 const endMargin = time.Second
 
-// lingerTime is how long the connections of callers must have been quiet before
-// a router that stops closes them.
+// lingerTime is how long a caller's connection must be idle before a stopping router closes
+// it.
 const lingerTime = time.Second
 
 func routerPlan(s settings.RouterShutdown) server.Plan {
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -21,13 +21,13 @@
 	"coveferry/internal/units"
 )
 
-// The team and class of the embedded bundle.
+// The API key and model of the embedded bundle.
 const (
 	demoKey   = "demo-key"
 	demoModel = "stand-in"
 )
 
-// demoBundle is in force where no other is given: one team, two classes, two
+// demoBundle returns the bundle that is used if none is configured: one team, two classes, two
 // tiers.
 func demoBundle() bundle.Bundle {
 	now := time.Now().UTC()
@@ -36,8 +36,8 @@
 		Issued: now, Expires: now.AddDate(1, 0, 0),
 		Tiers: []bundle.Tier{{Name: "gold"}, {Name: "bronze"}},
 		Classes: []bundle.Class{
-			{Name: "queries", FirstToken: duration("760ms"), BetweenTokens: duration("77ms"), Deadline: duration("60s")},
-			{Name: "reviews", FirstToken: duration("10s"), Deadline: duration("10m")},
+			{Name: "queries", FirstToken: mustDuration("760ms"), BetweenTokens: mustDuration("77ms"), Deadline: mustDuration("60s")},
+			{Name: "reviews", FirstToken: mustDuration("10s"), Deadline: mustDuration("10m")},
 		},
 		Models: []bundle.Model{{Name: demoModel}},
 		Teams: []bundle.Team{{
@@ -48,7 +48,7 @@
 	}
 }
 
-func duration(text string) units.Duration {
+func mustDuration(text string) units.Duration {
 	var d units.Duration
 	if err := d.UnmarshalText([]byte(text)); err != nil {
 		panic(err) // a constant of this file
@@ -56,8 +56,8 @@
 	return d
 }
 
-// greet prints what a newcomer can try.
-func greet(w io.Writer, url string) {
+// printQuickStart prints a command for a first request.
+func printQuickStart(w io.Writer, url string) {
 	fmt.Fprintf(w, `coveferry is ready. Try:
 
   curl -N %s/v1/chat/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '{"model":"%s","stream":true,"messages":[{"role":"user","content":"Hello"}]}'
@@ -79,14 +79,14 @@
 	return engines
 }
 
-// Standalone runs router, agents and stand-in engines in this process until
-// the environment's context ends, then lets open requests finish.
+// Standalone runs a router, agents and stand-in engines in this process until the
+// environment's context ends, then finishes open requests.
 func Standalone(env *cli.Env, s *settings.Standalone) error {
 	log := logging.New(s.Log, env.Stderr)
 	reg := telemetry.NewRegistry()
 	ready := telemetry.NewReadiness(gateServing)
 	var f *fleet.Fleet
-	service := newTracker("standalone", reg, func() *bundle.Snapshot { return f.Routers()[0].Router.Snapshot() })
+	service := newSLOTracker("standalone", reg, func() *bundle.Snapshot { return f.Routers()[0].Router.Snapshot() })
 	b, err := standaloneBundle(s)
 	if err != nil {
 		return err
@@ -106,26 +106,26 @@
 		return err
 	}
 	var g run.Group
-	var failed error
-	addUntil(&g, env.Ctx)
+	var stopErr error
+	addContextActor(&g, env.Ctx)
 	stopped := make(chan struct{})
 	g.Add(func() error { <-stopped; return nil }, func(error) {
-		log.Info().Msg("stopping: open requests are finished first")
+		log.Info().Msg("stopping: finishing open requests")
 		ready.Close(gateServing)
-		failed = errors.CombineErrors(failed, f.Stop())
+		stopErr = errors.CombineErrors(stopErr, f.Stop())
 		close(stopped)
 	})
 	admin, err := newAdminServer(s.MetricsListen.String(), newRouterMux(reg, ready, service, f.Routers()[0].Members()))
 	if err != nil {
 		return errors.CombineErrors(err, f.Stop())
 	}
-	addServer(&g, admin, admin.Stop, &failed)
+	addServer(&g, admin, admin.Stop, &stopErr)
 	ready.Open(gateServing)
-	greet(env.Stdout, f.Routers()[0].URL())
-	return errors.CombineErrors(g.Run(), failed)
+	printQuickStart(env.Stdout, f.Routers()[0].URL())
+	return errors.CombineErrors(g.Run(), stopErr)
 }
 
-// standaloneBundle is the one that the settings name, unsigned as it may be, or
+// standaloneBundle reads the bundle from the settings, which needs no signature, or returns
 // the embedded one.
 func standaloneBundle(s *settings.Standalone) (bundle.Bundle, error) {
 	if s.BundleFile == "" {
