--- a/internal/daemon/directlist.go
+++ b/internal/daemon/directlist.go
@@ -96,7 +96,7 @@
 	for _, domain := range last.Evacuated() {
 		if !dir.IsEvacuated(domain) {
 			l.d.log.Warn().Str("failure_domain", domain).Int("endpoints", len(endpointsInDomain(dir, domain))).
-				Msg("evacuation ended: endpoints of the failure domain get requests again, at first at the rate of cold endpoints")
+				Msg("failure domain is taken back: its endpoints get requests again, at first at the rate of cold endpoints")
 		}
 	}
 }
--- a/internal/daemon/directsettings.go
+++ b/internal/daemon/directsettings.go
@@ -47,6 +47,6 @@
 	d.bounds.Store(&bounds)
 	d.retries.Allow(retryShares(bounds))
 	if requested || changed {
-		d.log.Info().Bool("changed", changed).Dur("max_key_age", d.maxKeyAge()).Msg("settings reloaded")
+		d.log.Info().Bool("changed", changed).Dur("max_key_age", d.maxKeyAge()).Msg("settings read again")
 	}
 }
--- a/internal/jsonc/decode.go
+++ b/internal/jsonc/decode.go
@@ -23,8 +23,8 @@
 		panic("jsonc: Decode needs a non-nil pointer")
 	}
 	dec := decoder{doc: d, fields: make(map[reflect.Type][]field)}
-	dec.duplicates(&d.root, nil)
-	dec.value(&d.root, v.Elem(), nil)
+	dec.checkDuplicates(&d.root, nil)
+	dec.decodeValue(&d.root, v.Elem(), nil)
 	dec.problems.Sort()
 	return dec.problems
 }
@@ -37,7 +37,7 @@
 }
 
 // report adds a problem, up to MaxProblems and a last one that says so.
-func (dec *decoder) report(at *hujson.Value, path *trail, format string, args ...any) {
+func (dec *decoder) report(at *hujson.Value, path *pathNode, format string, args ...any) {
 	msg := fmt.Sprintf(format, args...)
 	switch n := len(dec.problems); {
 	case n > MaxProblems:
@@ -45,19 +45,19 @@
 	case n == MaxProblems:
 		msg = fmt.Sprintf("more than %d problems; the others are not listed", MaxProblems)
 	}
-	dec.problems = append(dec.problems, dec.doc.at(at.StartOffset, path.String(), msg))
+	dec.problems = append(dec.problems, dec.doc.problemAt(at.StartOffset, path.String(), msg))
 }
 
-// full says that further problems aren't listed, so that the costly search for
+// limitReached says that further problems aren't listed, so that the costly search for
 // what an unknown key may have meant can be left out.
-func (dec *decoder) full() bool { return len(dec.problems) > MaxProblems }
+func (dec *decoder) limitReached() bool { return len(dec.problems) > MaxProblems }
 
-// duplicates reports keys that an object of the tree holds twice.
-func (dec *decoder) duplicates(v *hujson.Value, path *trail) {
+// checkDuplicates reports keys that an object of the tree holds twice.
+func (dec *decoder) checkDuplicates(v *hujson.Value, path *pathNode) {
 	switch node := v.Value.(type) {
 	case *hujson.Array:
 		for i := range node.Elements {
-			dec.duplicates(&node.Elements[i], path.index(i))
+			dec.checkDuplicates(&node.Elements[i], path.index(i))
 		}
 	case *hujson.Object:
 		first := make(map[string]int, len(node.Members))
@@ -68,39 +68,39 @@
 			if line, seen := first[key]; seen {
 				dec.report(&m.Name, sub, "duplicate key; it already stands on line %d", line)
 			} else {
-				first[key], _ = dec.doc.lines.place(m.Name.StartOffset)
+				first[key], _ = dec.doc.lines.position(m.Name.StartOffset)
 			}
-			dec.duplicates(&m.Value, sub)
+			dec.checkDuplicates(&m.Value, sub)
 		}
 	}
 }
 
-// value decodes one value of any kind.
-func (dec *decoder) value(v *hujson.Value, dst reflect.Value, path *trail) {
+// decodeValue decodes one decodeValue of any kind.
+func (dec *decoder) decodeValue(v *hujson.Value, dst reflect.Value, path *pathNode) {
 	if dst.Kind() == reflect.Pointer {
-		dec.pointer(v, dst, path)
+		dec.decodePointer(v, dst, path)
 		return
 	}
-	if dec.unmarshaler(v, dst, path) {
+	if dec.decodeCustom(v, dst, path) {
 		return
 	}
 	switch dst.Kind() {
 	case reflect.Struct:
-		dec.structure(v, dst, path)
+		dec.decodeStruct(v, dst, path)
 	case reflect.Map:
-		dec.mapping(v, dst, path)
+		dec.decodeMap(v, dst, path)
 	case reflect.Slice:
-		dec.slice(v, dst, path)
+		dec.decodeSlice(v, dst, path)
 	case reflect.Array:
-		dec.array(v, dst, path)
+		dec.decodeArray(v, dst, path)
 	case reflect.Interface:
-		dec.anything(v, dst, path)
+		dec.decodeAny(v, dst, path)
 	default:
-		dec.scalar(v, dst, path)
+		dec.decodeScalar(v, dst, path)
 	}
 }
 
-func (dec *decoder) pointer(v *hujson.Value, dst reflect.Value, path *trail) {
+func (dec *decoder) decodePointer(v *hujson.Value, dst reflect.Value, path *pathNode) {
 	if v.Value.Kind() == 'n' {
 		dst.SetZero()
 		return
@@ -108,10 +108,10 @@
 	if dst.IsNil() {
 		dst.Set(reflect.New(dst.Type().Elem()))
 	}
-	dec.value(v, dst.Elem(), path)
+	dec.decodeValue(v, dst.Elem(), path)
 }
 
-func (dec *decoder) structure(v *hujson.Value, dst reflect.Value, path *trail) {
+func (dec *decoder) decodeStruct(v *hujson.Value, dst reflect.Value, path *pathNode) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
 		dec.wrongKind(v, path, "an object {...}")
@@ -123,24 +123,24 @@
 		m := &obj.Members[i]
 		key := memberName(m)
 		seen[key] = true
-		dec.member(m, key, dst, fields, path.key(key))
+		dec.decodeMember(m, key, dst, fields, path.key(key))
 	}
 	for _, f := range fields {
 		if f.required && !seen[f.key] {
-			dec.report(v, path.key(f.key), "%s", missing(f.typ))
+			dec.report(v, path.key(f.key), "%s", missingMessage(f.typ))
 		}
 	}
 }
 
-func (dec *decoder) member(m *hujson.ObjectMember, key string, dst reflect.Value, fields []field, path *trail) {
+func (dec *decoder) decodeMember(m *hujson.ObjectMember, key string, dst reflect.Value, fields []field, path *pathNode) {
 	for _, f := range fields {
 		if f.key == key {
-			dec.value(&m.Value, dst.FieldByIndex(f.index), path)
+			dec.decodeValue(&m.Value, dst.FieldByIndex(f.index), path)
 			return
 		}
 	}
-	if !dec.full() {
-		dec.report(&m.Name, path, "%s", unknownKey(key, fields))
+	if !dec.limitReached() {
+		dec.report(&m.Name, path, "%s", unknownKeyMessage(key, fields))
 	}
 }
 
@@ -153,7 +153,7 @@
 	return fields
 }
 
-func (dec *decoder) mapping(v *hujson.Value, dst reflect.Value, path *trail) {
+func (dec *decoder) decodeMap(v *hujson.Value, dst reflect.Value, path *pathNode) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
 		dec.wrongKind(v, path, "an object {...}")
@@ -167,13 +167,13 @@
 		sub := path.key(memberName(m))
 		key := reflect.New(dst.Type().Key()).Elem()
 		elem := reflect.New(dst.Type().Elem()).Elem()
-		dec.value(&m.Name, key, sub)
-		dec.value(&m.Value, elem, sub)
+		dec.decodeValue(&m.Name, key, sub)
+		dec.decodeValue(&m.Value, elem, sub)
 		dst.SetMapIndex(key, elem)
 	}
 }
 
-func (dec *decoder) slice(v *hujson.Value, dst reflect.Value, path *trail) {
+func (dec *decoder) decodeSlice(v *hujson.Value, dst reflect.Value, path *pathNode) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
 		dec.wrongKind(v, path, "a list [...]")
@@ -181,18 +181,18 @@
 	}
 	list := reflect.MakeSlice(dst.Type(), len(arr.Elements), len(arr.Elements))
 	for i := range arr.Elements {
-		dec.value(&arr.Elements[i], list.Index(i), path.index(i))
+		dec.decodeValue(&arr.Elements[i], list.Index(i), path.index(i))
 	}
 	dst.Set(list)
 }
 
-func (dec *decoder) array(v *hujson.Value, dst reflect.Value, path *trail) {
+func (dec *decoder) decodeArray(v *hujson.Value, dst reflect.Value, path *pathNode) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok || len(arr.Elements) != dst.Len() {
 		dec.wrongKind(v, path, fmt.Sprintf("a list [...] of %d", dst.Len()))
 		return
 	}
 	for i := range arr.Elements {
-		dec.value(&arr.Elements[i], dst.Index(i), path.index(i))
+		dec.decodeValue(&arr.Elements[i], dst.Index(i), path.index(i))
 	}
 }
--- a/internal/jsonc/document.go
+++ b/internal/jsonc/document.go
@@ -40,7 +40,7 @@
 	}
 	src = bytes.Clone(src)
 	d := &Document{file: file, lines: newLineIndex(src)}
-	if p, ok := d.checkBytes(src); !ok {
+	if p, ok := d.checkSource(src); !ok {
 		return nil, Problems{p}
 	}
 	root, err := hujson.Parse(src)
@@ -48,19 +48,19 @@
 		return nil, Problems{d.syntaxProblem(err)}
 	}
 	d.root = root
-	if name := longKey(&d.root); name != nil {
+	if name := overlongKey(&d.root); name != nil {
 		msg := fmt.Sprintf("key too long; at most %d bytes are allowed", MaxKey)
-		return nil, Problems{d.at(name.StartOffset, "", msg)}
+		return nil, Problems{d.problemAt(name.StartOffset, "", msg)}
 	}
 	return d, nil
 }
 
-// longKey returns the first key that is longer than MaxKey, nil if none is.
-func longKey(v *hujson.Value) *hujson.Value {
+// overlongKey returns the first key that is longer than MaxKey, nil if none is.
+func overlongKey(v *hujson.Value) *hujson.Value {
 	switch node := v.Value.(type) {
 	case *hujson.Array:
 		for i := range node.Elements {
-			if name := longKey(&node.Elements[i]); name != nil {
+			if name := overlongKey(&node.Elements[i]); name != nil {
 				return name
 			}
 		}
@@ -70,7 +70,7 @@
 			if m.Name.EndOffset-m.Name.StartOffset > MaxKey {
 				return &m.Name
 			}
-			if name := longKey(&m.Value); name != nil {
+			if name := overlongKey(&m.Value); name != nil {
 				return name
 			}
 		}
@@ -78,15 +78,15 @@
 	return nil
 }
 
-// checkBytes finds what hujson doesn't look for: invalid UTF-8 in strings, and
+// checkSource finds what hujson doesn't look for: invalid UTF-8 in strings, and
 // nesting that would overflow the stack of its recursive parser.
-func (d *Document) checkBytes(src []byte) (Problem, bool) {
+func (d *Document) checkSource(src []byte) (Problem, bool) {
 	if at := invalidUTF8(src); at >= 0 {
-		return d.at(at, "", "invalid UTF-8"), false
+		return d.problemAt(at, "", "invalid UTF-8"), false
 	}
-	if at := tooDeep(src, MaxDepth); at >= 0 {
+	if at := firstTooDeep(src, MaxDepth); at >= 0 {
 		msg := fmt.Sprintf("nested too deep; at most %d levels are allowed", MaxDepth)
-		return d.at(at, "", msg), false
+		return d.problemAt(at, "", msg), false
 	}
 	return Problem{}, true
 }
@@ -105,9 +105,9 @@
 	return p
 }
 
-// at makes a problem for the byte at an offset.
-func (d *Document) at(offset int, path, msg string) Problem {
-	line, column := d.lines.place(offset)
+// problemAt makes a problem for the byte problemAt an offset.
+func (d *Document) problemAt(offset int, path, msg string) Problem {
+	line, column := d.lines.position(offset)
 	return Problem{File: d.file, Line: line, Column: column, Path: path, Message: msg}
 }
 
--- a/internal/jsonc/fields.go
+++ b/internal/jsonc/fields.go
@@ -32,7 +32,7 @@
 		switch {
 		case key == "-":
 		case sf.Anonymous && key == "" && sf.Type.Kind() == reflect.Struct:
-			fields = append(fields, embedded(sf)...)
+			fields = append(fields, embeddedFields(sf)...)
 		case sf.IsExported():
 			if key == "" {
 				key = sf.Name
@@ -44,7 +44,7 @@
 	return fields
 }
 
-func embedded(sf reflect.StructField) []field {
+func embeddedFields(sf reflect.StructField) []field {
 	fields := fieldsOf(sf.Type)
 	for i := range fields {
 		fields[i].index = append(slices.Clone(sf.Index), fields[i].index...)
@@ -56,54 +56,54 @@
 // values they take. The words complete "must be ...".
 type Describer interface{ Allowed() string }
 
-// missing says what a required field that is absent should hold.
-func missing(t reflect.Type) string {
-	if words := allowed(t); words != "" {
-		return "missing; it must be " + words
+// missingMessage says what a required field that is absent should hold.
+func missingMessage(t reflect.Type) string {
+	if want := allowedValues(t); want != "" {
+		return "missing; it must be " + want
 	}
 	return "missing; this key is required"
 }
 
-// allowed says in a few words what a type takes; it is empty for types that
+// allowedValues says in a few words what a type takes; it is empty for types that
 // decode themselves and don't say.
-func allowed(t reflect.Type) string {
+func allowedValues(t reflect.Type) string {
 	if d, ok := reflect.New(t).Interface().(Describer); ok {
 		return d.Allowed()
 	}
 	switch t.Kind() {
 	case reflect.Pointer:
-		return allowed(t.Elem())
+		return allowedValues(t.Elem())
 	case reflect.Slice, reflect.Array:
-		return listAllowed(t.Elem())
+		return allowedList(t.Elem())
 	case reflect.Bool:
 		return "true or false"
 	case reflect.String:
 		return "a string"
 	case reflect.Struct:
-		return structAllowed(t)
+		return allowedStruct(t)
 	default:
 		return ""
 	}
 }
 
-func listAllowed(elem reflect.Type) string {
-	if words := allowed(elem); words != "" {
-		return "a list [...]; each element must be " + words
+func allowedList(elem reflect.Type) string {
+	if want := allowedValues(elem); want != "" {
+		return "a list [...]; each element must be " + want
 	}
 	return "a list [...]"
 }
 
-// structAllowed names the keys of an object; a type that decodes itself, such
+// allowedStruct names the keys of an object; a type that decodes itself, such
 // as a time, has none.
-func structAllowed(t reflect.Type) string {
+func allowedStruct(t reflect.Type) string {
 	fields := fieldsOf(t)
 	if len(fields) == 0 {
 		return ""
 	}
-	return "an object {...} with the keys " + strings.Join(keysOf(fields), ", ")
+	return "an object {...} with the keys " + strings.Join(fieldKeys(fields), ", ")
 }
 
-func keysOf(fields []field) []string {
+func fieldKeys(fields []field) []string {
 	keys := make([]string, len(fields))
 	for i, f := range fields {
 		keys[i] = f.key
@@ -111,11 +111,11 @@
 	return keys
 }
 
-// unknownKey says which keys are allowed, and which may have been meant.
-func unknownKey(key string, fields []field) string {
-	keys := keysOf(fields)
+// unknownKeyMessage says which keys are allowed, and which may have been meant.
+func unknownKeyMessage(key string, fields []field) string {
+	keys := fieldKeys(fields)
 	msg := "unknown key"
-	if near, ok := nearest(key, keys); ok {
+	if near, ok := closestKey(key, keys); ok {
 		msg += fmt.Sprintf("; did you mean %q?", near)
 	}
 	if len(keys) == 0 {
@@ -128,11 +128,11 @@
 // likely; the first is granted, so that "wiat" is near to "wait".
 const charactersPerTypo = 4
 
-// nearest finds the word that key was most likely meant to be.
-func nearest(key string, words []string) (string, bool) {
+// closestKey finds the word that key was most likely meant to be.
+func closestKey(key string, keys []string) (string, bool) {
 	best := ""
 	bestDistance := 2 + len(key)/charactersPerTypo
-	for _, w := range words {
+	for _, w := range keys {
 		d := levenshtein.ComputeDistance(strings.ToLower(key), strings.ToLower(w))
 		if d < bestDistance {
 			best = w
--- a/internal/jsonc/path.go
+++ b/internal/jsonc/path.go
@@ -30,27 +30,27 @@
 // Index returns the path of an element of the list at path.
 func Index(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
 
-// trail is a path under way: the last step and the ones before it. It is
+// pathNode is a path under way: the last step and the ones before it. It is
 // written out only for a problem, since a path for each value of a large
 // document would take time and memory in the square of its size.
-type trail struct {
-	before *trail
+type pathNode struct {
+	parent *pathNode
 	last   step
 }
 
-func (t *trail) key(key string) *trail { return &trail{before: t, last: step{key: key}} }
+func (t *pathNode) key(key string) *pathNode { return &pathNode{parent: t, last: step{key: key}} }
 
-func (t *trail) index(i int) *trail { return &trail{before: t, last: step{index: i, isIndex: true}} }
+func (t *pathNode) index(i int) *pathNode { return &pathNode{parent: t, last: step{index: i, isIndex: true}} }
 
 // String writes the path; a nil trail is the document as a whole.
-func (t *trail) String() string {
+func (t *pathNode) String() string {
 	switch {
 	case t == nil:
 		return ""
 	case t.last.isIndex:
-		return Index(t.before.String(), t.last.index)
+		return Index(t.parent.String(), t.last.index)
 	default:
-		return Key(t.before.String(), t.last.key)
+		return Key(t.parent.String(), t.last.key)
 	}
 }
 
@@ -71,7 +71,7 @@
 		v = child
 		rest = tail
 	}
-	return d.at(v.StartOffset, path, msg)
+	return d.problemAt(v.StartOffset, path, msg)
 }
 
 // step is one part of a path: a key, or an index if isIndex.
--- a/internal/jsonc/property_test.go
+++ b/internal/jsonc/property_test.go
@@ -57,7 +57,7 @@
 		var got sample
 		problems := d.Decode(&got)
 		for _, p := range problems {
-			checkPlace(g, d, p, src)
+			checkPosition(g, d, p, src)
 		}
 		if len(problems) == 0 {
 			g.Expect(got).To(gomega.Equal(reference(g, src)))
@@ -65,7 +65,7 @@
 	})
 }
 
-func checkPlace(g *gomega.WithT, d *jsonc.Document, p jsonc.Problem, src []byte) {
+func checkPosition(g *gomega.WithT, d *jsonc.Document, p jsonc.Problem, src []byte) {
 	lines := bytes.Split(src, []byte("\n"))
 	g.Expect(p.Line).To(gomega.And(gomega.BeNumerically(">=", 1), gomega.BeNumerically("<=", len(lines))))
 	g.Expect(p.Column).To(gomega.And(gomega.BeNumerically(">=", 1), gomega.BeNumerically("<=", len(lines[p.Line-1]))))
@@ -84,7 +84,7 @@
 	return s
 }
 
-func TestDecodeReadsBackWhatWasWritten(t *testing.T) {
+func TestDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
 		want := drawSample(t, 2)
--- a/internal/jsonc/scalar.go
+++ b/internal/jsonc/scalar.go
@@ -14,9 +14,9 @@
 	"github.com/tailscale/hujson"
 )
 
-// unmarshaler decodes a value whose type does it itself, and says whether the
+// decodeCustom decodes a value whose type does it itself, and says whether the
 // type does. Text comes first, as its errors say more of what is allowed.
-func (dec *decoder) unmarshaler(v *hujson.Value, dst reflect.Value, path *trail) bool {
+func (dec *decoder) decodeCustom(v *hujson.Value, dst reflect.Value, path *pathNode) bool {
 	if !dst.CanAddr() {
 		return false
 	}
@@ -28,31 +28,31 @@
 	case (isText || isCustom) && v.Value.Kind() == 'n':
 		dec.report(v, path, "null is not allowed here")
 	case isText && v.Value.Kind() == '"':
-		dec.custom(v, path, text.UnmarshalText([]byte(unquote(lit))))
+		dec.reportCustom(v, path, text.UnmarshalText([]byte(unquote(lit))))
 	case isCustom:
-		dec.custom(v, path, custom.UnmarshalJSON(standard(v)))
+		dec.reportCustom(v, path, custom.UnmarshalJSON(standardJSON(v)))
 	case isText:
-		dec.notText(v, dst.Type(), path)
+		dec.reportNotString(v, dst.Type(), path)
 	default:
 		return false
 	}
 	return true
 }
 
-// notText reports a value that should be a string. A bare number is tried as
+// reportNotString reports a value that should be a string. A bare number is tried as
 // text on a value that is thrown away, since the type's own error names the
 // unit that is missing.
-func (dec *decoder) notText(v *hujson.Value, t reflect.Type, path *trail) {
+func (dec *decoder) reportNotString(v *hujson.Value, t reflect.Type, path *pathNode) {
 	lit, ok := v.Value.(hujson.Literal)
 	scratch := reflect.New(t).Interface().(encoding.TextUnmarshaler)
 	if ok && lit.Kind() == '0' {
 		if err := scratch.UnmarshalText(lit); err != nil {
-			dec.custom(v, path, err)
+			dec.reportCustom(v, path, err)
 			return
 		}
 	}
 	want := "a string"
-	if words := allowed(t); words != "" {
+	if words := allowedValues(t); words != "" {
 		want += " (" + words + ")"
 	}
 	dec.wrongKind(v, path, want)
@@ -61,8 +61,8 @@
 // exampleTime shows how a time is written.
 const exampleTime = "2026-01-31T15:04:05Z"
 
-// custom reports the error, if any, of a type's own decoding.
-func (dec *decoder) custom(v *hujson.Value, path *trail, err error) {
+// reportCustom reports the error, if any, of a type's own decoding.
+func (dec *decoder) reportCustom(v *hujson.Value, path *pathNode, err error) {
 	var badTime *time.ParseError
 	switch {
 	case err == nil:
@@ -73,22 +73,22 @@
 	}
 }
 
-// anything decodes into an interface, as encoding/json does.
-func (dec *decoder) anything(v *hujson.Value, dst reflect.Value, path *trail) {
-	if err := json.Unmarshal(standard(v), dst.Addr().Interface()); err != nil {
+// decodeAny decodes into an interface, as encoding/json does.
+func (dec *decoder) decodeAny(v *hujson.Value, dst reflect.Value, path *pathNode) {
+	if err := json.Unmarshal(standardJSON(v), dst.Addr().Interface()); err != nil {
 		dec.report(v, path, "%s", err.Error())
 	}
 }
 
-// standard returns a value as JSON without comments.
-func standard(v *hujson.Value) []byte {
+// standardJSON returns a value as JSON without comments.
+func standardJSON(v *hujson.Value) []byte {
 	c := v.Clone()
 	c.Minimize()
 	return c.Pack()
 }
 
-// scalar decodes a boolean, string or number.
-func (dec *decoder) scalar(v *hujson.Value, dst reflect.Value, path *trail) {
+// decodeScalar decodes a boolean, string or number.
+func (dec *decoder) decodeScalar(v *hujson.Value, dst reflect.Value, path *pathNode) {
 	lit, _ := v.Value.(hujson.Literal)
 	kind := v.Value.Kind()
 	switch {
@@ -105,19 +105,19 @@
 		}
 		dst.SetString(unquote(lit))
 	case dst.CanInt():
-		dec.signed(v, dst, path)
+		dec.decodeInt(v, dst, path)
 	case dst.CanUint():
-		dec.unsigned(v, dst, path)
+		dec.decodeUint(v, dst, path)
 	case dst.CanFloat():
-		dec.float(v, dst, path)
+		dec.decodeFloat(v, dst, path)
 	default:
 		dec.report(v, path, "can't be stored in a %s", dst.Type())
 	}
 }
 
-func (dec *decoder) signed(v *hujson.Value, dst reflect.Value, path *trail) {
+func (dec *decoder) decodeInt(v *hujson.Value, dst reflect.Value, path *pathNode) {
 	bits := dst.Type().Bits()
-	n, err := strconv.ParseInt(number(v), 10, bits)
+	n, err := strconv.ParseInt(numberText(v), 10, bits)
 	if err != nil {
 		low := int64(math.MinInt64) >> (64 - bits)
 		dec.wrongKind(v, path, fmt.Sprintf("a whole number from %d to %d", low, -(low+1)))
@@ -126,9 +126,9 @@
 	dst.SetInt(n)
 }
 
-func (dec *decoder) unsigned(v *hujson.Value, dst reflect.Value, path *trail) {
+func (dec *decoder) decodeUint(v *hujson.Value, dst reflect.Value, path *pathNode) {
 	bits := dst.Type().Bits()
-	n, err := strconv.ParseUint(number(v), 10, bits)
+	n, err := strconv.ParseUint(numberText(v), 10, bits)
 	if err != nil {
 		high := uint64(math.MaxUint64) >> (64 - bits)
 		dec.wrongKind(v, path, fmt.Sprintf("a whole number from 0 to %d", high))
@@ -137,8 +137,8 @@
 	dst.SetUint(n)
 }
 
-func (dec *decoder) float(v *hujson.Value, dst reflect.Value, path *trail) {
-	n, err := strconv.ParseFloat(number(v), dst.Type().Bits())
+func (dec *decoder) decodeFloat(v *hujson.Value, dst reflect.Value, path *pathNode) {
+	n, err := strconv.ParseFloat(numberText(v), dst.Type().Bits())
 	if err != nil {
 		dec.wrongKind(v, path, "a number within the range of its type")
 		return
@@ -146,8 +146,8 @@
 	dst.SetFloat(n)
 }
 
-// number returns the text of a JSON number, empty for other kinds.
-func number(v *hujson.Value) string {
+// numberText returns the text of a JSON numberText, empty for other kinds.
+func numberText(v *hujson.Value) string {
 	if lit, ok := v.Value.(hujson.Literal); ok && lit.Kind() == '0' {
 		return string(lit)
 	}
@@ -155,12 +155,12 @@
 }
 
 // wrongKind reports a value of another kind than the one wanted.
-func (dec *decoder) wrongKind(v *hujson.Value, path *trail, want string) {
-	dec.report(v, path, "must be %s, not %s", want, describe(v))
+func (dec *decoder) wrongKind(v *hujson.Value, path *pathNode, want string) {
+	dec.report(v, path, "must be %s, not %s", want, describeValue(v))
 }
 
-// describe names what stands in the document, in a few words.
-func describe(v *hujson.Value) string {
+// describeValue names what stands in the document, in a few words.
+func describeValue(v *hujson.Value) string {
 	lit, _ := v.Value.(hujson.Literal)
 	switch v.Value.Kind() {
 	case '{':
@@ -168,18 +168,18 @@
 	case '[':
 		return "a list"
 	case '"':
-		return "the string " + shorten(strconv.Quote(unquote(lit)))
+		return "the string " + truncate(strconv.Quote(unquote(lit)))
 	default:
-		return shorten(string(lit))
+		return truncate(string(lit))
 	}
 }
 
-// maxShown is how much of a wrong value a message repeats, in bytes.
-const maxShown = 60
+// maxShownBytes is how much of a wrong value a message repeats, in bytes.
+const maxShownBytes = 60
 
-func shorten(s string) string {
-	if len(s) <= maxShown {
+func truncate(s string) string {
+	if len(s) <= maxShownBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:maxShown], "") + "..."
+	return strings.ToValidUTF8(s[:maxShownBytes], "") + "..."
 }
--- a/internal/jsonc/scan.go
+++ b/internal/jsonc/scan.go
@@ -18,16 +18,16 @@
 	return idx
 }
 
-// place returns the line and the column, in bytes, of an offset; both from 1.
-func (idx lineIndex) place(offset int) (line, column int) {
+// position returns the line and the column, in bytes, of an offset; both from 1.
+func (idx lineIndex) position(offset int) (line, column int) {
 	line = sort.SearchInts(idx, offset+1)
 	return line, offset - idx[line-1] + 1
 }
 
-// tooDeep returns the offset of the first bracket nested deeper than limit, or
+// firstTooDeep returns the offset of the first bracket nested deeper than limit, or
 // -1. It only skips strings and comments; whether the rest is valid is hujson's
 // to say, which stops at the first error and so never gets deeper than this.
-func tooDeep(src []byte, limit int) int {
+func firstTooDeep(src []byte, limit int) int {
 	depth := 0
 	for i := 0; i < len(src); i++ {
 		switch src[i] {
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -77,12 +77,12 @@
 
 func (p *Process) rules() []rule {
 	return []rule{
-		distinct("control_listen", p.ControlListen, p.Listen),
-		distinct("metrics_listen", p.MetricsListen, p.Listen, p.ControlListen),
+		distinctAddress("control_listen", p.ControlListen, p.Listen),
+		distinctAddress("metrics_listen", p.MetricsListen, p.Listen, p.ControlListen),
 		condition("bundle_file", p.BundleFile != "" || len(p.ConfigService) > 0,
 			"missing; give bundle_file, config_service or both, or there is no bundle to serve by"),
-		count("config_service", len(p.ConfigService), 0, maxConfigService),
-		count("trust.bundle_keys", len(p.Trust.BundleKeys), 1, maxBundleKeys),
+		countBetween("config_service", len(p.ConfigService), 0, maxConfigService),
+		countBetween("trust.bundle_keys", len(p.Trust.BundleKeys), 1, maxBundleKeys),
 	}
 }
 
@@ -90,16 +90,16 @@
 	return []*File{&p.BundleFile, &p.Trust.CAFile, &p.Trust.CertFile, &p.Trust.KeyFile}
 }
 
-// distinct requires an address that can be listened on beside the others.
-func distinct(path string, a Address, others ...Address) rule {
+// distinctAddress requires an address that can be listened on beside the others.
+func distinctAddress(path string, a Address, others ...Address) rule {
 	taken := slices.ContainsFunc(others, a.overlaps)
 	return condition(path, !taken, "must be an address of its own; "+a.String()+" is listened on already")
 }
 
-// count bounds the length of a list.
-func count(path string, n, low, high int) rule {
+// countBetween bounds the length of a list.
+func countBetween(path string, n, low, high int) rule {
 	r := between(path, n, low, high)
 	r.allowed += " elements"
-	r.message = "must have " + r.allowed + ", not " + show(n)
+	r.message = "must have " + r.allowed + ", not " + formatValue(n)
 	return r
 }
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -39,15 +39,15 @@
 	reflect.TypeFor[bool]():           "boolean",
 }
 
-// rowsOf lists the keys of settings as the reference has to show them.
-func rowsOf(f file) []row {
+// expectedRows lists the keys of settings as the reference has to show them.
+func expectedRows(f roleSettings) []row {
 	allowed := make(map[string]string)
 	for _, r := range f.rules() {
 		if r.allowed != "" {
 			allowed[r.path] = r.allowed
 		}
 	}
-	rows := walk(reflect.ValueOf(f).Elem(), "")
+	rows := rowsOfStruct(reflect.ValueOf(f).Elem(), "")
 	for i := range rows {
 		words := []string{allowed[rows[i].key], rows[i].allowed}
 		rows[i].allowed = strings.Join(slices.DeleteFunc(words, func(s string) bool { return s == "" }), "; each ")
@@ -55,7 +55,7 @@
 	return rows
 }
 
-func walk(v reflect.Value, path string) []row {
+func rowsOfStruct(v reflect.Value, path string) []row {
 	var rows []row
 	for sf, value := range v.Fields() {
 		key, _, _ := strings.Cut(sf.Tag.Get("json"), ",")
@@ -63,9 +63,9 @@
 		_, isText := reflect.New(sf.Type).Interface().(encoding.TextUnmarshaler)
 		switch {
 		case sf.Anonymous:
-			rows = append(rows, walk(value, path)...)
+			rows = append(rows, rowsOfStruct(value, path)...)
 		case sf.Type.Kind() == reflect.Struct && !isText:
-			rows = append(rows, walk(value, sub)...)
+			rows = append(rows, rowsOfStruct(value, sub)...)
 		default:
 			rows = append(rows, rowOf(sf, value, sub))
 		}
@@ -74,7 +74,7 @@
 }
 
 func rowOf(sf reflect.StructField, v reflect.Value, path string) row {
-	r := row{key: path, unit: unitOf[sf.Type], def: "`" + show(v.Interface()) + "`"}
+	r := row{key: path, unit: unitOf[sf.Type], def: "`" + formatValue(v.Interface()) + "`"}
 	if r.unit == "" {
 		r.unit = "word"
 	}
@@ -97,8 +97,8 @@
 	return r
 }
 
-// pageRows reads the table below a heading of the reference.
-func pageRows(heading string) (rows []row, meanings []string) {
+// documentedRows reads the table below a heading of the reference.
+func documentedRows(heading string) (rows []row, meanings []string) {
 	page, err := os.ReadFile(reference)
 	Expect(err).NotTo(HaveOccurred())
 	_, section, _ := strings.Cut(string(page), "\n## "+heading+"\n")
@@ -117,8 +117,8 @@
 var _ = Describe("what operators read", func() {
 	for _, role := range Roles() {
 		It("describes every key of "+string(role)+" in the reference", func() {
-			got, meanings := pageRows(string(role))
-			want := rowsOf(newSettings(role))
+			got, meanings := documentedRows(string(role))
+			want := expectedRows(newSettings(role))
 			for _, r := range want {
 				Expect(got).To(ContainElement(r), fmt.Sprintf("| `%s` | MEANING | %s | %s | %s |", r.key, r.unit, r.def, r.allowed))
 			}
@@ -139,9 +139,9 @@
 			Expect(doc.Decode(&keys)).To(BeEmpty())
 			example := newSettings(role)
 			decode(doc, example, "")
-			shown := rowsOf(example)
-			for i, r := range rowsOf(newSettings(role)) {
-				Expect(has(keys, r.key)).To(BeTrue(), r.key)
+			shown := expectedRows(example)
+			for i, r := range expectedRows(newSettings(role)) {
+				Expect(hasPath(keys, r.key)).To(BeTrue(), r.key)
 				if r.def != "required" && r.def != "none" && !strings.HasPrefix(r.key, "engine.") {
 					Expect(shown[i].def).To(Equal(r.def), r.key)
 				}
@@ -162,13 +162,13 @@
 	})
 })
 
-// has says whether a decoded document has a key.
-func has(keys map[string]any, path string) bool {
+// hasPath says whether a decoded document hasPath a key.
+func hasPath(keys map[string]any, path string) bool {
 	first, rest, nested := strings.Cut(path, ".")
 	value, ok := keys[first]
 	if !nested {
 		return ok
 	}
 	inner, _ := value.(map[string]any)
-	return has(inner, rest)
+	return hasPath(inner, rest)
 }
--- a/internal/settings/role.go
+++ b/internal/settings/role.go
@@ -16,15 +16,15 @@
 func Roles() []Role { return []Role{RoleRouter, RoleAgent, RoleStandalone} }
 
 // UnmarshalText reads the name of a role.
-func (r *Role) UnmarshalText(text []byte) error { return choose(r, text, Roles()) }
+func (r *Role) UnmarshalText(text []byte) error { return parseEnum(r, text, Roles()) }
 
 // Allowed names the roles.
-func (Role) Allowed() string { return oneOf(Roles()) }
+func (Role) Allowed() string { return quotedAlternatives(Roles()) }
 
 const keyRole = "role"
 
-// roleOf reads the role alone; the other keys are looked at once it is known.
-func roleOf(doc *jsonc.Document) (Role, jsonc.Problems) {
+// readRole reads the role alone; the other keys are looked at once it is known.
+func readRole(doc *jsonc.Document) (Role, jsonc.Problems) {
 	var head struct {
 		Role Role `json:"role" jsonc:"required"`
 	}
@@ -36,8 +36,8 @@
 	return head.Role, nil
 }
 
-// names says whether the document has the key.
-func names(doc *jsonc.Document, key string) bool {
+// hasKey says whether the document has the key.
+func hasKey(doc *jsonc.Document, key string) bool {
 	var keys map[string]any
 	doc.Decode(&keys) // problems are reported when the role is known
 	_, ok := keys[key]
--- a/internal/settings/router.go
+++ b/internal/settings/router.go
@@ -116,7 +116,7 @@
 	rules = append(rules, r.Limits.rules()...)
 	rules = append(rules, r.Retry.rules()...)
 	rules = append(rules, r.Balance.rules()...)
-	return append(rules, count("vm_list", len(r.VMList), 0, maxVMList))
+	return append(rules, countBetween("vm_list", len(r.VMList), 0, maxVMList))
 }
 
 func (s RouterShutdown) rules() []rule {
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -18,12 +18,12 @@
 
 // between requires a value within bounds, both allowed.
 func between[T cmp.Ordered](path string, value, low, high T) rule {
-	allowed := fmt.Sprintf("from %s to %s", show(low), show(high))
+	allowed := fmt.Sprintf("from %s to %s", formatValue(low), formatValue(high))
 	return rule{
 		path:    path,
 		ok:      low <= value && value <= high,
 		allowed: allowed,
-		message: fmt.Sprintf("must be %s, not %s", allowed, show(value)),
+		message: fmt.Sprintf("must be %s, not %s", allowed, formatValue(value)),
 	}
 }
 
@@ -32,11 +32,11 @@
 	return rule{path: path, ok: ok, message: message}
 }
 
-// wholeUnit matches the zeros that durations of whole minutes and hours end in.
-var wholeUnit = regexp.MustCompile(`([hm])(0m)?0s$`)
+// trailingZeroUnits matches the zeros that durations of whole minutes and hours end in.
+var trailingZeroUnits = regexp.MustCompile(`([hm])(0m)?0s$`)
 
-// show writes a value as it would stand in a settings file.
-func show(v any) string {
+// formatValue writes a value as it would stand in a settings file.
+func formatValue(v any) string {
 	m, ok := v.(encoding.TextMarshaler)
 	if !ok {
 		return fmt.Sprint(v)
@@ -45,5 +45,5 @@
 	if err != nil {
 		return fmt.Sprint(v)
 	}
-	return wholeUnit.ReplaceAllString(string(text), "$1")
+	return trailingZeroUnits.ReplaceAllString(string(text), "$1")
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -60,15 +60,15 @@
 	if doc == nil {
 		return "", problems
 	}
-	role, problems := roleOf(doc)
+	role, problems := readRole(doc)
 	if len(problems) > 0 {
 		return "", problems
 	}
 	return role, decode(doc, newSettings(role), filepath.Dir(path))
 }
 
-// file is what the settings of every role can do.
-type file interface {
+// roleSettings is what the settings of every role can do.
+type roleSettings interface {
 	role() Role
 	// rules are checked once the file is decoded.
 	rules() []rule
@@ -76,7 +76,7 @@
 	files() []*File
 }
 
-func newSettings(role Role) file {
+func newSettings(role Role) roleSettings {
 	switch role {
 	case RoleRouter:
 		s := DefaultRouter()
@@ -90,7 +90,7 @@
 	}
 }
 
-func load(path string, dst file) error {
+func load(path string, dst roleSettings) error {
 	doc, problems := read(path)
 	if doc != nil {
 		problems = loadRole(doc, dst, filepath.Dir(path))
@@ -103,10 +103,10 @@
 
 // loadRole decodes the document if it is meant for the role of dst. Settings
 // of another role aren't looked at further: most keys would be wrong.
-func loadRole(doc *jsonc.Document, dst file, dir string) jsonc.Problems {
-	role, problems := roleOf(doc)
+func loadRole(doc *jsonc.Document, dst roleSettings, dir string) jsonc.Problems {
+	role, problems := readRole(doc)
 	switch {
-	case role == "" && dst.role() == RoleStandalone && !names(doc, keyRole):
+	case role == "" && dst.role() == RoleStandalone && !hasKey(doc, keyRole):
 		// the role has a default
 	case len(problems) > 0:
 		return problems
@@ -118,7 +118,7 @@
 }
 
 // decode fills dst, checks its rules and resolves its paths against dir.
-func decode(doc *jsonc.Document, dst file, dir string) jsonc.Problems {
+func decode(doc *jsonc.Document, dst roleSettings, dir string) jsonc.Problems {
 	problems := doc.Decode(dst)
 	for _, r := range dst.rules() {
 		if !r.ok && !reported(problems, r.path) {
@@ -136,15 +136,15 @@
 // rule on the value would then only repeat it.
 func reported(problems jsonc.Problems, path string) bool {
 	for _, p := range problems {
-		if within(p.Path, path) || within(path, p.Path) {
+		if isWithin(p.Path, path) || isWithin(path, p.Path) {
 			return true
 		}
 	}
 	return false
 }
 
-// within says whether path lies in the value at outer.
-func within(path, outer string) bool {
+// isWithin says whether path lies in the value at outer.
+func isWithin(path, outer string) bool {
 	rest, ok := strings.CutPrefix(path, outer)
 	return ok && (rest == "" || rest[0] == '.' || rest[0] == '[')
 }
@@ -153,7 +153,7 @@
 func read(path string) (*jsonc.Document, jsonc.Problems) {
 	src, err := readLimited(path)
 	if err != nil {
-		return nil, jsonc.Problems{{File: path, Message: "can't be read: " + reason(err)}}
+		return nil, jsonc.Problems{{File: path, Message: "can't be read: " + errorReason(err)}}
 	}
 	if len(src) <= jsonc.MaxSize && len(bytes.TrimSpace(src)) == 0 {
 		src = []byte("{}")
@@ -179,8 +179,8 @@
 	return io.ReadAll(io.LimitReader(f, jsonc.MaxSize+1))
 }
 
-// reason leaves the path out of an error, as the problem names it already.
-func reason(err error) string {
+// errorReason leaves the path out of an error, as the problem names it already.
+func errorReason(err error) string {
 	var pathErr *os.PathError
 	if errors.As(err, &pathErr) {
 		return pathErr.Err.Error()
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -148,7 +148,7 @@
 var _ = Describe("between", func() {
 	It("allows the bounds and nothing beyond", func() {
 		for n, ok := range map[int]bool{0: false, 1: true, 3: true, 4: false} {
-			Expect(between("n", n, 1, 3).ok).To(Equal(ok), show(n))
+			Expect(between("n", n, 1, 3).ok).To(Equal(ok), formatValue(n))
 		}
 	})
 })
--- a/internal/settings/standalone.go
+++ b/internal/settings/standalone.go
@@ -77,7 +77,7 @@
 
 func (s *Standalone) rules() []rule {
 	rules := []rule{
-		distinct("metrics_listen", s.MetricsListen, s.Listen),
+		distinctAddress("metrics_listen", s.MetricsListen, s.Listen),
 		between("engines", s.Engines, 1, maxEngines),
 		between("slots", s.Slots, 1, maxSlots),
 		between("token_time", s.TokenTime, minTokenTime, maxTokenTime),
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// notAllowed is the error of a text that isn't what its type allows.
-func notAllowed(text []byte, allowed string) error {
+// invalidText is the error of a text that isn't what its type allows.
+func invalidText(text []byte, allowed string) error {
 	return errors.Newf("must be %s, not %q", allowed, text)
 }
 
@@ -24,7 +24,7 @@
 func (a *Address) UnmarshalText(text []byte) error {
 	ap, err := netip.ParseAddrPort(string(text))
 	if err != nil || ap.Addr().IsMulticast() {
-		return notAllowed(text, a.Allowed())
+		return invalidText(text, a.Allowed())
 	}
 	a.AddrPort = netip.AddrPortFrom(ap.Addr().Unmap(), ap.Port())
 	return nil
@@ -51,8 +51,8 @@
 // UnmarshalText reads "http://10.0.0.7:8000/path".
 func (u *URL) UnmarshalText(text []byte) error {
 	parsed, err := url.Parse(string(text))
-	if err != nil || !callable(parsed) {
-		return notAllowed(text, u.Allowed())
+	if err != nil || !isServerURL(parsed) {
+		return invalidText(text, u.Allowed())
 	}
 	u.URL = *parsed
 	return nil
@@ -66,7 +66,7 @@
 	return `an http or https URL with a literal IP and port such as "http://10.0.0.7:8000", with no user, query or fragment`
 }
 
-func callable(u *url.URL) bool {
+func isServerURL(u *url.URL) bool {
 	ap, err := netip.ParseAddrPort(u.Host)
 	return err == nil && ap.Port() != 0 && !ap.Addr().IsUnspecified() && !ap.Addr().IsMulticast() &&
 		(u.Scheme == "http" || u.Scheme == "https") &&
@@ -77,12 +77,12 @@
 // of the names in a bundle, where the same names stand.
 type Name string
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 // UnmarshalText reads a name.
 func (n *Name) UnmarshalText(text []byte) error {
-	if !nameForm.Match(text) {
-		return notAllowed(text, n.Allowed())
+	if !namePattern.Match(text) {
+		return invalidText(text, n.Allowed())
 	}
 	*n = Name(text)
 	return nil
@@ -100,7 +100,7 @@
 // UnmarshalText reads a path.
 func (f *File) UnmarshalText(text []byte) error {
 	if len(text) == 0 || strings.ContainsRune(string(text), 0) {
-		return notAllowed(text, f.Allowed())
+		return invalidText(text, f.Allowed())
 	}
 	*f = File(text)
 	return nil
@@ -123,7 +123,7 @@
 // UnmarshalText reads a key in minisign's form, without a comment.
 func (k *PublicKey) UnmarshalText(text []byte) error {
 	if strings.ContainsAny(string(text), "\r\n") || k.PublicKey.UnmarshalText(text) != nil {
-		return notAllowed(text, k.Allowed())
+		return invalidText(text, k.Allowed())
 	}
 	return nil
 }
--- a/internal/settings/words.go
+++ b/internal/settings/words.go
@@ -8,18 +8,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// choose stores a word if it is one of the allowed ones.
-func choose[T ~string](dst *T, text []byte, words []T) error {
+// parseEnum stores a word if it is one of the allowed ones.
+func parseEnum[T ~string](dst *T, text []byte, words []T) error {
 	word := T(text)
 	if !slices.Contains(words, word) {
-		return errors.Newf("must be %s, not %q", oneOf(words), text)
+		return errors.Newf("must be %s, not %q", quotedAlternatives(words), text)
 	}
 	*dst = word
 	return nil
 }
 
-// oneOf writes `"a", "b" or "c"`.
-func oneOf[T ~string](words []T) string {
+// quotedAlternatives writes `"a", "b" or "c"`.
+func quotedAlternatives[T ~string](words []T) string {
 	quoted := make([]string, len(words))
 	for i, w := range words {
 		quoted[i] = quote(string(w))
@@ -53,11 +53,11 @@
 
 // UnmarshalText reads the name of a policy.
 func (p *BalancePolicy) UnmarshalText(text []byte) error {
-	return choose(p, text, BalancePolicies())
+	return parseEnum(p, text, BalancePolicies())
 }
 
 // Allowed names the policies.
-func (BalancePolicy) Allowed() string { return oneOf(BalancePolicies()) }
+func (BalancePolicy) Allowed() string { return quotedAlternatives(BalancePolicies()) }
 
 // SchedulerPolicy names how an agent orders its queue.
 type SchedulerPolicy string
@@ -77,11 +77,11 @@
 
 // UnmarshalText reads the name of a policy.
 func (p *SchedulerPolicy) UnmarshalText(text []byte) error {
-	return choose(p, text, SchedulerPolicies())
+	return parseEnum(p, text, SchedulerPolicies())
 }
 
 // Allowed names the policies.
-func (SchedulerPolicy) Allowed() string { return oneOf(SchedulerPolicies()) }
+func (SchedulerPolicy) Allowed() string { return quotedAlternatives(SchedulerPolicies()) }
 
 // EngineKind says what runs beside an agent.
 type EngineKind string
@@ -96,10 +96,10 @@
 func EngineKinds() []EngineKind { return []EngineKind{KindEngine, KindService} }
 
 // UnmarshalText reads the name of a kind.
-func (k *EngineKind) UnmarshalText(text []byte) error { return choose(k, text, EngineKinds()) }
+func (k *EngineKind) UnmarshalText(text []byte) error { return parseEnum(k, text, EngineKinds()) }
 
 // Allowed names the kinds.
-func (EngineKind) Allowed() string { return oneOf(EngineKinds()) }
+func (EngineKind) Allowed() string { return quotedAlternatives(EngineKinds()) }
 
 // LogLevel is the least level that is logged; the words are zerolog's.
 type LogLevel string
@@ -116,10 +116,10 @@
 func LogLevels() []LogLevel { return []LogLevel{LogDebug, LogInfo, LogWarn, LogError} }
 
 // UnmarshalText reads the name of a level.
-func (l *LogLevel) UnmarshalText(text []byte) error { return choose(l, text, LogLevels()) }
+func (l *LogLevel) UnmarshalText(text []byte) error { return parseEnum(l, text, LogLevels()) }
 
 // Allowed names the levels.
-func (LogLevel) Allowed() string { return oneOf(LogLevels()) }
+func (LogLevel) Allowed() string { return quotedAlternatives(LogLevels()) }
 
 // LogFormat is how log lines are written.
 type LogFormat string
@@ -134,7 +134,7 @@
 func LogFormats() []LogFormat { return []LogFormat{FormatJSON, FormatConsole} }
 
 // UnmarshalText reads the name of a format.
-func (f *LogFormat) UnmarshalText(text []byte) error { return choose(f, text, LogFormats()) }
+func (f *LogFormat) UnmarshalText(text []byte) error { return parseEnum(f, text, LogFormats()) }
 
 // Allowed names the formats.
-func (LogFormat) Allowed() string { return oneOf(LogFormats()) }
+func (LogFormat) Allowed() string { return quotedAlternatives(LogFormats()) }
