--- a/internal/jsonc/decode.go
+++ b/internal/jsonc/decode.go
@@ -7,16 +7,15 @@
 	"github.com/tailscale/hujson"
 )
 
-// MaxProblems is how many problems Decode reports at most; it bounds the
-// memory that a large document of the wrong kind takes.
+// MaxProblems is the maximum number of problems that Decode reports; it bounds the memory that
+// a large document of the wrong kind uses.
 const MaxProblems = 1000
 
-// Decode stores the document in dst, which must be a non-nil pointer, and
-// returns what was wrong, in the order of the places. Keys match the json tags
-// of the fields exactly. Keys that are absent leave their fields as they were,
-// so that dst may hold defaults; lists replace what was there. A null is
-// accepted only for a pointer, which it sets to nil. If there are problems,
-// dst is filled as far as possible, so that further checks can go on.
+// Decode stores the document in dst, which must be a non-nil pointer, and returns the problems
+// in the order of their positions. Keys must match the json tags of the fields exactly. Absent
+// keys leave their fields unchanged, so that dst may hold defaults; lists replace existing
+// ones. A null is accepted only for a pointer, which it sets to nil. If there are problems,
+// dst is filled as far as possible, so that further checks can run.
 func (d *Document) Decode(dst any) Problems {
 	v := reflect.ValueOf(dst)
 	if v.Kind() != reflect.Pointer || v.IsNil() {
@@ -29,14 +28,15 @@
 	return dec.problems
 }
 
-// decoder walks the syntax tree beside the Go type and collects problems.
+// decoder walks the syntax tree along with the Go type and collects problems.
 type decoder struct {
 	doc      *Document
 	problems Problems
 	fields   map[reflect.Type][]field
 }
 
-// report adds a problem, up to MaxProblems and a last one that says so.
+// report adds a problem, up to MaxProblems and a last one that states that the rest is
+// omitted.
 func (dec *decoder) report(at *hujson.Value, path *pathNode, format string, args ...any) {
 	msg := fmt.Sprintf(format, args...)
 	switch n := len(dec.problems); {
@@ -48,11 +48,11 @@
 	dec.problems = append(dec.problems, dec.doc.problemAt(at.StartOffset, path.String(), msg))
 }
 
-// limitReached says that further problems aren't listed, so that the costly search for
-// what an unknown key may have meant can be left out.
+// limitReached reports whether further problems are dropped, so that the expensive search for
+// similar keys can be skipped.
 func (dec *decoder) limitReached() bool { return len(dec.problems) > MaxProblems }
 
-// checkDuplicates reports keys that an object of the tree holds twice.
+// checkDuplicates reports duplicate keys in all objects of the tree.
 func (dec *decoder) checkDuplicates(v *hujson.Value, path *pathNode) {
 	switch node := v.Value.(type) {
 	case *hujson.Array:
@@ -75,7 +75,7 @@
 	}
 }
 
-// decodeValue decodes one decodeValue of any kind.
+// decodeValue decodes a value of any kind.
 func (dec *decoder) decodeValue(v *hujson.Value, dst reflect.Value, path *pathNode) {
 	if dst.Kind() == reflect.Pointer {
 		dec.decodePointer(v, dst, path)
--- a/internal/jsonc/document.go
+++ b/internal/jsonc/document.go
@@ -1,6 +1,6 @@
-// Package jsonc decodes JSON with comments and trailing commas into Go structs.
-// It is strict, and it reports every problem of a document at once, each with
-// its file, line, column and path, so that a user mends a file in one go.
+// Package jsonc decodes JSON with comments and trailing commas into Go structs. It is strict,
+// and it reports all problems of a document at once, each with its file, line, column and
+// path.
 package jsonc
 
 import (
@@ -12,14 +12,13 @@
 	"github.com/tailscale/hujson"
 )
 
-// Limits on what Parse accepts. They bound the memory and the stack that a
-// hostile document can take.
+// Limits on documents. They bound the memory and the stack that a malicious document can use.
 const (
-	// MaxSize is the size of the largest document, in bytes.
+	// MaxSize is the maximum size of a document, in bytes.
 	MaxSize = 8 << 20
-	// MaxDepth is the most objects and lists that may lie within each other.
+	// MaxDepth is the maximum nesting of objects and lists.
 	MaxDepth = 64
-	// MaxKey is the length of the longest key, in bytes as written.
+	// MaxKey is the maximum length of a key as written, in bytes.
 	MaxKey = 256
 )
 
@@ -30,9 +29,8 @@
 	root  hujson.Value
 }
 
-// Parse reads the syntax of a document. The file name is used in messages only;
-// the document keeps no reference to src. An error is of type Problems and
-// holds the one place at which the syntax breaks.
+// Parse parses the syntax of a document. The file name is used in messages only; the document
+// keeps no reference to src. An error is of type Problems and contains the first syntax error.
 func Parse(file string, src []byte) (*Document, error) {
 	if len(src) > MaxSize {
 		msg := fmt.Sprintf("the document is too large; at most %d bytes are allowed", MaxSize)
@@ -78,8 +76,8 @@
 	return nil
 }
 
-// checkSource finds what hujson doesn't look for: invalid UTF-8 in strings, and
-// nesting that would overflow the stack of its recursive parser.
+// checkSource checks what hujson doesn't: invalid UTF-8 in strings, and nesting that would
+// overflow the stack of its recursive parser.
 func (d *Document) checkSource(src []byte) (Problem, bool) {
 	if at := invalidUTF8(src); at >= 0 {
 		return d.problemAt(at, "", "invalid UTF-8"), false
@@ -91,7 +89,8 @@
 	return Problem{}, true
 }
 
-// syntaxProblem takes the place out of hujson's message, where alone it stands.
+// syntaxProblem parses the position from hujson's error message, which is the only place that
+// has it.
 func (d *Document) syntaxProblem(err error) Problem {
 	p := Problem{File: d.file, Line: 1, Column: 1, Message: err.Error()}
 	var line, column int
@@ -105,7 +104,7 @@
 	return p
 }
 
-// problemAt makes a problem for the byte problemAt an offset.
+// problemAt returns a problem at a byte offset.
 func (d *Document) problemAt(offset int, path, msg string) Problem {
 	line, column := d.lines.position(offset)
 	return Problem{File: d.file, Line: line, Column: column, Path: path, Message: msg}
--- a/internal/jsonc/fields.go
+++ b/internal/jsonc/fields.go
@@ -12,7 +12,7 @@
 // Struct tags. The key of a field comes from its json tag, as in encoding/json.
 const (
 	tagName     = "jsonc"
-	tagRequired = "required" // `jsonc:"required"`: the key must be there
+	tagRequired = "required" // `jsonc:"required"`: the key must be present
 )
 
 // field is a struct field that a document can set.
@@ -23,7 +23,7 @@
 	required bool
 }
 
-// fieldsOf lists the fields of a struct type, those of embedded structs too.
+// fieldsOf returns the fields of a struct type, including those of embedded structs.
 func fieldsOf(t reflect.Type) []field {
 	var fields []field
 	for i := range t.NumField() {
@@ -52,11 +52,11 @@
 	return fields
 }
 
-// Describer is implemented by field types that can say in a few words which
-// values they take. The words complete "must be ...".
+// Describer is implemented by field types that can describe their valid values in a phrase
+// that completes "must be ...".
 type Describer interface{ Allowed() string }
 
-// missingMessage says what a required field that is absent should hold.
+// missingMessage returns the message for an absent required field.
 func missingMessage(t reflect.Type) string {
 	if want := allowedValues(t); want != "" {
 		return "missing; it must be " + want
@@ -64,8 +64,8 @@
 	return "missing; this key is required"
 }
 
-// allowedValues says in a few words what a type takes; it is empty for types that
-// decode themselves and don't say.
+// allowedValues describes the values that a type accepts; it is empty for types that decode
+// themselves and aren't a Describer.
 func allowedValues(t reflect.Type) string {
 	if d, ok := reflect.New(t).Interface().(Describer); ok {
 		return d.Allowed()
@@ -93,8 +93,8 @@
 	return "a list [...]"
 }
 
-// allowedStruct names the keys of an object; a type that decodes itself, such
-// as a time, has none.
+// allowedStruct lists the keys of an object; a type that decodes itself, such as a time, has
+// none.
 func allowedStruct(t reflect.Type) string {
 	fields := fieldsOf(t)
 	if len(fields) == 0 {
@@ -111,7 +111,7 @@
 	return keys
 }
 
-// unknownKeyMessage says which keys are allowed, and which may have been meant.
+// unknownKeyMessage lists the allowed keys and suggests the one that may have been meant.
 func unknownKeyMessage(key string, fields []field) string {
 	keys := fieldKeys(fields)
 	msg := "unknown key"
@@ -124,11 +124,11 @@
 	return msg + "; allowed: " + strings.Join(keys, ", ")
 }
 
-// charactersPerTypo is how many characters of a key make one more wrong one
-// likely; the first is granted, so that "wiat" is near to "wait".
+// charactersPerTypo is the number of characters in a key for which one more edit is tolerated;
+// one edit is always tolerated, so that "wiat" matches "wait".
 const charactersPerTypo = 4
 
-// closestKey finds the word that key was most likely meant to be.
+// closestKey returns the key that was most likely meant.
 func closestKey(key string, keys []string) (string, bool) {
 	best := ""
 	bestDistance := 2 + len(key)/charactersPerTypo
--- a/internal/jsonc/jsonc_test.go
+++ b/internal/jsonc/jsonc_test.go
@@ -76,7 +76,7 @@
 }
 
 var _ = Describe("Decode", func() {
-	It("fills every kind of field and keeps what the document leaves out", func() {
+	It("decodes every kind of field and keeps the values of absent keys", func() {
 		c := config{Slots: 7, Teams: []team{{Name: "old"}, {Name: "older"}}}
 		Expect(decode(`{
 			// a comment
@@ -114,7 +114,7 @@
 		Expect(c.Ratio).To(Equal(2.5))
 	})
 
-	DescribeTable("says what is allowed", func(src, want string) {
+	DescribeTable("reports the allowed values", func(src, want string) {
 		Expect(decode(src, new(config))).To(HaveSuffix(want))
 	},
 		Entry("duration without a unit", `{"wait": 250}`, `f.jsonc:1:10: wait: "250" is not a duration; write a number with a unit such as "250ms" or "2s"`),
@@ -139,7 +139,7 @@
 		Entry("whole document", `[]`, `f.jsonc:1:1: must be an object {...}, not a list`),
 	)
 
-	It("says what a missing value should be", func() {
+	It("describes the allowed values of missing keys", func() {
 		var c struct {
 			Team  team      `json:"team" jsonc:"required"`
 			Odd   even      `json:"odd" jsonc:"required"`
@@ -156,13 +156,13 @@
 		}, "\n")))
 	})
 
-	It("says what a type takes that was given something else than a string", func() {
+	It("describes a text type's values if the value isn't a string", func() {
 		var words []word
 		Expect(decode(`["a", 7]`, &words)).To(Equal("f.jsonc:1:7: [1]: must be a string (a word), not 7"))
 		Expect(words).To(Equal([]word{"a", ""}))
 	})
 
-	It("takes null for a pointer", func() {
+	It("accepts null for a pointer", func() {
 		on := true
 		c := config{Maybe: &on}
 		Expect(decode(`{"maybe": null}`, &c)).To(BeEmpty())
@@ -179,7 +179,7 @@
 })
 
 var _ = Describe("Parse", func() {
-	DescribeTable("names the place of a syntax error", func(src, want string) {
+	DescribeTable("reports the position of a syntax error", func(src, want string) {
 		Expect(parseError(src)).To(Equal(want))
 	},
 		Entry("no value", "{\n \"a\": }", "f.jsonc:2:7: syntax error: invalid character '}' at start of value"),
@@ -213,7 +213,7 @@
 })
 
 var _ = Describe("Problem", func() {
-	DescribeTable("finds the place of a path", func(path, want string) {
+	DescribeTable("resolves a path to a position", func(path, want string) {
 		d, err := jsonc.Parse("f.jsonc", []byte("{\n\"teams\": [\n{},\n{\"grants\": [{\"tier\": \"x\"}]}],\n\"a b\": {\"]\": 1}}"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(d.Problem(path, "no").String()).To(Equal(want))
@@ -226,7 +226,7 @@
 		Entry("nonsense", "[..", "f.jsonc:1:1: [..: no"),
 	)
 
-	It("stays on one line", func() {
+	It("is formatted on one line", func() {
 		p := jsonc.Problem{File: "f", Line: 1, Column: 2, Message: "a\nb"}
 		Expect(p.String()).To(Equal("f:1:2: a b"))
 		Expect(jsonc.Problem{File: "f", Message: "unreadable"}.String()).To(Equal("f: unreadable"))
--- a/internal/jsonc/path.go
+++ b/internal/jsonc/path.go
@@ -9,8 +9,7 @@
 	"github.com/tailscale/hujson"
 )
 
-// plainKey matches the keys that stand in a path as they are; others are
-// written as ["some key"].
+// plainKey matches keys that need no quoting in a path; others are written as ["some key"].
 var plainKey = regexp.MustCompile(`^[A-Za-z_][A-Za-z0-9_-]*`)
 
 func isPlain(key string) bool { return key != "" && plainKey.FindString(key) == key }
@@ -30,9 +29,9 @@
 // Index returns the path of an element of the list at path.
 func Index(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
 
-// pathNode is a path under way: the last step and the ones before it. It is
-// written out only for a problem, since a path for each value of a large
-// document would take time and memory in the square of its size.
+// pathNode is the last step of a path, linked to the steps before it. The path is formatted
+// only for a problem, since formatting one for each value of a large document would take time
+// and memory quadratic in its size.
 type pathNode struct {
 	parent *pathNode
 	last   step
@@ -40,9 +39,11 @@
 
 func (t *pathNode) key(key string) *pathNode { return &pathNode{parent: t, last: step{key: key}} }
 
-func (t *pathNode) index(i int) *pathNode { return &pathNode{parent: t, last: step{index: i, isIndex: true}} }
+func (t *pathNode) index(i int) *pathNode {
+	return &pathNode{parent: t, last: step{index: i, isIndex: true}}
+}
 
-// String writes the path; a nil trail is the document as a whole.
+// String formats the path; a nil node is the document as a whole.
 func (t *pathNode) String() string {
 	switch {
 	case t == nil:
@@ -54,9 +55,8 @@
 	}
 }
 
-// Problem makes a problem of a later check. It gets the place of the value that
-// the path names or, where the document has no such value, of the innermost one
-// around it that exists.
+// Problem returns a problem found by a later check. Its position is that of the value at path
+// or, if the document has no such value, of the innermost enclosing value that exists.
 func (d *Document) Problem(path, msg string) Problem {
 	v := &d.root
 	for rest := path; rest != ""; {
@@ -74,14 +74,14 @@
 	return d.problemAt(v.StartOffset, path, msg)
 }
 
-// step is one part of a path: a key, or an index if isIndex.
+// step is one element of a path: a key, or an index if isIndex is set.
 type step struct {
 	key     string
 	index   int
 	isIndex bool
 }
 
-// nextStep takes the first step off a path.
+// nextStep splits off the first step of a path.
 func nextStep(path string) (s step, rest string, ok bool) {
 	if inner, bracket := strings.CutPrefix(path, "["); bracket {
 		return bracketStep(inner)
@@ -91,7 +91,7 @@
 	return step{key: key}, path[len(key):], key != ""
 }
 
-// bracketStep reads an index or a quoted key, up to its closing bracket.
+// bracketStep parses an index or a quoted key, up to its closing bracket.
 func bracketStep(path string) (s step, rest string, ok bool) {
 	if quoted, err := strconv.QuotedPrefix(path); err == nil {
 		key, err := strconv.Unquote(quoted)
@@ -103,7 +103,7 @@
 	return step{index: index, isIndex: true}, rest, closed && err == nil
 }
 
-// child finds the value that the step leads to, nil if there is none.
+// child returns the value to which the step leads, nil if there is none.
 func (s step) child(v *hujson.Value) *hujson.Value {
 	switch node := v.Value.(type) {
 	case *hujson.Array:
@@ -122,8 +122,8 @@
 
 func memberName(m *hujson.ObjectMember) string { return unquote(m.Name.Value.(hujson.Literal)) }
 
-// unquote returns what a JSON string stands for. Most have no escapes, which
-// spares hujson's call of encoding/json.
+// unquote returns the value of a JSON string. Most strings have no escapes, for which it
+// avoids hujson's call of encoding/json.
 func unquote(lit hujson.Literal) string {
 	if bytes.IndexByte(lit, '\\') < 0 {
 		return string(lit[1 : len(lit)-1])
--- a/internal/jsonc/problem.go
+++ b/internal/jsonc/problem.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// Problem is one fault of a document and its place.
+// Problem is an error in a document and its position.
 type Problem struct {
 	File string
-	// Line and Column count from 1; columns count bytes. Both are 0 for a
-	// file that couldn't be read.
+	// Line and Column start at 1; columns count bytes. Both are 0 for a file that couldn't be
+	// read.
 	Line, Column int
-	// Path names the value, as in "teams[3].grants[0].tier"; it is empty for
-	// the document as a whole.
+	// Path is the path of the value, such as "teams[3].grants[0].tier"; it is empty for the
+	// document as a whole.
 	Path string
-	// Message says what is wrong and what is allowed.
+	// Message describes the error and the allowed values.
 	Message string
 }
 
-// String writes the problem on one line: FILE:LINE:COL: path: message.
+// String formats the problem on one line: FILE:LINE:COL: path: message.
 func (p Problem) String() string {
 	s := p.File + ": "
 	if p.Line > 0 {
@@ -34,10 +34,10 @@
 
 var oneLine = strings.NewReplacer("\r", " ", "\n", " ")
 
-// Problems are all faults found in a document, in the order of their places.
+// Problems lists all problems of a document in the order of their positions.
 type Problems []Problem
 
-// Error writes one line for each problem.
+// Error returns one line for each problem.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -54,8 +54,7 @@
 	return ps
 }
 
-// Sort puts the problems in the order of their places. Problems of one place
-// keep their order.
+// Sort sorts the problems by position. It is stable.
 func (ps Problems) Sort() {
 	slices.SortStableFunc(ps, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
--- a/internal/jsonc/property_test.go
+++ b/internal/jsonc/property_test.go
@@ -16,17 +16,17 @@
 	"coveferry/internal/units"
 )
 
-// TestMain fixes the seed, unless one is given, so that each run has the same
-// verdict; new ground is the fuzz target's.
+// TestMain sets a fixed seed, unless one is given, so that runs are reproducible; the fuzz
+// target explores further inputs.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == seed.DefValue {
-		_ = seed.Value.Set("1") // a number is always taken
+		_ = seed.Value.Set("1") // the flag accepts any number
 	}
 	os.Exit(m.Run())
 }
 
-// sample has a field of every kind on which encoding/json must agree.
+// sample has a field of every kind that must decode as in encoding/json.
 type sample struct {
 	common
 	Wait   units.Duration     `json:"wait"`
@@ -41,8 +41,8 @@
 	Teams  []team             `json:"teams"`
 }
 
-// FuzzDecode checks that whatever is accepted means what encoding/json takes
-// it to mean, and that whatever is refused has a place within the document.
+// FuzzDecode checks that accepted documents decode as in encoding/json, and that problems have
+// positions within the document.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"region": "eu", "wait": "1s", "big": 1, "next": {"on": true}, /**/ "pair": [1,2],}`))
 	f.Add([]byte(`{"teams": [{"name": "a", "grants": [{"class": "x", "class": ""}]}], "extra": {"a": [null]}}`))
--- a/internal/jsonc/scalar.go
+++ b/internal/jsonc/scalar.go
@@ -14,8 +14,9 @@
 	"github.com/tailscale/hujson"
 )
 
-// decodeCustom decodes a value whose type does it itself, and says whether the
-// type does. Text comes first, as its errors say more of what is allowed.
+// decodeCustom decodes a value whose type implements TextUnmarshaler or json.Unmarshaler, and
+// reports whether it does. UnmarshalText takes precedence, as its errors describe the allowed
+// values better.
 func (dec *decoder) decodeCustom(v *hujson.Value, dst reflect.Value, path *pathNode) bool {
 	if !dst.CanAddr() {
 		return false
@@ -39,9 +40,8 @@
 	return true
 }
 
-// reportNotString reports a value that should be a string. A bare number is tried as
-// text on a value that is thrown away, since the type's own error names the
-// unit that is missing.
+// reportNotString reports a value that should be a string. It first passes a bare number to
+// the type's UnmarshalText, into a discarded value, since that error names the missing unit.
 func (dec *decoder) reportNotString(v *hujson.Value, t reflect.Type, path *pathNode) {
 	lit, ok := v.Value.(hujson.Literal)
 	scratch := reflect.New(t).Interface().(encoding.TextUnmarshaler)
@@ -58,10 +58,9 @@
 	dec.wrongKind(v, path, want)
 }
 
-// exampleTime shows how a time is written.
 const exampleTime = "2026-01-31T15:04:05Z"
 
-// reportCustom reports the error, if any, of a type's own decoding.
+// reportCustom reports an error of a type's own decoding.
 func (dec *decoder) reportCustom(v *hujson.Value, path *pathNode, err error) {
 	var badTime *time.ParseError
 	switch {
@@ -146,7 +145,7 @@
 	dst.SetFloat(n)
 }
 
-// numberText returns the text of a JSON numberText, empty for other kinds.
+// numberText returns the text of a JSON number, or an empty string for other kinds.
 func numberText(v *hujson.Value) string {
 	if lit, ok := v.Value.(hujson.Literal); ok && lit.Kind() == '0' {
 		return string(lit)
@@ -154,12 +153,12 @@
 	return ""
 }
 
-// wrongKind reports a value of another kind than the one wanted.
+// wrongKind reports a value that isn't of the wanted kind.
 func (dec *decoder) wrongKind(v *hujson.Value, path *pathNode, want string) {
 	dec.report(v, path, "must be %s, not %s", want, describeValue(v))
 }
 
-// describeValue names what stands in the document, in a few words.
+// describeValue describes a value of the document for a message.
 func describeValue(v *hujson.Value) string {
 	lit, _ := v.Value.(hujson.Literal)
 	switch v.Value.Kind() {
@@ -174,7 +173,7 @@
 	}
 }
 
-// maxShownBytes is how much of a wrong value a message repeats, in bytes.
+// maxShownBytes is the length to which a message truncates a wrong value.
 const maxShownBytes = 60
 
 func truncate(s string) string {
--- a/internal/jsonc/scan.go
+++ b/internal/jsonc/scan.go
@@ -5,7 +5,7 @@
 	"sort"
 )
 
-// lineIndex holds the offset at which each line starts.
+// lineIndex holds the offset of the start of each line.
 type lineIndex []int
 
 func newLineIndex(src []byte) lineIndex {
@@ -18,15 +18,15 @@
 	return idx
 }
 
-// position returns the line and the column, in bytes, of an offset; both from 1.
+// position returns the line and the column, in bytes, of an offset; both start at 1.
 func (idx lineIndex) position(offset int) (line, column int) {
 	line = sort.SearchInts(idx, offset+1)
 	return line, offset - idx[line-1] + 1
 }
 
-// firstTooDeep returns the offset of the first bracket nested deeper than limit, or
-// -1. It only skips strings and comments; whether the rest is valid is hujson's
-// to say, which stops at the first error and so never gets deeper than this.
+// firstTooDeep returns the offset of the first bracket nested deeper than limit, or -1. It
+// only skips strings and comments and doesn't validate the rest: hujson stops at the first
+// error, so it never nests deeper than counted here.
 func firstTooDeep(src []byte, limit int) int {
 	depth := 0
 	for i := 0; i < len(src); i++ {
@@ -60,8 +60,8 @@
 	return len(src)
 }
 
-// skipComment returns the distance from a slash to the last byte of the
-// comment that it opens, 0 if it opens none.
+// skipComment returns the distance from a slash to the last byte of the comment that starts
+// with it, or 0 if none does.
 func skipComment(src []byte) int {
 	end := ""
 	switch {
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -7,7 +7,7 @@
 	"coveferry/internal/units"
 )
 
-// Agent is what an agent reads from its settings file.
+// Agent holds the settings of an agent.
 type Agent struct {
 	Process
 	// Endpoint is the name of the agent's endpoint in the bundle.
@@ -17,56 +17,53 @@
 	Shutdown  Shutdown  `json:"shutdown"`
 }
 
-// Engine is the back end beside the agent, and what it can do.
+// Engine describes the back end of the agent and its capabilities.
 type Engine struct {
-	// URL is where the engine serves.
-	URL URL `json:"url" jsonc:"required"`
-	// Kind says what the engine is.
+	// URL is the base URL of the engine.
+	URL  URL        `json:"url" jsonc:"required"`
 	Kind EngineKind `json:"kind"`
-	// Fenced says that the engine refuses orders with an old fencing number.
+	// Fenced reports whether the engine rejects orders with an outdated fencing number.
 	Fenced bool `json:"fenced"`
-	// Priorities says that it runs requests by the priority they state.
+	// Priorities reports whether it schedules requests by their stated priority.
 	Priorities bool `json:"priorities"`
-	// Resume says that it can stop a request and go on with it later.
+	// Resume reports whether it can suspend a request and resume it later.
 	Resume bool `json:"resume"`
 }
 
-// Scheduler is how an agent orders its queue. All but Policy concerns the
-// tiered policy alone.
+// Scheduler configures how an agent orders its queue. All fields but Policy apply to the
+// tiered policy only.
 type Scheduler struct {
 	Policy SchedulerPolicy `json:"policy"`
-	// Preempt lets a request stop one of a lower tier, at an engine that can
-	// resume.
+	// Preempt allows a request to preempt one of a lower tier, at an engine that can resume
+	// requests.
 	Preempt bool `json:"preempt"`
-	// MaxPreemptions bounds how often one request is stopped.
+	// MaxPreemptions is the maximum number of preemptions of one request.
 	MaxPreemptions int `json:"max_preemptions"`
-	// ReserveShare is the part of the engine's time that classes may use out
-	// of turn so as not to starve.
+	// ReserveShare is the share of the engine's time that is reserved for starving classes.
 	ReserveShare float64 `json:"reserve_share"`
-	// ReserveAfter is how long a class goes without service until then.
+	// ReserveAfter is the time without service after which a class may use the reserve.
 	ReserveAfter units.Duration `json:"reserve_after"`
-	// RefuseLateFirstToken also refuses requests that are expected to miss
-	// their first-token target though not their deadline.
+	// RefuseLateFirstToken also refuses requests that are expected to miss their first-token
+	// target but to meet their deadline.
 	RefuseLateFirstToken bool `json:"refuse_late_first_token"`
 }
 
-// Shutdown bounds a planned stop.
+// Shutdown bounds a planned shutdown.
 type Shutdown struct {
-	// StreamsGrace is how long answers under way may go on.
+	// StreamsGrace is how long open responses may continue.
 	StreamsGrace units.Duration `json:"streams_grace"`
 }
 
-// Bounds of an agent's settings.
+// Limits of an agent's settings.
 const (
 	maxPreemptions  = 100
-	minReserveShare = 0.001 // no class may be left to starve
+	minReserveShare = 0.001 // 0 would let classes starve
 	maxReserveShare = 0.5
 	minReserveAfter = units.Duration(10 * time.Millisecond)
 	maxReserveAfter = units.Duration(time.Hour)
 )
 
-// DefaultAgent returns the settings of an agent whose file gives only what is
-// required.
+// DefaultAgent returns the settings of an agent whose file has only the required keys.
 func DefaultAgent() Agent {
 	return Agent{
 		Process:   defaultProcess(RoleAgent),
--- a/internal/settings/words.go
+++ b/internal/settings/enums.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// parseEnum stores a word if it is one of the allowed ones.
+// parseEnum stores text in dst if it is one of the allowed values.
 func parseEnum[T ~string](dst *T, text []byte, words []T) error {
 	word := T(text)
 	if !slices.Contains(words, word) {
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// quotedAlternatives writes `"a", "b" or "c"`.
+// quotedAlternatives formats values as `"a", "b" or "c"`.
 func quotedAlternatives[T ~string](words []T) string {
 	quoted := make([]string, len(words))
 	for i, w := range words {
@@ -30,10 +30,10 @@
 
 func quote(s string) string { return strconv.Quote(s) }
 
-// BalancePolicy names how a router chooses endpoints.
+// BalancePolicy is a policy by which a router selects endpoints.
 type BalancePolicy string
 
-// The balance policies; each has the name of its implementation.
+// The balance policies; each value is the name of its implementation.
 const (
 	BalanceLoadAware   BalancePolicy = "load-aware"
 	BalanceHotCold     BalancePolicy = "hot-cold"
@@ -56,17 +56,18 @@
 	return parseEnum(p, text, BalancePolicies())
 }
 
-// Allowed names the policies.
+// Allowed implements jsonc.Describer.
 func (BalancePolicy) Allowed() string { return quotedAlternatives(BalancePolicies()) }
 
-// SchedulerPolicy names how an agent orders its queue.
+// SchedulerPolicy is a policy by which an agent orders its queue.
 type SchedulerPolicy string
 
 // The scheduler policies.
 const (
-	// SchedulerTiered goes by tier, team and deadline, with a reserve.
+	// SchedulerTiered orders by tier, team and deadline, and reserves time for starving
+	// classes.
 	SchedulerTiered SchedulerPolicy = "tiered"
-	// SchedulerFIFO goes by arrival; it is there to compare with.
+	// SchedulerFIFO orders by arrival; it serves as a baseline for comparisons.
 	SchedulerFIFO SchedulerPolicy = "fifo"
 )
 
@@ -80,10 +81,10 @@
 	return parseEnum(p, text, SchedulerPolicies())
 }
 
-// Allowed names the policies.
+// Allowed implements jsonc.Describer.
 func (SchedulerPolicy) Allowed() string { return quotedAlternatives(SchedulerPolicies()) }
 
-// EngineKind says what runs beside an agent.
+// EngineKind is the kind of back end of an agent.
 type EngineKind string
 
 // The kinds of back end.
@@ -98,10 +99,10 @@
 // UnmarshalText reads the name of a kind.
 func (k *EngineKind) UnmarshalText(text []byte) error { return parseEnum(k, text, EngineKinds()) }
 
-// Allowed names the kinds.
+// Allowed implements jsonc.Describer.
 func (EngineKind) Allowed() string { return quotedAlternatives(EngineKinds()) }
 
-// LogLevel is the least level that is logged; the words are zerolog's.
+// LogLevel is the lowest level that is logged; the names are zerolog's.
 type LogLevel string
 
 // The log levels.
@@ -118,10 +119,10 @@
 // UnmarshalText reads the name of a level.
 func (l *LogLevel) UnmarshalText(text []byte) error { return parseEnum(l, text, LogLevels()) }
 
-// Allowed names the levels.
+// Allowed implements jsonc.Describer.
 func (LogLevel) Allowed() string { return quotedAlternatives(LogLevels()) }
 
-// LogFormat is how log lines are written.
+// LogFormat is the encoding of log lines.
 type LogFormat string
 
 // The log formats.
@@ -136,5 +137,5 @@
 // UnmarshalText reads the name of a format.
 func (f *LogFormat) UnmarshalText(text []byte) error { return parseEnum(f, text, LogFormats()) }
 
-// Allowed names the formats.
+// Allowed implements jsonc.Describer.
 func (LogFormat) Allowed() string { return quotedAlternatives(LogFormats()) }
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -9,47 +9,44 @@
 	"coveferry/internal/units"
 )
 
-// Process holds what the settings of routers and agents have in common.
+// Process holds the settings that routers and agents have in common.
 type Process struct {
-	// Role says whose settings these are.
 	Role Role `json:"role" jsonc:"required"`
-	// Listen is where requests arrive: from callers at a router, from routers
-	// at an agent.
+	// Listen is the address for requests: from callers at a router, from routers at an agent.
 	Listen Address `json:"listen" jsonc:"required"`
-	// ControlListen is where the system's own processes talk to this one.
+	// ControlListen is the address for other processes of the system.
 	ControlListen Address `json:"control_listen" jsonc:"required"`
 	// MetricsListen serves /metrics, /healthz and /readyz.
 	MetricsListen Address `json:"metrics_listen" jsonc:"required"`
 
-	// VM, FailureDomain and Region are where the process runs.
+	// VM, FailureDomain and Region are the location of the process.
 	VM            Name `json:"vm" jsonc:"required"`
 	FailureDomain Name `json:"failure_domain" jsonc:"required"`
 	Region        Name `json:"region" jsonc:"required"`
 
-	// BundleFile is a bundle to start with; its signature stands beside it, in
-	// a file of that name with ".minisig" added. Empty means none.
+	// BundleFile is the bundle to start with; its signature is in a file of the same name with
+	// ".minisig" appended. Empty means none.
 	BundleFile File `json:"bundle_file"`
-	// ConfigService lists the configuration service's servers, which bundles
-	// are read from; empty means that none is asked.
+	// ConfigService lists the servers of the configuration service from which bundles are
+	// read; empty means that none is used.
 	ConfigService []URL `json:"config_service"`
 
 	Trust Trust `json:"trust" jsonc:"required"`
 	Log   Log   `json:"log"`
 }
 
-// Trust is whom a process believes, and how it shows who it is.
+// Trust holds the keys and authorities that a process trusts, and its own certificate.
 type Trust struct {
-	// BundleKeys verify bundles; the signature of one of them is enough.
+	// BundleKeys verify bundles; a signature by one of them is enough.
 	BundleKeys []PublicKey `json:"bundle_keys" jsonc:"required"`
-	// CAFile holds the authorities, in PEM, that sign the certificates of the
-	// system's processes.
+	// CAFile holds the certificate authorities, in PEM, of the system's processes.
 	CAFile File `json:"ca_file" jsonc:"required"`
 	// CertFile and KeyFile are the process's own certificate and key, in PEM.
 	CertFile File `json:"cert_file" jsonc:"required"`
 	KeyFile  File `json:"key_file" jsonc:"required"`
 }
 
-// Keys returns the bundle keys in the form that verification takes.
+// Keys returns the bundle keys as minisign keys.
 func (t Trust) Keys() []minisign.PublicKey {
 	keys := make([]minisign.PublicKey, len(t.BundleKeys))
 	for i, k := range t.BundleKeys {
@@ -58,13 +55,13 @@
 	return keys
 }
 
-// Log is what a process logs.
+// Log configures logging.
 type Log struct {
 	Level  LogLevel  `json:"level"`
 	Format LogFormat `json:"format"`
 }
 
-// Bounds that several roles share.
+// Limits that several roles share.
 const (
 	maxGrace         = units.Duration(24 * time.Hour)
 	maxBundleKeys    = 16
@@ -90,7 +87,7 @@
 	return []*File{&p.BundleFile, &p.Trust.CAFile, &p.Trust.CertFile, &p.Trust.KeyFile}
 }
 
-// distinctAddress requires an address that can be listened on beside the others.
+// distinctAddress requires an address that doesn't overlap with the others.
 func distinctAddress(path string, a Address, others ...Address) rule {
 	taken := slices.ContainsFunc(others, a.overlaps)
 	return condition(path, !taken, "must be an address of its own; "+a.String()+" is listened on already")
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -22,7 +22,7 @@
 	reference = "../../docs/operations/settings.md"
 )
 
-// row is what the reference page says of a key, but for its meaning.
+// row is a row of the reference page without its description.
 type row struct{ key, unit, def, allowed string }
 
 var unitOf = map[reflect.Type]string{
@@ -39,7 +39,7 @@
 	reflect.TypeFor[bool]():           "boolean",
 }
 
-// expectedRows lists the keys of settings as the reference has to show them.
+// expectedRows returns the rows that the reference must have for some settings.
 func expectedRows(f roleSettings) []row {
 	allowed := make(map[string]string)
 	for _, r := range f.rules() {
@@ -114,7 +114,7 @@
 	return rows, meanings
 }
 
-var _ = Describe("what operators read", func() {
+var _ = Describe("reference and examples", func() {
 	for _, role := range Roles() {
 		It("describes every key of "+string(role)+" in the reference", func() {
 			got, meanings := documentedRows(string(role))
@@ -149,7 +149,7 @@
 		})
 	}
 
-	It("names the balance policies as they name themselves", func() {
+	It("uses the names of the balance policies' implementations", func() {
 		policies := []balance.Policy{
 			balance.LoadAware{}, balance.HotCold{}, balance.PowerOfTwo{},
 			balance.LeastLoaded{}, balance.Random{}, &balance.RoundRobin{},
@@ -162,7 +162,7 @@
 	})
 })
 
-// hasPath says whether a decoded document hasPath a key.
+// hasPath reports whether a decoded document has a key.
 func hasPath(keys map[string]any, path string) bool {
 	first, rest, nested := strings.Cut(path, ".")
 	value, ok := keys[first]
--- a/internal/settings/role.go
+++ b/internal/settings/role.go
@@ -2,7 +2,7 @@
 
 import "coveferry/internal/jsonc"
 
-// Role is what a process is in the system.
+// Role is the role of a process in the system.
 type Role string
 
 // The roles of coveferryd.
@@ -18,12 +18,12 @@
 // UnmarshalText reads the name of a role.
 func (r *Role) UnmarshalText(text []byte) error { return parseEnum(r, text, Roles()) }
 
-// Allowed names the roles.
+// Allowed implements jsonc.Describer.
 func (Role) Allowed() string { return quotedAlternatives(Roles()) }
 
 const keyRole = "role"
 
-// readRole reads the role alone; the other keys are looked at once it is known.
+// readRole decodes only the role; other keys are checked once it is known.
 func readRole(doc *jsonc.Document) (Role, jsonc.Problems) {
 	var head struct {
 		Role Role `json:"role" jsonc:"required"`
@@ -36,7 +36,7 @@
 	return head.Role, nil
 }
 
-// hasKey says whether the document has the key.
+// hasKey reports whether the document has the key.
 func hasKey(doc *jsonc.Document, key string) bool {
 	var keys map[string]any
 	doc.Decode(&keys) // problems are reported when the role is known
--- a/internal/settings/router.go
+++ b/internal/settings/router.go
@@ -6,64 +6,63 @@
 	"coveferry/internal/units"
 )
 
-// Router is what a router reads from its settings file.
+// Router holds the settings of a router.
 type Router struct {
 	Process
 	Shutdown RouterShutdown `json:"shutdown"`
 	Limits   Limits         `json:"limits"`
 	Retry    Retry          `json:"retry"`
 	Balance  Balance        `json:"balance"`
-	// VMList lists the servers of the platform's list of VMs; empty means that
-	// the list is heard of from other routers only.
+	// VMList lists the servers of the platform's list of VMs; if empty, the list is learned
+	// from other routers only.
 	VMList []URL `json:"vm_list"`
 }
 
-// RouterShutdown bounds a planned stop. It takes BalancerGrace and then at
-// most StreamsGrace.
+// RouterShutdown bounds a planned shutdown. It takes BalancerGrace and then at most
+// StreamsGrace.
 type RouterShutdown struct {
-	// BalancerGrace is how long the router says that it isn't ready while it
-	// still accepts, so that the platform's balancer has turned away.
+	// BalancerGrace is how long the router reports not ready while still accepting
+	// connections, so that the load balancer stops sending them.
 	BalancerGrace units.Duration `json:"balancer_grace"`
-	// StreamsGrace is how long answers under way may then go on.
+	// StreamsGrace is how long open responses may then continue.
 	StreamsGrace units.Duration `json:"streams_grace"`
 }
 
-// Limits bound what callers can make a router hold.
+// Limits bounds the resources that callers can make a router hold.
 type Limits struct {
-	// HeaderTimeout and BodyTimeout are how long a caller may take to send
-	// the head and the body of a request.
+	// HeaderTimeout and BodyTimeout bound the time in which a caller sends the header and the
+	// body of a request.
 	HeaderTimeout units.Duration `json:"header_timeout"`
 	BodyTimeout   units.Duration `json:"body_timeout"`
-	// MaxHeaderBytes bounds the head of a request. The bundle bounds the body.
+	// MaxHeaderBytes bounds a request's header. The bundle bounds its body.
 	MaxHeaderBytes units.Bytes `json:"max_header_bytes"`
-	// MaxConnections bounds the callers' open connections.
+	// MaxConnections bounds callers' open connections.
 	MaxConnections int `json:"max_connections"`
-	// MaxOpenRequests bounds the requests held at once, over all connections.
+	// MaxOpenRequests bounds the concurrent requests over all connections.
 	MaxOpenRequests int `json:"max_open_requests"`
-	// MaxBodyMemory bounds the bodies held at once, together.
+	// MaxBodyMemory bounds the total size of buffered bodies.
 	MaxBodyMemory units.Bytes `json:"max_body_memory"`
 }
 
-// Retry bounds further attempts after one that didn't run.
+// Retry bounds retries of attempts that didn't run.
 type Retry struct {
-	// MaxAttempts bounds the attempts of one request, the first included.
+	// MaxAttempts bounds the attempts of one request, including the first.
 	MaxAttempts int `json:"max_attempts"`
-	// BudgetRatio bounds retries to this part of the requests.
+	// BudgetRatio is the maximum ratio of retries to requests.
 	BudgetRatio float64 `json:"budget_ratio"`
 }
 
-// Balance is how a router chooses endpoints.
+// Balance configures how a router selects endpoints.
 type Balance struct {
 	Policy BalancePolicy `json:"policy"`
-	// SubsetSize is how many endpoints of each model the router uses; 0
-	// means all.
+	// SubsetSize is the number of endpoints of each model that the router uses; 0 means all.
 	SubsetSize int `json:"subset_size"`
-	// LateBinding has a request wait at two endpoints where none is known to
-	// have room, and run at the one that has room first.
+	// LateBinding queues a request at two endpoints if none is known to have a free slot, and
+	// runs it at the first that has one.
 	LateBinding bool `json:"late_binding"`
 }
 
-// Bounds of a router's settings.
+// Limits of a router's settings.
 const (
 	maxBalancerGrace = units.Duration(5 * time.Minute)
 	minStreamsGrace  = units.Duration(time.Second)
@@ -84,8 +83,7 @@
 	maxSubsetSize = 10_000
 )
 
-// DefaultRouter returns the settings of a router whose file gives only what is
-// required.
+// DefaultRouter returns the settings of a router whose file has only the required keys.
 func DefaultRouter() Router {
 	return Router{
 		Process:  defaultProcess(RoleRouter),
@@ -103,7 +101,7 @@
 	}
 }
 
-// defaultStreamsGrace leaves time for the longest answers.
+// defaultStreamsGrace allows for the longest responses.
 const defaultStreamsGrace = units.Duration(10 * time.Minute)
 
 func defaultBalance() Balance { return Balance{Policy: BalanceLoadAware, LateBinding: true} }
--- a/internal/settings/rules.go
+++ b/internal/settings/rules.go
@@ -7,16 +7,16 @@
 	"regexp"
 )
 
-// rule is a condition that the decoded value at a path has to meet.
+// rule is the result of a check of the decoded value at a path.
 type rule struct {
 	path string
 	ok   bool
-	// allowed says which values are; message also says what was found.
+	// allowed describes the valid values; message adds the value found.
 	allowed string
 	message string
 }
 
-// between requires a value within bounds, both allowed.
+// between requires a value from low to high, inclusive.
 func between[T cmp.Ordered](path string, value, low, high T) rule {
 	allowed := fmt.Sprintf("from %s to %s", formatValue(low), formatValue(high))
 	return rule{
@@ -27,15 +27,15 @@
 	}
 }
 
-// condition requires something that isn't a matter of one value alone.
+// condition requires ok, for checks that involve more than a range.
 func condition(path string, ok bool, message string) rule {
 	return rule{path: path, ok: ok, message: message}
 }
 
-// trailingZeroUnits matches the zeros that durations of whole minutes and hours end in.
+// trailingZeroUnits matches the zero units at the end of durations of whole minutes and hours.
 var trailingZeroUnits = regexp.MustCompile(`([hm])(0m)?0s$`)
 
-// formatValue writes a value as it would stand in a settings file.
+// formatValue formats a value as in a settings file.
 func formatValue(v any) string {
 	m, ok := v.(encoding.TextMarshaler)
 	if !ok {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads the file that a process of coveferryd is started with:
-// its addresses, its place, whom it trusts and its bounds. A file is JSON with
-// comments, decoded strictly; every fault is reported at once, with its place
-// and what is allowed. What all processes share stands in the bundle instead.
+// Package settings reads the settings file of a coveferryd process: its addresses, location,
+// trusted keys and limits. A file is JSON with comments and is decoded strictly; all errors
+// are reported at once, with their positions and the allowed values. Configuration that all
+// processes share is in the bundle instead.
 package settings
 
 import (
@@ -16,10 +16,10 @@
 	"coveferry/internal/jsonc"
 )
 
-// InvalidError says that a settings file can't be used, and why.
+// InvalidError lists the problems of a settings file.
 type InvalidError struct{ Problems jsonc.Problems }
 
-// Error writes one line for each problem.
+// Error returns one line for each problem.
 func (e *InvalidError) Error() string { return e.Problems.Error() }
 
 // Unwrap returns the problems.
@@ -43,8 +43,8 @@
 	return &s, nil
 }
 
-// LoadStandalone reads the settings of a standalone run; an empty file is one
-// of defaults. An error is an *InvalidError.
+// LoadStandalone reads the settings of a standalone run; an empty file means the defaults. An
+// error is an *InvalidError.
 func LoadStandalone(path string) (*Standalone, error) {
 	s := DefaultStandalone()
 	if err := load(path, &s); err != nil {
@@ -53,8 +53,8 @@
 	return &s, nil
 }
 
-// Check reads a settings file of any role. It returns the role that the file
-// names, empty if it names none, and what is wrong with it.
+// Check reads a settings file of any role. It returns the role in the file, empty if it has
+// none, and the problems found.
 func Check(path string) (Role, jsonc.Problems) {
 	doc, problems := read(path)
 	if doc == nil {
@@ -67,12 +67,12 @@
 	return role, decode(doc, newSettings(role), filepath.Dir(path))
 }
 
-// roleSettings is what the settings of every role can do.
+// roleSettings is implemented by the settings of every role.
 type roleSettings interface {
 	role() Role
-	// rules are checked once the file is decoded.
+	// rules returns the results of the checks; it is called after decoding.
 	rules() []rule
-	// files are the paths in the settings, to be resolved.
+	// files returns the paths that are resolved against the folder of the settings file.
 	files() []*File
 }
 
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// loadRole decodes the document if it is meant for the role of dst. Settings
-// of another role aren't looked at further: most keys would be wrong.
+// loadRole decodes the document if it is for the role of dst. Settings of another role aren't
+// checked further, since most of their keys would be reported as unknown.
 func loadRole(doc *jsonc.Document, dst roleSettings, dir string) jsonc.Problems {
 	role, problems := readRole(doc)
 	switch {
@@ -132,8 +132,8 @@
 	return problems
 }
 
-// reported says whether a problem was found at a path, within or around it; a
-// rule on the value would then only repeat it.
+// reported reports whether there is a problem at the path, within it or around it; a rule on
+// the value would only repeat it.
 func reported(problems jsonc.Problems, path string) bool {
 	for _, p := range problems {
 		if isWithin(p.Path, path) || isWithin(path, p.Path) {
@@ -143,13 +143,13 @@
 	return false
 }
 
-// isWithin says whether path lies in the value at outer.
+// isWithin reports whether path lies in the value at outer.
 func isWithin(path, outer string) bool {
 	rest, ok := strings.CutPrefix(path, outer)
 	return ok && (rest == "" || rest[0] == '.' || rest[0] == '[')
 }
 
-// read parses a file. Without a document there is at least one problem.
+// read parses a file. If it returns no document, it returns at least one problem.
 func read(path string) (*jsonc.Document, jsonc.Problems) {
 	src, err := readLimited(path)
 	if err != nil {
@@ -169,7 +169,7 @@
 	return doc, nil
 }
 
-// readLimited reads no more than it takes to see that a file is too large.
+// readLimited reads at most one byte more than the size limit.
 func readLimited(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -179,7 +179,7 @@
 	return io.ReadAll(io.LimitReader(f, jsonc.MaxSize+1))
 }
 
-// errorReason leaves the path out of an error, as the problem names it already.
+// errorReason removes the path from an error, since the problem already contains it.
 func errorReason(err error) string {
 	var pathErr *os.PathError
 	if errors.As(err, &pathErr) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
 	RunSpecs(t, "settings")
 }
 
-// key is a public key whose private half nobody has.
+// key is a public key whose private key wasn't kept.
 const key = "RWQAd2fQeqw74xduI3sL6JSSHp968jsdlMmNT3Lm8SwNpUxAC64QyRxo"
 
 const router = `{
@@ -37,7 +37,7 @@
 	return path
 }
 
-// problems checks a file and leaves its folder out of the messages.
+// problems checks a file and removes its folder from the messages.
 func problems(src string) []string {
 	path := write(src)
 	_, found := Check(path)
@@ -68,7 +68,7 @@
 		Expect(a.Scheduler).To(Equal(DefaultAgent().Scheduler))
 	})
 
-	DescribeTable("takes a standalone file with little or nothing in it", func(src string, engines int) {
+	DescribeTable("accepts an empty or nearly empty standalone file", func(src string, engines int) {
 		s, err := LoadStandalone(write(src))
 		Expect(err).NotTo(HaveOccurred())
 		want := DefaultStandalone()
@@ -82,7 +82,7 @@
 		Entry("role", `{"role": "standalone", "engines": 5}`, 5),
 	)
 
-	It("refuses the settings of another role, without going into them", func() {
+	It("rejects the settings of another role without checking them further", func() {
 		path := write(router)
 		_, err := LoadAgent(path)
 		Expect(err).To(MatchError(path + `:2:10: role: these are the settings of "router"; this process needs those of "agent"`))
@@ -91,7 +91,7 @@
 		Expect(err.(*InvalidError).Unwrap()).To(BeAssignableToTypeOf(problems))
 	})
 
-	It("says what is wrong with a file that can't be read", func() {
+	It("reports why a file can't be read", func() {
 		s, err := LoadRouter("no/such.jsonc")
 		Expect(err).To(MatchError("no/such.jsonc: can't be read: no such file or directory"))
 		Expect(s).To(BeNil())
@@ -103,7 +103,7 @@
 })
 
 var _ = Describe("Check", func() {
-	It("reports all faults of a file, one line each, as the reference shows", func() {
+	It("reports all problems of a file, one line each, as the reference shows", func() {
 		role, found := Check("testdata/router.jsonc")
 		Expect(role).To(Equal(RoleRouter))
 		shown := strings.ReplaceAll(found.Error(), "testdata/", "")
@@ -115,7 +115,7 @@
 		Expect(string(page)).To(ContainSubstring("check-settings router.jsonc\n" + shown + "\n```"))
 	})
 
-	DescribeTable("says what is allowed", func(base, old, changed, want string) {
+	DescribeTable("reports the allowed values", func(base, old, changed, want string) {
 		Expect(strings.Count(base, old)).To(Equal(1))
 		Expect(problems(strings.Replace(base, old, changed, 1))).To(ConsistOf(HaveSuffix(want)))
 	},
@@ -135,7 +135,7 @@
 })
 
 var _ = Describe("Engine", func() {
-	It("may not claim of a service what only an engine can do", func() {
+	It("rejects engine capabilities for a service", func() {
 		const others = `"kind": "service", "fenced": true, "priorities": true, "resume": true, `
 		Expect(problems(strings.Replace(agent, `"url"`, others+`"url"`, 1))).To(HaveExactElements(
 			ContainSubstring("engine.fenced: must be false for kind \"service\""),
@@ -146,14 +146,14 @@
 })
 
 var _ = Describe("between", func() {
-	It("allows the bounds and nothing beyond", func() {
+	It("includes its bounds", func() {
 		for n, ok := range map[int]bool{0: false, 1: true, 3: true, 4: false} {
 			Expect(between("n", n, 1, 3).ok).To(Equal(ok), formatValue(n))
 		}
 	})
 })
 
-var _ = DescribeTable("refused texts", func(dst encoding.TextUnmarshaler, texts ...string) {
+var _ = DescribeTable("rejected texts", func(dst encoding.TextUnmarshaler, texts ...string) {
 	for _, text := range texts {
 		Expect(dst.UnmarshalText([]byte(text))).To(MatchError(HaveSuffix("not %q", text)))
 		Expect(reflect.ValueOf(dst).Elem().IsZero()).To(BeTrue())
--- a/internal/settings/standalone.go
+++ b/internal/settings/standalone.go
@@ -7,21 +7,21 @@
 	"coveferry/internal/units"
 )
 
-// Standalone is what a standalone run reads from its settings file: a router,
-// agents and stand-in engines in one process. Every key has a default.
+// Standalone holds the settings of a standalone run: a router, agents and stand-in engines in
+// one process. Every key has a default.
 type Standalone struct {
 	Role Role `json:"role"`
-	// Listen is where callers connect.
+	// Listen is the address for callers.
 	Listen Address `json:"listen"`
 	// MetricsListen serves /metrics, /healthz, /readyz and /slo.
 	MetricsListen Address `json:"metrics_listen"`
-	// BundleFile is a bundle to serve by; empty means the embedded one.
+	// BundleFile is the bundle to use; empty means the embedded one.
 	BundleFile File `json:"bundle_file"`
-	// Engines is how many stand-in engines run, each with its agent.
+	// Engines is the number of stand-in engines, each with its own agent.
 	Engines int `json:"engines"`
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs concurrently.
 	Slots int `json:"slots"`
-	// TokenTime is how long an engine takes for a token.
+	// TokenTime is the time an engine takes per token.
 	TokenTime units.Duration `json:"token_time"`
 	// PrefixCacheTokens bounds an engine's prefix cache; 0 means no cache.
 	PrefixCacheTokens int `json:"prefix_cache_tokens"`
@@ -34,7 +34,7 @@
 	Log       Log       `json:"log"`
 }
 
-// Bounds of a standalone run's settings.
+// Limits of a standalone run's settings.
 const (
 	maxEngines           = 256
 	maxSlots             = 4096
@@ -43,7 +43,7 @@
 	maxPrefixCacheTokens = 1 << 24
 )
 
-// Where a standalone run serves on the loopback interface.
+// Default ports of a standalone run, on the loopback interface.
 const (
 	defaultPort        = 8080
 	defaultMetricsPort = 8090
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// invalidText is the error of a text that isn't what its type allows.
+// invalidText returns the error for a text that its type doesn't allow.
 func invalidText(text []byte, allowed string) error {
 	return errors.Newf("must be %s, not %q", allowed, text)
 }
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// overlaps says whether the two can't be listened on at once. Ports that the
-// system chooses don't clash.
+// overlaps reports whether the two addresses can't be listened on at the same time. Ports that
+// the system chooses never conflict.
 func (a Address) overlaps(b Address) bool {
 	if !a.IsValid() || !b.IsValid() || a.Port() != b.Port() || a.Port() == 0 {
 		return false
@@ -40,7 +40,7 @@
 	return a.Addr() == b.Addr() || wild && a.Addr().Is4() == b.Addr().Is4()
 }
 
-// Allowed says what an address is.
+// Allowed implements jsonc.Describer.
 func (Address) Allowed() string {
 	return `a literal IP and port such as "10.0.0.7:8080", not a host name`
 }
@@ -61,7 +61,7 @@
 // MarshalText writes the URL.
 func (u URL) MarshalText() ([]byte, error) { return []byte(u.String()), nil }
 
-// Allowed says what a URL is.
+// Allowed implements jsonc.Describer.
 func (URL) Allowed() string {
 	return `an http or https URL with a literal IP and port such as "http://10.0.0.7:8000", with no user, query or fragment`
 }
@@ -73,8 +73,8 @@
 		u.User == nil && u.RawQuery == "" && !u.ForceQuery && u.Fragment == ""
 }
 
-// Name names a VM, a failure domain, a region or an endpoint. Its form is that
-// of the names in a bundle, where the same names stand.
+// Name is the name of a VM, a failure domain, a region or an endpoint, in the same form as in
+// a bundle.
 type Name string
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
@@ -88,13 +88,13 @@
 	return nil
 }
 
-// Allowed says what a name is.
+// Allowed implements jsonc.Describer.
 func (Name) Allowed() string {
 	return "1 to 63 lower-case letters, digits, '.', '_' or '-', beginning with a letter or digit"
 }
 
-// File is the path of a file. In a settings file a relative path starts from
-// the folder of that file; once loaded it is resolved.
+// File is a path. In a settings file a relative path is relative to the folder of that file;
+// it is resolved when the file is loaded.
 type File string
 
 // UnmarshalText reads a path.
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// Allowed says what a path is.
+// Allowed implements jsonc.Describer.
 func (File) Allowed() string {
 	return "a path, absolute or relative to the folder of the settings file"
 }
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// Allowed says what a key is.
+// Allowed implements jsonc.Describer.
 func (PublicKey) Allowed() string {
 	return `a minisign public key, the line of a .pub file that begins with "RW"`
 }
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,5 +1,5 @@
-// Package units holds the quantities that settings and bundles are written in:
-// durations such as "250ms" and sizes such as "64KiB".
+// Package units defines the quantities in settings and bundles: durations such as "250ms" and
+// sizes such as "64KiB".
 package units
 
 import (
@@ -15,10 +15,10 @@
 // Std returns the duration as the standard library's type.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// MarshalText writes the duration with its unit.
+// MarshalText formats the duration with its unit.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.Std().String()), nil }
 
-// UnmarshalText reads a number with a unit; a bare number is an error.
+// UnmarshalText parses a number with a unit; a number without one is an error.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -31,10 +31,10 @@
 // Bytes is a size in bytes, written with a binary unit: "64KiB", "4MiB".
 type Bytes int64
 
-// MarshalText writes the size with its unit.
+// MarshalText formats the size with its unit.
 func (b Bytes) MarshalText() ([]byte, error) { return []byte(units.Base2Bytes(b).String()), nil }
 
-// UnmarshalText reads a number with a binary unit.
+// UnmarshalText parses a number with a binary unit.
 func (b *Bytes) UnmarshalText(text []byte) error {
 	v, err := units.ParseBase2Bytes(string(text))
 	if err != nil {
