--- a/cmd/coveferryctl/main.go
+++ b/cmd/coveferryctl/main.go
@@ -1,4 +1,4 @@
-// Command coveferryctl is the operators' tool.
+// Command coveferryctl is the operators' command-line tool.
 package main
 
 import (
@@ -30,7 +30,7 @@
 	Completion cli.Completion  `cmd:"" help:"Print what a shell needs to complete commands."`
 }
 
-// benchGroup adds the slopes to the scenarios.
+// benchGroup adds the other measurements to the scenarios.
 type benchGroup struct {
 	benchcmd.Cmd
 	Path        pathcmd.Cmd           `cmd:"" help:"Measure what router and agent add to a direct call: latency, processor time, memory a stream."`
--- a/cmd/coveferryd/main.go
+++ b/cmd/coveferryd/main.go
@@ -1,5 +1,4 @@
-// Command coveferryd is coveferry's daemon, in the role that its first argument
-// names.
+// Command coveferryd is coveferry's daemon. Its first argument selects the role.
 package main
 
 import (
--- a/internal/cli/benchcmd/benchcmd.go
+++ b/internal/cli/benchcmd/benchcmd.go
@@ -47,7 +47,7 @@
 	return errors.Wrap(err, "write the list")
 }
 
-// measurements are the other commands of the group, which aren't scenarios.
+// measurements returns the other commands of the group, which aren't scenarios.
 func measurements(list *kong.Node) []*kong.Node {
 	return slices.DeleteFunc(slices.Clone(list.Parent.Children), func(n *kong.Node) bool {
 		return n == list || n.Name == "run"
@@ -81,7 +81,7 @@
 	}
 	result, err := runner.Run(env.Ctx, o)
 	if err != nil {
-		return classify(err)
+		return markInvalidInput(err)
 	}
 	if err := c.write(env, result); err != nil {
 		return err
@@ -123,8 +123,8 @@
 	return zerolog.New(zerolog.ConsoleWriter{Out: env.Stderr}).Level(level).With().Timestamp().Logger()
 }
 
-// classify marks what the user can mend by other options.
-func classify(err error) error {
+// markInvalidInput marks errors that are caused by the flags.
+func markInvalidInput(err error) error {
 	for _, fault := range []error{bench.ErrInvalid, bench.ErrUnknownPolicy, bench.ErrUnsupported} {
 		if errors.Is(err, fault) {
 			return cli.BadInput(err)
--- a/internal/cli/benchcmd/benchcmd_test.go
+++ b/internal/cli/benchcmd/benchcmd_test.go
@@ -12,7 +12,7 @@
 	"coveferry/internal/cli/benchcmd"
 )
 
-// run parses and runs a command line, and returns what it printed.
+// run parses and runs a command line, and returns its standard output.
 func run(t *testing.T, args ...string) (string, error) {
 	g := gomega.NewWithT(t)
 	var root struct {
@@ -29,7 +29,7 @@
 	return stdout.String(), err
 }
 
-func TestListNamesTheScenarios(t *testing.T) {
+func TestListPrintsScenarios(t *testing.T) {
 	g := gomega.NewWithT(t)
 	out, err := run(t, "list")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestBadInputIsTheUsersFault(t *testing.T) {
+func TestInvalidInputExitCode(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, args := range [][]string{
 		{"nope"},
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestInterruptionPrintsAPartialResult(t *testing.T) {
+func TestInterruptionPrintsPartialResult(t *testing.T) {
 	g := gomega.NewWithT(t)
 	out, err := run(t, "steady", "--json", "--seed=9", "--duration=1s")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/cli/benchcmd/progress.go
+++ b/internal/cli/benchcmd/progress.go
@@ -11,25 +11,25 @@
 	"coveferry/internal/bench"
 )
 
-// refresh is how often the bar is drawn at most.
-const refresh = 100 * time.Millisecond
+// refreshInterval is the minimum time between two updates of the progress bar.
+const refreshInterval = 100 * time.Millisecond
 
-// newProgress shows a bar if w is a terminal, and nothing otherwise.
+// newProgress returns a progress bar if w is a terminal, and a no-op otherwise.
 func newProgress(w io.Writer) bench.Progress {
 	f, ok := w.(*os.File)
 	if !ok || !term.IsTerminal(int(f.Fd())) {
-		return quiet{}
+		return noProgress{}
 	}
 	return &bar{w: w}
 }
 
-type quiet struct{}
+type noProgress struct{}
 
-func (quiet) Begin(string, int) {}
-func (quiet) Step()             {}
-func (quiet) End()              {}
+func (noProgress) Begin(string, int) {}
+func (noProgress) Step()             {}
+func (noProgress) End()              {}
 
-// bar shows how many requests have ended. Failures to draw are of no account.
+// bar shows the number of completed requests. It ignores errors of drawing.
 type bar struct {
 	w   io.Writer
 	bar *progressbar.ProgressBar
@@ -40,7 +40,7 @@
 		progressbar.OptionSetWriter(b.w),
 		progressbar.OptionSetDescription(policy),
 		progressbar.OptionShowCount(),
-		progressbar.OptionThrottle(refresh),
+		progressbar.OptionThrottle(refreshInterval),
 		progressbar.OptionClearOnFinish(),
 	)
 }
--- a/internal/cli/benchcmd/teamlimit.go
+++ b/internal/cli/benchcmd/teamlimit.go
@@ -10,7 +10,7 @@
 	"coveferry/internal/cli"
 )
 
-// TeamLimitCmd measures how a team's limit holds across routers.
+// TeamLimitCmd measures how accurately routers enforce a team's limit.
 type TeamLimitCmd struct {
 	JSON     bool          `name:"json" help:"Print the whole result as JSON."`
 	Routers  []int         `default:"2,8,32" help:"Sizes of the fleets."`
--- a/internal/cli/bundlecmd/bundlecmd.go
+++ b/internal/cli/bundlecmd/bundlecmd.go
@@ -1,6 +1,5 @@
-// Package bundlecmd holds the commands with which operators write, check,
-// sign and compare bundles. They work on files only and reach no network, but for
-// "bundle rollout".
+// Package bundlecmd holds the commands with which operators create, check, sign and compare
+// bundles. They only access files, except "bundle rollout", which uses the network.
 package bundlecmd
 
 import (
@@ -29,19 +28,19 @@
 	Rollout rolloutcmd.Cmd `cmd:"" help:"Watch how a bundle comes into force across the fleet."`
 }
 
-// clock is the flag for the time at which a command judges.
-type clock struct {
+// timeFlag overrides the current time of a command.
+type timeFlag struct {
 	At time.Time `help:"Act as of this time, such as 2027-01-31T00:00:00Z; the default is now." placeholder:"TIME"`
 }
 
-func (c clock) now() time.Time {
+func (c timeFlag) now() time.Time {
 	if c.At.IsZero() {
 		return time.Now()
 	}
 	return c.At
 }
 
-// jsonFlag lets a command print JSON for programs.
+// jsonFlag selects JSON output.
 type jsonFlag struct {
 	JSON bool `name:"json" help:"Print the result as JSON."`
 }
@@ -54,7 +53,7 @@
 	return src, nil
 }
 
-// readBundle reads a file that must hold a good bundle.
+// readBundle reads and validates a bundle.
 func readBundle(name string) (*bundle.Bundle, error) {
 	src, err := readFile(name)
 	if err != nil {
@@ -67,7 +66,7 @@
 	return b, nil
 }
 
-// createFile writes a file that must not exist yet.
+// createFile writes a file that must not exist.
 func createFile(name string, content []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if errors.Is(err, os.ErrExist) {
--- a/internal/cli/bundlecmd/bundlecmd_test.go
+++ b/internal/cli/bundlecmd/bundlecmd_test.go
@@ -28,13 +28,13 @@
 	expired = "--at=2028-12-01T06:00:00Z"
 )
 
-// result is what a command left behind.
-type result struct {
+// commandResult is the output and the error of a command.
+type commandResult struct {
 	stdout, stderr string
 	err            error
 }
 
-func run(args ...string) result {
+func run(args ...string) commandResult {
 	GinkgoHelper()
 	var out, errOut bytes.Buffer
 	env := &cli.Env{Ctx: context.Background(), Stdout: &out, Stderr: &errOut}
@@ -43,18 +43,18 @@
 	k, err := parser.Parse(args)
 	Expect(err).NotTo(HaveOccurred())
 	err = k.Run()
-	return result{out.String(), errOut.String(), err}
+	return commandResult{out.String(), errOut.String(), err}
 }
 
-func succeed(args ...string) result {
+func runOK(args ...string) commandResult {
 	GinkgoHelper()
 	r := run(args...)
 	Expect(r.err).NotTo(HaveOccurred())
 	return r
 }
 
-// refuse runs a command whose input is bad, and returns its message.
-func refuse(args ...string) string {
+// runInvalid runs a command whose input is invalid and returns its error message.
+func runInvalid(args ...string) string {
 	GinkgoHelper()
 	r := run(args...)
 	Expect(cli.ExitCode(r.err)).To(Equal(cli.ExitUsage), "%v", r.err)
@@ -78,8 +78,8 @@
 	})
 
 	Describe("init", func() {
-		It("writes a bundle without fault or warning, and its team's key", func() {
-			r := succeed("init", file, issued)
+		It("writes a bundle without errors or warnings, and its team's key", func() {
+			r := runOK("init", file, issued)
 			teamKey := regexp.MustCompile(`cf-\w+`).FindString(r.stdout)
 			src, err := os.ReadFile(file)
 			Expect(err).NotTo(HaveOccurred())
@@ -90,20 +90,20 @@
 			Expect(known).To(BeTrue())
 		})
 
-		It("doesn't overwrite", func() {
-			succeed("init", file)
+		It("doesn't overwrite files", func() {
+			runOK("init", file)
 			before, _ := os.ReadFile(file)
-			Expect(refuse("init", file)).To(ContainSubstring("not overwritten"))
+			Expect(runInvalid("init", file)).To(ContainSubstring("not overwritten"))
 			Expect(os.ReadFile(file)).To(Equal(before))
 		})
 	})
 
 	Describe("check", func() {
-		It("prints one line for each fault", func() {
-			succeed("init", file, issued)
+		It("prints one line for each error", func() {
+			runOK("init", file, issued)
 			edit(file, `"slots": 16`, `"slots": 0`)
 			edit(file, `"domain-b"`, `"domain-a"`)
-			lines := strings.Split(refuse("check", file), "\n")
+			lines := strings.Split(runInvalid("check", file), "\n")
 			Expect(lines).To(HaveExactElements(
 				MatchRegexp(`^.*b\.jsonc:\d+:\d+: endpoints\[0\]\.slots: 0 is outside`),
 				MatchRegexp(`^.*b\.jsonc:\d+:\d+: endpoints\[1\]\.slots: 0 is outside`),
@@ -113,74 +113,74 @@
 			Expect(r.stdout).To(And(ContainSubstring(`"ok": false`), ContainSubstring(`"path": "endpoints[1].slots"`)))
 		})
 
-		It("passes a bundle with warnings", func() {
-			succeed("init", file, issued)
+		It("accepts a bundle with warnings", func() {
+			runOK("init", file, issued)
 			edit(file, `"domain-b"`, `"domain-a"`)
-			r := succeed("check", file)
+			r := runOK("check", file)
 			Expect(r.stdout).To(ContainSubstring("version 1 is good"))
 			Expect(r.stderr).To(MatchRegexp(`(?m)^warning: .*models\[0\]: .*single failure domain`))
 		})
 
-		It("names a file that isn't there", func() {
-			Expect(refuse("check", file)).To(ContainSubstring(file))
+		It("reports a missing file by name", func() {
+			Expect(runInvalid("check", file)).To(ContainSubstring(file))
 		})
 	})
 
 	Describe("keygen", func() {
-		It("writes a secret that only its owner reads, and overwrites nothing", func() {
-			succeed("keygen", key)
+		It("writes a secret key that only its owner can read, and overwrites nothing", func() {
+			runOK("keygen", key)
 			info, err := os.Stat(key)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(info.Mode().Perm()).To(Equal(os.FileMode(0o600)))
-			Expect(refuse("keygen", key)).To(ContainSubstring("not overwritten"))
+			Expect(runInvalid("keygen", key)).To(ContainSubstring("not overwritten"))
 			Expect(os.Remove(pub)).To(Succeed())
-			Expect(refuse("keygen", key)).To(ContainSubstring("not overwritten"))
-			Expect(pub).NotTo(BeAnExistingFile(), "a public key without its secret")
+			Expect(runInvalid("keygen", key)).To(ContainSubstring("not overwritten"))
+			Expect(pub).NotTo(BeAnExistingFile(), "a public key without its secret key")
 		})
 	})
 
 	Describe("sign and verify", func() {
 		BeforeEach(func() {
-			succeed("init", file, issued)
-			succeed("keygen", key)
-			succeed("sign", file, "--key", key)
+			runOK("init", file, issued)
+			runOK("keygen", key)
+			runOK("sign", file, "--key", key)
 		})
 
-		It("accepts what it signed", func() {
-			Expect(succeed("verify", file, "--pubkey", pub, issued).stdout).To(ContainSubstring("version 1 would be accepted"))
-			Expect(succeed("verify", file, "--pubkey", pub, issued, "--json", "--current", file).stdout).To(ContainSubstring(`"in_force": true`))
+		It("accepts a bundle that it signed", func() {
+			Expect(runOK("verify", file, "--pubkey", pub, issued).stdout).To(ContainSubstring("version 1 would be accepted"))
+			Expect(runOK("verify", file, "--pubkey", pub, issued, "--json", "--current", file).stdout).To(ContainSubstring(`"in_force": true`))
 		})
 
-		It("refuses with one line", func() {
+		It("rejects a bundle with an error of one line", func() {
 			newer, other := filepath.Join(dir, "n.jsonc"), filepath.Join(dir, "o.key")
 			src, _ := os.ReadFile(file)
 			Expect(os.WriteFile(newer, src, 0o644)).To(Succeed())
 			edit(newer, `"version": 1`, `"version": 2`)
-			succeed("keygen", other)
+			runOK("keygen", other)
 
-			Expect(refuse("verify", file, "--pubkey", pub, expired)).To(MatchRegexp(`^.*b\.jsonc: .*version 1 expired at`))
-			Expect(refuse("verify", file, "--pubkey", other+".pub", issued)).To(ContainSubstring("not a trusted one"))
-			Expect(refuse("verify", file, "--pubkey", pub, issued, "--current", newer)).To(ContainSubstring("version 1 is older than version 2"))
+			Expect(runInvalid("verify", file, "--pubkey", pub, expired)).To(MatchRegexp(`^.*b\.jsonc: .*version 1 expired at`))
+			Expect(runInvalid("verify", file, "--pubkey", other+".pub", issued)).To(ContainSubstring("not a trusted one"))
+			Expect(runInvalid("verify", file, "--pubkey", pub, issued, "--current", newer)).To(ContainSubstring("version 1 is older than version 2"))
 			edit(file, "gold", "g0ld")
-			Expect(refuse("verify", file, "--pubkey", pub, issued)).To(MatchRegexp(`^.*b\.jsonc: .*signature does not match[^\n]*$`))
+			Expect(runInvalid("verify", file, "--pubkey", pub, issued)).To(MatchRegexp(`^.*b\.jsonc: .*signature does not match[^\n]*$`))
 		})
 
-		It("uses no secret that others can read, and signs no faulty bundle", func() {
+		It("rejects a secret key that others can read, and an invalid bundle", func() {
 			edit(file, `"slots": 16`, `"slots": 0`)
-			Expect(refuse("sign", file, "--key", key)).To(ContainSubstring("endpoints[1].slots"))
+			Expect(runInvalid("sign", file, "--key", key)).To(ContainSubstring("endpoints[1].slots"))
 			Expect(os.Chmod(key, 0o640)).To(Succeed())
-			Expect(refuse("sign", file, "--key", key)).To(ContainSubstring("mode 0640"))
+			Expect(runInvalid("sign", file, "--key", key)).To(ContainSubstring("mode 0640"))
 		})
 	})
 
-	It("signs a bundle in sections, and writes again what changed only", func() {
+	It("signs a bundle in sections, and rewrites only changed sections", func() {
 		out := filepath.Join(dir, "out")
-		succeed("init", file, issued)
-		succeed("keygen", key)
-		Expect(succeed("sign", file, "--key", key, "--split", out).stdout).To(ContainSubstring("8 sections, 8 of them new"))
+		runOK("init", file, issued)
+		runOK("keygen", key)
+		Expect(runOK("sign", file, "--key", key, "--split", out).stdout).To(ContainSubstring("8 sections, 8 of them new"))
 		edit(file, `"version": 1`, `"version": 2`)
 		edit(file, `"queue_entries": 256`, `"queue_entries": 300`)
-		Expect(succeed("sign", file, "--key", key, "--split", out).stdout).To(ContainSubstring("8 sections, 1 of them new"))
+		Expect(runOK("sign", file, "--key", key, "--split", out).stdout).To(ContainSubstring("8 sections, 1 of them new"))
 
 		sections := make(map[bundle.Digest][]byte)
 		files, err := filepath.Glob(filepath.Join(out, "sections", "*.json"))
@@ -202,28 +202,28 @@
 	})
 
 	Describe("diff and explain", func() {
-		It("shows changes and warns of a version that doesn't grow", func() {
+		It("shows changes and warns if the version doesn't increase", func() {
 			newer := filepath.Join(dir, "n.jsonc")
-			succeed("init", file, issued)
+			runOK("init", file, issued)
 			src, _ := os.ReadFile(file)
 			Expect(os.WriteFile(newer, src, 0o644)).To(Succeed())
-			Expect(succeed("diff", file, newer).stdout).To(Equal("no differences\n"))
-			Expect(succeed("diff", file, newer, "--json").stdout).To(Equal("[]\n"))
+			Expect(runOK("diff", file, newer).stdout).To(Equal("no differences\n"))
+			Expect(runOK("diff", file, newer, "--json").stdout).To(Equal("[]\n"))
 			edit(newer, `"concurrency": 50`, `"concurrency": 70`)
-			r := succeed("diff", file, newer)
+			r := runOK("diff", file, newer)
 			Expect(r.stdout).To(MatchRegexp(`changed +│ team +│ teams\["example"\]\.limits\.concurrency +│ 50 +│ 70`))
 			Expect(r.stderr).To(ContainSubstring("needs a higher version"))
 			edit(newer, `"concurrency": 70`, `"concurrency": -1`)
-			Expect(refuse("diff", file, newer)).To(ContainSubstring("limits.concurrency: -1 is outside"))
+			Expect(runInvalid("diff", file, newer)).To(ContainSubstring("limits.concurrency: -1 is outside"))
 		})
 
 		It("explains a request", func() {
-			succeed("init", file, issued)
-			r := succeed("explain", file, "--team=example", "--class=batch", "--model=example-model")
+			runOK("init", file, issued)
+			r := runOK("explain", file, "--team=example", "--class=batch", "--model=example-model")
 			Expect(r.stdout).To(And(ContainSubstring("standard (rank 2 of 2"), ContainSubstring("domain-b: engine-2")))
-			r = succeed("explain", file, "--team=example", "--model=example-model", "--json")
+			r = runOK("explain", file, "--team=example", "--model=example-model", "--json")
 			Expect(r.stdout).To(And(ContainSubstring(`"class": "interactive"`), ContainSubstring(`"first_token": "1s"`)))
-			Expect(refuse("explain", file, "--team=exampel", "--model=example-model")).To(ContainSubstring(`no team "exampel"; it defines example`))
+			Expect(runInvalid("explain", file, "--team=exampel", "--model=example-model")).To(ContainSubstring(`no team "exampel"; it defines example`))
 		})
 	})
 })
--- a/internal/cli/bundlecmd/check.go
+++ b/internal/cli/bundlecmd/check.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// checkReport is what "check --json" prints.
+// checkReport is the output of "check --json".
 type checkReport struct {
 	File     string    `json:"file"`
 	OK       bool      `json:"ok"`
@@ -65,7 +65,7 @@
 	Warnings []problem `json:"warnings"`
 }
 
-// problem is a fault or warning; line and column count from 1.
+// problem is an error or a warning; line and column start at 1.
 type problem struct {
 	Line    int    `json:"line"`
 	Column  int    `json:"column"`
--- a/internal/cli/bundlecmd/diff.go
+++ b/internal/cli/bundlecmd/diff.go
@@ -10,8 +10,8 @@
 	"coveferry/internal/cli"
 )
 
-// valueWidth is the width of the columns for values, in characters.
-const valueWidth = 44
+// maxValueWidth is the maximum width of the columns for values, in characters.
+const maxValueWidth = 44
 
 type diffCmd struct {
 	Old string `arg:"" help:"Bundle in force."`
@@ -58,15 +58,15 @@
 	t.SetOutputMirror(env.Stdout)
 	t.SetStyle(table.StyleLight)
 	t.AppendHeader(table.Row{"Action", "Noun", "Path", "Old", "New"})
-	t.SetColumnConfigs([]table.ColumnConfig{{Name: "Old", WidthMax: valueWidth}, {Name: "New", WidthMax: valueWidth}})
+	t.SetColumnConfigs([]table.ColumnConfig{{Name: "Old", WidthMax: maxValueWidth}, {Name: "New", WidthMax: maxValueWidth}})
 	for _, c := range changes {
-		t.AppendRow(table.Row{c.Action, c.Noun, c.Path, text(c.Old), text(c.New)})
+		t.AppendRow(table.Row{c.Action, c.Noun, c.Path, rawText(c.Old), rawText(c.New)})
 	}
 	t.Render()
 }
 
-// text shows a JSON value, and nothing for one that is absent.
-func text(v json.RawMessage) string {
+// rawText formats a JSON value, or an empty string for null.
+func rawText(v json.RawMessage) string {
 	if string(v) == "null" {
 		return ""
 	}
--- a/internal/cli/bundlecmd/init.go
+++ b/internal/cli/bundlecmd/init.go
@@ -17,12 +17,12 @@
 
 var starter = template.Must(template.New("starter").Parse(starterText))
 
-// starterValidity is how long a starter bundle may be accepted as new.
+// starterValidity is the time until a starter bundle expires.
 const starterValidity = 365 * 24 * time.Hour
 
 type initCmd struct {
 	File string `arg:"" help:"File to write; an existing one is not overwritten."`
-	clock
+	timeFlag
 }
 
 // Help implements kong's HelpProvider.
@@ -34,7 +34,6 @@
 Next: edit the file, then "bundle check", "bundle keygen" and "bundle sign".`
 }
 
-// Run writes the starter bundle.
 func (c *initCmd) Run(env *cli.Env) error {
 	key := "cf-" + rand.Text()
 	issued := c.now().UTC().Truncate(time.Second)
@@ -54,5 +53,5 @@
 	return nil
 }
 
-// starterFields fills the template of the starter bundle.
+// starterFields are the fields of the starter bundle's template.
 type starterFields struct{ Issued, Expires, KeyHash string }
--- a/internal/cli/bundlecmd/keygen.go
+++ b/internal/cli/bundlecmd/keygen.go
@@ -14,8 +14,8 @@
 const (
 	secretMode = os.FileMode(0o600)
 	publicMode = os.FileMode(0o644)
-	// othersMode are the permission bits that a secret key must not have.
-	othersMode = os.FileMode(0o077)
+	// groupAndOthersMode holds the permission bits that a secret key's file must not have.
+	groupAndOthersMode = os.FileMode(0o077)
 )
 
 type keygenCmd struct {
@@ -33,7 +33,7 @@
 from then on, and remove the old public key last.`
 }
 
-// Run makes the key pair. It overwrites nothing, and leaves no half of a pair.
+// Run creates the key pair. It overwrites no file, and on failure neither file remains.
 func (c *keygenCmd) Run(env *cli.Env) error {
 	pub, key, err := bundle.GenerateKey(rand.Reader)
 	if err != nil {
@@ -65,13 +65,13 @@
 	return c.Key + ".pub"
 }
 
-// readKey reads a secret key that nobody else may read.
+// readKey reads a secret key, whose file only its owner may access.
 func readKey(name string) (key bundle.PrivateKey, err error) {
 	info, err := os.Stat(name)
 	if err != nil {
 		return key, cli.BadInput(err)
 	}
-	if info.Mode().Perm()&othersMode != 0 {
+	if info.Mode().Perm()&groupAndOthersMode != 0 {
 		return key, cli.BadInput(errors.Newf("%s: others can read or write this secret key (mode %04o); set it to %04o",
 			name, info.Mode().Perm(), secretMode))
 	}
--- a/internal/cli/bundlecmd/split.go
+++ b/internal/cli/bundlecmd/split.go
@@ -12,8 +12,7 @@
 // Names in the directory that "sign --split" writes.
 const (
 	manifestFile = "manifest.json"
-	// signedFile holds the manifest and its signature in one value, which is
-	// what the processes read.
+	// signedFile holds the manifest and its signature in one value, which the processes read.
 	signedFile  = "signed-manifest.json"
 	sectionsDir = "sections"
 	sectionExt  = ".json"
@@ -21,8 +20,8 @@
 
 const dirMode = os.FileMode(0o755)
 
-// split writes a bundle in sections, the signed manifest last, so that a
-// manifest never names a section that isn't there.
+// split writes a bundle in sections, and the signed manifest last, so that the manifest never
+// refers to a missing section.
 func (c *signCmd) split(env *cli.Env, src []byte, key bundle.PrivateKey) error {
 	b, err := bundle.Parse(c.File, src)
 	if err != nil {
@@ -49,16 +48,15 @@
 	return nil
 }
 
-// writeSections writes the sections that the directory doesn't hold yet, and
-// returns how many it wrote. It removes none, as processes that lag still ask
-// for old ones.
+// writeSections writes the sections that the directory doesn't contain yet and returns their
+// number. It removes none, since lagging processes still request old ones.
 func writeSections(dir string, sections map[bundle.Digest][]byte) (written int, err error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return 0, err
 	}
 	for digest, text := range sections {
 		name := filepath.Join(dir, digest.String()+sectionExt)
-		if holds(name, digest) {
+		if hasContent(name, digest) {
 			continue
 		}
 		if err := os.WriteFile(name, text, publicMode); err != nil {
@@ -69,7 +67,7 @@
 	return written, nil
 }
 
-// replaceFile writes a file so that a reader sees the old content or the new.
+// replaceFile replaces a file atomically.
 func replaceFile(name string, content []byte) error {
 	next := name + ".next"
 	if err := os.WriteFile(next, content, publicMode); err != nil {
@@ -78,7 +76,7 @@
 	return os.Rename(next, name)
 }
 
-func holds(name string, digest bundle.Digest) bool {
+func hasContent(name string, digest bundle.Digest) bool {
 	text, err := os.ReadFile(name)
 	return err == nil && bundle.DigestOf(text) == digest
 }
--- a/internal/cli/bundlecmd/verify.go
+++ b/internal/cli/bundlecmd/verify.go
@@ -15,7 +15,7 @@
 	Pubkey    []string `required:"" help:"File of a trusted public key; give it again for several." placeholder:"FILE"`
 	Signature string   `help:"File of the signature; the default is the bundle's name and \".minisig\"." placeholder:"FILE"`
 	Current   string   `help:"Bundle in force, which the new one must follow." placeholder:"FILE"`
-	clock
+	timeFlag
 	jsonFlag
 }
 
@@ -28,7 +28,7 @@
 why, and exit code 2.`
 }
 
-// Run decides on the file.
+// Run checks whether the daemons would accept the file.
 func (c *verifyCmd) Run(env *cli.Env) error {
 	keys, err := readPubkeys(c.Pubkey)
 	if err != nil {
@@ -48,12 +48,12 @@
 	}
 	snap, err := bundle.Accept(c.now(), current, src, sig, keys)
 	if err != nil {
-		return cli.BadInput(c.place(err))
+		return cli.BadInput(c.addFileName(err))
 	}
 	return c.report(env, snap, snap == current)
 }
 
-// current reads the bundle in force; without one it returns nil.
+// current reads the bundle in force; it returns nil if none is given.
 func (c *verifyCmd) current() (*bundle.Snapshot, error) {
 	if c.Current == "" {
 		return nil, nil
@@ -65,8 +65,8 @@
 	return bundle.NewSnapshot(b), nil
 }
 
-// place names the file in a refusal. Faults of the content have their places.
-func (c *verifyCmd) place(err error) error {
+// addFileName adds the file name to an error, or to each problem of an invalid bundle.
+func (c *verifyCmd) addFileName(err error) error {
 	var invalid *bundle.InvalidError
 	if !errors.As(err, &invalid) {
 		return errors.Wrap(err, c.File)
@@ -77,12 +77,12 @@
 	return err
 }
 
-// verifyReport is what "verify --json" prints.
+// verifyReport is the output of "verify --json".
 type verifyReport struct {
 	File    string `json:"file"`
 	Version uint64 `json:"version"`
 	Expires string `json:"expires"`
-	// InForce says that the bundle is the one given as --current.
+	// InForce reports whether the bundle is the one given as --current.
 	InForce bool `json:"in_force"`
 }
 
--- a/internal/cli/capacitycmd/capacitycmd.go
+++ b/internal/cli/capacitycmd/capacitycmd.go
@@ -1,5 +1,5 @@
-// Package capacitycmd holds the command that works out what each role costs at
-// a given size, from measured slopes.
+// Package capacitycmd holds the command that computes the resources of each role at a given
+// size from measured slopes.
 package capacitycmd
 
 import (
@@ -25,7 +25,7 @@
 	Markdown bool   `xor:"form" help:"Write the tables as they stand in docs/CAPACITY.md."`
 }
 
-// Run works the tables out and writes them.
+// Run computes and prints the tables.
 func (c *Cmd) Run(env *cli.Env) error {
 	reports, err := c.reports()
 	if err != nil {
@@ -50,9 +50,9 @@
 
 func writeReport(w io.Writer, r capacity.Report, markdown bool) error {
 	for _, t := range r.Tables() {
-		text := plain(r, t)
+		text := renderText(r, t)
 		if markdown {
-			text = marked(r.Size.ID, t)
+			text = renderMarkdown(r.Size.ID, t)
 		}
 		if _, err := fmt.Fprintln(w, text); err != nil {
 			return err
@@ -65,36 +65,36 @@
 func (c *Cmd) reports() ([]capacity.Report, error) {
 	sizes, in, err := c.inputs()
 	if err != nil {
-		return nil, badInput(err)
+		return nil, markInvalidInput(err)
 	}
 	reports := make([]capacity.Report, len(sizes))
 	for i, size := range sizes {
 		in.Size = size
 		reports[i], err = capacity.Build(in)
 		if err != nil {
-			return nil, badInput(err)
+			return nil, markInvalidInput(err)
 		}
 	}
 	return reports, nil
 }
 
-// inputs reads the sizes, and all else that the sizes share.
+// inputs reads the sizes and the inputs that they share.
 func (c *Cmd) inputs() ([]capacity.Size, capacity.Inputs, error) {
 	var in capacity.Inputs
-	sizes, err := read(c.Size, "size.jsonc", defaults.Size, capacity.DecodeSizes)
+	sizes, err := decodeFile(c.Size, "size.jsonc", defaults.Size, capacity.DecodeSizes)
 	if err != nil {
 		return nil, in, err
 	}
-	in.Slopes, err = read(c.Slopes, "slopes.jsonc", defaults.Slopes, capacity.DecodeSlopes)
+	in.Slopes, err = decodeFile(c.Slopes, "slopes.jsonc", defaults.Slopes, capacity.DecodeSlopes)
 	if err != nil {
 		return nil, in, err
 	}
-	in.Settings, err = read(c.Settings, "settings.jsonc", defaults.Settings, capacity.DecodeSettings)
+	in.Settings, err = decodeFile(c.Settings, "settings.jsonc", defaults.Settings, capacity.DecodeSettings)
 	return sizes, in, err
 }
 
-// read decodes a file, or what is embedded if none is named.
-func read[T any](file, name string, embedded []byte, decode func(string, []byte) (T, error)) (T, error) {
+// decodeFile decodes a file, or the embedded default if file is empty.
+func decodeFile[T any](file, name string, embedded []byte, decode func(string, []byte) (T, error)) (T, error) {
 	if file == "" {
 		return decode(name, embedded)
 	}
@@ -106,8 +106,8 @@
 	return decode(file, src)
 }
 
-// badInput marks what the user can mend by other input.
-func badInput(err error) error {
+// markInvalidInput marks errors that are caused by the user's input.
+func markInvalidInput(err error) error {
 	if errors.Is(err, capacity.ErrBadInput) || errors.Is(err, capacity.ErrNoSlope) {
 		return cli.BadInput(err)
 	}
--- a/internal/cli/capacitycmd/capacitycmd_test.go
+++ b/internal/cli/capacitycmd/capacitycmd_test.go
@@ -21,7 +21,7 @@
 var (
 	page  = filepath.Join("..", "..", "..", "docs", "CAPACITY.md")
 	today = filepath.Join("..", "..", "..", "examples", "capacity", "today.jsonc")
-	// block is a table between its markers.
+	// block matches a table and its markers.
 	block = regexp.MustCompile(`(?s)<!-- begin: (\S+) -->\n.*?<!-- end: \S+ -->\n`)
 )
 
@@ -32,7 +32,7 @@
 	return out.String(), err
 }
 
-// tables returns the marked tables of the page's sizes by their names.
+// tables returns the marked tables of all sizes on the page by their names.
 func tables(t *testing.T) map[string]string {
 	t.Helper()
 	g := gomega.NewWithT(t)
@@ -47,8 +47,8 @@
 	return out
 }
 
-// TestPageHoldsTheTables compares the page with the command's output.
-func TestPageHoldsTheTables(t *testing.T) {
+// TestPageTablesAreCurrent compares the page with the command's output.
+func TestPageTablesAreCurrent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	src, err := os.ReadFile(page)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -70,7 +70,7 @@
 	g.Expect(string(src) == written).To(gomega.BeTrue(), "the page's tables are old; run go test ./internal/cli/capacitycmd -update")
 }
 
-func TestFormsHoldTheSameRows(t *testing.T) {
+func TestTextAndJSONOutput(t *testing.T) {
 	g := gomega.NewWithT(t)
 	plain, err := run(t, Cmd{})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -88,7 +88,7 @@
 	g.Expect(reports[0].Rows).To(gomega.ContainElement(gomega.HaveField("ID", "router.conns.mesh")))
 }
 
-func TestBadInputIsTheUsersToMend(t *testing.T) {
+func TestInvalidInputExitCode(t *testing.T) {
 	g := gomega.NewWithT(t)
 	bad := filepath.Join(t.TempDir(), "size.jsonc")
 	g.Expect(os.WriteFile(bad, []byte(`{"sizes": [{"id": "x", "nodes": 1}]}`), 0o600)).To(gomega.Succeed())
--- a/internal/cli/capacitycmd/layout.go
+++ b/internal/cli/capacitycmd/layout.go
@@ -9,29 +9,29 @@
 	"coveferry/internal/capacity"
 )
 
-// The markers between which a table stands in the page.
+// Markers around a table in the page.
 const (
 	beginMarker = "<!-- begin: %s -->"
 	endMarker   = "<!-- end: %s -->"
 )
 
-// marker names a table of a size.
+// marker returns the name of a table in its markers.
 func marker(size string, t capacity.Table) string { return size + "/" + t.ID }
 
-// marked lays a table out as Markdown between its markers.
-func marked(size string, t capacity.Table) string {
+// renderMarkdown formats a table as Markdown between its markers.
+func renderMarkdown(size string, t capacity.Table) string {
 	name := marker(size, t)
-	return fmt.Sprintf(beginMarker+"\n\n%s\n\n"+endMarker+"\n", name, writer(t).RenderMarkdown(), name)
+	return fmt.Sprintf(beginMarker+"\n\n%s\n\n"+endMarker+"\n", name, newTable(t).RenderMarkdown(), name)
 }
 
-// plain lays a table out for a terminal.
-func plain(r capacity.Report, t capacity.Table) string {
-	w := writer(t)
+// renderText formats a table for a terminal.
+func renderText(r capacity.Report, t capacity.Table) string {
+	w := newTable(t)
 	w.SetTitle("%s: %s", r.Size.Name, t.Title)
 	return w.Render() + "\n"
 }
 
-func writer(t capacity.Table) table.Writer {
+func newTable(t capacity.Table) table.Writer {
 	w := table.NewWriter()
 	style := table.StyleLight
 	style.Format.Header = 0 // as written
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli holds what the commands of coveferryd and coveferryctl share:
-// where they write and how they say that their input was wrong.
+// Package cli holds the code that the commands of coveferryd and coveferryctl share: their
+// environment and exit codes.
 package cli
 
 import (
@@ -12,24 +12,23 @@
 // Exit codes of both programs.
 const (
 	ExitOK      = 0
-	ExitFailure = 1 // the work failed
-	ExitUsage   = 2 // arguments, settings or a bundle were wrong
+	ExitFailure = 1 // the command failed
+	ExitUsage   = 2 // arguments, settings or a bundle are invalid
 )
 
-// Env is what a command may use of the process around it. It is bound to
-// kong's Run methods: func (c *SomeCmd) Run(env *cli.Env) error.
+// Env is the process environment of a command. It is bound to kong's Run methods: func (c
+// *SomeCmd) Run(env *cli.Env) error.
 type Env struct {
 	Ctx    context.Context
 	Stdin  io.Reader
-	Stdout io.Writer // results only, fit for a pipe
+	Stdout io.Writer // results only, so that it can be piped
 	Stderr io.Writer // progress and messages
 }
 
-// errUsage marks errors that the user can mend by other input.
+// errUsage marks errors that are caused by the user's input.
 var errUsage = errors.New("bad input")
 
-// BadInput marks err as the fault of the input, so that the program exits
-// with ExitUsage.
+// BadInput marks err as caused by the user's input, so that the program exits with ExitUsage.
 func BadInput(err error) error { return errors.Mark(err, errUsage) }
 
 // ExitCode returns the exit code for an error returned by a command.
--- a/internal/cli/examplecmd/examplecmd.go
+++ b/internal/cli/examplecmd/examplecmd.go
@@ -1,5 +1,5 @@
-// Package examplecmd holds `coveferryctl example`, which writes a deployment on
-// one machine: keys, a signed bundle and the settings of every process.
+// Package examplecmd holds `coveferryctl example`, which writes a deployment for one machine:
+// keys, a signed bundle and the settings of every process.
 package examplecmd
 
 import (
@@ -20,20 +20,20 @@
 	"coveferry/internal/settings"
 )
 
-// What the example holds.
+// Constants of the example deployment.
 const (
 	callerKey   = "example-key"
 	validity    = 365 * 24 * time.Hour
-	routerPort  = 8081 // the first router's; the next have the following ports
+	routerPort  = 8081 // port of the first router; the others use the following ports
 	agentPort   = 7411
 	enginePort  = 8001
-	controlStep = 1000 // from a process's port to its control port
-	metricsStep = 2000 // and to its metrics port
+	controlStep = 1000 // offset from a process's port to its control port
+	metricsStep = 2000 // offset to its metrics port
 	configPort  = 8500
-	// publishedDir is what the configuration service serves.
-	publishedDir = "published"
+	// publishDir is the folder that the configuration service serves.
+	publishDir   = "published"
 	operatorName = "operator"
-	domains      = 3
+	domainCount  = 3
 )
 
 // Cmd writes the example.
@@ -50,7 +50,7 @@
 docs/operations/running.md walks through it.`
 }
 
-// process is what the templates need of a router or agent.
+// process holds a router's or agent's fields for the templates.
 type process struct {
 	Role                     settings.Role
 	Name, FailureDomain      string
@@ -60,7 +60,7 @@
 	ConfigService            string // URL
 }
 
-// deployment is what the bundle's template needs.
+// deployment holds the fields of the bundle's template.
 type deployment struct {
 	Issued, Expires string
 	Key, KeyHash    string
@@ -83,7 +83,7 @@
 	if err := c.writeProcesses(d); err != nil {
 		return err
 	}
-	return c.explain(env, d)
+	return c.printCommands(env, d)
 }
 
 func (c *Cmd) deployment(bundleKey string) deployment {
@@ -107,7 +107,7 @@
 	return process{
 		Role:          role,
 		Name:          fmt.Sprintf("%s-%d", name, i+1),
-		FailureDomain: fmt.Sprintf("domain-%c", 'a'+i%domains),
+		FailureDomain: fmt.Sprintf("domain-%c", 'a'+i%domainCount),
 		Listen:        address(port + i),
 		Control:       address(port + i + controlStep),
 		Metrics:       address(port + i + metricsStep),
@@ -139,23 +139,23 @@
 	)
 }
 
-// publish writes what the stand-in of the configuration service serves.
+// publish writes the files that the stand-in of the configuration service serves.
 func (c *Cmd) publish(src []byte, key bundle.PrivateKey) error {
 	b, err := bundle.Parse("bundle.jsonc", src)
 	if err != nil {
 		return errors.Wrap(err, "split the bundle")
 	}
 	manifest, sections := bundle.Split(b)
-	if err := os.MkdirAll(filepath.Join(c.Dir, publishedDir, "sections"), 0o700); err != nil {
+	if err := os.MkdirAll(filepath.Join(c.Dir, publishDir, "sections"), 0o700); err != nil {
 		return errors.Wrap(err, "example")
 	}
 	for digest, text := range sections {
-		if err := c.write(filepath.Join(publishedDir, rollout.KeySection(digest)), text); err != nil {
+		if err := c.write(filepath.Join(publishDir, rollout.KeySection(digest)), text); err != nil {
 			return err
 		}
 	}
 	text, sig := bundle.SignManifest(&manifest, key)
-	return c.write(filepath.Join(publishedDir, rollout.KeyManifest), bundle.EncodeSignedManifest(text, sig))
+	return c.write(filepath.Join(publishDir, rollout.KeyManifest), bundle.EncodeSignedManifest(text, sig))
 }
 
 func firstError(errs ...error) error {
@@ -203,12 +203,12 @@
 	return firstError(c.write(p.Name+".jsonc", text), c.writePair(authority, role, p.Name))
 }
 
-// explain prints the commands that start the deployment.
-func (c *Cmd) explain(env *cli.Env, d deployment) error {
+// printCommands prints the commands that start the deployment.
+func (c *Cmd) printCommands(env *cli.Env, d deployment) error {
 	w := env.Stdout
 	file := func(name string) string { return filepath.Join(c.Dir, name) }
 	fmt.Fprintln(w, "Start each of these in a terminal of its own:")
-	fmt.Fprintf(w, "  coveferryctl standin config-service --listen %s --dir %s\n", address(configPort), filepath.Join(c.Dir, publishedDir))
+	fmt.Fprintf(w, "  coveferryctl standin config-service --listen %s --dir %s\n", address(configPort), filepath.Join(c.Dir, publishDir))
 	for _, p := range d.Agents {
 		fmt.Fprintf(w, "  coveferryctl standin engine --listen %s\n", p.Engine[len("http://"):])
 	}
@@ -222,7 +222,7 @@
   coveferryctl bundle sign %s --key %s --split %s
 `, d.Routers[0].Listen, callerKey, d.Routers[0].Control,
 		file("authority.crt"), file(operatorName+".crt"), file(operatorName+".key"),
-		file("bundle.jsonc"), file("signing.key"), file(publishedDir))
+		file("bundle.jsonc"), file("signing.key"), file(publishDir))
 	return err
 }
 
--- a/internal/cli/examplecmd/templates.go
+++ b/internal/cli/examplecmd/templates.go
@@ -2,7 +2,7 @@
 
 import "text/template"
 
-// bundleTemplate is the example's bundle. Its verbs are a deployment's fields.
+// bundleTemplate is the template of the example's bundle. Its data is a deployment.
 var bundleTemplate = template.Must(template.New("bundle").Parse(`// The bundle of the example deployment. After a change, raise the version and
 // sign it again: coveferryctl bundle sign bundle.jsonc --key signing.key
 {
@@ -40,7 +40,7 @@
 }
 `))
 
-// settingsTemplate is a process's settings; the rest has defaults.
+// settingsTemplate is the template of a process's settings; other keys have defaults.
 var settingsTemplate = template.Must(template.New("settings").Parse(`{
   "role": "{{.Role}}",
   "listen": "{{.Listen}}",
--- a/internal/cli/keyscmd/files.go
+++ b/internal/cli/keyscmd/files.go
@@ -18,14 +18,14 @@
 	maxDays    = 36500
 )
 
-func inDays(days int) (time.Duration, error) {
+func parseValidity(days int) (time.Duration, error) {
 	if days < 1 || days > maxDays {
 		return 0, cli.BadInput(errors.Newf("--days is %d; write 1 to %d", days, maxDays))
 	}
 	return time.Duration(days) * day, nil
 }
 
-func stamp(t time.Time) string { return t.UTC().Format(time.RFC3339) }
+func formatTime(t time.Time) string { return t.UTC().Format(time.RFC3339) }
 
 func readFile(name string) ([]byte, error) {
 	text, err := os.ReadFile(name)
@@ -35,19 +35,19 @@
 	return text, nil
 }
 
-// writePair writes OUT.crt and OUT.key, both or none.
+// writePair writes OUT.crt and OUT.key. On failure neither remains.
 func writePair(out string, pair identity.Pair) error {
-	if err := writeNew(out+keySuffix, pair.KeyPEM); err != nil {
+	if err := createFile(out+keySuffix, pair.KeyPEM); err != nil {
 		return err
 	}
-	if err := writeNew(out+certSuffix, pair.CertPEM); err != nil {
+	if err := createFile(out+certSuffix, pair.CertPEM); err != nil {
 		return errors.CombineErrors(err, os.Remove(out+keySuffix))
 	}
 	return nil
 }
 
-// writeNew writes a file that must not exist yet.
-func writeNew(name string, text []byte) error {
+// createFile writes a file that must not exist.
+func createFile(name string, text []byte) error {
 	f, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
 	if errors.Is(err, fs.ErrExist) {
 		return cli.BadInput(errors.Newf("%s exists already and is not overwritten; choose another --out", name))
--- a/internal/cli/keyscmd/keyscmd.go
+++ b/internal/cli/keyscmd/keyscmd.go
@@ -1,6 +1,5 @@
-// Package keyscmd holds the commands with which operators make the authority
-// and the certificates of the system's processes. They work on files only and
-// reach no network.
+// Package keyscmd holds the commands with which operators create the certificate authority and
+// the certificates of the system's processes. They only access files, never the network.
 package keyscmd
 
 import (
@@ -22,21 +21,21 @@
 	Show      ShowCmd      `cmd:"" help:"Tell who a certificate is for and when it ends."`
 }
 
-// clock is the flag for the time at which a command judges.
-type clock struct {
+// timeFlag overrides the current time of a command.
+type timeFlag struct {
 	At time.Time `help:"Act as of this time, such as 2027-01-31T00:00:00Z; the default is now." placeholder:"TIME"`
 }
 
-func (c clock) now() time.Time {
+func (c timeFlag) now() time.Time {
 	if c.At.IsZero() {
 		return time.Now()
 	}
 	return c.At
 }
 
-// AuthorityCmd makes an authority.
+// AuthorityCmd creates a certificate authority.
 type AuthorityCmd struct {
-	clock
+	timeFlag
 	Out  string `help:"Write OUT.crt and OUT.key." default:"authority" placeholder:"OUT"`
 	Days int    `help:"How many days the authority lasts." default:"1825"`
 }
@@ -52,9 +51,9 @@
 Existing files are never overwritten; files are readable by their owner only.`
 }
 
-// Run makes the authority.
+// Run creates the authority.
 func (c *AuthorityCmd) Run(env *cli.Env) error {
-	validity, err := inDays(c.Days)
+	validity, err := parseValidity(c.Days)
 	if err != nil {
 		return err
 	}
@@ -69,13 +68,13 @@
 	if err := writePair(c.Out, identity.Pair{CertPEM: a.CertPEM(), KeyPEM: key}); err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(env.Stdout, "wrote %[1]s.crt and %[1]s.key; the authority ends %s\n", c.Out, stamp(a.NotAfter()))
+	_, err = fmt.Fprintf(env.Stdout, "wrote %[1]s.crt and %[1]s.key; the authority ends %s\n", c.Out, formatTime(a.NotAfter()))
 	return err
 }
 
-// IssueCmd makes a key and a certificate for one process.
+// IssueCmd creates a key and a certificate for one process.
 type IssueCmd struct {
-	clock
+	timeFlag
 	Role      string `help:"What the process is: router, agent or operator." required:"" enum:"router,agent,operator"`
 	Name      string `help:"The process's name; an agent's is its endpoint's name in the bundle." required:""`
 	Authority string `help:"Read the authority from FILE.crt and FILE.key." default:"authority" placeholder:"FILE"`
@@ -97,11 +96,11 @@
 
 // Run issues the certificate.
 func (c *IssueCmd) Run(env *cli.Env) error {
-	validity, err := inDays(c.Days)
+	validity, err := parseValidity(c.Days)
 	if err != nil {
 		return err
 	}
-	a, err := c.authority()
+	a, err := c.loadAuthority()
 	if err != nil {
 		return err
 	}
@@ -120,11 +119,11 @@
 		return err
 	}
 	_, err = fmt.Fprintf(env.Stdout, "wrote %[1]s.crt and %[1]s.key for %s; it ends %s\n",
-		out, identity.Peer{Role: identity.Role(c.Role), Name: c.Name}, stamp(c.now().Add(validity)))
+		out, identity.Peer{Role: identity.Role(c.Role), Name: c.Name}, formatTime(c.now().Add(validity)))
 	return err
 }
 
-func (c *IssueCmd) authority() (*identity.Authority, error) {
+func (c *IssueCmd) loadAuthority() (*identity.Authority, error) {
 	cert, err := readFile(c.Authority + certSuffix)
 	if err != nil {
 		return nil, err
@@ -140,9 +139,9 @@
 	return a, nil
 }
 
-// ShowCmd tells what is in a certificate file.
+// ShowCmd shows the certificates in a file.
 type ShowCmd struct {
-	clock
+	timeFlag
 	File string `arg:"" help:"A certificate file; a CA file may hold several."`
 }
 
--- a/internal/cli/keyscmd/keyscmd_test.go
+++ b/internal/cli/keyscmd/keyscmd_test.go
@@ -64,7 +64,7 @@
 	g.Expect(err).To(gomega.MatchError(identity.ErrExpired))
 }
 
-func TestWritesBothFilesOrNone(t *testing.T) {
+func TestWritePairIsAtomic(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ca := filepath.Join(t.TempDir(), "ca")
 	g.Expect(os.WriteFile(ca+".crt", []byte("mine"), 0o600)).To(gomega.Succeed())
@@ -74,7 +74,7 @@
 	g.Expect(os.ReadFile(ca + ".crt")).To(gomega.BeEquivalentTo("mine"))
 }
 
-func TestBadInputExitsWithTwo(t *testing.T) {
+func TestInvalidInputExitCode(t *testing.T) {
 	dir := t.TempDir()
 	g := gomega.NewWithT(t)
 	ca := filepath.Join(dir, "ca")
--- a/internal/cli/main.go
+++ b/internal/cli/main.go
@@ -13,8 +13,8 @@
 	"github.com/willabides/kongplete"
 )
 
-// Completion prints what a shell needs to complete a program's commands. Embed
-// it as a command in a program's grammar.
+// Completion prints the shell configuration for completing a program's commands. Embed it as a
+// command in a program's grammar.
 type Completion struct{}
 
 // Help implements kong's help.
@@ -34,9 +34,9 @@
 	return err
 }
 
-// Main parses the arguments by the grammar, runs the command they name with an
-// Env and exits. SIGINT and SIGTERM end the Env's context; a second SIGINT ends the
-// process at once.
+// Main parses the arguments with the grammar, runs the selected command with an Env and exits.
+// SIGINT and SIGTERM cancel the Env's context; a second SIGINT terminates the process
+// immediately.
 func Main(name, description string, grammar any) {
 	os.Exit(run(name, description, grammar))
 }
@@ -44,8 +44,8 @@
 func run(name, description string, grammar any) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	// A second Ctrl-C ends the process at once. A second SIGTERM doesn't: what
-	// stops daemons may say so twice, and the first is being followed.
+	// A second Ctrl-C terminates the process immediately. A second SIGTERM doesn't: a service
+	// manager may send it twice while the shutdown is in progress.
 	context.AfterFunc(ctx, func() { signal.Reset(syscall.SIGINT) })
 	env := &Env{Ctx: ctx, Stdin: os.Stdin, Stdout: os.Stdout, Stderr: os.Stderr}
 	parser := kong.Must(grammar,
@@ -58,14 +58,14 @@
 		err = BadInput(err)
 	}
 	if err != nil {
-		report(os.Stderr, name, err)
+		printError(os.Stderr, name, err)
 	}
 	return ExitCode(err)
 }
 
-// report writes an error, each line with the program's name, as what reads the
-// lines may not keep them together.
-func report(w io.Writer, name string, err error) {
+// printError prints an error, each line prefixed with the program's name, since log collectors
+// may separate the lines.
+func printError(w io.Writer, name string, err error) {
 	for _, line := range strings.Split(err.Error(), "\n") {
 		fmt.Fprintf(w, "%s: %s\n", name, line)
 	}
--- a/internal/cli/memberscmd/memberscmd.go
+++ b/internal/cli/memberscmd/memberscmd.go
@@ -1,5 +1,5 @@
-// Package memberscmd holds the command that shows which endpoints routers use:
-// each endpoint's state, the reason and since when.
+// Package memberscmd holds the command that shows routers' view of the endpoints: the state of
+// each, its reason and its age.
 package memberscmd
 
 import (
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	client := &http.Client{CheckRedirect: stay}
+	client := &http.Client{CheckRedirect: rejectRedirect}
 	pages := []membership.Page{}
 	var failed error
 	for _, u := range urls {
@@ -55,8 +55,9 @@
 	return errors.CombineErrors(c.print(env, pages), failed)
 }
 
-// stay follows no redirects: a router answers itself or not at all.
-func stay(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// rejectRedirect makes the client return redirects unfollowed: only the router itself may
+// answer.
+func rejectRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 func (c *Cmd) fetch(ctx context.Context, client *http.Client, u string) (membership.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
@@ -64,7 +65,7 @@
 	return membership.Fetch(ctx, client, u)
 }
 
-// urls returns the URLs to read, or what is wrong with the flags.
+// urls validates the flags and returns the routers' URLs.
 func (c *Cmd) urls() ([]string, error) {
 	if c.Timeout <= 0 {
 		return nil, cli.BadInput(errors.Newf("--timeout is %s; it must be positive", c.Timeout))
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// output is what --json prints.
+// output is the output of --json.
 type output struct {
 	Routers []membership.Page `json:"routers"`
 }
--- a/internal/cli/memberscmd/memberscmd_test.go
+++ b/internal/cli/memberscmd/memberscmd_test.go
@@ -16,8 +16,8 @@
 	"coveferry/internal/units"
 )
 
-// router serves a page with one endpoint that leaves.
-func router(t *testing.T) string {
+// startRouter serves a snapshot with one leaving endpoint.
+func startRouter(t *testing.T) string {
 	age := units.Duration(1400 * time.Millisecond)
 	page := membership.Page{
 		Router: "r1", At: time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC), ListAge: &age,
@@ -33,14 +33,14 @@
 	return srv.URL
 }
 
-// outcome is what a run of the command left behind.
-type outcome struct {
+// commandResult is the output and exit code of a command.
+type commandResult struct {
 	stdout, stderr bytes.Buffer
 	code           int
 }
 
-func run(t *testing.T, args ...string) *outcome {
-	var o outcome
+func run(t *testing.T, args ...string) *commandResult {
+	var o commandResult
 	parser, err := kong.New(&Cmd{}, kong.Bind(&cli.Env{Ctx: t.Context(), Stdout: &o.stdout, Stderr: &o.stderr}))
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	parsed, err := parser.Parse(args)
@@ -51,7 +51,7 @@
 
 func TestTable(t *testing.T) {
 	g := NewWithT(t)
-	o := run(t, "--router="+router(t))
+	o := run(t, "--router="+startRouter(t))
 	g.Expect(o.code).To(Equal(cli.ExitOK))
 	g.Expect(o.stdout.String()).To(Equal("" +
 		" endpoint  VM   state    reason    for  incarnation \n" +
@@ -60,12 +60,12 @@
 		"router r1 at 2026-03-01T08:00:00Z; list of VMs 1s old; 0 live; 1 leaving; 0 suspect; 0 gone\n\n"))
 }
 
-// A router that is away must not hide the others, nor its own absence.
-func TestMissingRouterIsNamed(t *testing.T) {
+// An unreachable router must be reported, and the others must still be shown.
+func TestReportsUnreachableRouter(t *testing.T) {
 	g := NewWithT(t)
 	away := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(away.Close)
-	o := run(t, "--router="+away.URL, "--router="+router(t), "--json")
+	o := run(t, "--router="+away.URL, "--router="+startRouter(t), "--json")
 	g.Expect(o.code).To(Equal(cli.ExitFailure))
 	g.Expect(o.stderr.String()).To(ContainSubstring(away.URL))
 	var got output
--- a/internal/cli/memberscmd/table.go
+++ b/internal/cli/memberscmd/table.go
@@ -10,7 +10,7 @@
 	"coveferry/internal/membership"
 )
 
-// render draws a router's members for a terminal.
+// render formats a router's members for a terminal.
 func render(p membership.Page) string {
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
--- a/internal/cli/pathcmd/pathcmd.go
+++ b/internal/cli/pathcmd/pathcmd.go
@@ -12,7 +12,7 @@
 	"coveferry/internal/cli"
 )
 
-// Cmd measures what router and agent add to a direct call.
+// Cmd measures the overhead of router and agent over a direct call.
 type Cmd struct {
 	JSON     bool          `name:"json" help:"Print the whole result as JSON."`
 	Rate     int           `default:"1000" help:"Requests a second."`
@@ -38,7 +38,7 @@
 		return enc.Encode(r)
 	}
 	_, err = fmt.Fprintf(env.Stdout, "%s\n%s\n%d requests/s of three tokens, %d streams; a stream for streams/core has 20 tokens/s\n",
-		latencies(r).Render(), costs(r).Render(), r.Rate, r.Streams)
+		latencyTable(r).Render(), costTable(r).Render(), r.Rate, r.Streams)
 	return err
 }
 
@@ -49,20 +49,20 @@
 	return t
 }
 
-func latencies(r *path.Result) table.Writer {
+func latencyTable(r *path.Result) table.Writer {
 	t := newTable("", "direct", "routed", "added")
 	d, w, a := r.Direct, r.Routed, r.Added
-	t.AppendRow(table.Row{"first token p50", micros(d.FirstToken.P50), micros(w.FirstToken.P50), micros(a.FirstTokenP50)})
-	t.AppendRow(table.Row{"first token p99", micros(d.FirstToken.P99), micros(w.FirstToken.P99), micros(a.FirstTokenP99)})
-	t.AppendRow(table.Row{"whole answer p50", micros(d.Total.P50), micros(w.Total.P50), micros(a.TotalP50)})
-	t.AppendRow(table.Row{"whole answer p99", micros(d.Total.P99), micros(w.Total.P99), micros(a.TotalP99)})
-	t.AppendRow(table.Row{"between tokens p50", micros(d.Gap.P50), micros(w.Gap.P50), micros(a.GapP50)})
-	t.AppendRow(table.Row{"between tokens p99", micros(d.Gap.P99), micros(w.Gap.P99), micros(a.GapP99)})
+	t.AppendRow(table.Row{"first token p50", formatMicros(d.FirstToken.P50), formatMicros(w.FirstToken.P50), formatMicros(a.FirstTokenP50)})
+	t.AppendRow(table.Row{"first token p99", formatMicros(d.FirstToken.P99), formatMicros(w.FirstToken.P99), formatMicros(a.FirstTokenP99)})
+	t.AppendRow(table.Row{"whole answer p50", formatMicros(d.Total.P50), formatMicros(w.Total.P50), formatMicros(a.TotalP50)})
+	t.AppendRow(table.Row{"whole answer p99", formatMicros(d.Total.P99), formatMicros(w.Total.P99), formatMicros(a.TotalP99)})
+	t.AppendRow(table.Row{"between tokens p50", formatMicros(d.Gap.P50), formatMicros(w.Gap.P50), formatMicros(a.GapP50)})
+	t.AppendRow(table.Row{"between tokens p99", formatMicros(d.Gap.P99), formatMicros(w.Gap.P99), formatMicros(a.GapP99)})
 	t.AppendRow(table.Row{"failed", d.Failed, w.Failed, ""})
 	return t
 }
 
-func costs(r *path.Result) table.Writer {
+func costTable(r *path.Result) table.Writer {
 	t := newTable("", "CPU a request", "requests/s a core", "CPU a token", "streams a core", "memory a stream")
 	for _, row := range []struct {
 		name string
@@ -70,17 +70,17 @@
 	}{{"router", r.Router}, {"agent", r.Agent}, {"stand-in engine", r.Engine}} {
 		c := row.cost
 		t.AppendRow(table.Row{
-			row.name, cpu(c.CPUMicros), count(c.RequestsPerCore),
-			cpu(c.TokenMicros), count(c.StreamsPerCore), kib(c.StreamBytes),
+			row.name, formatCPU(c.CPUMicros), formatCount(c.RequestsPerCore),
+			formatCPU(c.TokenMicros), formatCount(c.StreamsPerCore), formatKiB(c.StreamBytes),
 		})
 	}
 	return t
 }
 
-func micros(us int64) string { return fmt.Sprintf("%.2f ms", float64(us)/1000) }
+func formatMicros(us int64) string { return fmt.Sprintf("%.2f ms", float64(us)/1000) }
 
-func cpu(us float64) string { return fmt.Sprintf("%.1f us", us) }
+func formatCPU(us float64) string { return fmt.Sprintf("%.1f us", us) }
 
-func count(n float64) string { return fmt.Sprintf("%.0f", n) }
+func formatCount(n float64) string { return fmt.Sprintf("%.0f", n) }
 
-func kib(b float64) string { return fmt.Sprintf("%.1f KiB", b/1024) }
+func formatKiB(b float64) string { return fmt.Sprintf("%.1f KiB", b/1024) }
--- a/internal/cli/rolloutcmd/bench.go
+++ b/internal/cli/rolloutcmd/bench.go
@@ -13,14 +13,14 @@
 	"coveferry/internal/rollout/measure"
 )
 
-// Bounds of a measurement on one machine.
+// Limits of a measurement on one machine.
 const (
 	maxNodes   = 1024
 	maxChanges = 600
 )
 
-// sizes are the flags that the measurements share.
-type sizes struct {
+// benchFlags are the flags that the measurements share.
+type benchFlags struct {
 	Nodes    []int         `help:"Numbers of processes to measure with." default:"8,32,128,512"`
 	Domains  int           `help:"Number of failure domains." default:"4"`
 	Changes  int           `help:"How many versions are published." default:"10"`
@@ -32,7 +32,7 @@
 
 // RolloutCmd is the command "bench rollout".
 type RolloutCmd struct {
-	sizes
+	benchFlags
 }
 
 // Help implements kong's help.
@@ -43,12 +43,12 @@
 everywhere, with slopes by least squares. 512 processes take some 3 GB.`
 }
 
-// Run measures with a service that is up.
+// Run measures with an available configuration service.
 func (c *RolloutCmd) Run(env *cli.Env) error { return c.measure(env, measure.TroubleNone) }
 
 // StaleCmd is the command "bench stale-config".
 type StaleCmd struct {
-	sizes
+	benchFlags
 }
 
 // Help implements kong's help.
@@ -57,17 +57,18 @@
 configuration service. One is stuck at an old version and one is down.`
 }
 
-// Run measures with a service that is stale for some and dead for others.
+// Run measures with a configuration service that is stale in one failure domain and
+// unavailable in another.
 func (c *StaleCmd) Run(env *cli.Env) error { return c.measure(env, measure.TroubleStale) }
 
-// result is what is printed as JSON.
+// result is the JSON output.
 type result struct {
 	Points []measure.Point `json:"points"`
 	Slopes []measure.Slope `json:"slopes"`
 }
 
-func (s *sizes) measure(env *cli.Env, trouble measure.Trouble) error {
-	if err := s.check(); err != nil {
+func (s *benchFlags) measure(env *cli.Env, trouble measure.Trouble) error {
+	if err := s.validate(); err != nil {
 		return err
 	}
 	modes := []measure.Mode{measure.ModePeers}
@@ -92,7 +93,7 @@
 	return s.print(env, out)
 }
 
-func (s *sizes) check() error {
+func (s *benchFlags) validate() error {
 	for _, n := range s.Nodes {
 		if n < s.Domains || n > maxNodes {
 			return cli.BadInput(errors.Newf("--nodes %d is outside %d (the failure domains) to %d", n, s.Domains, maxNodes))
@@ -104,7 +105,7 @@
 	return nil
 }
 
-func (s *sizes) print(env *cli.Env, out result) error {
+func (s *benchFlags) print(env *cli.Env, out result) error {
 	if s.JSON {
 		enc := json.NewEncoder(env.Stdout)
 		enc.SetIndent("", "  ")
--- a/internal/cli/rolloutcmd/status.go
+++ b/internal/cli/rolloutcmd/status.go
@@ -1,5 +1,5 @@
-// Package rolloutcmd holds the commands that show how a bundle spreads over the
-// fleet, and those that measure it.
+// Package rolloutcmd holds the commands that show and measure the rollout of a bundle to the
+// fleet.
 package rolloutcmd
 
 import (
@@ -18,8 +18,8 @@
 
 // Bounds of the refresh interval.
 const (
-	minWatch = 100 * time.Millisecond
-	maxWatch = time.Hour
+	minWatchInterval = 100 * time.Millisecond
+	maxWatchInterval = time.Hour
 )
 
 // Cmd is the command group "bundle rollout".
@@ -49,9 +49,9 @@
     --ca-file authority.crt --cert-file operator.crt --key-file operator.key --watch 1s`
 }
 
-// Run shows the status, once or again and again.
+// Run shows the status once, or periodically with --watch.
 func (c *StatusCmd) Run(env *cli.Env) error {
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return err
 	}
 	id, err := identity.Load(c.CAFile, c.CertFile, c.KeyFile)
@@ -67,9 +67,9 @@
 	return c.watch(env, surveyor)
 }
 
-func (c *StatusCmd) check() error {
-	if c.Watch != 0 && (c.Watch < minWatch || c.Watch > maxWatch) {
-		return cli.BadInput(errors.Newf("--watch is %s; write %s to %s", c.Watch, minWatch, maxWatch))
+func (c *StatusCmd) validate() error {
+	if c.Watch != 0 && (c.Watch < minWatchInterval || c.Watch > maxWatchInterval) {
+		return cli.BadInput(errors.Newf("--watch is %s; write %s to %s", c.Watch, minWatchInterval, maxWatchInterval))
 	}
 	for _, a := range c.Router {
 		if _, err := netip.ParseAddrPort(a); err != nil {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// watch shows the status at each interval; failures are told and tried again.
+// watch shows the status at each interval. It prints errors and continues.
 func (c *StatusCmd) watch(env *cli.Env, s *rollout.Surveyor) error {
 	tick := time.NewTicker(c.Watch)
 	defer tick.Stop()
@@ -95,8 +95,8 @@
 	}
 }
 
-// errLags is the verdict of --strict.
-var errLags = errors.New("not every process has the highest version in force")
+// errLagging is the error of --strict.
+var errLagging = errors.New("not every process has the highest version in force")
 
 func (c *StatusCmd) show(env *cli.Env, s *rollout.Surveyor) error {
 	survey, err := s.Ask(env.Ctx, c.Router)
@@ -111,7 +111,7 @@
 		_, err = fmt.Fprintln(env.Stdout, render(survey, time.Now(), c.All))
 	}
 	if err == nil && c.Strict && (len(survey.Lagging()) > 0 || len(survey.Failed) > 0) {
-		return errLags
+		return errLagging
 	}
 	return err
 }
--- a/internal/cli/rolloutcmd/table.go
+++ b/internal/cli/rolloutcmd/table.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// listAll is the number of processes up to which all are listed.
-	listAll = 40
+	// maxListedProcesses is the number of processes up to which all are listed, not only
+	// lagging ones.
+	maxListedProcesses = 40
 )
 
-// render draws a survey for a terminal.
+// render formats a survey for a terminal.
 func render(s *rollout.Survey, now time.Time, all bool) string {
 	lagging := s.Lagging()
 	list := lagging
-	if all || len(s.Processes) <= listAll {
+	if all || len(s.Processes) <= maxListedProcesses {
 		list = s.Processes
 	}
 	var out strings.Builder
@@ -34,7 +35,7 @@
 	}
 	for _, asked := range s.Asked {
 		for _, r := range asked.Refused {
-			fmt.Fprintf(&out, "%s refused %s (%d times, last %s ago): %s\n", asked.Self.ID, r.Source, r.Count, age(r.AgeMillis), r.Message)
+			fmt.Fprintf(&out, "%s refused %s (%d times, last %s ago): %s\n", asked.Self.ID, r.Source, r.Count, formatAge(r.AgeMillis), r.Message)
 		}
 	}
 	return strings.TrimSuffix(out.String(), "\n")
@@ -48,25 +49,25 @@
 	t.Style().Options.DrawBorder = false
 	t.AppendHeader(table.Row{"failure domain", "process", "version", "digest", "state", "heard", "note"})
 	for _, p := range list {
-		t.AppendRow(table.Row{p.FailureDomain, p.ID, p.Version, p.Digest, p.State, heard(p), note(s, p)})
+		t.AppendRow(table.Row{p.FailureDomain, p.ID, p.Version, p.Digest, p.State, lastHeard(p), statusNote(s, p)})
 	}
 	return t.Render()
 }
 
-func heard(p rollout.ProcessStatus) string {
+func lastHeard(p rollout.ProcessStatus) string {
 	if p.AgeMillis == rollout.NeverHeard {
 		return "never"
 	}
-	return age(p.AgeMillis) + " ago"
+	return formatAge(p.AgeMillis) + " ago"
 }
 
-func age(millis int64) string {
+func formatAge(millis int64) string {
 	d := time.Duration(millis) * time.Millisecond
 	return d.Round(100 * time.Millisecond).String()
 }
 
-// note says what is wrong with a process.
-func note(s *rollout.Survey, p rollout.ProcessStatus) string {
+// statusNote describes the problems of a process.
+func statusNote(s *rollout.Survey, p rollout.ProcessStatus) string {
 	var notes []string
 	switch {
 	case p.AgeMillis == rollout.NeverHeard:
--- a/internal/cli/signals_test.go
+++ b/internal/cli/signals_test.go
@@ -13,11 +13,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// asProgram in the environment has the test binary run as a program.
-const asProgram = "COVEFERRY_TEST_PROGRAM"
+// childProcessEnv is the environment variable with which the test binary runs as the program
+// under test.
+const childProcessEnv = "COVEFERRY_TEST_PROGRAM"
 
-// slowStop is a program that takes a while to stop, as a daemon with open streams.
-type slowStop struct {
+// slowStopProgram takes a while to stop, like a daemon with open streams.
+type slowStopProgram struct {
 	Run slowStopCmd `cmd:"" default:"1"`
 }
 
@@ -33,18 +34,18 @@
 }
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(childProcessEnv) != "" {
 		os.Args = os.Args[:1]
-		Main("slow-stop", "", &slowStop{})
+		Main("slow-stop", "", &slowStopProgram{})
 	}
 	os.Exit(m.Run())
 }
 
-// stopTwice starts the program, sends it the signal twice and returns its last line
-// and how it ended.
-func stopTwice(g Gomega, sig syscall.Signal) (string, error) {
+// signalTwice starts the program, sends it the signal twice and returns its last line of
+// output and its exit error.
+func signalTwice(g Gomega, sig syscall.Signal) (string, error) {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), childProcessEnv+"=1")
 	out, err := cmd.StdoutPipe()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(cmd.Start()).To(Succeed())
@@ -59,16 +60,16 @@
 	return last, cmd.Wait()
 }
 
-func TestASecondSIGTERMDoesNotCutAStopShort(t *testing.T) {
+func TestSecondSIGTERMDoesNotInterruptShutdown(t *testing.T) {
 	g := NewWithT(t)
-	last, err := stopTwice(g, syscall.SIGTERM)
+	last, err := signalTwice(g, syscall.SIGTERM)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(last).To(Equal("stopped"))
 }
 
-func TestASecondSIGINTEndsAtOnce(t *testing.T) {
+func TestSecondSIGINTExitsImmediately(t *testing.T) {
 	g := NewWithT(t)
-	last, err := stopTwice(g, syscall.SIGINT)
+	last, err := signalTwice(g, syscall.SIGINT)
 	g.Expect(last).To(Equal("stopping"))
 	var exit *exec.ExitError
 	g.Expect(errors.As(err, &exit)).To(BeTrue())
--- a/internal/cli/slocmd/plot.go
+++ b/internal/cli/slocmd/plot.go
@@ -16,22 +16,21 @@
 	"coveferry/internal/slo"
 )
 
-// Sizes of the picture.
+// Dimensions of the plot.
 const (
-	barWidth    = 10 * vg.Length(1)
-	groupWidth  = 3 * vg.Centimeter
-	frameWidth  = 6 * vg.Centimeter
-	minWidth    = 16 * vg.Centimeter
-	plotHeight  = 11 * vg.Centimeter
-	headroom    = 1.7 // leaves room above the bars for the legend
-	titlePad    = 3 * vg.Millimeter
-	maxTicks    = 12
-	lowestScale = 16 // keeps the page's threshold in sight
+	barWidth   = 10 * vg.Length(1)
+	groupWidth = 3 * vg.Centimeter
+	frameWidth = 6 * vg.Centimeter
+	minWidth   = 16 * vg.Centimeter
+	plotHeight = 11 * vg.Centimeter
+	headroom   = 1.7 // space above the bars for the legend
+	titlePad   = 3 * vg.Millimeter
+	maxTicks   = 12
+	minScale   = 16 // keeps the threshold for paging visible
 )
 
-// writePlot draws the burn rates: a group of bars for each class and tier, a
-// bar for each window, and a line for each threshold. The file's suffix says
-// the format.
+// writePlot plots the burn rates: a group of bars for each class and tier, a bar for each
+// window, and a line for each threshold. The file's extension selects the format.
 func writePlot(file string, rep slo.Report) error {
 	if len(rep.Rows) == 0 {
 		return cli.BadInput(errors.Newf("--plot %s: the report has no requests to draw", file))
@@ -51,7 +50,7 @@
 	}
 	p.NominalX(rowNames(rep.Rows)...)
 	p.X.Min, p.X.Max = -0.5, float64(len(rep.Rows))-0.5
-	p.Y.Max = headroom * max(highest(rep.Rows), lowestScale)
+	p.Y.Max = headroom * max(maxBurn(rep.Rows), minScale)
 	width := max(minWidth, frameWidth+vg.Length(len(rep.Rows))*groupWidth)
 	if err := p.Save(width, plotHeight, file); err != nil {
 		return cli.BadInput(errors.Wrap(err, "--plot"))
@@ -59,8 +58,8 @@
 	return nil
 }
 
-// ticks marks multiples of five, or of more where there would be too many: a
-// strict objective lets burn rates reach hundreds.
+// ticks places ticks at multiples of five, or of a larger step if there would be too many:
+// with a strict objective burn rates reach hundreds.
 func ticks(_, high float64) []plot.Tick {
 	step := 5 * max(1, int(math.Ceil(high/5/maxTicks)))
 	var marks []plot.Tick
@@ -113,7 +112,7 @@
 	return names
 }
 
-func highest(rows []slo.Row) float64 {
+func maxBurn(rows []slo.Row) float64 {
 	top := 0.0
 	for _, row := range rows {
 		for _, s := range row.Windows {
--- a/internal/cli/slocmd/reader.go
+++ b/internal/cli/slocmd/reader.go
@@ -12,18 +12,18 @@
 	"coveferry/internal/slo"
 )
 
-// maxReads bounds how many routers are read at once.
-const maxReads = 16
+// maxConcurrentReads bounds the routers that are read concurrently.
+const maxConcurrentReads = 16
 
-// reader reads the reports of several routers.
-type reader struct {
+// reportReader reads the reports of several routers.
+type reportReader struct {
 	client  *http.Client
 	timeout time.Duration
 	urls    []string
 }
 
-// found is what came of reading.
-type found struct {
+// readResult holds the reports and the failures of reading them.
+type readResult struct {
 	reports []slo.Report
 	failed  []failure
 }
@@ -33,12 +33,12 @@
 	err error
 }
 
-// read asks all routers, and keeps the order of the URLs.
-func (rd reader) read(ctx context.Context) found {
+// read reads all routers and keeps the order of the URLs.
+func (rd reportReader) read(ctx context.Context) readResult {
 	reports := make([]slo.Report, len(rd.urls))
 	errs := make([]error, len(rd.urls))
 	var group errgroup.Group
-	group.SetLimit(maxReads)
+	group.SetLimit(maxConcurrentReads)
 	for i, url := range rd.urls {
 		group.Go(func() error {
 			reports[i], errs[i] = rd.readOne(ctx, url)
@@ -46,7 +46,7 @@
 		})
 	}
 	_ = group.Wait() // errs holds the errors, one for each router
-	var f found
+	var f readResult
 	for i, err := range errs {
 		if err != nil {
 			f.failed = append(f.failed, failure{url: rd.urls[i], err: err})
@@ -57,14 +57,14 @@
 	return f
 }
 
-func (rd reader) readOne(ctx context.Context, url string) (slo.Report, error) {
+func (rd reportReader) readOne(ctx context.Context, url string) (slo.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, rd.timeout)
 	defer cancel()
 	return slo.Fetch(ctx, rd.client, url)
 }
 
-// missing lists the URLs that gave no report.
-func (f found) missing() []string {
+// missing returns the URLs that returned no report.
+func (f readResult) missing() []string {
 	urls := make([]string, len(f.failed))
 	for i, fail := range f.failed {
 		urls[i] = fail.url
@@ -72,8 +72,8 @@
 	return urls
 }
 
-// err names all routers that gave no report, in one line.
-func (f found) err() error {
+// err returns one error for all routers that returned no report, formatted on one line.
+func (f readResult) err() error {
 	if len(f.failed) == 0 {
 		return nil
 	}
--- a/internal/cli/slocmd/slocmd.go
+++ b/internal/cli/slocmd/slocmd.go
@@ -1,5 +1,5 @@
-// Package slocmd holds the command that reads the routers' SLO reports, merges
-// them and shows how fast each class and tier uses up its error budget.
+// Package slocmd holds the command that reads the routers' SLO reports, merges them and shows
+// the burn rate of the error budget of each class and tier.
 package slocmd
 
 import (
@@ -18,8 +18,8 @@
 
 // Bounds of the refresh interval.
 const (
-	minWatch = time.Second
-	maxWatch = time.Hour
+	minWatchInterval = time.Second
+	maxWatchInterval = time.Hour
 )
 
 // Cmd is the command "slo".
@@ -49,9 +49,9 @@
 are shown, and the exit code is 1.`
 }
 
-// Run shows the report, once or again and again.
+// Run shows the report once, or periodically with --watch.
 func (c *Cmd) Run(env *cli.Env) error {
-	urls, err := c.check()
+	urls, err := c.validate()
 	if err != nil {
 		return err
 	}
@@ -60,17 +60,17 @@
 		return err
 	}
 	defer client.CloseIdleConnections()
-	rd := reader{client: client, timeout: c.Timeout, urls: urls}
+	rd := reportReader{client: client, timeout: c.Timeout, urls: urls}
 	if c.Watch == 0 {
 		return c.show(env, rd)
 	}
 	return c.watch(env, rd)
 }
 
-// check returns the URLs to read, or what is wrong with the flags.
-func (c *Cmd) check() ([]string, error) {
-	if c.Watch != 0 && (c.Watch < minWatch || c.Watch > maxWatch) {
-		return nil, cli.BadInput(errors.Newf("--watch is %s; write %s to %s", c.Watch, minWatch, maxWatch))
+// validate validates the flags and returns the routers' URLs.
+func (c *Cmd) validate() ([]string, error) {
+	if c.Watch != 0 && (c.Watch < minWatchInterval || c.Watch > maxWatchInterval) {
+		return nil, cli.BadInput(errors.Newf("--watch is %s; write %s to %s", c.Watch, minWatchInterval, maxWatchInterval))
 	}
 	if c.Timeout <= 0 {
 		return nil, cli.BadInput(errors.Newf("--timeout is %s; it must be positive", c.Timeout))
@@ -89,7 +89,7 @@
 	return urls, nil
 }
 
-// client follows no redirects: a router answers itself or not at all.
+// client returns a client that doesn't follow redirects: only the router itself may answer.
 func (c *Cmd) client() (*http.Client, error) {
 	transport := &http.Transport{}
 	if c.CAFile != "" {
@@ -104,9 +104,9 @@
 	return &http.Client{Transport: transport, CheckRedirect: stay}, nil
 }
 
-// watch shows the report at each interval. Routers that don't answer are named
-// and tried again; a level that --fail-on names ends it.
-func (c *Cmd) watch(env *cli.Env, rd reader) error {
+// watch shows the report at each interval. It prints errors of routers and retries; reaching
+// the level of --fail-on ends it.
+func (c *Cmd) watch(env *cli.Env, rd reportReader) error {
 	tick := time.NewTicker(c.Watch)
 	defer tick.Stop()
 	for {
@@ -128,7 +128,7 @@
 }
 
 // show reads, merges and prints once.
-func (c *Cmd) show(env *cli.Env, rd reader) error {
+func (c *Cmd) show(env *cli.Env, rd reportReader) error {
 	found := rd.read(env.Ctx)
 	if len(found.reports) == 0 {
 		return found.err()
@@ -143,7 +143,7 @@
 		}
 	}
 	missing := found.err()
-	level := c.judge(merged)
+	level := c.checkLevel(merged)
 	if level != nil && missing != nil {
 		fmt.Fprintln(env.Stderr, missing)
 	}
@@ -153,10 +153,10 @@
 	return missing
 }
 
-// output is the merged report and what it lacks.
+// output is the merged report and the URLs without a report.
 type output struct {
 	slo.Report
-	Missing []string `json:"missing"` // URLs that gave no report
+	Missing []string `json:"missing"` // URLs that returned no report
 }
 
 func (c *Cmd) print(env *cli.Env, rep slo.Report, missing []string) error {
@@ -169,10 +169,10 @@
 	return err
 }
 
-// errLevel marks that a level named by --fail-on was reached.
+// errLevel marks that the level of --fail-on was reached.
 var errLevel = errors.New("error budget burns too fast")
 
-func (c *Cmd) judge(rep slo.Report) error {
+func (c *Cmd) checkLevel(rep slo.Report) error {
 	if c.FailOn == slo.LevelNone || c.FailOn == "" || !rep.Worst().AtLeast(c.FailOn) {
 		return nil
 	}
--- a/internal/cli/slocmd/slocmd_test.go
+++ b/internal/cli/slocmd/slocmd_test.go
@@ -27,9 +27,9 @@
 	start  = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 )
 
-// routerWith serves a report over some classes; bad of each 100 requests for
-// receipts were refused.
-func routerWith(name string, bad int) http.Handler {
+// newRouter serves a report with several classes; of each 100 requests for receipts, bad were
+// refused.
+func newRouter(name string, bad int) http.Handler {
 	tracker := slo.NewTracker(slo.Config{
 		Router: name, Registry: prometheus.NewRegistry(),
 		Now:        func() time.Time { return start },
@@ -44,14 +44,14 @@
 	return tracker
 }
 
-// outcome is what a run of the command left behind.
-type outcome struct {
+// commandResult is the output and the error of a command.
+type commandResult struct {
 	stdout, stderr bytes.Buffer
 	err            error
 }
 
-func run(t *testing.T, args ...string) *outcome {
-	var o outcome
+func run(t *testing.T, args ...string) *commandResult {
+	var o commandResult
 	parser, err := kong.New(&Cmd{}, kong.Bind(&cli.Env{Ctx: t.Context(), Stdout: &o.stdout, Stderr: &o.stderr}))
 	if err != nil {
 		t.Fatal(err)
@@ -73,7 +73,7 @@
 
 func TestTableOfTwoRouters(t *testing.T) {
 	g := gomega.NewWithT(t)
-	o := run(t, "--router="+serve(t, routerWith("r1", 80)), "--router="+serve(t, routerWith("r2", 70)))
+	o := run(t, "--router="+serve(t, newRouter("r1", 80)), "--router="+serve(t, newRouter("r2", 70)))
 	g.Expect(o.err).NotTo(gomega.HaveOccurred())
 	golden := filepath.Join("testdata", "table.golden")
 	if *update {
@@ -85,7 +85,7 @@
 }
 
 func TestFailOn(t *testing.T) {
-	page, calm := serve(t, routerWith("r1", 80)), serve(t, routerWith("r2", 0))
+	page, calm := serve(t, newRouter("r1", 80)), serve(t, newRouter("r2", 0))
 	for _, c := range []struct {
 		url, level string
 		want       int
@@ -101,12 +101,12 @@
 	}
 }
 
-// A router that is away must not hide the others, nor its own absence.
-func TestMissingRouterIsNamed(t *testing.T) {
+// An unreachable router must be reported, and the others must still be shown.
+func TestReportsUnreachableRouter(t *testing.T) {
 	g := gomega.NewWithT(t)
 	away := httptest.NewServer(http.NotFoundHandler())
 	away.Close()
-	up := serve(t, routerWith("r1", 0))
+	up := serve(t, newRouter("r1", 0))
 	o := run(t, "--router="+away.URL, "--router="+up, "--json")
 	g.Expect(cli.ExitCode(o.err)).To(gomega.Equal(cli.ExitFailure))
 	g.Expect(o.err).To(gomega.MatchError(gomega.HavePrefix("no report from 1 of 2 routers: ")))
@@ -141,17 +141,18 @@
 func TestPlot(t *testing.T) {
 	g := gomega.NewWithT(t)
 	file := filepath.Join(t.TempDir(), "burn.png")
-	g.Expect(run(t, "--router="+serve(t, routerWith("r1", 80)), "--plot="+file).err).NotTo(gomega.HaveOccurred())
+	g.Expect(run(t, "--router="+serve(t, newRouter("r1", 80)), "--plot="+file).err).NotTo(gomega.HaveOccurred())
 	f, err := os.Open(file)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer f.Close()
 	_, err = png.Decode(f)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	o := run(t, "--router="+serve(t, routerWith("r1", 80)), "--plot="+file+".nosuch")
+	o := run(t, "--router="+serve(t, newRouter("r1", 80)), "--plot="+file+".nosuch")
 	g.Expect(cli.ExitCode(o.err)).To(gomega.Equal(cli.ExitUsage))
 }
 
-// transport answers requests without a network, so that a bubble's time passes.
+// transport calls the handler directly, since network I/O would keep the fake clock of a
+// synctest bubble from advancing.
 type transport struct{ handler http.Handler }
 
 func (tr transport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -160,14 +161,14 @@
 	return rec.Result(), nil
 }
 
-func TestWatchShowsAgainUntilInterrupted(t *testing.T) {
+func TestWatchRepeatsUntilInterrupted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var stdout, stderr bytes.Buffer
 		calls := 0
-		router := routerWith("r1", 80)
+		router := newRouter("r1", 80)
 		handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			calls++
 			if calls == 2 {
@@ -177,7 +178,7 @@
 			router.ServeHTTP(w, r)
 		})
 		cmd := &Cmd{Watch: 10 * time.Second, JSON: true, FailOn: slo.LevelNone}
-		rd := reader{client: &http.Client{Transport: transport{handler}}, timeout: time.Second, urls: []string{"http://r1/slo"}}
+		rd := reportReader{client: &http.Client{Transport: transport{handler}}, timeout: time.Second, urls: []string{"http://r1/slo"}}
 		done := make(chan error, 1)
 		go func() { done <- cmd.watch(&cli.Env{Ctx: ctx, Stdout: &stdout, Stderr: &stderr}, rd) }()
 		time.Sleep(25 * time.Second)
--- a/internal/cli/slocmd/table.go
+++ b/internal/cli/slocmd/table.go
@@ -10,8 +10,7 @@
 	"coveferry/internal/slo"
 )
 
-// render draws a report for a terminal. The counts are those of the longest
-// window.
+// render formats a report for a terminal. The counts are those of the longest window.
 func render(rep slo.Report) string {
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
@@ -43,7 +42,7 @@
 	return append(line, all.Good, all.Late, all.Failed, all.Refused, all.Canceled, string(row.Alert))
 }
 
-// alignment puts numbers to the right: all columns but the names and the level.
+// alignment right-aligns numeric columns: all but the names and the alert level.
 func alignment() []table.ColumnConfig {
 	last := len(header())
 	var cols []table.ColumnConfig
--- a/internal/cli/slopescmd/slopescmd.go
+++ b/internal/cli/slopescmd/slopescmd.go
@@ -1,5 +1,4 @@
-// Package slopescmd holds the command that measures the slopes of the capacity
-// model.
+// Package slopescmd holds the command that measures the slopes of the capacity model.
 package slopescmd
 
 import (
@@ -19,8 +18,8 @@
 	"coveferry/internal/cli"
 )
 
-// command is how the page names the command; mounted in coveferryctl.
-const command = "coveferryctl bench slopes --json"
+// commandName is the command line in the report's Command field, as mounted in coveferryctl.
+const commandName = "coveferryctl bench slopes --json"
 
 // Cmd measures the slopes on this machine.
 type Cmd struct {
@@ -50,20 +49,20 @@
 	if err != nil {
 		return err
 	}
-	run, err := describe(measured, c.arguments(), time.Now())
+	run, err := newRun(measured, c.commandLine(), time.Now())
 	if err != nil {
 		return err
 	}
 	if c.JSON {
 		return writeJSON(env.Stdout, capacity.Slopes{Runs: []capacity.Run{run}})
 	}
-	_, err = fmt.Fprintln(env.Stdout, text(run))
+	_, err = fmt.Fprintln(env.Stdout, renderTable(run))
 	return errors.Wrap(err, "write the slopes")
 }
 
-// arguments are those that change what is measured.
-func (c *Cmd) arguments() string {
-	args := command
+// commandLine returns the command with the flags that affect the measurement.
+func (c *Cmd) commandLine() string {
+	args := commandName
 	if c.Repeats != slopes.DefaultRepeats {
 		args += fmt.Sprintf(" --repeats=%d", c.Repeats)
 	}
@@ -76,8 +75,8 @@
 	return args
 }
 
-// describe adds where and when the slopes were measured.
-func describe(measured []capacity.Slope, args string, now time.Time) (capacity.Run, error) {
+// newRun adds the machine and the date to measured slopes.
+func newRun(measured []capacity.Slope, args string, now time.Time) (capacity.Run, error) {
 	var info syscall.Sysinfo_t
 	if err := syscall.Sysinfo(&info); err != nil {
 		return capacity.Run{}, errors.Wrap(err, "read the memory's size")
@@ -101,7 +100,7 @@
 	return errors.Wrap(enc.Encode(s), "write the slopes")
 }
 
-func text(run capacity.Run) string {
+func renderTable(run capacity.Run) string {
 	t := table.NewWriter()
 	t.AppendHeader(table.Row{"slope", "value", "unit", "per", "least", "most", "residual"})
 	for _, s := range run.Slopes {
--- a/internal/cli/slopescmd/slopescmd_test.go
+++ b/internal/cli/slopescmd/slopescmd_test.go
@@ -19,9 +19,9 @@
 	return out.String()
 }
 
-// TestOutputIsAFileOfSlopes reads back what the command wrote, with the strict
-// decoder that the capacity command uses.
-func TestOutputIsAFileOfSlopes(t *testing.T) {
+// TestJSONOutputDecodesAsSlopes decodes the output with the strict decoder that the capacity
+// command uses.
+func TestJSONOutputDecodesAsSlopes(t *testing.T) {
 	g := gomega.NewWithT(t)
 	text := run(t, Cmd{JSON: true, Repeats: 3, Shrink: 100, Only: []string{"pool"}})
 	slopes, err := capacity.DecodeSlopes("output", []byte(text))
@@ -33,7 +33,7 @@
 	g.Expect(s.Sizes).To(gomega.Equal([]int{5, 10, 20, 40}))
 }
 
-func TestTextNamesTheSlope(t *testing.T) {
+func TestTableContainsSlope(t *testing.T) {
 	text := run(t, Cmd{Repeats: 1, Shrink: 100, Only: []string{"pool"}})
 	gomega.NewWithT(t).Expect(text).To(gomega.ContainSubstring(string(capacity.PoolEntryMemory)))
 }
--- a/internal/cli/soakcmd/soakcmd.go
+++ b/internal/cli/soakcmd/soakcmd.go
@@ -43,7 +43,7 @@
 // Run implements kong's command.
 func (c *Cmd) Run(env *cli.Env) error {
 	if c.List {
-		return list(env.Stdout)
+		return printKeptSeeds(env.Stdout)
 	}
 	if c.For <= soak.CalmEnd {
 		return cli.BadInput(errors.Newf("--for is %s; write more than %s", c.For, soak.CalmEnd))
@@ -52,11 +52,11 @@
 	if err != nil {
 		return errors.Wrap(err, "find this program")
 	}
-	daemon, err := c.daemon(tool)
+	daemon, err := c.daemonPath(tool)
 	if err != nil {
 		return err
 	}
-	dir, err := c.folder()
+	dir, err := c.logDir()
 	if err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func list(w io.Writer) error {
+func printKeptSeeds(w io.Writer) error {
 	for _, kept := range soak.Kept() {
 		if _, err := fmt.Fprintf(w, "%d  %s\n", kept.Seed, kept.Cause); err != nil {
 			return errors.Wrap(err, "write the list")
@@ -100,7 +100,7 @@
 	return seeds
 }
 
-func (c *Cmd) folder() (string, error) {
+func (c *Cmd) logDir() (string, error) {
 	if c.Dir == "" {
 		dir, err := os.MkdirTemp("", "coveferry-soak-")
 		return dir, errors.Wrap(err, "make a folder for logs")
@@ -108,8 +108,9 @@
 	return c.Dir, errors.Wrap(os.MkdirAll(c.Dir, 0o755), "make the folder for logs")
 }
 
-// daemon is the program that is run as routers. By `go run` this one is alone in its folder.
-func (c *Cmd) daemon(tool string) (string, error) {
+// daemonPath returns the path of the daemon that is run as routers. With `go run` there is no
+// daemon next to this program.
+func (c *Cmd) daemonPath(tool string) (string, error) {
 	daemon := c.Daemon
 	if daemon == "" {
 		daemon = filepath.Join(filepath.Dir(tool), "coveferryd")
@@ -121,7 +122,8 @@
 	return daemon, nil
 }
 
-// runSeed runs one seed with the programs and the folder of o.
+// runSeed runs one seed with the program paths and the directory of o, and returns the number
+// of violations.
 func (c *Cmd) runSeed(env *cli.Env, seed uint64, o soak.Options) (broken int, err error) {
 	o.Seed, o.For, o.Routers, o.Endpoints, o.Callers = seed, c.For, c.Routers, c.Endpoints, c.Callers
 	o.Wire, o.Progress = platformtest.NewSoak(), env.Stderr
--- a/internal/cli/soakcmd/soakcmd_test.go
+++ b/internal/cli/soakcmd/soakcmd_test.go
@@ -12,9 +12,9 @@
 	"coveferry/internal/cli"
 )
 
-// `go run ./cmd/coveferryctl soak` ended with a bare fork/exec error, as nothing else is beside
-// the program that `go run` builds.
-func TestASoakWithoutADaemonSaysWhereToGetOne(t *testing.T) {
+// `go run ./cmd/coveferryctl soak` once failed with a bare fork/exec error, since the
+// temporary folder in which `go run` builds the program doesn't contain the daemon.
+func TestMissingDaemonErrorExplainsBuild(t *testing.T) {
 	g := NewWithT(t)
 	missing := filepath.Join(t.TempDir(), "coveferryd")
 	c := &Cmd{Seeds: 1, For: 20 * time.Second, Daemon: missing}
--- a/internal/cli/standincmd/configservice.go
+++ b/internal/cli/standincmd/configservice.go
@@ -22,8 +22,8 @@
 	Reads  float64       `default:"2000" help:"Calls a second that it serves."`
 }
 
-// minPoll is the shortest interval of looking at the folder.
-const minPoll = 10 * time.Millisecond
+// minPollInterval is the shortest interval at which the folder is polled.
+const minPollInterval = 10 * time.Millisecond
 
 // Help implements kong's help.
 func (*ConfigServiceCmd) Help() string {
@@ -34,11 +34,11 @@
 
 // Run implements kong's command.
 func (c *ConfigServiceCmd) Run(env *cli.Env) error {
-	if c.Poll < minPoll {
-		return cli.BadInput(errors.Newf("--poll is %s; write %s or more", c.Poll, minPoll))
+	if c.Poll < minPollInterval {
+		return cli.BadInput(errors.Newf("--poll is %s; write %s or more", c.Poll, minPollInterval))
 	}
-	f := folder{dir: c.Dir, service: configsvc.New(configsvc.Config{ReadsPerSecond: c.Reads}), seen: make(map[string]stamp)}
-	if err := f.publish(); err != nil {
+	f := folderPublisher{dir: c.Dir, service: configsvc.New(configsvc.Config{ReadsPerSecond: c.Reads}), published: make(map[string]fileState)}
+	if err := f.publishChanged(); err != nil {
 		return cli.BadInput(err)
 	}
 	ctx, cancel := context.WithCancel(env.Ctx)
@@ -53,20 +53,20 @@
 	return err
 }
 
-// folder publishes the files of a folder.
-type folder struct {
-	dir     string
-	service *configsvc.Service
-	seen    map[string]stamp // by key
+// folderPublisher publishes the files of a folder in a configuration service.
+type folderPublisher struct {
+	dir       string
+	service   *configsvc.Service
+	published map[string]fileState // by key
 }
 
-// stamp tells whether a file has changed.
-type stamp struct {
+// fileState identifies a version of a file.
+type fileState struct {
 	size    int64
-	changed time.Time
+	modTime time.Time
 }
 
-func (f *folder) watch(ctx context.Context, every time.Duration, report func(error)) {
+func (f *folderPublisher) watch(ctx context.Context, every time.Duration, report func(error)) {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
@@ -74,16 +74,16 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			if err := f.publish(); err != nil {
+			if err := f.publishChanged(); err != nil {
 				report(err)
 			}
 		}
 	}
 }
 
-// publish publishes the files that are new or changed. Files whose names end in
-// ".next" are being written.
-func (f *folder) publish() error {
+// publishChanged publishes new and changed files. It skips the suffix ".next", which marks
+// files that are still being written.
+func (f *folderPublisher) publishChanged() error {
 	err := filepath.WalkDir(f.dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || filepath.Ext(path) == ".next" {
 			return err
@@ -93,7 +93,7 @@
 	return errors.Wrap(err, "configuration service")
 }
 
-func (f *folder) publishFile(path string, d fs.DirEntry) error {
+func (f *folderPublisher) publishFile(path string, d fs.DirEntry) error {
 	info, err := d.Info()
 	if err != nil {
 		return err
@@ -102,8 +102,8 @@
 	if err != nil {
 		return err
 	}
-	now := stamp{size: info.Size(), changed: info.ModTime()}
-	if f.seen[key] == now {
+	now := fileState{size: info.Size(), modTime: info.ModTime()}
+	if f.published[key] == now {
 		return nil
 	}
 	data, err := os.ReadFile(path)
@@ -113,6 +113,6 @@
 	if _, err := f.service.Publish(filepath.ToSlash(key), data); err != nil {
 		return errors.Wrap(err, path)
 	}
-	f.seen[key] = now
+	f.published[key] = now
 	return nil
 }
--- a/internal/cli/standincmd/configservice_test.go
+++ b/internal/cli/standincmd/configservice_test.go
@@ -12,14 +12,14 @@
 	"coveferry/internal/standin/configsvc"
 )
 
-func TestFolderPublishesNewAndChangedFilesOnce(t *testing.T) {
+func TestPublishesNewAndChangedFilesOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	dir := t.TempDir()
 	write := func(name, text string) {
 		g.Expect(os.MkdirAll(filepath.Dir(filepath.Join(dir, name)), 0o755)).To(gomega.Succeed())
 		g.Expect(os.WriteFile(filepath.Join(dir, name), []byte(text), 0o644)).To(gomega.Succeed())
 	}
-	f := folder{dir: dir, service: configsvc.New(configsvc.Config{}), seen: make(map[string]stamp)}
+	f := folderPublisher{dir: dir, service: configsvc.New(configsvc.Config{}), published: make(map[string]fileState)}
 	get := func(key string) (string, string) {
 		w := httptest.NewRecorder()
 		f.service.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, configsvc.PathValues+key, nil))
@@ -29,7 +29,7 @@
 	write("sections/a.json", "a")
 	write("signed-manifest.json.next", "half")
 	for range 3 {
-		g.Expect(f.publish()).To(gomega.Succeed())
+		g.Expect(f.publishChanged()).To(gomega.Succeed())
 	}
 	text, version := get("signed-manifest.json")
 	g.Expect([]string{text, version}).To(gomega.Equal([]string{"one", "1"}))
@@ -38,7 +38,7 @@
 	_, version = get("signed-manifest.json.next")
 	g.Expect(version).To(gomega.BeEmpty())
 	write("signed-manifest.json", "the second")
-	g.Expect(f.publish()).To(gomega.Succeed())
+	g.Expect(f.publishChanged()).To(gomega.Succeed())
 	text, version = get("signed-manifest.json")
 	g.Expect([]string{text, version}).To(gomega.Equal([]string{"the second", "2"}))
 }
--- a/internal/cli/standincmd/replica.go
+++ b/internal/cli/standincmd/replica.go
@@ -23,7 +23,7 @@
 	return serve(env, c.Listen, replica)
 }
 
-// exitCrashed is the status of a stand-in that a request has made crash.
+// exitCrashed is the exit code of a stand-in that a request crashed.
 const exitCrashed = 3
 
 func crash() { os.Exit(exitCrashed) }
--- a/internal/cli/standincmd/standincmd.go
+++ b/internal/cli/standincmd/standincmd.go
@@ -1,6 +1,5 @@
-// Package standincmd holds the commands of `coveferryctl standin`: stand-ins of
-// the engines and services that coveferry routes to, as processes of their own,
-// to try a deployment out without them.
+// Package standincmd holds the commands of `coveferryctl standin`: stand-ins of the engines
+// and services to which coveferry routes, run as separate processes to try out a deployment.
 package standincmd
 
 import (
@@ -58,13 +57,13 @@
 	return serve(env, c.Listen, service.New(service.Config{ServiceTime: c.ServiceTime}).Handler())
 }
 
-// Bounds of a stand-in's server.
+// Timeouts of a stand-in's server.
 const (
 	headerTimeout = 5 * time.Second
 	grace         = 5 * time.Second
 )
 
-// serve serves until the environment's context ends.
+// serve runs a server until the environment's context ends.
 func serve(env *cli.Env, address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -72,9 +71,9 @@
 	}
 	s := server.New(server.Config{Listener: l, Handler: h, HeaderTimeout: headerTimeout, Grace: grace})
 	fmt.Fprintf(env.Stderr, "serving on http://%s\n", s.Addr())
-	var stopped error
+	var stopErr error
 	var g run.Group
-	g.Add(s.Run, func(error) { stopped = s.Stop() })
+	g.Add(s.Run, func(error) { stopErr = s.Stop() })
 	done := make(chan struct{})
 	g.Add(func() error {
 		select {
@@ -83,5 +82,5 @@
 		}
 		return nil
 	}, func(error) { close(done) })
-	return errors.CombineErrors(g.Run(), stopped)
+	return errors.CombineErrors(g.Run(), stopErr)
 }
--- a/internal/cli/url.go
+++ b/internal/cli/url.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// PageURL reads the value of a flag that names a process's page: a URL, to which
-// path is added if it has none. The error is marked as bad input.
+// PageURL parses the URL of a process's admin server from a flag and appends path if the URL
+// has none. The error is marked as bad input.
 func PageURL(flag, raw, path string) (string, error) {
 	u, err := url.Parse(raw)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
--- a/internal/jsonc/decode.go
+++ b/internal/jsonc/decode.go
@@ -37,7 +37,7 @@
 
 // report adds a problem, up to MaxProblems and a last one that states that the rest is
 // omitted.
-func (dec *decoder) report(at *hujson.Value, path *pathNode, format string, args ...any) {
+func (dec *decoder) report(at *hujson.Value, path *steps, format string, args ...any) {
 	msg := fmt.Sprintf(format, args...)
 	switch n := len(dec.problems); {
 	case n > MaxProblems:
@@ -53,7 +53,7 @@
 func (dec *decoder) limitReached() bool { return len(dec.problems) > MaxProblems }
 
 // checkDuplicates reports duplicate keys in all objects of the tree.
-func (dec *decoder) checkDuplicates(v *hujson.Value, path *pathNode) {
+func (dec *decoder) checkDuplicates(v *hujson.Value, path *steps) {
 	switch node := v.Value.(type) {
 	case *hujson.Array:
 		for i := range node.Elements {
@@ -76,7 +76,7 @@
 }
 
 // decodeValue decodes a value of any kind.
-func (dec *decoder) decodeValue(v *hujson.Value, dst reflect.Value, path *pathNode) {
+func (dec *decoder) decodeValue(v *hujson.Value, dst reflect.Value, path *steps) {
 	if dst.Kind() == reflect.Pointer {
 		dec.decodePointer(v, dst, path)
 		return
@@ -100,7 +100,7 @@
 	}
 }
 
-func (dec *decoder) decodePointer(v *hujson.Value, dst reflect.Value, path *pathNode) {
+func (dec *decoder) decodePointer(v *hujson.Value, dst reflect.Value, path *steps) {
 	if v.Value.Kind() == 'n' {
 		dst.SetZero()
 		return
@@ -111,7 +111,7 @@
 	dec.decodeValue(v, dst.Elem(), path)
 }
 
-func (dec *decoder) decodeStruct(v *hujson.Value, dst reflect.Value, path *pathNode) {
+func (dec *decoder) decodeStruct(v *hujson.Value, dst reflect.Value, path *steps) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
 		dec.wrongKind(v, path, "an object {...}")
@@ -132,7 +132,7 @@
 	}
 }
 
-func (dec *decoder) decodeMember(m *hujson.ObjectMember, key string, dst reflect.Value, fields []field, path *pathNode) {
+func (dec *decoder) decodeMember(m *hujson.ObjectMember, key string, dst reflect.Value, fields []field, path *steps) {
 	for _, f := range fields {
 		if f.key == key {
 			dec.decodeValue(&m.Value, dst.FieldByIndex(f.index), path)
@@ -153,7 +153,7 @@
 	return fields
 }
 
-func (dec *decoder) decodeMap(v *hujson.Value, dst reflect.Value, path *pathNode) {
+func (dec *decoder) decodeMap(v *hujson.Value, dst reflect.Value, path *steps) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
 		dec.wrongKind(v, path, "an object {...}")
@@ -173,7 +173,7 @@
 	}
 }
 
-func (dec *decoder) decodeSlice(v *hujson.Value, dst reflect.Value, path *pathNode) {
+func (dec *decoder) decodeSlice(v *hujson.Value, dst reflect.Value, path *steps) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
 		dec.wrongKind(v, path, "a list [...]")
@@ -186,7 +186,7 @@
 	dst.Set(list)
 }
 
-func (dec *decoder) decodeArray(v *hujson.Value, dst reflect.Value, path *pathNode) {
+func (dec *decoder) decodeArray(v *hujson.Value, dst reflect.Value, path *steps) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok || len(arr.Elements) != dst.Len() {
 		dec.wrongKind(v, path, fmt.Sprintf("a list [...] of %d", dst.Len()))
--- a/internal/jsonc/path.go
+++ b/internal/jsonc/path.go
@@ -29,22 +29,20 @@
 // Index returns the path of an element of the list at path.
 func Index(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
 
-// pathNode is the last step of a path, linked to the steps before it. The path is formatted
-// only for a problem, since formatting one for each value of a large document would take time
-// and memory quadratic in its size.
-type pathNode struct {
-	parent *pathNode
+// steps is a path as a linked list that starts with its last step. It is formatted only for a
+// problem, since formatting the path of each value of a large document would take time and
+// memory quadratic in its size.
+type steps struct {
+	parent *steps
 	last   step
 }
 
-func (t *pathNode) key(key string) *pathNode { return &pathNode{parent: t, last: step{key: key}} }
+func (t *steps) key(key string) *steps { return &steps{parent: t, last: step{key: key}} }
 
-func (t *pathNode) index(i int) *pathNode {
-	return &pathNode{parent: t, last: step{index: i, isIndex: true}}
-}
+func (t *steps) index(i int) *steps { return &steps{parent: t, last: step{index: i, isIndex: true}} }
 
-// String formats the path; a nil node is the document as a whole.
-func (t *pathNode) String() string {
+// String formats the path; nil is the document as a whole.
+func (t *steps) String() string {
 	switch {
 	case t == nil:
 		return ""
