--- a/internal/cli/benchcmd/benchcmd.go
+++ b/internal/cli/benchcmd/benchcmd.go
@@ -125,8 +125,8 @@
 
 // markInvalidInput marks errors that are caused by the flags.
 func markInvalidInput(err error) error {
-	for _, fault := range []error{bench.ErrInvalid, bench.ErrUnknownPolicy, bench.ErrUnsupported} {
-		if errors.Is(err, fault) {
+	for _, invalid := range []error{bench.ErrInvalid, bench.ErrUnknownPolicy, bench.ErrUnsupported} {
+		if errors.Is(err, invalid) {
 			return cli.BadInput(err)
 		}
 	}
--- a/internal/cli/bundlecmd/bundlecmd.go
+++ b/internal/cli/bundlecmd/bundlecmd.go
@@ -66,7 +66,7 @@
 	return b, nil
 }
 
-// createFile writes a file that must not exist.
+// createFile writes a new file; it fails if the file exists.
 func createFile(name string, content []byte, mode os.FileMode) error {
 	f, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if errors.Is(err, os.ErrExist) {
--- a/internal/cli/keyscmd/files.go
+++ b/internal/cli/keyscmd/files.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// createFile writes a file that must not exist.
+// createFile writes a new file; it fails if the file exists.
 func createFile(name string, text []byte) error {
 	f, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
 	if errors.Is(err, fs.ErrExist) {
--- a/internal/cli/memberscmd/memberscmd.go
+++ b/internal/cli/memberscmd/memberscmd.go
@@ -42,17 +42,17 @@
 	}
 	client := &http.Client{CheckRedirect: rejectRedirect}
 	pages := []membership.Page{}
-	var failed error
+	var fetchErr error
 	for _, u := range urls {
 		page, err := c.fetch(env.Ctx, client, u)
 		if err != nil {
 			fmt.Fprintln(env.Stderr, err)
-			failed = errors.Newf("not all of %d routers answered", len(urls))
+			fetchErr = errors.Newf("not all of %d routers answered", len(urls))
 			continue
 		}
 		pages = append(pages, page)
 	}
-	return errors.CombineErrors(c.print(env, pages), failed)
+	return errors.CombineErrors(c.print(env, pages), fetchErr)
 }
 
 // rejectRedirect makes the client return redirects unfollowed: only the router itself may
--- a/internal/cli/memberscmd/memberscmd_test.go
+++ b/internal/cli/memberscmd/memberscmd_test.go
@@ -63,11 +63,11 @@
 // An unreachable router must be reported, and the others must still be shown.
 func TestReportsUnreachableRouter(t *testing.T) {
 	g := NewWithT(t)
-	away := httptest.NewServer(http.NotFoundHandler())
-	t.Cleanup(away.Close)
-	o := run(t, "--router="+away.URL, "--router="+startRouter(t), "--json")
+	unreachable := httptest.NewServer(http.NotFoundHandler())
+	t.Cleanup(unreachable.Close)
+	o := run(t, "--router="+unreachable.URL, "--router="+startRouter(t), "--json")
 	g.Expect(o.code).To(Equal(cli.ExitFailure))
-	g.Expect(o.stderr.String()).To(ContainSubstring(away.URL))
+	g.Expect(o.stderr.String()).To(ContainSubstring(unreachable.URL))
 	var got output
 	g.Expect(json.Unmarshal(o.stdout.Bytes(), &got)).To(Succeed())
 	g.Expect(got.Routers).To(HaveLen(1))
--- a/internal/cli/signals_test.go
+++ b/internal/cli/signals_test.go
@@ -49,15 +49,15 @@
 	out, err := cmd.StdoutPipe()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(cmd.Start()).To(Succeed())
-	last := ""
+	lastLine := ""
 	for lines := bufio.NewScanner(out); lines.Scan(); {
-		last = lines.Text()
-		if last != "stopped" {
+		lastLine = lines.Text()
+		if lastLine != "stopped" {
 			time.Sleep(50 * time.Millisecond)
 			g.Expect(cmd.Process.Signal(sig)).To(Succeed())
 		}
 	}
-	return last, cmd.Wait()
+	return lastLine, cmd.Wait()
 }
 
 func TestSecondSIGTERMDoesNotInterruptShutdown(t *testing.T) {
--- a/internal/cli/slocmd/plot.go
+++ b/internal/cli/slocmd/plot.go
@@ -113,11 +113,11 @@
 }
 
 func maxBurn(rows []slo.Row) float64 {
-	top := 0.0
+	highest := 0.0
 	for _, row := range rows {
 		for _, s := range row.Windows {
-			top = max(top, s.Burn)
+			highest = max(highest, s.Burn)
 		}
 	}
-	return top
+	return highest
 }
--- a/internal/cli/slocmd/slocmd.go
+++ b/internal/cli/slocmd/slocmd.go
@@ -100,8 +100,8 @@
 		transport.TLSClientConfig = id.ClientConfig(identity.RoleRouter, identity.AnyName)
 		transport.ForceAttemptHTTP2 = true
 	}
-	stay := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return &http.Client{Transport: transport, CheckRedirect: stay}, nil
+	rejectRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	return &http.Client{Transport: transport, CheckRedirect: rejectRedirect}, nil
 }
 
 // watch shows the report at each interval. It prints errors of routers and retries; reaching
@@ -142,15 +142,15 @@
 			return err
 		}
 	}
-	missing := found.err()
+	missingErr := found.err()
 	level := c.checkLevel(merged)
-	if level != nil && missing != nil {
-		fmt.Fprintln(env.Stderr, missing)
+	if level != nil && missingErr != nil {
+		fmt.Fprintln(env.Stderr, missingErr)
 	}
 	if level != nil {
 		return level
 	}
-	return missing
+	return missingErr
 }
 
 // output is the merged report and the URLs without a report.
--- a/internal/cli/slocmd/slocmd_test.go
+++ b/internal/cli/slocmd/slocmd_test.go
@@ -85,14 +85,14 @@
 }
 
 func TestFailOn(t *testing.T) {
-	page, calm := serve(t, newRouter("r1", 80)), serve(t, newRouter("r2", 0))
+	burning, calm := serve(t, newRouter("r1", 80)), serve(t, newRouter("r2", 0))
 	for _, c := range []struct {
 		url, level string
 		want       int
 	}{
-		{page, "page", cli.ExitFailure},
-		{page, "ticket", cli.ExitFailure},
-		{page, "none", cli.ExitOK},
+		{burning, "page", cli.ExitFailure},
+		{burning, "ticket", cli.ExitFailure},
+		{burning, "none", cli.ExitOK},
 		{calm, "page", cli.ExitOK},
 		{calm, "ticket", cli.ExitFailure}, // late queries burn at 4.6
 	} {
@@ -104,19 +104,19 @@
 // An unreachable router must be reported, and the others must still be shown.
 func TestReportsUnreachableRouter(t *testing.T) {
 	g := gomega.NewWithT(t)
-	away := httptest.NewServer(http.NotFoundHandler())
-	away.Close()
+	unreachable := httptest.NewServer(http.NotFoundHandler())
+	unreachable.Close()
 	up := serve(t, newRouter("r1", 0))
-	o := run(t, "--router="+away.URL, "--router="+up, "--json")
+	o := run(t, "--router="+unreachable.URL, "--router="+up, "--json")
 	g.Expect(cli.ExitCode(o.err)).To(gomega.Equal(cli.ExitFailure))
 	g.Expect(o.err).To(gomega.MatchError(gomega.HavePrefix("no report from 1 of 2 routers: ")))
 	g.Expect(o.err.Error()).NotTo(gomega.ContainSubstring("\n"))
 	var got output
 	g.Expect(json.Unmarshal(o.stdout.Bytes(), &got)).To(gomega.Succeed())
-	g.Expect(got.Missing).To(gomega.Equal([]string{away.URL + slo.Path}))
+	g.Expect(got.Missing).To(gomega.Equal([]string{unreachable.URL + slo.Path}))
 	g.Expect(got.Routers).To(gomega.Equal([]string{"r1"}))
 
-	o = run(t, "--router="+away.URL)
+	o = run(t, "--router="+unreachable.URL)
 	g.Expect(cli.ExitCode(o.err)).To(gomega.Equal(cli.ExitFailure))
 	g.Expect(o.stdout.String()).To(gomega.BeEmpty())
 }
--- a/internal/cli/slocmd/table.go
+++ b/internal/cli/slocmd/table.go
@@ -38,8 +38,8 @@
 	for _, s := range row.Windows {
 		line = append(line, fmt.Sprintf("%.2f", s.Burn))
 	}
-	all := row.Windows[slo.Window6h].Counts
-	return append(line, all.Good, all.Late, all.Failed, all.Refused, all.Canceled, string(row.Alert))
+	counts := row.Windows[slo.Window6h].Counts
+	return append(line, counts.Good, counts.Late, counts.Failed, counts.Refused, counts.Canceled, string(row.Alert))
 }
 
 // alignment right-aligns numeric columns: all but the names and the alert level.
--- a/internal/cli/soakcmd/soakcmd.go
+++ b/internal/cli/soakcmd/soakcmd.go
@@ -60,16 +60,16 @@
 	if err != nil {
 		return err
 	}
-	broken := 0
+	violations := 0
 	for _, seed := range c.seeds() {
-		found, err := c.runSeed(env, seed, soak.Options{Tool: tool, Daemon: daemon, Dir: dir})
+		n, err := c.runSeed(env, seed, soak.Options{Tool: tool, Daemon: daemon, Dir: dir})
 		if err != nil {
 			return err
 		}
-		broken += found
+		violations += n
 	}
-	if broken > 0 {
-		return errors.Newf("%d broken promises; the logs are in %s", broken, dir)
+	if violations > 0 {
+		return errors.Newf("%d broken promises; the logs are in %s", violations, dir)
 	}
 	if c.Dir == "" {
 		return errors.Wrap(os.RemoveAll(dir), "remove the logs")
--- a/internal/cli/standincmd/configservice.go
+++ b/internal/cli/standincmd/configservice.go
@@ -66,8 +66,8 @@
 	modTime time.Time
 }
 
-func (f *folderPublisher) watch(ctx context.Context, every time.Duration, report func(error)) {
-	tick := time.NewTicker(every)
+func (f *folderPublisher) watch(ctx context.Context, interval time.Duration, report func(error)) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -81,8 +81,8 @@
 	}
 }
 
-// publishChanged publishes new and changed files. It skips the suffix ".next", which marks
-// files that are still being written.
+// publishChanged publishes new and changed files. It skips names that end in ".next",
+// which are files that are still being written.
 func (f *folderPublisher) publishChanged() error {
 	err := filepath.WalkDir(f.dir, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || filepath.Ext(path) == ".next" {
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -63,7 +63,7 @@
 	placementRunner := newPlacement(s, id, reg, log)
 	announcer := newAnnouncer(ag, bundles.node.Snapshot, id, log)
 	announcement := membership.NewGoodbye(announcer)
-	routers, err := newRouterServer(s, announcer.Wrap(placementRunner.Wrap(ag.Handler())), id, log)
+	routerServer, err := newRouterServer(s, announcer.Wrap(placementRunner.Wrap(ag.Handler())), id, log)
 	if err != nil {
 		return err
 	}
@@ -71,28 +71,28 @@
 	if err != nil {
 		return err
 	}
-	peers, err := newControlServer(s.Process, id, log)
+	controlServer, err := newControlServer(s.Process, id, log)
 	if err != nil {
 		return err
 	}
 	var g run.Group
 	var stopErr error
 	addContextActor(&g, env.Ctx)
-	addServer(&g, routers, func() error {
+	addServer(&g, routerServer, func() error {
 		log.Info().Msg("stopping: refusing new attempts and finishing running ones")
 		ready.Close(gateServing)
-		return agentPlan(s.Shutdown).Run(startDrain(ag, placementRunner, announcement), handOver(ag, log), routers.Stop)
+		return agentPlan(s.Shutdown).Run(startDrain(ag, placementRunner, announcement), handOver(ag, log), routerServer.Stop)
 	}, &stopErr)
 	addServer(&g, admin, admin.Stop, &stopErr)
 	addIdentity(&g, id, log)
 	addKeys(&g, ag)
-	bundles.node.Register(peers)
+	bundles.node.Register(controlServer)
 	bundles.subscribe(notifyAll(applyBundle(ag, string(s.Endpoint), log), followPlacement(placementRunner)))
 	addRunner(&g, placementRunner.Run)
-	addControl(&g, peers, &stopErr)
+	addControl(&g, controlServer, &stopErr)
 	addBundles(&g, bundles)
 	ready.Open(gateServing)
-	log.Info().Str("listen", routers.Addr()).Uint64(logging.FieldBundle, snapshot.Version()).Msg("serving")
+	log.Info().Str("listen", routerServer.Addr()).Uint64(logging.FieldBundle, snapshot.Version()).Msg("serving")
 	return errors.CombineErrors(g.Run(), stopErr)
 }
 
@@ -199,8 +199,8 @@
 // other agents.
 func handOver(ag *agent.Agent, log zerolog.Logger) func() {
 	return func() {
-		moved, stay := ag.HandOver()
-		log.Info().Int("moved", moved).Int("stay", stay).Msg("running attempts handed over")
+		moved, kept := ag.HandOver()
+		log.Info().Int("moved", moved).Int("stay", kept).Msg("running attempts handed over")
 	}
 }
 
--- a/internal/daemon/bundles.go
+++ b/internal/daemon/bundles.go
@@ -53,7 +53,7 @@
 		}
 		b.services = append(b.services, rollout.NewService(base, nil))
 	}
-	var once sync.Once
+	var readyOnce sync.Once
 	b.node = rollout.New(rollout.Config{
 		Self: rollout.Member{
 			Peer: id.Peer(), Address: s.ControlListen.String(),
@@ -66,7 +66,7 @@
 		OnReadiness: func(r rollout.Readiness) {
 			ready.Note(bundleTopic, unconfirmedReason(r))
 			if r.Ready {
-				once.Do(func() { close(b.ready) })
+				readyOnce.Do(func() { close(b.ready) })
 			}
 		},
 		Log: log, Metrics: reg,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -70,11 +70,11 @@
 
 // newSLOTracker returns a tracker that counts how requests meet their targets, against the
 // objectives of the current snapshot.
-func newSLOTracker(name string, reg prometheus.Registerer, inForce func() *bundle.Snapshot) *slo.Tracker {
+func newSLOTracker(name string, reg prometheus.Registerer, current func() *bundle.Snapshot) *slo.Tracker {
 	return slo.NewTracker(slo.Config{
 		Router:     name,
 		Now:        time.Now,
-		Objectives: func() slo.Objectives { return objectives(inForce()) },
+		Objectives: func() slo.Objectives { return objectives(current()) },
 		Registry:   reg,
 	})
 }
--- a/internal/daemon/directlist.go
+++ b/internal/daemon/directlist.go
@@ -165,8 +165,8 @@
 	if dir.IsEvacuated(entry.Endpoint.FailureDomain) {
 		return false, membership.ErrNotAsked
 	}
-	sent := time.Now()
-	if !l.d.pool.MayCheck(sent, &entry.Endpoint) {
+	sentAt := time.Now()
+	if !l.d.pool.MayCheck(sentAt, &entry.Endpoint) {
 		return false, membership.ErrNotAsked
 	}
 	health, err := l.d.cfg.Health(ctx, l.d.client, entry.Endpoint.Address, l.healthPath(entry.Endpoint.Services), name)
@@ -176,7 +176,7 @@
 	if health.RateLimit.Statement == upstream.LimitNamed {
 		// A health response without a limit doesn't mean that there is none; responses to
 		// requests decide that.
-		l.d.pool.HearLimit(time.Now(), sent, name, health.RateLimit)
+		l.d.pool.HearLimit(time.Now(), sentAt, name, health.RateLimit)
 	}
 	return health.Sent, err
 }
--- a/internal/daemon/directroom_test.go
+++ b/internal/daemon/directmemory_test.go
@@ -105,9 +105,9 @@
 		callers = append(callers, conn)
 	}
 	time.Sleep(300 * time.Millisecond)
-	each := (memoryInUse() - before) / requests
-	t.Logf("%d bytes each", each)
-	g.Expect(each).To(BeNumerically("<", openBytes))
+	perRequest := (memoryInUse() - before) / requests
+	t.Logf("%d bytes each", perRequest)
+	g.Expect(perRequest).To(BeNumerically("<", openBytes))
 	for _, conn := range callers {
 		conn.Close()
 	}
--- a/internal/daemon/directreading_test.go
+++ b/internal/daemon/directreading_test.go
@@ -48,8 +48,8 @@
 		for _, b := range []DirectBounds{{DrainWithin: within}, {ConfigWithin: within}, {DrainWithin: within, ConfigWithin: 2 * within}} {
 			got := sourceTiming(b)
 			NewWithT(t).Expect(got.Wait+got.Slack+readTimeout).To(BeNumerically("<", within), "%+v", b)
-			if spare := got.Wait + got.Slack + readTimeout + got.Pace; b.DrainWithin >= 3*time.Second {
-				NewWithT(t).Expect(spare).To(BeNumerically("<", within), "after a pause, %+v", b)
+			if total := got.Wait + got.Slack + readTimeout + got.Pace; b.DrainWithin >= 3*time.Second {
+				NewWithT(t).Expect(total).To(BeNumerically("<", within), "after a pause, %+v", b)
 			}
 		}
 	}
--- a/internal/daemon/directretries_test.go
+++ b/internal/daemon/directretries_test.go
@@ -56,7 +56,7 @@
 func TestZeroRetryRatioAllowsNoRetriesPerRequest(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now().Add(time.Minute)
-	made := func(policy *retry.Policy) (n int) {
+	countRetries := func(policy *retry.Policy) (n int) {
 		for range 1000 {
 			policy.First(now, "s", 0)
 		}
@@ -65,13 +65,13 @@
 		}
 		return n
 	}
-	none, ok := retryPolicy(settings.Retry{MaxAttempts: 3}).(*retry.Policy)
+	noRetries, ok := retryPolicy(settings.Retry{MaxAttempts: 3}).(*retry.Policy)
 	g.Expect(ok).To(BeTrue())
-	g.Expect(made(none)).To(BeZero(), "settings of a router with agents")
+	g.Expect(countRetries(noRetries)).To(BeZero(), "settings of a router with agents")
 	bounds := DirectBounds{RetryBounded: true, RetryWindow: 10 * time.Second, RetrySlack: 52}
-	g.Expect(made(directRetries(bounds, func() int { return 1 }, 1))).To(BeNumerically("<=", 52), "a platform's bounds")
+	g.Expect(countRetries(directRetries(bounds, func() int { return 1 }, 1))).To(BeNumerically("<=", 52), "a platform's bounds")
 	bounds = DirectBounds{RetryWindow: 10 * time.Second}
-	g.Expect(made(directRetries(bounds, func() int { return 1 }, 1))).To(BeNumerically("~", 100, 5), "bounds that aren't stated")
+	g.Expect(countRetries(directRetries(bounds, func() int { return 1 }, 1))).To(BeNumerically("~", 100, 5), "bounds that aren't stated")
 }
 
 func TestReloadUpdatesRetryBudget(t *testing.T) {
--- a/internal/daemon/directsettings.go
+++ b/internal/daemon/directsettings.go
@@ -18,16 +18,16 @@
 // without a signal. New bounds on keys, stops and retries apply; addresses, the timing of
 // source reads and the retry window keep their values from startup.
 func (d *directRouter) followSettings(ctx context.Context) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	defer signal.Stop(hangups)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
+	defer signal.Stop(signals)
 	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
+		case <-signals:
 			d.reload(true)
 		case <-tick.C:
 			d.reload(false)
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -50,14 +50,14 @@
 }
 
 // apply puts a snapshot in force at a router. Membership takes its endpoints from it.
-func (p *routerParts) apply(s *bundle.Snapshot) {
+func (p *routerComponents) apply(s *bundle.Snapshot) {
 	p.router.Swap(s)
 	p.members.SetBundle(s.Bundle())
 }
 
 // addMembers adds the actors that keep a router's membership up to date, apart from the
 // outcomes of its own requests.
-func addMembers(g *run.Group, s *settings.Router, parts *routerParts, srv *control.Server, id *identity.Identity, log zerolog.Logger) {
+func addMembers(g *run.Group, s *settings.Router, parts *routerComponents, srv *control.Server, id *identity.Identity, log zerolog.Logger) {
 	client := server.NewClient(nil, nil)
 	var platform []*membership.Platform
 	for _, url := range s.VMList {
--- a/internal/daemon/poison.go
+++ b/internal/daemon/poison.go
@@ -52,9 +52,9 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 			defer cancel()
-			sent := clock.Boot()
+			sentAt := clock.Boot()
 			if _, err := d.list.checkHealth(ctx, name); err == nil {
-				d.poison.Survived(process, sent)
+				d.poison.Survived(process, sentAt)
 			}
 		}()
 	}
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -44,7 +44,7 @@
 	}
 	id.RegisterMetrics(reg)
 	var rt *router.Router
-	service := newSLOTracker(string(s.VM), reg, func() *bundle.Snapshot { return rt.Snapshot() })
+	sloTracker := newSLOTracker(string(s.VM), reg, func() *bundle.Snapshot { return rt.Snapshot() })
 	bundles, err := startBundles(s.Process, id, reg, ready, log)
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 	if snapshot == nil {
 		return nil // told to stop
 	}
-	parts, err := newRouter(s, snapshot, id, service, reg, log)
+	parts, err := newRouter(s, snapshot, id, sloTracker, reg, log)
 	if err != nil {
 		return err
 	}
@@ -62,11 +62,11 @@
 	if err != nil {
 		return err
 	}
-	admin, err := newAdminServer(s.MetricsListen.String(), newRouterMux(reg, ready, service, parts.members))
+	admin, err := newAdminServer(s.MetricsListen.String(), newRouterMux(reg, ready, sloTracker, parts.members))
 	if err != nil {
 		return err
 	}
-	peers, err := newControlServer(s.Process, id, log)
+	controlServer, err := newControlServer(s.Process, id, log)
 	if err != nil {
 		return err
 	}
@@ -80,11 +80,11 @@
 		return plan.Run(rt.Leave, rt.EndOpen, func() error { return callers.StopWithin(plan.Grace) })
 	}, &stopErr)
 	addServer(&g, admin, admin.Stop, &stopErr)
-	addMembers(&g, s, parts, peers, id, log)
-	addLimits(&g, parts.limits, peers)
-	bundles.node.Register(peers)
+	addMembers(&g, s, parts, controlServer, id, log)
+	addLimits(&g, parts.limits, controlServer)
+	bundles.node.Register(controlServer)
 	bundles.subscribe(parts.apply)
-	addControl(&g, peers, &stopErr)
+	addControl(&g, controlServer, &stopErr)
 	addBundles(&g, bundles)
 	addIdentity(&g, id, log)
 	ready.Open(gateServing)
@@ -92,22 +92,22 @@
 	return errors.CombineErrors(g.Run(), stopErr)
 }
 
-// routerParts holds a router and the components that it shares with its membership.
-type routerParts struct {
+// routerComponents holds a router and the components that it shares with its membership.
+type routerComponents struct {
 	router  *router.Router
 	client  *http.Client
 	members *membership.Tracker
 	limits  teamLimits
 }
 
-func newRouter(s *settings.Router, snapshot *bundle.Snapshot, id *identity.Identity, service *slo.Tracker, reg prometheus.Registerer, log zerolog.Logger) (*routerParts, error) {
+func newRouter(s *settings.Router, snapshot *bundle.Snapshot, id *identity.Identity, sloTracker *slo.Tracker, reg prometheus.Registerer, log zerolog.Logger) (*routerComponents, error) {
 	var rt *router.Router
-	nameAt := func(address string) (string, bool) { return rt.Snapshot().EndpointAt(address) }
-	client := server.NewTLSClient(id.DialTLS(server.TCP(), identity.RoleAgent, nameAt))
-	inForce := func() *bundle.Snapshot { return rt.Snapshot() }
+	endpointName := func(address string) (string, bool) { return rt.Snapshot().EndpointAt(address) }
+	client := server.NewTLSClient(id.DialTLS(server.TCP(), identity.RoleAgent, endpointName))
+	current := func() *bundle.Snapshot { return rt.Snapshot() }
 	pool := balance.NewPool(balance.Config{Policy: balancePolicy(s.Balance), Seed: uint64(os.Getpid())})
 	members := newMembershipTracker(id.Peer().Name, pool, reg, log)
-	teams := newTeamLimits(id, reg, log)
+	limiters := newTeamLimits(id, reg, log)
 	rt = router.New(router.Config{
 		Name:         id.Peer().Name,
 		SubsetSize:   s.Balance.SubsetSize,
@@ -120,15 +120,15 @@
 		BodyTimeout:  s.Limits.BodyTimeout.Std(),
 		MaxOpen:      int64(s.Limits.MaxOpenRequests),
 		MaxBodyBytes: int64(s.Limits.MaxBodyMemory),
-		Limits:       teams.limiter,
+		Limits:       limiters.limiter,
 		Observer:     members,
 		Poison:       newPoisonTable(id.Peer().Name, reg, log, func([]string) {}), // agents keep running when their engines crash
-		Service:      service,
-		Routing:      router.BundleRouting(inForce, server.NewDirectClient()),
+		Service:      sloTracker,
+		Routing:      router.BundleRouting(current, server.NewDirectClient()),
 		Log:          log,
 		Metrics:      reg,
 	})
-	parts := &routerParts{router: rt, client: client, members: members, limits: teams}
+	parts := &routerComponents{router: rt, client: client, members: members, limits: limiters}
 	parts.apply(snapshot)
 	return parts, nil
 }
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -86,7 +86,7 @@
 	reg := telemetry.NewRegistry()
 	ready := telemetry.NewReadiness(gateServing)
 	var f *fleet.Fleet
-	service := newSLOTracker("standalone", reg, func() *bundle.Snapshot { return f.Routers()[0].Router.Snapshot() })
+	sloTracker := newSLOTracker("standalone", reg, func() *bundle.Snapshot { return f.Routers()[0].Router.Snapshot() })
 	b, err := standaloneBundle(s)
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 		Profile:       standaloneProfile(s),
 		Log:           log,
 		Metrics:       reg,
-		Service:       service,
+		Service:       sloTracker,
 	})
 	if err != nil {
 		return err
@@ -115,7 +115,7 @@
 		stopErr = errors.CombineErrors(stopErr, f.Stop())
 		close(stopped)
 	})
-	admin, err := newAdminServer(s.MetricsListen.String(), newRouterMux(reg, ready, service, f.Routers()[0].Members()))
+	admin, err := newAdminServer(s.MetricsListen.String(), newRouterMux(reg, ready, sloTracker, f.Routers()[0].Members()))
 	if err != nil {
 		return errors.CombineErrors(err, f.Stop())
 	}
--- a/internal/jsonc/document.go
+++ b/internal/jsonc/document.go
@@ -1,6 +1,6 @@
 // Package jsonc decodes JSON with comments and trailing commas into Go structs. It is strict,
 // and it reports all problems of a document at once, each with its file, line, column and
-// path.
+// path, so that a user can fix them in one pass.
 package jsonc
 
 import (
--- a/internal/jsonc/fields.go
+++ b/internal/jsonc/fields.go
@@ -115,8 +115,8 @@
 func unknownKeyMessage(key string, fields []field) string {
 	keys := fieldKeys(fields)
 	msg := "unknown key"
-	if near, ok := closestKey(key, keys); ok {
-		msg += fmt.Sprintf("; did you mean %q?", near)
+	if suggestion, ok := closestKey(key, keys); ok {
+		msg += fmt.Sprintf("; did you mean %q?", suggestion)
 	}
 	if len(keys) == 0 {
 		return msg + "; no keys are allowed here"
--- a/internal/jsonc/scalar.go
+++ b/internal/jsonc/scalar.go
@@ -118,8 +118,8 @@
 	bits := dst.Type().Bits()
 	n, err := strconv.ParseInt(numberText(v), 10, bits)
 	if err != nil {
-		low := int64(math.MinInt64) >> (64 - bits)
-		dec.wrongKind(v, path, fmt.Sprintf("a whole number from %d to %d", low, -(low+1)))
+		lowest := int64(math.MinInt64) >> (64 - bits)
+		dec.wrongKind(v, path, fmt.Sprintf("a whole number from %d to %d", lowest, -(lowest+1)))
 		return
 	}
 	dst.SetInt(n)
@@ -129,8 +129,8 @@
 	bits := dst.Type().Bits()
 	n, err := strconv.ParseUint(numberText(v), 10, bits)
 	if err != nil {
-		high := uint64(math.MaxUint64) >> (64 - bits)
-		dec.wrongKind(v, path, fmt.Sprintf("a whole number from 0 to %d", high))
+		highest := uint64(math.MaxUint64) >> (64 - bits)
+		dec.wrongKind(v, path, fmt.Sprintf("a whole number from 0 to %d", highest))
 		return
 	}
 	dst.SetUint(n)
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -22,11 +22,11 @@
 	// URL is the base URL of the engine.
 	URL  URL        `json:"url" jsonc:"required"`
 	Kind EngineKind `json:"kind"`
-	// Fenced reports whether the engine rejects orders with an outdated fencing number.
+	// Fenced states that the engine rejects orders with an outdated fencing number.
 	Fenced bool `json:"fenced"`
-	// Priorities reports whether it schedules requests by their stated priority.
+	// Priorities states that it schedules requests by their stated priority.
 	Priorities bool `json:"priorities"`
-	// Resume reports whether it can suspend a request and resume it later.
+	// Resume states that it can suspend a request and resume it later.
 	Resume bool `json:"resume"`
 }
 
--- a/internal/settings/enums.go
+++ b/internal/settings/enums.go
@@ -9,19 +9,19 @@
 )
 
 // parseEnum stores text in dst if it is one of the allowed values.
-func parseEnum[T ~string](dst *T, text []byte, words []T) error {
-	word := T(text)
-	if !slices.Contains(words, word) {
-		return errors.Newf("must be %s, not %q", quotedAlternatives(words), text)
+func parseEnum[T ~string](dst *T, text []byte, allowed []T) error {
+	value := T(text)
+	if !slices.Contains(allowed, value) {
+		return errors.Newf("must be %s, not %q", quotedAlternatives(allowed), text)
 	}
-	*dst = word
+	*dst = value
 	return nil
 }
 
 // quotedAlternatives formats values as `"a", "b" or "c"`.
-func quotedAlternatives[T ~string](words []T) string {
-	quoted := make([]string, len(words))
-	for i, w := range words {
+func quotedAlternatives[T ~string](values []T) string {
+	quoted := make([]string, len(values))
+	for i, w := range values {
 		quoted[i] = quote(string(w))
 	}
 	last := len(quoted) - 1
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -89,8 +89,8 @@
 
 // distinctAddress requires an address that doesn't overlap with the others.
 func distinctAddress(path string, a Address, others ...Address) rule {
-	taken := slices.ContainsFunc(others, a.overlaps)
-	return condition(path, !taken, "must be an address of its own; "+a.String()+" is listened on already")
+	inUse := slices.ContainsFunc(others, a.overlaps)
+	return condition(path, !inUse, "must be an address of its own; "+a.String()+" is listened on already")
 }
 
 // countBetween bounds the length of a list.
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -49,8 +49,8 @@
 	}
 	rows := rowsOfStruct(reflect.ValueOf(f).Elem(), "")
 	for i := range rows {
-		words := []string{allowed[rows[i].key], rows[i].allowed}
-		rows[i].allowed = strings.Join(slices.DeleteFunc(words, func(s string) bool { return s == "" }), "; each ")
+		parts := []string{allowed[rows[i].key], rows[i].allowed}
+		rows[i].allowed = strings.Join(slices.DeleteFunc(parts, func(s string) bool { return s == "" }), "; each ")
 	}
 	return rows
 }
@@ -59,15 +59,15 @@
 	var rows []row
 	for sf, value := range v.Fields() {
 		key, _, _ := strings.Cut(sf.Tag.Get("json"), ",")
-		sub := jsonc.Key(path, key)
+		fieldPath := jsonc.Key(path, key)
 		_, isText := reflect.New(sf.Type).Interface().(encoding.TextUnmarshaler)
 		switch {
 		case sf.Anonymous:
 			rows = append(rows, rowsOfStruct(value, path)...)
 		case sf.Type.Kind() == reflect.Struct && !isText:
-			rows = append(rows, rowsOfStruct(value, sub)...)
+			rows = append(rows, rowsOfStruct(value, fieldPath)...)
 		default:
-			rows = append(rows, rowOf(sf, value, sub))
+			rows = append(rows, rowOf(sf, value, fieldPath))
 		}
 	}
 	return rows
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -121,7 +121,7 @@
 func decode(doc *jsonc.Document, dst roleSettings, dir string) jsonc.Problems {
 	problems := doc.Decode(dst)
 	for _, r := range dst.rules() {
-		if !r.ok && !reported(problems, r.path) {
+		if !r.ok && !hasProblemAt(problems, r.path) {
 			problems = append(problems, doc.Problem(r.path, r.message))
 		}
 	}
@@ -132,9 +132,9 @@
 	return problems
 }
 
-// reported reports whether there is a problem at the path, within it or around it; a rule on
+// hasProblemAt reports whether there is a problem at the path, within it or around it; a rule on
 // the value would only repeat it.
-func reported(problems jsonc.Problems, path string) bool {
+func hasProblemAt(problems jsonc.Problems, path string) bool {
 	for _, p := range problems {
 		if isWithin(p.Path, path) || isWithin(path, p.Path) {
 			return true
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -40,11 +40,11 @@
 // problems checks a file and removes its folder from the messages.
 func problems(src string) []string {
 	path := write(src)
-	_, found := Check(path)
-	if len(found) == 0 {
+	_, reported := Check(path)
+	if len(reported) == 0 {
 		return nil
 	}
-	return strings.Split(strings.ReplaceAll(found.Error(), path, "s.jsonc"), "\n")
+	return strings.Split(strings.ReplaceAll(reported.Error(), path, "s.jsonc"), "\n")
 }
 
 var _ = Describe("Load", func() {
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -36,8 +36,8 @@
 	if !a.IsValid() || !b.IsValid() || a.Port() != b.Port() || a.Port() == 0 {
 		return false
 	}
-	wild := a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
-	return a.Addr() == b.Addr() || wild && a.Addr().Is4() == b.Addr().Is4()
+	unspecified := a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
+	return a.Addr() == b.Addr() || unspecified && a.Addr().Is4() == b.Addr().Is4()
 }
 
 // Allowed implements jsonc.Describer.
