--- a/internal/cli/examplecmd/examplecmd.go
+++ b/internal/cli/examplecmd/examplecmd.go
@@ -147,7 +147,7 @@
 	}
 	manifest, sections := bundle.Split(b)
 	if err := os.MkdirAll(filepath.Join(c.Dir, publishDir, "sections"), 0o700); err != nil {
-		return errors.Wrap(err, "example")
+		return errors.Wrap(err, "create the folder for sections")
 	}
 	for digest, text := range sections {
 		if err := c.write(filepath.Join(publishDir, rollout.KeySection(digest)), text); err != nil {
@@ -186,7 +186,7 @@
 func (c *Cmd) writePair(authority *identity.Authority, role identity.Role, name string) error {
 	pair, err := authority.Issue(role, name, validity-time.Hour)
 	if err != nil {
-		return errors.Wrapf(err, "certificate of %s", name)
+		return errors.Wrapf(err, "issue the certificate of %s", name)
 	}
 	return firstError(c.write(name+".crt", pair.CertPEM), c.write(name+".key", pair.KeyPEM))
 }
@@ -227,11 +227,11 @@
 }
 
 func (c *Cmd) write(name string, content []byte) error {
-	return errors.Wrap(os.WriteFile(filepath.Join(c.Dir, name), content, 0o600), "example")
+	return errors.Wrap(os.WriteFile(filepath.Join(c.Dir, name), content, 0o600), "write the example")
 }
 
 func render(t *template.Template, data any) ([]byte, error) {
 	var b bytes.Buffer
 	err := t.Execute(&b, data)
-	return b.Bytes(), errors.Wrap(err, "example")
+	return b.Bytes(), errors.Wrap(err, "render the template")
 }
--- a/internal/daemon/bundles.go
+++ b/internal/daemon/bundles.go
@@ -112,11 +112,11 @@
 func readBundle(file string) (rollout.WholeFile, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
-		return rollout.WholeFile{}, errors.Wrap(err, "bundle")
+		return rollout.WholeFile{}, errors.Wrap(err, "read the bundle")
 	}
 	sig, err := os.ReadFile(file + bundle.SignatureSuffix)
 	if err != nil {
-		return rollout.WholeFile{}, errors.Wrap(err, "bundle's signature")
+		return rollout.WholeFile{}, errors.Wrap(err, "read the bundle's signature")
 	}
 	return rollout.WholeFile{Source: string(src), Signature: string(sig)}, nil
 }
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -133,7 +133,7 @@
 	}
 	src, err := os.ReadFile(string(s.BundleFile))
 	if err != nil {
-		return bundle.Bundle{}, cli.BadInput(errors.Wrap(err, "bundle"))
+		return bundle.Bundle{}, cli.BadInput(errors.Wrap(err, "read the bundle"))
 	}
 	b, err := bundle.Parse(string(s.BundleFile), src)
 	if err != nil {
