--- a/cmd/coveferryd/main.go
+++ b/cmd/coveferryd/main.go
@@ -27,21 +27,21 @@
 	Settings string `arg:"" help:"Settings file, JSON with comments; see examples/settings/router.jsonc."`
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (c *roleCmd) Run(env *cli.Env) error { return daemon.Router(env, c.Settings) }
 
 type agentCmd struct {
 	Settings string `arg:"" help:"Settings file, JSON with comments; see examples/settings/agent.jsonc."`
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (c *agentCmd) Run(env *cli.Env) error { return daemon.Agent(env, c.Settings) }
 
 type directCmd struct {
 	MetricsPort int `help:"Port for metrics, on the VM's own address; 0 serves none." default:"0"`
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (c *directCmd) Run(env *cli.Env) error {
 	cfg, err := onplatform.Config(platform.SettingsPath(), c.MetricsPort)
 	if err != nil {
@@ -55,7 +55,7 @@
 	Listen   string `help:"IP and port for callers, in place of the settings'." placeholder:"IP:PORT"`
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (c *standaloneCmd) Run(env *cli.Env) error {
 	s := settings.DefaultStandalone()
 	if c.Settings != "" {
@@ -79,7 +79,7 @@
 	File string `arg:"" help:"Settings file of any role."`
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (c *checkSettingsCmd) Run(env *cli.Env) error {
 	role, problems := settings.Check(c.File)
 	if len(problems) > 0 {
--- a/internal/cli/benchcmd/benchcmd.go
+++ b/internal/cli/benchcmd/benchcmd.go
@@ -32,7 +32,7 @@
 // ListCmd lists the scenarios.
 type ListCmd struct{}
 
-// Run implements the command.
+// Run runs the command.
 func (*ListCmd) Run(env *cli.Env, k *kong.Context) error {
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
@@ -40,8 +40,8 @@
 	for _, s := range scenario.All() {
 		t.AppendRow(table.Row{s.Name, s.Seed, s.Doc})
 	}
-	for _, name := range measurements(k.Selected()) {
-		t.AppendRow(table.Row{name.Name, "", name.Help})
+	for _, command := range measurements(k.Selected()) {
+		t.AppendRow(table.Row{command.Name, "", command.Help})
 	}
 	_, err := fmt.Fprintln(env.Stdout, t.Render())
 	return errors.Wrap(err, "write the list")
@@ -67,7 +67,7 @@
 	Verbose  bool          `short:"v" help:"Log what happens to the fleet."`
 }
 
-// Run implements the command.
+// Run runs the command.
 func (c *RunCmd) Run(env *cli.Env) error {
 	o, err := c.options()
 	if err != nil {
@@ -81,7 +81,7 @@
 	}
 	result, err := runner.Run(env.Ctx, o)
 	if err != nil {
-		return markInvalidInput(err)
+		return markBadInput(err)
 	}
 	if err := c.write(env, result); err != nil {
 		return err
@@ -123,8 +123,8 @@
 	return zerolog.New(zerolog.ConsoleWriter{Out: env.Stderr}).Level(level).With().Timestamp().Logger()
 }
 
-// markInvalidInput marks errors that are caused by the flags.
-func markInvalidInput(err error) error {
+// markBadInput marks errors that are caused by the flags.
+func markBadInput(err error) error {
 	for _, invalid := range []error{bench.ErrInvalid, bench.ErrUnknownPolicy, bench.ErrUnsupported} {
 		if errors.Is(err, invalid) {
 			return cli.BadInput(err)
--- a/internal/cli/benchcmd/benchcmd_test.go
+++ b/internal/cli/benchcmd/benchcmd_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestInvalidInputExitCode(t *testing.T) {
+func TestBadInputExitCode(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, args := range [][]string{
 		{"nope"},
--- a/internal/cli/benchcmd/teamlimit.go
+++ b/internal/cli/benchcmd/teamlimit.go
@@ -18,7 +18,7 @@
 	Duration time.Duration `default:"10s" help:"How long load counts, for each size and way."`
 }
 
-// Run implements the command.
+// Run runs the command.
 func (c *TeamLimitCmd) Run(env *cli.Env) error {
 	o := teamlimit.Options{Routers: c.Routers, Limit: c.Limit, Duration: c.Duration}
 	log := zerolog.New(zerolog.ConsoleWriter{Out: env.Stderr}).Level(zerolog.WarnLevel)
--- a/internal/cli/bundlecmd/bundlecmd_test.go
+++ b/internal/cli/bundlecmd/bundlecmd_test.go
@@ -53,8 +53,8 @@
 	return r
 }
 
-// runInvalid runs a command whose input is invalid and returns its error message.
-func runInvalid(args ...string) string {
+// runBadInput runs a command whose input is invalid and returns its error message.
+func runBadInput(args ...string) string {
 	GinkgoHelper()
 	r := run(args...)
 	Expect(cli.ExitCode(r.err)).To(Equal(cli.ExitUsage), "%v", r.err)
@@ -93,7 +93,7 @@
 		It("doesn't overwrite files", func() {
 			runOK("init", file)
 			before, _ := os.ReadFile(file)
-			Expect(runInvalid("init", file)).To(ContainSubstring("not overwritten"))
+			Expect(runBadInput("init", file)).To(ContainSubstring("not overwritten"))
 			Expect(os.ReadFile(file)).To(Equal(before))
 		})
 	})
@@ -103,7 +103,7 @@
 			runOK("init", file, issued)
 			edit(file, `"slots": 16`, `"slots": 0`)
 			edit(file, `"domain-b"`, `"domain-a"`)
-			lines := strings.Split(runInvalid("check", file), "\n")
+			lines := strings.Split(runBadInput("check", file), "\n")
 			Expect(lines).To(HaveExactElements(
 				MatchRegexp(`^.*b\.jsonc:\d+:\d+: endpoints\[0\]\.slots: 0 is outside`),
 				MatchRegexp(`^.*b\.jsonc:\d+:\d+: endpoints\[1\]\.slots: 0 is outside`),
@@ -122,7 +122,7 @@
 		})
 
 		It("reports a missing file by name", func() {
-			Expect(runInvalid("check", file)).To(ContainSubstring(file))
+			Expect(runBadInput("check", file)).To(ContainSubstring(file))
 		})
 	})
 
@@ -132,9 +132,9 @@
 			info, err := os.Stat(key)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(info.Mode().Perm()).To(Equal(os.FileMode(0o600)))
-			Expect(runInvalid("keygen", key)).To(ContainSubstring("not overwritten"))
+			Expect(runBadInput("keygen", key)).To(ContainSubstring("not overwritten"))
 			Expect(os.Remove(pub)).To(Succeed())
-			Expect(runInvalid("keygen", key)).To(ContainSubstring("not overwritten"))
+			Expect(runBadInput("keygen", key)).To(ContainSubstring("not overwritten"))
 			Expect(pub).NotTo(BeAnExistingFile(), "a public key without its secret key")
 		})
 	})
@@ -158,18 +158,18 @@
 			edit(newer, `"version": 1`, `"version": 2`)
 			runOK("keygen", other)
 
-			Expect(runInvalid("verify", file, "--pubkey", pub, expired)).To(MatchRegexp(`^.*b\.jsonc: .*version 1 expired at`))
-			Expect(runInvalid("verify", file, "--pubkey", other+".pub", issued)).To(ContainSubstring("not a trusted one"))
-			Expect(runInvalid("verify", file, "--pubkey", pub, issued, "--current", newer)).To(ContainSubstring("version 1 is older than version 2"))
+			Expect(runBadInput("verify", file, "--pubkey", pub, expired)).To(MatchRegexp(`^.*b\.jsonc: .*version 1 expired at`))
+			Expect(runBadInput("verify", file, "--pubkey", other+".pub", issued)).To(ContainSubstring("not a trusted one"))
+			Expect(runBadInput("verify", file, "--pubkey", pub, issued, "--current", newer)).To(ContainSubstring("version 1 is older than version 2"))
 			edit(file, "gold", "g0ld")
-			Expect(runInvalid("verify", file, "--pubkey", pub, issued)).To(MatchRegexp(`^.*b\.jsonc: .*signature does not match[^\n]*$`))
+			Expect(runBadInput("verify", file, "--pubkey", pub, issued)).To(MatchRegexp(`^.*b\.jsonc: .*signature does not match[^\n]*$`))
 		})
 
 		It("rejects a secret key that others can read, and an invalid bundle", func() {
 			edit(file, `"slots": 16`, `"slots": 0`)
-			Expect(runInvalid("sign", file, "--key", key)).To(ContainSubstring("endpoints[1].slots"))
+			Expect(runBadInput("sign", file, "--key", key)).To(ContainSubstring("endpoints[1].slots"))
 			Expect(os.Chmod(key, 0o640)).To(Succeed())
-			Expect(runInvalid("sign", file, "--key", key)).To(ContainSubstring("mode 0640"))
+			Expect(runBadInput("sign", file, "--key", key)).To(ContainSubstring("mode 0640"))
 		})
 	})
 
@@ -214,7 +214,7 @@
 			Expect(r.stdout).To(MatchRegexp(`changed +│ team +│ teams\["example"\]\.limits\.concurrency +│ 50 +│ 70`))
 			Expect(r.stderr).To(ContainSubstring("needs a higher version"))
 			edit(newer, `"concurrency": 70`, `"concurrency": -1`)
-			Expect(runInvalid("diff", file, newer)).To(ContainSubstring("limits.concurrency: -1 is outside"))
+			Expect(runBadInput("diff", file, newer)).To(ContainSubstring("limits.concurrency: -1 is outside"))
 		})
 
 		It("explains a request", func() {
@@ -223,7 +223,7 @@
 			Expect(r.stdout).To(And(ContainSubstring("standard (rank 2 of 2"), ContainSubstring("domain-b: engine-2")))
 			r = runOK("explain", file, "--team=example", "--model=example-model", "--json")
 			Expect(r.stdout).To(And(ContainSubstring(`"class": "interactive"`), ContainSubstring(`"first_token": "1s"`)))
-			Expect(runInvalid("explain", file, "--team=exampel", "--model=example-model")).To(ContainSubstring(`no team "exampel"; it defines example`))
+			Expect(runBadInput("explain", file, "--team=exampel", "--model=example-model")).To(ContainSubstring(`no team "exampel"; it defines example`))
 		})
 	})
 })
--- a/internal/cli/bundlecmd/check.go
+++ b/internal/cli/bundlecmd/check.go
@@ -15,7 +15,7 @@
 	jsonFlag
 }
 
-// Help implements kong's HelpProvider.
+// Help implements kong.HelpProvider.
 func (*checkCmd) Help() string {
 	return `Reports all faults at once, one a line, as FILE:LINE:COLUMN: path: message, and
 exits with code 2 if there are any. Warnings, such as a model whose endpoints
--- a/internal/cli/bundlecmd/diff.go
+++ b/internal/cli/bundlecmd/diff.go
@@ -19,7 +19,7 @@
 	jsonFlag
 }
 
-// Help implements kong's HelpProvider.
+// Help implements kong.HelpProvider.
 func (*diffCmd) Help() string {
 	return `Compares what the bundles mean, not how they are written: comments, layout and
 the order of teams, endpoints and so on make no difference, but the order of
--- a/internal/cli/bundlecmd/explain.go
+++ b/internal/cli/bundlecmd/explain.go
@@ -15,7 +15,7 @@
 	jsonFlag
 }
 
-// Help implements kong's HelpProvider.
+// Help implements kong.HelpProvider.
 func (*explainCmd) Help() string {
 	return `Tells which tier and latency targets the request gets, which endpoints of which
 failure domains may answer it, and which limits bind the team; or why the
--- a/internal/cli/bundlecmd/init.go
+++ b/internal/cli/bundlecmd/init.go
@@ -25,7 +25,7 @@
 	timeFlag
 }
 
-// Help implements kong's HelpProvider.
+// Help implements kong.HelpProvider.
 func (*initCmd) Help() string {
 	return `Writes a small bundle with a comment on each part, which passes "check" as it
 stands. It holds one team, whose key is made at random and printed once; the
--- a/internal/cli/bundlecmd/keygen.go
+++ b/internal/cli/bundlecmd/keygen.go
@@ -23,7 +23,7 @@
 	Pubkey string `help:"File for the public key; the default is the secret key's name and \".pub\"." placeholder:"FILE"`
 }
 
-// Help implements kong's HelpProvider.
+// Help implements kong.HelpProvider.
 func (*keygenCmd) Help() string {
 	return `Writes an Ed25519 key pair in minisign's format. The secret key signs bundles;
 its file is readable by its owner only and belongs into no repository. The
--- a/internal/cli/bundlecmd/sign.go
+++ b/internal/cli/bundlecmd/sign.go
@@ -15,7 +15,7 @@
 	Split     string `help:"Directory for the bundle in sections, with a signed manifest." placeholder:"DIR"`
 }
 
-// Help implements kong's HelpProvider.
+// Help implements kong.HelpProvider.
 func (*signCmd) Help() string {
 	return `Checks the bundle as "check" does and writes its signature to a file beside it,
 in place of an earlier one. The signature covers every byte of the file, so any
--- a/internal/cli/bundlecmd/verify.go
+++ b/internal/cli/bundlecmd/verify.go
@@ -19,7 +19,7 @@
 	jsonFlag
 }
 
-// Help implements kong's HelpProvider.
+// Help implements kong.HelpProvider.
 func (*verifyCmd) Help() string {
 	return `Takes the daemons' own decision: the signature must be made by a trusted key over
 exactly these bytes, the bundle must pass its check and must not have expired.
--- a/internal/cli/capacitycmd/capacitycmd.go
+++ b/internal/cli/capacitycmd/capacitycmd.go
@@ -65,14 +65,14 @@
 func (c *Cmd) reports() ([]capacity.Report, error) {
 	sizes, in, err := c.inputs()
 	if err != nil {
-		return nil, markInvalidInput(err)
+		return nil, markBadInput(err)
 	}
 	reports := make([]capacity.Report, len(sizes))
 	for i, size := range sizes {
 		in.Size = size
 		reports[i], err = capacity.Build(in)
 		if err != nil {
-			return nil, markInvalidInput(err)
+			return nil, markBadInput(err)
 		}
 	}
 	return reports, nil
@@ -106,8 +106,8 @@
 	return decode(file, src)
 }
 
-// markInvalidInput marks errors that are caused by the user's input.
-func markInvalidInput(err error) error {
+// markBadInput marks errors that are caused by the user's input.
+func markBadInput(err error) error {
 	if errors.Is(err, capacity.ErrBadInput) || errors.Is(err, capacity.ErrNoSlope) {
 		return cli.BadInput(err)
 	}
--- a/internal/cli/capacitycmd/capacitycmd_test.go
+++ b/internal/cli/capacitycmd/capacitycmd_test.go
@@ -88,7 +88,7 @@
 	g.Expect(reports[0].Rows).To(gomega.ContainElement(gomega.HaveField("ID", "router.conns.mesh")))
 }
 
-func TestInvalidInputExitCode(t *testing.T) {
+func TestBadInputExitCode(t *testing.T) {
 	g := gomega.NewWithT(t)
 	bad := filepath.Join(t.TempDir(), "size.jsonc")
 	g.Expect(os.WriteFile(bad, []byte(`{"sizes": [{"id": "x", "nodes": 1}]}`), 0o600)).To(gomega.Succeed())
--- a/internal/cli/capacitycmd/layout.go
+++ b/internal/cli/capacitycmd/layout.go
@@ -15,12 +15,12 @@
 	endMarker   = "<!-- end: %s -->"
 )
 
-// marker returns the name of a table in its markers.
-func marker(size string, t capacity.Table) string { return size + "/" + t.ID }
+// markerName returns the name of a table in its markers.
+func markerName(size string, t capacity.Table) string { return size + "/" + t.ID }
 
 // renderMarkdown formats a table as Markdown between its markers.
 func renderMarkdown(size string, t capacity.Table) string {
-	name := marker(size, t)
+	name := markerName(size, t)
 	return fmt.Sprintf(beginMarker+"\n\n%s\n\n"+endMarker+"\n", name, newTable(t).RenderMarkdown(), name)
 }
 
--- a/internal/cli/examplecmd/examplecmd.go
+++ b/internal/cli/examplecmd/examplecmd.go
@@ -22,14 +22,14 @@
 
 // Constants of the example deployment.
 const (
-	callerKey   = "example-key"
-	validity    = 365 * 24 * time.Hour
-	routerPort  = 8081 // port of the first router; the others use the following ports
-	agentPort   = 7411
-	enginePort  = 8001
-	controlStep = 1000 // offset from a process's port to its control port
-	metricsStep = 2000 // offset to its metrics port
-	configPort  = 8500
+	callerKey     = "example-key"
+	validity      = 365 * 24 * time.Hour
+	routerPort    = 8081 // port of the first router; the others use the following ports
+	agentPort     = 7411
+	enginePort    = 8001
+	controlOffset = 1000 // offset from a process's port to its control port
+	metricsOffset = 2000 // offset to its metrics port
+	configPort    = 8500
 	// publishDir is the folder that the configuration service serves.
 	publishDir   = "published"
 	operatorName = "operator"
@@ -43,7 +43,7 @@
 	Agents  int    `default:"3" help:"Number of agents, each with a stand-in engine."`
 }
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (*Cmd) Help() string {
 	return `Writes keys, a signed bundle and the settings of routers and agents that run on
 this machine's loopback interface, and prints the commands that start them.
@@ -67,7 +67,7 @@
 	Routers, Agents []process
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (c *Cmd) Run(env *cli.Env) error {
 	if err := os.Mkdir(c.Dir, 0o700); err != nil {
 		return cli.BadInput(errors.Wrap(err, "the folder must be new"))
@@ -109,8 +109,8 @@
 		Name:          fmt.Sprintf("%s-%d", name, i+1),
 		FailureDomain: fmt.Sprintf("domain-%c", 'a'+i%domainCount),
 		Listen:        address(port + i),
-		Control:       address(port + i + controlStep),
-		Metrics:       address(port + i + metricsStep),
+		Control:       address(port + i + controlOffset),
+		Metrics:       address(port + i + metricsOffset),
 		BundleKey:     bundleKey,
 		ConfigService: "http://" + address(configPort),
 	}
--- a/internal/cli/keyscmd/files.go
+++ b/internal/cli/keyscmd/files.go
@@ -18,7 +18,7 @@
 	maxDays    = 36500
 )
 
-func parseValidity(days int) (time.Duration, error) {
+func validityFromDays(days int) (time.Duration, error) {
 	if days < 1 || days > maxDays {
 		return 0, cli.BadInput(errors.Newf("--days is %d; write 1 to %d", days, maxDays))
 	}
--- a/internal/cli/keyscmd/keyscmd.go
+++ b/internal/cli/keyscmd/keyscmd.go
@@ -40,7 +40,7 @@
 	Days int    `help:"How many days the authority lasts." default:"1825"`
 }
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (AuthorityCmd) Help() string {
 	return `Writes the authority's certificate, which every process needs as its CA file,
 and its private key, which only 'keys issue' needs: keep it off the VMs. Whoever
@@ -53,7 +53,7 @@
 
 // Run creates the authority.
 func (c *AuthorityCmd) Run(env *cli.Env) error {
-	validity, err := parseValidity(c.Days)
+	validity, err := validityFromDays(c.Days)
 	if err != nil {
 		return err
 	}
@@ -82,7 +82,7 @@
 	Days      int    `help:"How many days the certificate lasts." default:"90"`
 }
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (IssueCmd) Help() string {
 	return `Signs a certificate that says the process's role and name. The role decides what
 the process may call; host names and addresses play no part.
@@ -96,7 +96,7 @@
 
 // Run issues the certificate.
 func (c *IssueCmd) Run(env *cli.Env) error {
-	validity, err := parseValidity(c.Days)
+	validity, err := validityFromDays(c.Days)
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 	File string `arg:"" help:"A certificate file; a CA file may hold several."`
 }
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (ShowCmd) Help() string {
 	return `Prints one line for each certificate in the file. It exits with 1 when one of
 them has ended or not yet begun.`
--- a/internal/cli/keyscmd/keyscmd_test.go
+++ b/internal/cli/keyscmd/keyscmd_test.go
@@ -74,7 +74,7 @@
 	g.Expect(os.ReadFile(ca + ".crt")).To(gomega.BeEquivalentTo("mine"))
 }
 
-func TestInvalidInputExitCode(t *testing.T) {
+func TestBadInputExitCode(t *testing.T) {
 	dir := t.TempDir()
 	g := gomega.NewWithT(t)
 	ca := filepath.Join(dir, "ca")
--- a/internal/cli/main.go
+++ b/internal/cli/main.go
@@ -17,14 +17,14 @@
 // command in a program's grammar.
 type Completion struct{}
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (Completion) Help() string {
 	return `Put this line in your shell's start file (bash, or zsh with bashcompinit):
 
   eval "$(coveferryctl completion)"`
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (Completion) Run(env *Env, k *kong.Kong) error {
 	path, err := os.Executable()
 	if err != nil {
--- a/internal/cli/memberscmd/memberscmd.go
+++ b/internal/cli/memberscmd/memberscmd.go
@@ -22,7 +22,7 @@
 	Timeout time.Duration `help:"How long to wait for each router." default:"5s"`
 }
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (Cmd) Help() string {
 	return `Shows what each router makes of the endpoints: live ones get work, suspect ones
 only where nothing else is left, leaving and gone ones none.
@@ -72,7 +72,7 @@
 	}
 	urls := make([]string, len(c.Router))
 	for i, raw := range c.Router {
-		u, err := cli.PageURL("router", raw, membership.Path)
+		u, err := cli.AdminURL("router", raw, membership.Path)
 		if err != nil {
 			return nil, err
 		}
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// output is the output of --json.
+// output is the JSON document that --json prints.
 type output struct {
 	Routers []membership.Page `json:"routers"`
 }
--- a/internal/cli/memberscmd/memberscmd_test.go
+++ b/internal/cli/memberscmd/memberscmd_test.go
@@ -16,7 +16,7 @@
 	"coveferry/internal/units"
 )
 
-// startRouter serves a snapshot with one leaving endpoint.
+// startRouter serves a members page with one leaving endpoint.
 func startRouter(t *testing.T) string {
 	age := units.Duration(1400 * time.Millisecond)
 	page := membership.Page{
@@ -60,14 +60,14 @@
 		"router r1 at 2026-03-01T08:00:00Z; list of VMs 1s old; 0 live; 1 leaving; 0 suspect; 0 gone\n\n"))
 }
 
-// An unreachable router must be reported, and the others must still be shown.
-func TestReportsUnreachableRouter(t *testing.T) {
+// A router that answers with an error must be reported, and the others must still be shown.
+func TestReportsFailingRouter(t *testing.T) {
 	g := NewWithT(t)
-	unreachable := httptest.NewServer(http.NotFoundHandler())
-	t.Cleanup(unreachable.Close)
-	o := run(t, "--router="+unreachable.URL, "--router="+startRouter(t), "--json")
+	failing := httptest.NewServer(http.NotFoundHandler())
+	t.Cleanup(failing.Close)
+	o := run(t, "--router="+failing.URL, "--router="+startRouter(t), "--json")
 	g.Expect(o.code).To(Equal(cli.ExitFailure))
-	g.Expect(o.stderr.String()).To(ContainSubstring(unreachable.URL))
+	g.Expect(o.stderr.String()).To(ContainSubstring(failing.URL))
 	var got output
 	g.Expect(json.Unmarshal(o.stdout.Bytes(), &got)).To(Succeed())
 	g.Expect(got.Routers).To(HaveLen(1))
--- a/internal/cli/pathcmd/pathcmd.go
+++ b/internal/cli/pathcmd/pathcmd.go
@@ -22,7 +22,7 @@
 	Part     bool          `hidden:"" help:"Be one part of the measurement, as the measuring process orders on the standard input."`
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (c *Cmd) Run(env *cli.Env) error {
 	if c.Part {
 		return path.ServePart(env.Stdin, env.Stdout)
--- a/internal/cli/rolloutcmd/bench.go
+++ b/internal/cli/rolloutcmd/bench.go
@@ -35,7 +35,7 @@
 	benchFlags
 }
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (*RolloutCmd) Help() string {
 	return `Runs processes in this one over loopback sockets, publishes a version at each
 interval, restarts some processes meanwhile, and reports calls at the service,
@@ -51,14 +51,14 @@
 	benchFlags
 }
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (*StaleCmd) Help() string {
 	return `As "bench rollout", but each failure domain has one of three servers of the
 configuration service. One is stuck at an old version and one is down.`
 }
 
-// Run measures with a configuration service that is stale in one failure domain and
-// unavailable in another.
+// Run measures with three configuration servers, of which one is stale and one is down; each
+// failure domain uses one of them.
 func (c *StaleCmd) Run(env *cli.Env) error { return c.measure(env, measure.TroubleStale) }
 
 // result is the JSON output.
--- a/internal/cli/rolloutcmd/status.go
+++ b/internal/cli/rolloutcmd/status.go
@@ -39,7 +39,7 @@
 	Strict   bool          `help:"Exit with 1 when a process lags or wasn't heard of."`
 }
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (StatusCmd) Help() string {
 	return `Asks the routers, and one process of each further failure domain, what they know
 of the processes of their own failure domain. What is known of a process is as old
--- a/internal/cli/slocmd/slocmd.go
+++ b/internal/cli/slocmd/slocmd.go
@@ -35,7 +35,7 @@
 	KeyFile  string        `help:"The operator's key, for https." and:"tls" placeholder:"FILE"`
 }
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (Cmd) Help() string {
 	return `Reads the report of each router, adds up their counts and works out the burn
 rates from the sums. A burn rate of 1 uses up the error budget exactly; 14.4 uses
@@ -77,7 +77,7 @@
 	}
 	urls := make([]string, len(c.Router))
 	for i, raw := range c.Router {
-		u, err := cli.PageURL("router", raw, slo.Path)
+		u, err := cli.AdminURL("router", raw, slo.Path)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/cli/slopescmd/slopescmd.go
+++ b/internal/cli/slopescmd/slopescmd.go
@@ -18,8 +18,8 @@
 	"coveferry/internal/cli"
 )
 
-// commandName is the command line in the report's Command field, as mounted in coveferryctl.
-const commandName = "coveferryctl bench slopes --json"
+// baseCommandLine is the command line in the report's Command field, as mounted in coveferryctl.
+const baseCommandLine = "coveferryctl bench slopes --json"
 
 // Cmd measures the slopes on this machine.
 type Cmd struct {
@@ -62,7 +62,7 @@
 
 // commandLine returns the command with the flags that affect the measurement.
 func (c *Cmd) commandLine() string {
-	args := commandName
+	args := baseCommandLine
 	if c.Repeats != slopes.DefaultRepeats {
 		args += fmt.Sprintf(" --repeats=%d", c.Repeats)
 	}
@@ -76,7 +76,7 @@
 }
 
 // newRun adds the machine and the date to measured slopes.
-func newRun(measured []capacity.Slope, args string, now time.Time) (capacity.Run, error) {
+func newRun(measured []capacity.Slope, commandLine string, now time.Time) (capacity.Run, error) {
 	var info syscall.Sysinfo_t
 	if err := syscall.Sysinfo(&info); err != nil {
 		return capacity.Run{}, errors.Wrap(err, "read the memory's size")
@@ -89,7 +89,7 @@
 			Platform:    runtime.GOOS + "/" + runtime.GOARCH,
 		},
 		Date:    now.UTC().Format(time.DateOnly),
-		Command: args,
+		Command: commandLine,
 		Slopes:  measured,
 	}, nil
 }
--- a/internal/cli/soakcmd/soakcmd.go
+++ b/internal/cli/soakcmd/soakcmd.go
@@ -32,7 +32,7 @@
 	Kept      bool          `help:"Run the seeds that once failed."`
 }
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (*Cmd) Help() string {
 	return `Runs the real daemon as separate processes on loopback, with stand-ins of the
 platform's store and replicas, injects faults from outside by signals and proxies,
@@ -40,7 +40,7 @@
 a promise was broken.`
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (c *Cmd) Run(env *cli.Env) error {
 	if c.List {
 		return printKeptSeeds(env.Stdout)
@@ -109,7 +109,7 @@
 }
 
 // daemonPath returns the path of the daemon that is run as routers. With `go run` there is no
-// daemon next to this program.
+// daemon next to this program, so the error explains how to build it.
 func (c *Cmd) daemonPath(tool string) (string, error) {
 	daemon := c.Daemon
 	if daemon == "" {
@@ -124,7 +124,7 @@
 
 // runSeed runs one seed with the program paths and the directory of o, and returns the number
 // of violations.
-func (c *Cmd) runSeed(env *cli.Env, seed uint64, o soak.Options) (broken int, err error) {
+func (c *Cmd) runSeed(env *cli.Env, seed uint64, o soak.Options) (violations int, err error) {
 	o.Seed, o.For, o.Routers, o.Endpoints, o.Callers = seed, c.For, c.Routers, c.Endpoints, c.Callers
 	o.Wire, o.Progress = platformtest.NewSoak(), env.Stderr
 	if c.Quiet {
--- a/internal/cli/soakcmd/soakcmd_test.go
+++ b/internal/cli/soakcmd/soakcmd_test.go
@@ -12,8 +12,9 @@
 	"coveferry/internal/cli"
 )
 
-// `go run ./cmd/coveferryctl soak` once failed with a bare fork/exec error, since the
-// temporary folder in which `go run` builds the program doesn't contain the daemon.
+// The error must say how to build the daemon: the temporary folder in which `go run` builds
+// the program doesn't contain it, and without the check the command fails with a bare
+// fork/exec error.
 func TestMissingDaemonErrorExplainsBuild(t *testing.T) {
 	g := NewWithT(t)
 	missing := filepath.Join(t.TempDir(), "coveferryd")
--- a/internal/cli/standincmd/configservice.go
+++ b/internal/cli/standincmd/configservice.go
@@ -25,14 +25,14 @@
 // minPollInterval is the shortest interval at which the folder is polled.
 const minPollInterval = 10 * time.Millisecond
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (*ConfigServiceCmd) Help() string {
 	return `Publishes the files of a folder, and again those that change. "coveferryctl bundle
 sign --split DIR" writes such a folder; the processes' setting config_service is
 the URL printed here.`
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (c *ConfigServiceCmd) Run(env *cli.Env) error {
 	if c.Poll < minPollInterval {
 		return cli.BadInput(errors.Newf("--poll is %s; write %s or more", c.Poll, minPollInterval))
--- a/internal/cli/standincmd/replica.go
+++ b/internal/cli/standincmd/replica.go
@@ -17,7 +17,7 @@
 	Cold   time.Duration `default:"0s" help:"For how long after its start it says that it is cold."`
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (c *ReplicaCmd) Run(env *cli.Env) error {
 	replica := &platformtest.Replica{ID: c.Name, Events: c.Events, Pause: c.Pause, Record: env.Stdout, Crash: crash, ColdUntil: time.Now().Add(c.Cold)}
 	return serve(env, c.Listen, replica)
--- a/internal/cli/standincmd/standincmd.go
+++ b/internal/cli/standincmd/standincmd.go
@@ -37,7 +37,7 @@
 	Fenced      bool          `help:"Refuse orders with an old fencing number."`
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (c *EngineCmd) Run(env *cli.Env) error {
 	e := engine.New(engine.Config{
 		Models: c.Model, Slots: c.Slots, TokenTime: c.TokenTime,
@@ -52,7 +52,7 @@
 	ServiceTime time.Duration `default:"20ms" help:"Time of a call."`
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (c *ServiceCmd) Run(env *cli.Env) error {
 	return serve(env, c.Listen, service.New(service.Config{ServiceTime: c.ServiceTime}).Handler())
 }
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -26,14 +26,14 @@
 	"coveferry/internal/telemetry"
 )
 
-// resumeFactor times the bundle's request limit bounds an attempt's body at an agent: the
-// router enforces the limit, and a resumed request also carries the response so far.
+// An agent accepts attempt bodies of up to resumeFactor times the bundle's request limit: the
+// router enforces that limit, and a resumed request also carries the response so far.
 const resumeFactor = 2
 
 // Agent runs an agent with a settings file until the environment's context ends. It then
 // refuses new attempts and finishes the running ones.
 func Agent(env *cli.Env, settingsFile string) error {
-	setGCPercent(defaultGCPercent)
+	setGCPercent(routerAgentGCPercent)
 	s, err := settings.LoadAgent(settingsFile)
 	if err != nil {
 		return cli.BadInput(err)
@@ -63,7 +63,7 @@
 	placementRunner := newPlacement(s, id, reg, log)
 	announcer := newAnnouncer(ag, bundles.node.Snapshot, id, log)
 	announcement := membership.NewGoodbye(announcer)
-	routerServer, err := newRouterServer(s, announcer.Wrap(placementRunner.Wrap(ag.Handler())), id, log)
+	attemptServer, err := newAttemptServer(s, announcer.Wrap(placementRunner.Wrap(ag.Handler())), id, log)
 	if err != nil {
 		return err
 	}
@@ -78,21 +78,21 @@
 	var g run.Group
 	var stopErr error
 	addContextActor(&g, env.Ctx)
-	addServer(&g, routerServer, func() error {
+	addServer(&g, attemptServer, func() error {
 		log.Info().Msg("stopping: refusing new attempts and finishing running ones")
 		ready.Close(gateServing)
-		return agentPlan(s.Shutdown).Run(startDrain(ag, placementRunner, announcement), handOver(ag, log), routerServer.Stop)
+		return agentPlan(s.Shutdown).Run(startDrain(ag, placementRunner, announcement), handOver(ag, log), attemptServer.Stop)
 	}, &stopErr)
 	addServer(&g, admin, admin.Stop, &stopErr)
 	addIdentity(&g, id, log)
 	addKeys(&g, ag)
 	bundles.node.Register(controlServer)
-	bundles.subscribe(notifyAll(applyBundle(ag, string(s.Endpoint), log), followPlacement(placementRunner)))
+	bundles.subscribe(notifyAll(applyBundle(ag, string(s.Endpoint), log), applyPlacement(placementRunner)))
 	addRunner(&g, placementRunner.Run)
 	addControl(&g, controlServer, &stopErr)
 	addBundles(&g, bundles)
 	ready.Open(gateServing)
-	log.Info().Str("listen", routerServer.Addr()).Uint64(logging.FieldBundle, snapshot.Version()).Msg("serving")
+	log.Info().Str("listen", attemptServer.Addr()).Uint64(logging.FieldBundle, snapshot.Version()).Msg("serving")
 	return errors.CombineErrors(g.Run(), stopErr)
 }
 
@@ -157,7 +157,7 @@
 	return nil, cli.BadInput(errors.Newf("bundle %d has no endpoint %q", snapshot.Version(), name))
 }
 
-func newRouterServer(s *settings.Agent, h http.Handler, id *identity.Identity, log zerolog.Logger) (*server.Server, error) {
+func newAttemptServer(s *settings.Agent, h http.Handler, id *identity.Identity, log zerolog.Logger) (*server.Server, error) {
 	l, err := net.Listen("tcp", s.Listen.String())
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for routers")
@@ -187,11 +187,11 @@
 
 // startDrain returns a function that makes the agent refuse new attempts and notify the
 // routers while refusals are still sent.
-func startDrain(ag *agent.Agent, orders *placement.Runner, g *membership.Goodbye) func() {
+func startDrain(ag *agent.Agent, runner *placement.Runner, announcement *membership.Goodbye) func() {
 	return func() {
-		orders.Leave()
+		runner.Leave()
 		ag.Leave()
-		g.Say()
+		announcement.Say()
 	}
 }
 
--- a/internal/daemon/bundles.go
+++ b/internal/daemon/bundles.go
@@ -26,8 +26,8 @@
 // bundleTopic is the topic of the bundle's status on /readyz.
 const bundleTopic = "bundle"
 
-// bundles keeps a process's bundle up to date.
-type bundles struct {
+// bundleReceiver keeps a process's bundle up to date.
+type bundleReceiver struct {
 	node     *rollout.Node
 	services []*rollout.Service
 	log      zerolog.Logger
@@ -42,10 +42,10 @@
 // startBundles loads the bundle file from the settings, if one is set, and starts receiving
 // newer versions. The caller must call stop, unless the run group to which the bundles are
 // added does so.
-func startBundles(s settings.Process, id *identity.Identity, reg prometheus.Registerer, ready *telemetry.Readiness, log zerolog.Logger) (*bundles, error) {
+func startBundles(s settings.Process, id *identity.Identity, reg prometheus.Registerer, ready *telemetry.Readiness, log zerolog.Logger) (*bundleReceiver, error) {
 	traffic := &control.Traffic{}
 	traffic.RegisterMetrics(reg)
-	b := &bundles{log: log, ready: make(chan struct{}), done: make(chan struct{})}
+	b := &bundleReceiver{log: log, ready: make(chan struct{}), done: make(chan struct{})}
 	for _, u := range s.ConfigService {
 		base, err := url.Parse(u.String())
 		if err != nil {
@@ -80,7 +80,7 @@
 	return b, nil
 }
 
-func (b *bundles) run(ctx context.Context) {
+func (b *bundleReceiver) run(ctx context.Context) {
 	defer close(b.done)
 	_ = b.node.Run(ctx) // it ends with ctx, without an error
 	for _, s := range b.services {
@@ -90,7 +90,7 @@
 
 // loadFile loads the bundle file. An expired bundle is only used as a list of processes to
 // contact.
-func (b *bundles) loadFile(s settings.Process) error {
+func (b *bundleReceiver) loadFile(s settings.Process) error {
 	if s.BundleFile == "" {
 		return nil
 	}
@@ -123,7 +123,7 @@
 
 // waitForFirst waits until there is a usable bundle: one that other processes confirm or,
 // after a bounded wait, the local one. It returns nil if ctx ends first.
-func (b *bundles) waitForFirst(ctx context.Context) *bundle.Snapshot {
+func (b *bundleReceiver) waitForFirst(ctx context.Context) *bundle.Snapshot {
 	started := time.Now()
 	b.log.Info().Msg("waiting for a bundle")
 	select {
@@ -139,14 +139,14 @@
 }
 
 // subscribe calls onSnapshot with the current bundle and with each later one.
-func (b *bundles) subscribe(onSnapshot func(*bundle.Snapshot)) {
+func (b *bundleReceiver) subscribe(onSnapshot func(*bundle.Snapshot)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.onSnapshot = onSnapshot
 	onSnapshot(b.node.Snapshot())
 }
 
-func (b *bundles) apply(s *bundle.Snapshot) {
+func (b *bundleReceiver) apply(s *bundle.Snapshot) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.onSnapshot != nil {
@@ -155,7 +155,7 @@
 }
 
 // addBundles adds the actor that keeps the bundle up to date.
-func addBundles(g *run.Group, b *bundles) {
+func addBundles(g *run.Group, b *bundleReceiver) {
 	g.Add(func() error { <-b.done; return nil }, func(error) { b.stop() })
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -51,7 +51,7 @@
 func newAdminServer(address string, h http.Handler) (*server.Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Wrap(err, "listen for metrics")
+		return nil, errors.Wrap(err, "listen for metrics and readiness")
 	}
 	return server.New(server.Config{
 		Listener: l, Handler: h,
--- a/internal/daemon/direct.go
+++ b/internal/daemon/direct.go
@@ -88,11 +88,12 @@
 }
 
 const (
-	// directGCPercent keeps the heap small, since memory is scarce on entry VMs: at 40 a
-	// router peaked at 19.9 MB and took 18% more CPU time than at 100, where it peaked at 22.7
-	// MB.
+	// directGCPercent keeps the heap small, since memory is scarce on entry VMs. Measured at
+	// the values on either side of it: at 40 a router takes 18% more CPU time than at 100 and
+	// peaks at 19.9 MB instead of 22.7 MB.
 	directGCPercent = 50
-	// Limits on callers' requests; they hold before a configuration is known.
+	// Limits on callers' requests. They don't depend on the configuration, which may not be
+	// known yet.
 	directHeaderTimeout  = 10 * time.Second
 	directMaxHeaderBytes = 64 << 10
 	directBodyTimeout    = 30 * time.Second
@@ -125,7 +126,7 @@
 	reg      *prometheus.Registry
 	ready    *telemetry.Readiness
 	follower *follow.Follower
-	list     *endpointList
+	updater  *directoryUpdater
 	pool     *balance.Pool
 	members  *membership.Tracker
 	client   *http.Client
@@ -148,16 +149,16 @@
 		OnSilentDomain: d.logSilentDomain,
 	})
 	d.registerLimits()
-	d.registerSilences()
+	d.registerSilentDomains()
 	d.members = newMembershipTracker(cfg.VM, d.pool, d.reg, log)
 	d.poison = newPoisonTable(cfg.VM, d.reg, log, d.checkCrashed)
-	source, err := d.startPeers()
+	source, err := d.newSource()
 	if err != nil {
 		return nil, err
 	}
 	d.follower = follow.New(follow.Config{
 		Source: source, Timing: sourceTiming(cfg.Bounds), Log: log, Metrics: d.reg,
-		OnDirectory: func(dir *directory.Directory) { d.list.update(dir) },
+		OnDirectory: func(dir *directory.Directory) { d.updater.update(dir) },
 		OnConfig:    d.logUnservable,
 	})
 	if d.peers != nil {
@@ -169,7 +170,7 @@
 		d.peers.SharePoison(d.poison)
 		d.peers.ShareLimits(d.pool)
 	}
-	d.list = newEndpointList(d)
+	d.updater = newDirectoryUpdater(d)
 	d.router = d.newRouter()
 	l, err := net.Listen("tcp", cfg.Callers)
 	if err != nil {
@@ -267,7 +268,7 @@
 		return false
 	}
 	limit := time.Duration(unreadyShare * float64(d.maxKeyAge()))
-	return limit == 0 || d.follower.Age() < limit && d.originUnavailableFor() < limit
+	return limit == 0 || d.follower.Age() < limit && d.sourceUnavailableFor() < limit
 }
 
 func (d *directRouter) run(ctx context.Context) error {
@@ -291,7 +292,7 @@
 	}
 	d.addPeers(&g, &failed)
 	addLoop(&g, d.follower.Run)
-	addLoop(&g, membership.NewHealthProber(d.members, d.list.checkHealth).Run)
+	addLoop(&g, membership.NewHealthProber(d.members, d.updater.checkHealth).Run)
 	addLoop(&g, d.watchSilence)
 	addLoop(&g, d.followSettings)
 	d.ready.Open(gateServing)
@@ -310,7 +311,7 @@
 	})
 }
 
-// addLoop adds an actor that runs until the group ends.
+// addLoop adds an actor that runs until the group ends. It does the same as addRunner.
 func addLoop(g *run.Group, loop func(context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error { loop(ctx); return nil }, func(error) { cancel() })
--- a/internal/daemon/directlist.go
+++ b/internal/daemon/directlist.go
@@ -15,16 +15,16 @@
 	"coveferry/internal/upstream"
 )
 
-// endpointList applies changes of the endpoint directory to membership and the pool, and
+// directoryUpdater applies changes of the endpoint directory to membership and the pool, and
 // checks the health of endpoints.
-type endpointList struct {
+type directoryUpdater struct {
 	d *directRouter
 	// previous is the directory of the last update. Only update uses it.
 	previous *directory.Directory
 }
 
-func newEndpointList(d *directRouter) *endpointList {
-	l := &endpointList{d: d, previous: directory.Empty()}
+func newDirectoryUpdater(d *directRouter) *directoryUpdater {
+	l := &directoryUpdater{d: d, previous: directory.Empty()}
 	for _, gauge := range []struct {
 		name, help string
 		value      func() int
@@ -41,9 +41,10 @@
 
 // onReturning treats an endpoint whose connections had failed as a newly started process.
 // While the directory can't be read nothing else reports a restart: with three routers, one
-// endpoint got 15 requests in its first second although it could handle 12. If most endpoints
-// are suspect, the router itself was probably cut off, and nothing is marked cold.
-func (l *endpointList) onReturning(name string) {
+// endpoint got 15 requests in its first second although it could handle 12. If this router's
+// connections to more than half of the comparable endpoints fail, it was probably cut off
+// itself, and nothing is marked cold.
+func (l *directoryUpdater) onReturning(name string) {
 	entry, ok := l.d.follower.Directory().Entry(name)
 	if !ok || l.d.pool.MostUnsure(name) {
 		return
@@ -58,7 +59,7 @@
 }
 
 // update applies a directory to membership and the pool. It is called by one goroutine.
-func (l *endpointList) update(dir *directory.Directory) {
+func (l *directoryUpdater) update(dir *directory.Directory) {
 	last := l.previous
 	l.previous = dir
 	entries := dir.Entries()
@@ -80,7 +81,7 @@
 }
 
 // logEvacuations logs each evacuation order that was added or removed.
-func (l *endpointList) logEvacuations(last, dir *directory.Directory) {
+func (l *directoryUpdater) logEvacuations(last, dir *directory.Directory) {
 	for _, domain := range dir.Evacuated() {
 		if last.IsEvacuated(domain) {
 			continue
@@ -104,7 +105,7 @@
 // markCold marks endpoints as cold in the pool: those that report it, those that have
 // restarted, and those whose failure domain is no longer evacuated, since other work may have
 // displaced their caches in the meantime.
-func (l *endpointList) markCold(last, dir *directory.Directory, entries []directory.Entry) {
+func (l *directoryUpdater) markCold(last, dir *directory.Directory, entries []directory.Entry) {
 	now := time.Now()
 	for _, e := range entries {
 		name := e.Endpoint.Name
@@ -122,7 +123,7 @@
 
 // serviceOf returns the route table's entry for the first of the services, or the zero value
 // if there is none.
-func (l *endpointList) serviceOf(services []string) route.Service {
+func (l *directoryUpdater) serviceOf(services []string) route.Service {
 	table := l.d.follower.Table()
 	if table == nil || len(services) == 0 {
 		return route.Service{}
@@ -138,14 +139,14 @@
 	return slices.DeleteFunc(dir.Entries(), func(e directory.Entry) bool { return e.Endpoint.FailureDomain != domain })
 }
 
-func (l *endpointList) evacuatedDomains() int { return len(l.d.follower.Directory().Evacuated()) }
+func (l *directoryUpdater) evacuatedDomains() int { return len(l.d.follower.Directory().Evacuated()) }
 
-func (l *endpointList) evacuatedEndpoints() []directory.Entry {
+func (l *directoryUpdater) evacuatedEndpoints() []directory.Entry {
 	dir := l.d.follower.Directory()
 	return slices.DeleteFunc(dir.Entries(), func(e directory.Entry) bool { return !dir.IsEvacuated(e.Endpoint.FailureDomain) })
 }
 
-func (l *endpointList) evacuatedRequests() int {
+func (l *directoryUpdater) evacuatedRequests() int {
 	open := 0
 	for _, e := range l.evacuatedEndpoints() {
 		open += l.d.pool.Open(e.Endpoint.Name)
@@ -153,10 +154,10 @@
 	return open
 }
 
-// checkHealth probes an endpoint's health. It skips endpoints that are evacuated, and
-// rate-limited endpoints for which this router has used up its share, since a health check
-// takes up capacity like any request.
-func (l *endpointList) checkHealth(ctx context.Context, name string) (bool, error) {
+// checkHealth probes an endpoint's health and reports whether a request was sent. It skips
+// endpoints that are evacuated, and rate-limited endpoints for which this router has used up
+// its share, since a health check takes up capacity like any request.
+func (l *directoryUpdater) checkHealth(ctx context.Context, name string) (bool, error) {
 	dir := l.d.follower.Directory()
 	entry, ok := dir.Entry(name)
 	if !ok {
@@ -181,6 +182,6 @@
 	return health.Sent, err
 }
 
-func (l *endpointList) healthPath(services []string) string {
+func (l *directoryUpdater) healthPath(services []string) string {
 	return cmp.Or(l.serviceOf(services).HealthPath, "/")
 }
--- a/internal/daemon/directlist_test.go
+++ b/internal/daemon/directlist_test.go
@@ -52,7 +52,7 @@
 	defer cancel()
 	go d.follower.Run(ctx)
 	g.Eventually(func() int { return d.follower.Directory().Len() }).Should(Equal(1))
-	_, err = d.list.checkHealth(ctx, "e")
+	_, err = d.updater.checkHealth(ctx, "e")
 	g.Expect(err).To(MatchError(membership.ErrNotAsked))
 	g.Expect(calls).To(BeZero())
 	g.Expect(d.pool.TakesWork("e")).To(BeFalse())
@@ -74,12 +74,12 @@
 	defer cancel()
 	go d.follower.Run(ctx)
 	g.Eventually(func() int { return d.follower.Directory().Len() }).Should(Equal(1))
-	_, err = d.list.checkHealth(ctx, "e")
+	_, err = d.updater.checkHealth(ctx, "e")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(d.pool.Limits().Endpoints).To(Equal(1), "the limit in a health response applies")
 	refused := 0
 	for range 5 {
-		if _, err := d.list.checkHealth(ctx, "e"); errors.Is(err, membership.ErrNotAsked) {
+		if _, err := d.updater.checkHealth(ctx, "e"); errors.Is(err, membership.ErrNotAsked) {
 			refused++
 		}
 	}
--- a/internal/daemon/directmemory_test.go
+++ b/internal/daemon/directmemory_test.go
@@ -23,7 +23,7 @@
 	"coveferry/internal/upstream"
 )
 
-func TestMemoryLimitsFitVM(t *testing.T) {
+func TestRequestsAndBodiesFitMemoryLimit(t *testing.T) {
 	for _, mb := range []int64{32, 88, 112, 144, 536} {
 		g := NewWithT(t)
 		memory := mb << 20
--- a/internal/daemon/directpeers.go
+++ b/internal/daemon/directpeers.go
@@ -19,10 +19,10 @@
 	// peerPollInterval is the interval at which a reader is polled: a tenth of the shortest
 	// known bound on configuration changes, at a cost of a few kilobytes a second.
 	peerPollInterval = 250 * time.Millisecond
-	// maxAgeWaits is the maximum age of another router's data, in waits: a response reflects
-	// the time at which its call was sent, so without changes a reader's data gets two waits
-	// old before the next call ends. When data is older than that plus the slack of a call,
-	// other routers are asked and then the source itself.
+	// maxAgeWaits is the maximum age of another router's data, in waits of a watch call
+	// (watchWait): a response reflects the time at which its call was sent, so without changes
+	// a reader's data gets two waits old before the next call ends. When data is older than
+	// that plus the slack of a call, other routers are asked and then the source itself.
 	maxAgeWaits = 2
 )
 
@@ -32,9 +32,9 @@
 	return maxAgeWaits*watchWait(b) + watchSlack
 }
 
-// startPeers returns the source to follow: the configured one, shared with the other routers
-// if they can reach this one.
-func (d *directRouter) startPeers() (follow.Source, error) {
+// newSource returns the source to follow: the configured one, shared with the other routers if
+// they can reach this one.
+func (d *directRouter) newSource() (follow.Source, error) {
 	reader := follow.Reader{Store: d.cfg.Store, CallTimeout: readTimeout}
 	if d.cfg.Control == "" {
 		return reader, nil
@@ -73,10 +73,10 @@
 	addLoop(g, d.peers.Run)
 }
 
-// originUnavailableFor returns how long this router has been unable to read the source itself.
+// sourceUnavailableFor returns how long this router has been unable to read the source itself.
 // Callers are better served by routers that can, even though peers keep this router's data
 // fresh.
-func (d *directRouter) originUnavailableFor() time.Duration {
+func (d *directRouter) sourceUnavailableFor() time.Duration {
 	if d.peers == nil {
 		return 0
 	}
--- a/internal/daemon/directreading.go
+++ b/internal/daemon/directreading.go
@@ -11,21 +11,21 @@
 	// revokeWaitShare of RevokeWithin is the wait of one watch call, so that several calls may
 	// fail in a row before keys are no longer trusted.
 	revokeWaitShare = 0.2
-	// updateWaitShare is the same share of DrainWithin and ConfigWithin: a failed call is
-	// noticed after its wait and some slack, and the next one must still deliver the change
-	// within the bound.
+	// updateWaitShare is the corresponding share of DrainWithin and ConfigWithin: a failed
+	// call is noticed after its wait and some slack, and the next one must still deliver the
+	// change within the bound.
 	updateWaitShare = 0.35
-	// minIntervalShare of DrainWithin is the minimum interval between two calls, so that under
-	// constant changes several calls may fail before a draining endpoint must be out of use.
-	// If larger, spareShare of the time that a failed call and its successor leave of
-	// DrainWithin is used instead: where heartbeats count as changes each wait ends at once,
-	// and a reader calls as often as the interval allows.
+	// minIntervalShare of DrainWithin is the minimum interval between two calls, so that
+	// several calls may fail before a draining endpoint must be out of use, even if something
+	// changes all the time. Where heartbeats count as changes, each wait ends at once and a
+	// reader calls as often as the interval allows. The interval is therefore longer if the
+	// bound permits: up to spareShare of what remains of DrainWithin after a failed watch call
+	// and one more read, but not longer than the wait.
 	minIntervalShare = 0.1
 	spareShare       = 0.5
-	// outageSlacks is the number of calls without a wait that must fail before the service
-	// counts as having been down, beyond the normal age of data: a response reflects the time
-	// at which its call was sent, so data gets two waits old before the next call ends.
-	// Entries expire only later, after three heartbeats.
+	// outageSlacks is the time, in watch slacks, beyond the normal maximum age of data
+	// (maxAgeWaits) after which the service counts as having been down: that of two failed
+	// calls without a wait. Entries expire only later, after three heartbeats.
 	outageSlacks = 2
 )
 
--- a/internal/daemon/directretries.go
+++ b/internal/daemon/directretries.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// budgetShare of the operator's ratio is used for retries: callers' own retries count as
+	// ratioShare of the operator's ratio is used for retries: callers' own retries count as
 	// requests, but those at the window's edges may count twice.
-	budgetShare = 0.75
+	ratioShare = 0.75
 	// slackShare of the operator's slack is used for retries. It is divided among the known
 	// routers, and a router that starts during a network partition knows only those on its
 	// side.
@@ -32,7 +32,7 @@
 
 // retryShares converts the operator's bounds to the ratio and floor of a retry.BudgetConfig.
 func retryShares(b DirectBounds) (ratio, floor float64) {
-	ratio, floor = budgetShare*b.RetryRatio, retryFloor
+	ratio, floor = ratioShare*b.RetryRatio, retryFloor
 	if b.RetryBounded && b.RetryRatio == 0 {
 		ratio = retry.None
 	}
--- a/internal/daemon/directretries_test.go
+++ b/internal/daemon/directretries_test.go
@@ -34,8 +34,8 @@
 }
 
 // Guards against a default slack per router: without a configured slack, 880 routers made 880
-// retries in ten seconds for as many requests, because each had the whole floor for itself. In
-// this test the shares of 880 routers came to 1,012 retries.
+// retries in ten seconds for as many requests, because each had the whole floor for itself.
+// With that fault, the shares in this test come to 1,012 retries.
 func TestRoutersShareDefaultRetrySlack(t *testing.T) {
 	const ratio, floor = 0.2, 1.0 // one in ten seconds
 	for _, routers := range []int{1, 3, 12, 31, 103, 300, 880} {
@@ -51,8 +51,8 @@
 }
 
 // Guards against a ratio of 0 being replaced by the default: the budget takes its default for
-// 0, and 0 was passed to it unchanged, so a tenth of the requests was retried. In this test a
-// router with agents made 110 retries for 1,000 requests.
+// 0, and 0 was passed to it unchanged, so a tenth of the requests was retried. With that
+// fault, a router with agents makes 110 retries for 1,000 requests in this test.
 func TestZeroRetryRatioAllowsNoRetriesPerRequest(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now().Add(time.Minute)
--- a/internal/daemon/directsilence.go
+++ b/internal/daemon/directsilence.go
@@ -11,8 +11,8 @@
 )
 
 // watchSilence triggers health checks of endpoints that send nothing although they have open
-// requests. The requests keep waiting, except streams, which resume from copies once the
-// endpoint is considered lost.
+// requests. The requests keep waiting, except streams that have a copy at another endpoint:
+// they resume there once the first endpoint is considered lost.
 func (d *directRouter) watchSilence(ctx context.Context) {
 	tick := time.NewTicker(balance.SilenceTick)
 	defer tick.Stop()
@@ -39,9 +39,9 @@
 	line.Int("endpoints", e.Endpoints).Msg("failure domain is avoided: none of its endpoints respond")
 }
 
-// registerSilences registers the number of failure domains that are avoided because they don't
-// respond.
-func (d *directRouter) registerSilences() {
+// registerSilentDomains registers the number of failure domains that are avoided because they
+// don't respond.
+func (d *directRouter) registerSilentDomains() {
 	d.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "coveferry_silent_failure_domains",
 		Help: "Failure domains of a service that get no new work, as nothing is heard of their endpoints.",
--- a/internal/daemon/collector.go
+++ b/internal/daemon/gcpercent.go
@@ -5,11 +5,11 @@
 	"runtime/debug"
 )
 
-// defaultGCPercent lets the heap grow to three times the live size before a collection.
-// Routers and agents hold a few megabytes of live data and allocate a lot, so at the default
-// of 100 the garbage collector runs dozens of times a second; see note 0009 for the
+// routerAgentGCPercent lets the heap of routers and agents grow to three times the live size
+// before a collection. They hold a few megabytes of live data and allocate a lot, so at Go's
+// default of 100 the garbage collector runs dozens of times a second; design note 0009 has the
 // measurements.
-const defaultGCPercent = 200
+const routerAgentGCPercent = 200
 
 // gcPercentEnv is the standard Go variable with which operators override the percentage.
 const gcPercentEnv = "GOGC"
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -21,7 +21,7 @@
 
 const agentScheme = "https"
 
-// newControlServer listens for other processes of the system and operators.
+// newControlServer listens for operators and for other processes of the system.
 func newControlServer(p settings.Process, id *identity.Identity, log zerolog.Logger) (*control.Server, error) {
 	l, err := net.Listen("tcp", p.ControlListen.String())
 	if err != nil {
@@ -37,7 +37,7 @@
 	})
 }
 
-// addRunner adds an actor that runs until the group ends.
+// addRunner adds an actor that runs until the group ends, as addLoop does.
 func addRunner(g *run.Group, runner func(context.Context)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.Add(func() error { runner(ctx); return nil }, func(error) { cancel() })
@@ -57,22 +57,22 @@
 
 // addMembers adds the actors that keep a router's membership up to date, apart from the
 // outcomes of its own requests.
-func addMembers(g *run.Group, s *settings.Router, parts *routerComponents, srv *control.Server, id *identity.Identity, log zerolog.Logger) {
+func addMembers(g *run.Group, s *settings.Router, components *routerComponents, srv *control.Server, id *identity.Identity, log zerolog.Logger) {
 	client := server.NewClient(nil, nil)
 	var platform []*membership.Platform
 	for _, url := range s.VMList {
 		platform = append(platform, membership.NewPlatform(client, url.String()))
 	}
 	feed := membership.NewFeed(membership.FeedConfig{
-		Tracker: parts.members, Name: id.Peer().Name, FailureDomain: string(s.FailureDomain),
+		Tracker: components.members, Name: id.Peer().Name, FailureDomain: string(s.FailureDomain),
 		Platform: platform,
-		Routers:  func() []bundle.Router { return parts.router.Snapshot().Bundle().Routers },
+		Routers:  func() []bundle.Router { return components.router.Snapshot().Bundle().Routers },
 		Client:   control.ClientConfig{Identity: id, Log: log}, Log: log,
 	})
-	parts.members.Register(srv)
+	components.members.Register(srv)
 	feed.Register(srv)
 	addRunner(g, feed.Run)
-	addRunner(g, membership.NewProber(parts.members, parts.client, agentScheme).Run)
+	addRunner(g, membership.NewProber(components.members, components.client, agentScheme).Run)
 }
 
 // newAnnouncer returns the announcer that tells routers when the agent leaves.
--- a/internal/daemon/onplatform/onplatform.go
+++ b/internal/daemon/onplatform/onplatform.go
@@ -1,5 +1,5 @@
-// Package onplatform connects a direct router with the platform on which it runs. Neither
-// depends on the other.
+// Package onplatform connects a direct router with the platform on which it runs. Packages
+// daemon and platform don't import each other.
 package onplatform
 
 import (
--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// followPlacement returns a function that applies a bundle's placement.
-func followPlacement(r *placement.Runner) func(*bundle.Snapshot) {
+// applyPlacement returns a function that applies a bundle's placement.
+func applyPlacement(r *placement.Runner) func(*bundle.Snapshot) {
 	return func(s *bundle.Snapshot) { r.Follow(s.Bundle()) }
 }
--- a/internal/daemon/poison.go
+++ b/internal/daemon/poison.go
@@ -15,9 +15,9 @@
 )
 
 // newPoisonTable returns a table of quarantined requests: those that seem to crash endpoints.
-// It logs and counts them. checkCrashed is called with the endpoints that seem to have crashed
-// when this router's own observations led to a quarantine.
-func newPoisonTable(vm string, reg prometheus.Registerer, log zerolog.Logger, checkCrashed func(endpoints []string)) *poison.Table {
+// It logs and counts them. checkCrashed is called with the processes (ENDPOINT/INCARNATION)
+// that seem to have crashed when this router's own observations led to a quarantine.
+func newPoisonTable(vm string, reg prometheus.Registerer, log zerolog.Logger, checkCrashed func(processes []string)) *poison.Table {
 	t := poison.NewTable(poison.Config{Router: vm, OnEvent: func(e poison.Event) {
 		line, text := log.Warn(), "request is quarantined: endpoints crash while running it"
 		if !e.Held {
@@ -39,9 +39,9 @@
 // that no endpoint can have restarted in the meantime.
 const crashCheckTimeout = 500 * time.Millisecond
 
-// checkCrashed checks the health of endpoints that seem to have crashed under a request. If
-// one responds, it only reset connections, and the request is no longer quarantined because of
-// it.
+// checkCrashed checks the health of processes (ENDPOINT/INCARNATION) that seem to have crashed
+// under a request. If one responds, it had only reset connections, and the request is no
+// longer quarantined because of it.
 func (d *directRouter) checkCrashed(processes []string) {
 	for _, process := range processes {
 		name, incarnation, _ := strings.Cut(process, "/")
@@ -53,7 +53,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), crashCheckTimeout)
 			defer cancel()
 			sentAt := clock.Boot()
-			if _, err := d.list.checkHealth(ctx, name); err == nil {
+			if _, err := d.updater.checkHealth(ctx, name); err == nil {
 				d.poison.Survived(process, sentAt)
 			}
 		}()
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -29,7 +29,7 @@
 // reports not ready, keeps serving until the load balancer has stopped sending connections,
 // and finishes open responses.
 func Router(env *cli.Env, settingsFile string) error {
-	setGCPercent(defaultGCPercent)
+	setGCPercent(routerAgentGCPercent)
 	s, err := settings.LoadRouter(settingsFile)
 	if err != nil {
 		return cli.BadInput(err)
@@ -53,16 +53,16 @@
 	if snapshot == nil {
 		return nil // told to stop
 	}
-	parts, err := newRouter(s, snapshot, id, sloTracker, reg, log)
+	components, err := newRouterComponents(s, snapshot, id, sloTracker, reg, log)
 	if err != nil {
 		return err
 	}
-	rt = parts.router
+	rt = components.router
 	callers, err := newCallerServer(s, rt, log)
 	if err != nil {
 		return err
 	}
-	admin, err := newAdminServer(s.MetricsListen.String(), newRouterMux(reg, ready, sloTracker, parts.members))
+	admin, err := newAdminServer(s.MetricsListen.String(), newRouterMux(reg, ready, sloTracker, components.members))
 	if err != nil {
 		return err
 	}
@@ -80,10 +80,10 @@
 		return plan.Run(rt.Leave, rt.EndOpen, func() error { return callers.StopWithin(plan.Grace) })
 	}, &stopErr)
 	addServer(&g, admin, admin.Stop, &stopErr)
-	addMembers(&g, s, parts, controlServer, id, log)
-	addLimits(&g, parts.limits, controlServer)
+	addMembers(&g, s, components, controlServer, id, log)
+	addLimits(&g, components.limits, controlServer)
 	bundles.node.Register(controlServer)
-	bundles.subscribe(parts.apply)
+	bundles.subscribe(components.apply)
 	addControl(&g, controlServer, &stopErr)
 	addBundles(&g, bundles)
 	addIdentity(&g, id, log)
@@ -100,14 +100,14 @@
 	limits  teamLimits
 }
 
-func newRouter(s *settings.Router, snapshot *bundle.Snapshot, id *identity.Identity, sloTracker *slo.Tracker, reg prometheus.Registerer, log zerolog.Logger) (*routerComponents, error) {
+func newRouterComponents(s *settings.Router, snapshot *bundle.Snapshot, id *identity.Identity, sloTracker *slo.Tracker, reg prometheus.Registerer, log zerolog.Logger) (*routerComponents, error) {
 	var rt *router.Router
 	endpointName := func(address string) (string, bool) { return rt.Snapshot().EndpointAt(address) }
 	client := server.NewTLSClient(id.DialTLS(server.TCP(), identity.RoleAgent, endpointName))
 	current := func() *bundle.Snapshot { return rt.Snapshot() }
 	pool := balance.NewPool(balance.Config{Policy: balancePolicy(s.Balance), Seed: uint64(os.Getpid())})
 	members := newMembershipTracker(id.Peer().Name, pool, reg, log)
-	limiters := newTeamLimits(id, reg, log)
+	limits := newTeamLimits(id, reg, log)
 	rt = router.New(router.Config{
 		Name:         id.Peer().Name,
 		SubsetSize:   s.Balance.SubsetSize,
@@ -120,7 +120,7 @@
 		BodyTimeout:  s.Limits.BodyTimeout.Std(),
 		MaxOpen:      int64(s.Limits.MaxOpenRequests),
 		MaxBodyBytes: int64(s.Limits.MaxBodyMemory),
-		Limits:       limiters.limiter,
+		Limits:       limits.limiter,
 		Observer:     members,
 		Poison:       newPoisonTable(id.Peer().Name, reg, log, func([]string) {}), // agents keep running when their engines crash
 		Service:      sloTracker,
@@ -128,9 +128,9 @@
 		Log:          log,
 		Metrics:      reg,
 	})
-	parts := &routerComponents{router: rt, client: client, members: members, limits: limiters}
-	parts.apply(snapshot)
-	return parts, nil
+	components := &routerComponents{router: rt, client: client, members: members, limits: limits}
+	components.apply(snapshot)
+	return components, nil
 }
 
 func newCallerServer(s *settings.Router, rt *router.Router, log zerolog.Logger) (*server.Server, error) {
--- a/internal/jsonc/decode.go
+++ b/internal/jsonc/decode.go
@@ -37,7 +37,7 @@
 
 // report adds a problem, up to MaxProblems and a last one that states that the rest is
 // omitted.
-func (dec *decoder) report(at *hujson.Value, path *steps, format string, args ...any) {
+func (dec *decoder) report(at *hujson.Value, path *chain, format string, args ...any) {
 	msg := fmt.Sprintf(format, args...)
 	switch n := len(dec.problems); {
 	case n > MaxProblems:
@@ -53,7 +53,7 @@
 func (dec *decoder) limitReached() bool { return len(dec.problems) > MaxProblems }
 
 // checkDuplicates reports duplicate keys in all objects of the tree.
-func (dec *decoder) checkDuplicates(v *hujson.Value, path *steps) {
+func (dec *decoder) checkDuplicates(v *hujson.Value, path *chain) {
 	switch node := v.Value.(type) {
 	case *hujson.Array:
 		for i := range node.Elements {
@@ -76,7 +76,7 @@
 }
 
 // decodeValue decodes a value of any kind.
-func (dec *decoder) decodeValue(v *hujson.Value, dst reflect.Value, path *steps) {
+func (dec *decoder) decodeValue(v *hujson.Value, dst reflect.Value, path *chain) {
 	if dst.Kind() == reflect.Pointer {
 		dec.decodePointer(v, dst, path)
 		return
@@ -100,7 +100,7 @@
 	}
 }
 
-func (dec *decoder) decodePointer(v *hujson.Value, dst reflect.Value, path *steps) {
+func (dec *decoder) decodePointer(v *hujson.Value, dst reflect.Value, path *chain) {
 	if v.Value.Kind() == 'n' {
 		dst.SetZero()
 		return
@@ -111,13 +111,13 @@
 	dec.decodeValue(v, dst.Elem(), path)
 }
 
-func (dec *decoder) decodeStruct(v *hujson.Value, dst reflect.Value, path *steps) {
+func (dec *decoder) decodeStruct(v *hujson.Value, dst reflect.Value, path *chain) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
 		dec.wrongKind(v, path, "an object {...}")
 		return
 	}
-	fields := dec.fieldsOf(dst.Type())
+	fields := dec.cachedFields(dst.Type())
 	seen := make(map[string]bool, len(obj.Members))
 	for i := range obj.Members {
 		m := &obj.Members[i]
@@ -132,7 +132,7 @@
 	}
 }
 
-func (dec *decoder) decodeMember(m *hujson.ObjectMember, key string, dst reflect.Value, fields []field, path *steps) {
+func (dec *decoder) decodeMember(m *hujson.ObjectMember, key string, dst reflect.Value, fields []field, path *chain) {
 	for _, f := range fields {
 		if f.key == key {
 			dec.decodeValue(&m.Value, dst.FieldByIndex(f.index), path)
@@ -144,7 +144,8 @@
 	}
 }
 
-func (dec *decoder) fieldsOf(t reflect.Type) []field {
+// cachedFields caches fieldsOf by type, since a document may hold many values of one type.
+func (dec *decoder) cachedFields(t reflect.Type) []field {
 	fields, ok := dec.fields[t]
 	if !ok {
 		fields = fieldsOf(t)
@@ -153,7 +154,7 @@
 	return fields
 }
 
-func (dec *decoder) decodeMap(v *hujson.Value, dst reflect.Value, path *steps) {
+func (dec *decoder) decodeMap(v *hujson.Value, dst reflect.Value, path *chain) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
 		dec.wrongKind(v, path, "an object {...}")
@@ -173,7 +174,7 @@
 	}
 }
 
-func (dec *decoder) decodeSlice(v *hujson.Value, dst reflect.Value, path *steps) {
+func (dec *decoder) decodeSlice(v *hujson.Value, dst reflect.Value, path *chain) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
 		dec.wrongKind(v, path, "a list [...]")
@@ -186,7 +187,7 @@
 	dst.Set(list)
 }
 
-func (dec *decoder) decodeArray(v *hujson.Value, dst reflect.Value, path *steps) {
+func (dec *decoder) decodeArray(v *hujson.Value, dst reflect.Value, path *chain) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok || len(arr.Elements) != dst.Len() {
 		dec.wrongKind(v, path, fmt.Sprintf("a list [...] of %d", dst.Len()))
--- a/internal/jsonc/path.go
+++ b/internal/jsonc/path.go
@@ -29,27 +29,27 @@
 // Index returns the path of an element of the list at path.
 func Index(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
 
-// steps is a path as a linked list that starts with its last step. It is formatted only for a
-// problem, since formatting the path of each value of a large document would take time and
-// memory quadratic in its size.
-type steps struct {
-	parent *steps
+// chain represents a path as a linked list of steps, from the last one back to the first. It
+// is formatted only for a problem, since formatting the path of each value of a large document
+// would take time and memory quadratic in its size.
+type chain struct {
+	parent *chain
 	last   step
 }
 
-func (t *steps) key(key string) *steps { return &steps{parent: t, last: step{key: key}} }
+func (c *chain) key(key string) *chain { return &chain{parent: c, last: step{key: key}} }
 
-func (t *steps) index(i int) *steps { return &steps{parent: t, last: step{index: i, isIndex: true}} }
+func (c *chain) index(i int) *chain { return &chain{parent: c, last: step{index: i, isIndex: true}} }
 
 // String formats the path; nil is the document as a whole.
-func (t *steps) String() string {
+func (c *chain) String() string {
 	switch {
-	case t == nil:
+	case c == nil:
 		return ""
-	case t.last.isIndex:
-		return Index(t.parent.String(), t.last.index)
+	case c.last.isIndex:
+		return Index(c.parent.String(), c.last.index)
 	default:
-		return Key(t.parent.String(), t.last.key)
+		return Key(c.parent.String(), c.last.key)
 	}
 }
 
--- a/internal/jsonc/scalar.go
+++ b/internal/jsonc/scalar.go
@@ -17,7 +17,7 @@
 // decodeCustom decodes a value whose type implements TextUnmarshaler or json.Unmarshaler, and
 // reports whether it does. UnmarshalText takes precedence, as its errors describe the allowed
 // values better.
-func (dec *decoder) decodeCustom(v *hujson.Value, dst reflect.Value, path *steps) bool {
+func (dec *decoder) decodeCustom(v *hujson.Value, dst reflect.Value, path *chain) bool {
 	if !dst.CanAddr() {
 		return false
 	}
@@ -42,7 +42,7 @@
 
 // reportNotString reports a value that should be a string. It first passes a bare number to
 // the type's UnmarshalText, into a discarded value, since that error names the missing unit.
-func (dec *decoder) reportNotString(v *hujson.Value, t reflect.Type, path *steps) {
+func (dec *decoder) reportNotString(v *hujson.Value, t reflect.Type, path *chain) {
 	lit, ok := v.Value.(hujson.Literal)
 	scratch := reflect.New(t).Interface().(encoding.TextUnmarshaler)
 	if ok && lit.Kind() == '0' {
@@ -61,7 +61,7 @@
 const exampleTime = "2026-01-31T15:04:05Z"
 
 // reportCustom reports an error of a type's own decoding.
-func (dec *decoder) reportCustom(v *hujson.Value, path *steps, err error) {
+func (dec *decoder) reportCustom(v *hujson.Value, path *chain, err error) {
 	var badTime *time.ParseError
 	switch {
 	case err == nil:
@@ -73,7 +73,7 @@
 }
 
 // decodeAny decodes into an interface, as encoding/json does.
-func (dec *decoder) decodeAny(v *hujson.Value, dst reflect.Value, path *steps) {
+func (dec *decoder) decodeAny(v *hujson.Value, dst reflect.Value, path *chain) {
 	if err := json.Unmarshal(standardJSON(v), dst.Addr().Interface()); err != nil {
 		dec.report(v, path, "%s", err.Error())
 	}
@@ -87,7 +87,7 @@
 }
 
 // decodeScalar decodes a boolean, string or number.
-func (dec *decoder) decodeScalar(v *hujson.Value, dst reflect.Value, path *steps) {
+func (dec *decoder) decodeScalar(v *hujson.Value, dst reflect.Value, path *chain) {
 	lit, _ := v.Value.(hujson.Literal)
 	kind := v.Value.Kind()
 	switch {
@@ -114,7 +114,7 @@
 	}
 }
 
-func (dec *decoder) decodeInt(v *hujson.Value, dst reflect.Value, path *steps) {
+func (dec *decoder) decodeInt(v *hujson.Value, dst reflect.Value, path *chain) {
 	bits := dst.Type().Bits()
 	n, err := strconv.ParseInt(numberText(v), 10, bits)
 	if err != nil {
@@ -125,7 +125,7 @@
 	dst.SetInt(n)
 }
 
-func (dec *decoder) decodeUint(v *hujson.Value, dst reflect.Value, path *steps) {
+func (dec *decoder) decodeUint(v *hujson.Value, dst reflect.Value, path *chain) {
 	bits := dst.Type().Bits()
 	n, err := strconv.ParseUint(numberText(v), 10, bits)
 	if err != nil {
@@ -136,7 +136,7 @@
 	dst.SetUint(n)
 }
 
-func (dec *decoder) decodeFloat(v *hujson.Value, dst reflect.Value, path *steps) {
+func (dec *decoder) decodeFloat(v *hujson.Value, dst reflect.Value, path *chain) {
 	n, err := strconv.ParseFloat(numberText(v), dst.Type().Bits())
 	if err != nil {
 		dec.wrongKind(v, path, "a number within the range of its type")
@@ -154,7 +154,7 @@
 }
 
 // wrongKind reports a value that isn't of the wanted kind.
-func (dec *decoder) wrongKind(v *hujson.Value, path *steps, want string) {
+func (dec *decoder) wrongKind(v *hujson.Value, path *chain, want string) {
 	dec.report(v, path, "must be %s, not %s", want, describeValue(v))
 }
 
--- a/internal/settings/agent.go
+++ b/internal/settings/agent.go
@@ -85,31 +85,31 @@
 
 func (a *Agent) role() Role { return RoleAgent }
 
-func (a *Agent) rules() []rule {
-	rules := a.Process.rules()
-	rules = append(rules, a.Engine.rules()...)
-	rules = append(rules, a.Scheduler.rules()...)
-	return append(rules, a.Shutdown.rules()...)
+func (a *Agent) checks() []checkResult {
+	results := a.Process.checks()
+	results = append(results, a.Engine.checks()...)
+	results = append(results, a.Scheduler.checks()...)
+	return append(results, a.Shutdown.checks()...)
 }
 
-func (e Engine) rules() []rule {
+func (e Engine) checks() []checkResult {
 	const onlyEngines = `must be false for kind "service"; only an engine can do that`
 	isEngine := e.Kind == KindEngine
-	return []rule{
+	return []checkResult{
 		condition("engine.fenced", isEngine || !e.Fenced, onlyEngines),
 		condition("engine.priorities", isEngine || !e.Priorities, onlyEngines),
 		condition("engine.resume", isEngine || !e.Resume, onlyEngines),
 	}
 }
 
-func (s Scheduler) rules() []rule {
-	return []rule{
+func (s Scheduler) checks() []checkResult {
+	return []checkResult{
 		between("scheduler.max_preemptions", s.MaxPreemptions, 1, maxPreemptions),
 		between("scheduler.reserve_share", s.ReserveShare, minReserveShare, maxReserveShare),
 		between("scheduler.reserve_after", s.ReserveAfter, minReserveAfter, maxReserveAfter),
 	}
 }
 
-func (s Shutdown) rules() []rule {
-	return []rule{between("shutdown.streams_grace", s.StreamsGrace, minStreamsGrace, maxGrace)}
+func (s Shutdown) checks() []checkResult {
+	return []checkResult{between("shutdown.streams_grace", s.StreamsGrace, minStreamsGrace, maxGrace)}
 }
--- a/internal/settings/rules.go
+++ b/internal/settings/checks.go
@@ -7,8 +7,8 @@
 	"regexp"
 )
 
-// rule is the result of a check of the decoded value at a path.
-type rule struct {
+// checkResult is the result of a check of the decoded value at a path.
+type checkResult struct {
 	path string
 	ok   bool
 	// allowed describes the valid values; message adds the value found.
@@ -17,9 +17,9 @@
 }
 
 // between requires a value from low to high, inclusive.
-func between[T cmp.Ordered](path string, value, low, high T) rule {
+func between[T cmp.Ordered](path string, value, low, high T) checkResult {
 	allowed := fmt.Sprintf("from %s to %s", formatValue(low), formatValue(high))
-	return rule{
+	return checkResult{
 		path:    path,
 		ok:      low <= value && value <= high,
 		allowed: allowed,
@@ -28,8 +28,8 @@
 }
 
 // condition requires ok, for checks that involve more than a range.
-func condition(path string, ok bool, message string) rule {
-	return rule{path: path, ok: ok, message: message}
+func condition(path string, ok bool, message string) checkResult {
+	return checkResult{path: path, ok: ok, message: message}
 }
 
 // trailingZeroUnits matches the zero units at the end of durations of whole minutes and hours.
--- a/internal/settings/process.go
+++ b/internal/settings/process.go
@@ -72,8 +72,8 @@
 	return Process{Role: role, Log: Log{Level: LogInfo, Format: FormatJSON}}
 }
 
-func (p *Process) rules() []rule {
-	return []rule{
+func (p *Process) checks() []checkResult {
+	return []checkResult{
 		distinctAddress("control_listen", p.ControlListen, p.Listen),
 		distinctAddress("metrics_listen", p.MetricsListen, p.Listen, p.ControlListen),
 		condition("bundle_file", p.BundleFile != "" || len(p.ConfigService) > 0,
@@ -88,13 +88,13 @@
 }
 
 // distinctAddress requires an address that doesn't overlap with the others.
-func distinctAddress(path string, a Address, others ...Address) rule {
+func distinctAddress(path string, a Address, others ...Address) checkResult {
 	inUse := slices.ContainsFunc(others, a.overlaps)
 	return condition(path, !inUse, "must be an address of its own; "+a.String()+" is listened on already")
 }
 
 // countBetween bounds the length of a list.
-func countBetween(path string, n, low, high int) rule {
+func countBetween(path string, n, low, high int) checkResult {
 	r := between(path, n, low, high)
 	r.allowed += " elements"
 	r.message = "must have " + r.allowed + ", not " + formatValue(n)
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -42,7 +42,7 @@
 // expectedRows returns the rows that the reference must have for some settings.
 func expectedRows(f roleSettings) []row {
 	allowed := make(map[string]string)
-	for _, r := range f.rules() {
+	for _, r := range f.checks() {
 		if r.allowed != "" {
 			allowed[r.path] = r.allowed
 		}
--- a/internal/settings/router.go
+++ b/internal/settings/router.go
@@ -108,24 +108,24 @@
 
 func (r *Router) role() Role { return RoleRouter }
 
-func (r *Router) rules() []rule {
-	rules := r.Process.rules()
-	rules = append(rules, r.Shutdown.rules()...)
-	rules = append(rules, r.Limits.rules()...)
-	rules = append(rules, r.Retry.rules()...)
-	rules = append(rules, r.Balance.rules()...)
-	return append(rules, countBetween("vm_list", len(r.VMList), 0, maxVMList))
+func (r *Router) checks() []checkResult {
+	results := r.Process.checks()
+	results = append(results, r.Shutdown.checks()...)
+	results = append(results, r.Limits.checks()...)
+	results = append(results, r.Retry.checks()...)
+	results = append(results, r.Balance.checks()...)
+	return append(results, countBetween("vm_list", len(r.VMList), 0, maxVMList))
 }
 
-func (s RouterShutdown) rules() []rule {
-	return []rule{
+func (s RouterShutdown) checks() []checkResult {
+	return []checkResult{
 		between("shutdown.balancer_grace", s.BalancerGrace, 0, maxBalancerGrace),
 		between("shutdown.streams_grace", s.StreamsGrace, minStreamsGrace, maxGrace),
 	}
 }
 
-func (l Limits) rules() []rule {
-	return []rule{
+func (l Limits) checks() []checkResult {
+	return []checkResult{
 		between("limits.header_timeout", l.HeaderTimeout, minReadTimeout, maxHeaderTimeout),
 		between("limits.body_timeout", l.BodyTimeout, minReadTimeout, maxBodyTimeout),
 		between("limits.max_header_bytes", l.MaxHeaderBytes, minHeaderBytes, maxHeaderBytes),
@@ -135,13 +135,13 @@
 	}
 }
 
-func (r Retry) rules() []rule {
-	return []rule{
+func (r Retry) checks() []checkResult {
+	return []checkResult{
 		between("retry.max_attempts", r.MaxAttempts, 1, maxAttempts),
 		between("retry.budget_ratio", r.BudgetRatio, 0, 1),
 	}
 }
 
-func (b Balance) rules() []rule {
-	return []rule{between("balance.subset_size", b.SubsetSize, 0, maxSubsetSize)}
+func (b Balance) checks() []checkResult {
+	return []checkResult{between("balance.subset_size", b.SubsetSize, 0, maxSubsetSize)}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -70,8 +70,8 @@
 // roleSettings is implemented by the settings of every role.
 type roleSettings interface {
 	role() Role
-	// rules returns the results of the checks; it is called after decoding.
-	rules() []rule
+	// checks returns the results of the checks of the decoded values.
+	checks() []checkResult
 	// files returns the paths that are resolved against the folder of the settings file.
 	files() []*File
 }
@@ -117,10 +117,10 @@
 	return decode(doc, dst, dir)
 }
 
-// decode fills dst, checks its rules and resolves its paths against dir.
+// decode fills dst, runs its checks and resolves its paths against dir.
 func decode(doc *jsonc.Document, dst roleSettings, dir string) jsonc.Problems {
 	problems := doc.Decode(dst)
-	for _, r := range dst.rules() {
+	for _, r := range dst.checks() {
 		if !r.ok && !hasProblemAt(problems, r.path) {
 			problems = append(problems, doc.Problem(r.path, r.message))
 		}
@@ -132,8 +132,8 @@
 	return problems
 }
 
-// hasProblemAt reports whether there is a problem at the path, within it or around it; a rule on
-// the value would only repeat it.
+// hasProblemAt reports whether there is a problem at the path, within it or around it; a
+// failed check of the value would only repeat it.
 func hasProblemAt(problems jsonc.Problems, path string) bool {
 	for _, p := range problems {
 		if isWithin(p.Path, path) || isWithin(path, p.Path) {
--- a/internal/settings/standalone.go
+++ b/internal/settings/standalone.go
@@ -75,19 +75,19 @@
 
 func (s *Standalone) role() Role { return RoleStandalone }
 
-func (s *Standalone) rules() []rule {
-	rules := []rule{
+func (s *Standalone) checks() []checkResult {
+	results := []checkResult{
 		distinctAddress("metrics_listen", s.MetricsListen, s.Listen),
 		between("engines", s.Engines, 1, maxEngines),
 		between("slots", s.Slots, 1, maxSlots),
 		between("token_time", s.TokenTime, minTokenTime, maxTokenTime),
 		between("prefix_cache_tokens", s.PrefixCacheTokens, 0, maxPrefixCacheTokens),
 	}
-	rules = append(rules, s.Scheduler.rules()...)
-	rules = append(rules, s.Limits.rules()...)
-	rules = append(rules, s.Retry.rules()...)
-	rules = append(rules, s.Balance.rules()...)
-	return append(rules, s.Shutdown.rules()...)
+	results = append(results, s.Scheduler.checks()...)
+	results = append(results, s.Limits.checks()...)
+	results = append(results, s.Retry.checks()...)
+	results = append(results, s.Balance.checks()...)
+	return append(results, s.Shutdown.checks()...)
 }
 
 func (s *Standalone) files() []*File { return []*File{&s.BundleFile} }
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -45,7 +45,7 @@
 	return `a literal IP and port such as "10.0.0.7:8080", not a host name`
 }
 
-// URL is the address of a server that the process calls, by IP number.
+// URL is the URL, with a literal IP address, of a server that the process calls.
 type URL struct{ url.URL }
 
 // UnmarshalText reads "http://10.0.0.7:8000/path".
