--- a/internal/cli/benchcmd/teamlimit.go
+++ b/internal/cli/benchcmd/teamlimit.go
@@ -10,7 +10,7 @@
 	"coveferry/internal/cli"
 )
 
-// TeamLimitCmd measures how a team's limit holds across routers.
+// TeamLimitCmd measures how accurately routers enforce a team's limit.
 type TeamLimitCmd struct {
 	JSON     bool          `name:"json" help:"Print the whole result as JSON."`
 	Routers  []int         `default:"2,8,32" help:"Sizes of the fleets."`
@@ -18,7 +18,7 @@
 	Duration time.Duration `default:"10s" help:"How long load counts, for each size and way."`
 }
 
-// Run implements the command.
+// Run runs the command.
 func (c *TeamLimitCmd) Run(env *cli.Env) error {
 	o := teamlimit.Options{Routers: c.Routers, Limit: c.Limit, Duration: c.Duration}
 	log := zerolog.New(zerolog.ConsoleWriter{Out: env.Stderr}).Level(zerolog.WarnLevel)
--- a/internal/cli/bundlecmd/check.go
+++ b/internal/cli/bundlecmd/check.go
@@ -15,7 +15,7 @@
 	jsonFlag
 }
 
-// Help implements kong's HelpProvider.
+// Help implements kong.HelpProvider.
 func (*checkCmd) Help() string {
 	return `Reports all faults at once, one a line, as FILE:LINE:COLUMN: path: message, and
 exits with code 2 if there are any. Warnings, such as a model whose endpoints
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// checkReport is what "check --json" prints.
+// checkReport is the output of "check --json".
 type checkReport struct {
 	File     string    `json:"file"`
 	OK       bool      `json:"ok"`
@@ -65,7 +65,7 @@
 	Warnings []problem `json:"warnings"`
 }
 
-// problem is a fault or warning; line and column count from 1.
+// problem is an error or a warning; line and column start at 1.
 type problem struct {
 	Line    int    `json:"line"`
 	Column  int    `json:"column"`
--- a/internal/cli/memberscmd/memberscmd.go
+++ b/internal/cli/memberscmd/memberscmd.go
@@ -1,5 +1,5 @@
-// Package memberscmd holds the command that shows which endpoints routers use:
-// each endpoint's state, the reason and since when.
+// Package memberscmd holds the command that shows routers' view of the endpoints: the state of
+// each, its reason and its age.
 package memberscmd
 
 import (
@@ -22,7 +22,7 @@
 	Timeout time.Duration `help:"How long to wait for each router." default:"5s"`
 }
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (Cmd) Help() string {
 	return `Shows what each router makes of the endpoints: live ones get work, suspect ones
 only where nothing else is left, leaving and gone ones none.
@@ -40,23 +40,24 @@
 	if err != nil {
 		return err
 	}
-	client := &http.Client{CheckRedirect: stay}
+	client := &http.Client{CheckRedirect: rejectRedirect}
 	pages := []membership.Page{}
-	var failed error
+	var fetchErr error
 	for _, u := range urls {
 		page, err := c.fetch(env.Ctx, client, u)
 		if err != nil {
 			fmt.Fprintln(env.Stderr, err)
-			failed = errors.Newf("not all of %d routers answered", len(urls))
+			fetchErr = errors.Newf("not all of %d routers answered", len(urls))
 			continue
 		}
 		pages = append(pages, page)
 	}
-	return errors.CombineErrors(c.print(env, pages), failed)
+	return errors.CombineErrors(c.print(env, pages), fetchErr)
 }
 
-// stay follows no redirects: a router answers itself or not at all.
-func stay(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// rejectRedirect makes the client return redirects unfollowed: only the router itself may
+// answer.
+func rejectRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 func (c *Cmd) fetch(ctx context.Context, client *http.Client, u string) (membership.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
@@ -64,14 +65,14 @@
 	return membership.Fetch(ctx, client, u)
 }
 
-// urls returns the URLs to read, or what is wrong with the flags.
+// urls validates the flags and returns the routers' URLs.
 func (c *Cmd) urls() ([]string, error) {
 	if c.Timeout <= 0 {
 		return nil, cli.BadInput(errors.Newf("--timeout is %s; it must be positive", c.Timeout))
 	}
 	urls := make([]string, len(c.Router))
 	for i, raw := range c.Router {
-		u, err := cli.PageURL("router", raw, membership.Path)
+		u, err := cli.AdminURL("router", raw, membership.Path)
 		if err != nil {
 			return nil, err
 		}
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// output is what --json prints.
+// output is the JSON document that --json prints.
 type output struct {
 	Routers []membership.Page `json:"routers"`
 }
--- a/internal/cli/soakcmd/soakcmd.go
+++ b/internal/cli/soakcmd/soakcmd.go
@@ -32,7 +32,7 @@
 	Kept      bool          `help:"Run the seeds that once failed."`
 }
 
-// Help implements kong's help.
+// Help implements kong.HelpProvider.
 func (*Cmd) Help() string {
 	return `Runs the real daemon as separate processes on loopback, with stand-ins of the
 platform's store and replicas, injects faults from outside by signals and proxies,
@@ -40,10 +40,10 @@
 a promise was broken.`
 }
 
-// Run implements kong's command.
+// Run runs the command.
 func (c *Cmd) Run(env *cli.Env) error {
 	if c.List {
-		return list(env.Stdout)
+		return printKeptSeeds(env.Stdout)
 	}
 	if c.For <= soak.CalmEnd {
 		return cli.BadInput(errors.Newf("--for is %s; write more than %s", c.For, soak.CalmEnd))
@@ -52,24 +52,24 @@
 	if err != nil {
 		return errors.Wrap(err, "find this program")
 	}
-	daemon, err := c.daemon(tool)
+	daemon, err := c.daemonPath(tool)
 	if err != nil {
 		return err
 	}
-	dir, err := c.folder()
+	dir, err := c.logDir()
 	if err != nil {
 		return err
 	}
-	broken := 0
+	violations := 0
 	for _, seed := range c.seeds() {
-		found, err := c.runSeed(env, seed, soak.Options{Tool: tool, Daemon: daemon, Dir: dir})
+		n, err := c.runSeed(env, seed, soak.Options{Tool: tool, Daemon: daemon, Dir: dir})
 		if err != nil {
 			return err
 		}
-		broken += found
+		violations += n
 	}
-	if broken > 0 {
-		return errors.Newf("%d broken promises; the logs are in %s", broken, dir)
+	if violations > 0 {
+		return errors.Newf("%d broken promises; the logs are in %s", violations, dir)
 	}
 	if c.Dir == "" {
 		return errors.Wrap(os.RemoveAll(dir), "remove the logs")
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func list(w io.Writer) error {
+func printKeptSeeds(w io.Writer) error {
 	for _, kept := range soak.Kept() {
 		if _, err := fmt.Fprintf(w, "%d  %s\n", kept.Seed, kept.Cause); err != nil {
 			return errors.Wrap(err, "write the list")
@@ -100,7 +100,7 @@
 	return seeds
 }
 
-func (c *Cmd) folder() (string, error) {
+func (c *Cmd) logDir() (string, error) {
 	if c.Dir == "" {
 		dir, err := os.MkdirTemp("", "coveferry-soak-")
 		return dir, errors.Wrap(err, "make a folder for logs")
@@ -108,8 +108,9 @@
 	return c.Dir, errors.Wrap(os.MkdirAll(c.Dir, 0o755), "make the folder for logs")
 }
 
-// daemon is the program that is run as routers. By `go run` this one is alone in its folder.
-func (c *Cmd) daemon(tool string) (string, error) {
+// daemonPath returns the path of the daemon that is run as routers. With `go run` there is no
+// daemon next to this program, so the error explains how to build it.
+func (c *Cmd) daemonPath(tool string) (string, error) {
 	daemon := c.Daemon
 	if daemon == "" {
 		daemon = filepath.Join(filepath.Dir(tool), "coveferryd")
@@ -121,8 +122,9 @@
 	return daemon, nil
 }
 
-// runSeed runs one seed with the programs and the folder of o.
-func (c *Cmd) runSeed(env *cli.Env, seed uint64, o soak.Options) (broken int, err error) {
+// runSeed runs one seed with the program paths and the directory of o, and returns the number
+// of violations.
+func (c *Cmd) runSeed(env *cli.Env, seed uint64, o soak.Options) (violations int, err error) {
 	o.Seed, o.For, o.Routers, o.Endpoints, o.Callers = seed, c.For, c.Routers, c.Endpoints, c.Callers
 	o.Wire, o.Progress = platformtest.NewSoak(), env.Stderr
 	if c.Quiet {
--- a/internal/cli/soakcmd/soakcmd_test.go
+++ b/internal/cli/soakcmd/soakcmd_test.go
@@ -12,9 +12,10 @@
 	"coveferry/internal/cli"
 )
 
-// `go run ./cmd/coveferryctl soak` ended with a bare fork/exec error, as nothing else is beside
-// the program that `go run` builds.
-func TestASoakWithoutADaemonSaysWhereToGetOne(t *testing.T) {
+// The error must say how to build the daemon: the temporary folder in which `go run` builds
+// the program doesn't contain it, and without the check the command fails with a bare
+// fork/exec error.
+func TestMissingDaemonErrorExplainsBuild(t *testing.T) {
 	g := NewWithT(t)
 	missing := filepath.Join(t.TempDir(), "coveferryd")
 	c := &Cmd{Seeds: 1, For: 20 * time.Second, Daemon: missing}
--- a/internal/jsonc/document.go
+++ b/internal/jsonc/document.go
@@ -1,6 +1,6 @@
-// Package jsonc decodes JSON with comments and trailing commas into Go structs.
-// It is strict, and it reports every problem of a document at once, each with
-// its file, line, column and path, so that a user mends a file in one go.
+// Package jsonc decodes JSON with comments and trailing commas into Go structs. It is strict,
+// and it reports all problems of a document at once, each with its file, line, column and
+// path, so that a user can fix them in one pass.
 package jsonc
 
 import (
@@ -12,14 +12,13 @@
 	"github.com/tailscale/hujson"
 )
 
-// Limits on what Parse accepts. They bound the memory and the stack that a
-// hostile document can take.
+// Limits on documents. They bound the memory and the stack that a malicious document can use.
 const (
-	// MaxSize is the size of the largest document, in bytes.
+	// MaxSize is the maximum size of a document, in bytes.
 	MaxSize = 8 << 20
-	// MaxDepth is the most objects and lists that may lie within each other.
+	// MaxDepth is the maximum nesting of objects and lists.
 	MaxDepth = 64
-	// MaxKey is the length of the longest key, in bytes as written.
+	// MaxKey is the maximum length of a key as written, in bytes.
 	MaxKey = 256
 )
 
@@ -30,9 +29,8 @@
 	root  hujson.Value
 }
 
-// Parse reads the syntax of a document. The file name is used in messages only;
-// the document keeps no reference to src. An error is of type Problems and
-// holds the one place at which the syntax breaks.
+// Parse parses the syntax of a document. The file name is used in messages only; the document
+// keeps no reference to src. An error is of type Problems and contains the first syntax error.
 func Parse(file string, src []byte) (*Document, error) {
 	if len(src) > MaxSize {
 		msg := fmt.Sprintf("the document is too large; at most %d bytes are allowed", MaxSize)
@@ -40,7 +38,7 @@
 	}
 	src = bytes.Clone(src)
 	d := &Document{file: file, lines: newLineIndex(src)}
-	if p, ok := d.checkBytes(src); !ok {
+	if p, ok := d.checkSource(src); !ok {
 		return nil, Problems{p}
 	}
 	root, err := hujson.Parse(src)
@@ -48,19 +46,19 @@
 		return nil, Problems{d.syntaxProblem(err)}
 	}
 	d.root = root
-	if name := longKey(&d.root); name != nil {
+	if name := overlongKey(&d.root); name != nil {
 		msg := fmt.Sprintf("key too long; at most %d bytes are allowed", MaxKey)
-		return nil, Problems{d.at(name.StartOffset, "", msg)}
+		return nil, Problems{d.problemAt(name.StartOffset, "", msg)}
 	}
 	return d, nil
 }
 
-// longKey returns the first key that is longer than MaxKey, nil if none is.
-func longKey(v *hujson.Value) *hujson.Value {
+// overlongKey returns the first key that is longer than MaxKey, nil if none is.
+func overlongKey(v *hujson.Value) *hujson.Value {
 	switch node := v.Value.(type) {
 	case *hujson.Array:
 		for i := range node.Elements {
-			if name := longKey(&node.Elements[i]); name != nil {
+			if name := overlongKey(&node.Elements[i]); name != nil {
 				return name
 			}
 		}
@@ -70,7 +68,7 @@
 			if m.Name.EndOffset-m.Name.StartOffset > MaxKey {
 				return &m.Name
 			}
-			if name := longKey(&m.Value); name != nil {
+			if name := overlongKey(&m.Value); name != nil {
 				return name
 			}
 		}
@@ -78,20 +76,21 @@
 	return nil
 }
 
-// checkBytes finds what hujson doesn't look for: invalid UTF-8 in strings, and
-// nesting that would overflow the stack of its recursive parser.
-func (d *Document) checkBytes(src []byte) (Problem, bool) {
+// checkSource checks what hujson doesn't: invalid UTF-8 in strings, and nesting that would
+// overflow the stack of its recursive parser.
+func (d *Document) checkSource(src []byte) (Problem, bool) {
 	if at := invalidUTF8(src); at >= 0 {
-		return d.at(at, "", "invalid UTF-8"), false
+		return d.problemAt(at, "", "invalid UTF-8"), false
 	}
-	if at := tooDeep(src, MaxDepth); at >= 0 {
+	if at := firstTooDeep(src, MaxDepth); at >= 0 {
 		msg := fmt.Sprintf("nested too deep; at most %d levels are allowed", MaxDepth)
-		return d.at(at, "", msg), false
+		return d.problemAt(at, "", msg), false
 	}
 	return Problem{}, true
 }
 
-// syntaxProblem takes the place out of hujson's message, where alone it stands.
+// syntaxProblem parses the position from hujson's error message, which is the only place that
+// has it.
 func (d *Document) syntaxProblem(err error) Problem {
 	p := Problem{File: d.file, Line: 1, Column: 1, Message: err.Error()}
 	var line, column int
@@ -105,9 +104,9 @@
 	return p
 }
 
-// at makes a problem for the byte at an offset.
-func (d *Document) at(offset int, path, msg string) Problem {
-	line, column := d.lines.place(offset)
+// problemAt returns a problem at a byte offset.
+func (d *Document) problemAt(offset int, path, msg string) Problem {
+	line, column := d.lines.position(offset)
 	return Problem{File: d.file, Line: line, Column: column, Path: path, Message: msg}
 }
 
--- a/internal/jsonc/fields.go
+++ b/internal/jsonc/fields.go
@@ -12,7 +12,7 @@
 // Struct tags. The key of a field comes from its json tag, as in encoding/json.
 const (
 	tagName     = "jsonc"
-	tagRequired = "required" // `jsonc:"required"`: the key must be there
+	tagRequired = "required" // `jsonc:"required"`: the key must be present
 )
 
 // field is a struct field that a document can set.
@@ -23,7 +23,7 @@
 	required bool
 }
 
-// fieldsOf lists the fields of a struct type, those of embedded structs too.
+// fieldsOf returns the fields of a struct type, including those of embedded structs.
 func fieldsOf(t reflect.Type) []field {
 	var fields []field
 	for i := range t.NumField() {
@@ -32,7 +32,7 @@
 		switch {
 		case key == "-":
 		case sf.Anonymous && key == "" && sf.Type.Kind() == reflect.Struct:
-			fields = append(fields, embedded(sf)...)
+			fields = append(fields, embeddedFields(sf)...)
 		case sf.IsExported():
 			if key == "" {
 				key = sf.Name
@@ -44,7 +44,7 @@
 	return fields
 }
 
-func embedded(sf reflect.StructField) []field {
+func embeddedFields(sf reflect.StructField) []field {
 	fields := fieldsOf(sf.Type)
 	for i := range fields {
 		fields[i].index = append(slices.Clone(sf.Index), fields[i].index...)
@@ -52,58 +52,58 @@
 	return fields
 }
 
-// Describer is implemented by field types that can say in a few words which
-// values they take. The words complete "must be ...".
+// Describer is implemented by field types that can describe their valid values in a phrase
+// that completes "must be ...".
 type Describer interface{ Allowed() string }
 
-// missing says what a required field that is absent should hold.
-func missing(t reflect.Type) string {
-	if words := allowed(t); words != "" {
-		return "missing; it must be " + words
+// missingMessage returns the message for an absent required field.
+func missingMessage(t reflect.Type) string {
+	if want := allowedValues(t); want != "" {
+		return "missing; it must be " + want
 	}
 	return "missing; this key is required"
 }
 
-// allowed says in a few words what a type takes; it is empty for types that
-// decode themselves and don't say.
-func allowed(t reflect.Type) string {
+// allowedValues describes the values that a type accepts; it is empty for types that decode
+// themselves and aren't a Describer.
+func allowedValues(t reflect.Type) string {
 	if d, ok := reflect.New(t).Interface().(Describer); ok {
 		return d.Allowed()
 	}
 	switch t.Kind() {
 	case reflect.Pointer:
-		return allowed(t.Elem())
+		return allowedValues(t.Elem())
 	case reflect.Slice, reflect.Array:
-		return listAllowed(t.Elem())
+		return allowedList(t.Elem())
 	case reflect.Bool:
 		return "true or false"
 	case reflect.String:
 		return "a string"
 	case reflect.Struct:
-		return structAllowed(t)
+		return allowedStruct(t)
 	default:
 		return ""
 	}
 }
 
-func listAllowed(elem reflect.Type) string {
-	if words := allowed(elem); words != "" {
-		return "a list [...]; each element must be " + words
+func allowedList(elem reflect.Type) string {
+	if want := allowedValues(elem); want != "" {
+		return "a list [...]; each element must be " + want
 	}
 	return "a list [...]"
 }
 
-// structAllowed names the keys of an object; a type that decodes itself, such
-// as a time, has none.
-func structAllowed(t reflect.Type) string {
+// allowedStruct lists the keys of an object; a type that decodes itself, such as a time, has
+// none.
+func allowedStruct(t reflect.Type) string {
 	fields := fieldsOf(t)
 	if len(fields) == 0 {
 		return ""
 	}
-	return "an object {...} with the keys " + strings.Join(keysOf(fields), ", ")
+	return "an object {...} with the keys " + strings.Join(fieldKeys(fields), ", ")
 }
 
-func keysOf(fields []field) []string {
+func fieldKeys(fields []field) []string {
 	keys := make([]string, len(fields))
 	for i, f := range fields {
 		keys[i] = f.key
@@ -111,12 +111,12 @@
 	return keys
 }
 
-// unknownKey says which keys are allowed, and which may have been meant.
-func unknownKey(key string, fields []field) string {
-	keys := keysOf(fields)
+// unknownKeyMessage lists the allowed keys and suggests the one that may have been meant.
+func unknownKeyMessage(key string, fields []field) string {
+	keys := fieldKeys(fields)
 	msg := "unknown key"
-	if near, ok := nearest(key, keys); ok {
-		msg += fmt.Sprintf("; did you mean %q?", near)
+	if suggestion, ok := closestKey(key, keys); ok {
+		msg += fmt.Sprintf("; did you mean %q?", suggestion)
 	}
 	if len(keys) == 0 {
 		return msg + "; no keys are allowed here"
@@ -124,15 +124,15 @@
 	return msg + "; allowed: " + strings.Join(keys, ", ")
 }
 
-// charactersPerTypo is how many characters of a key make one more wrong one
-// likely; the first is granted, so that "wiat" is near to "wait".
+// charactersPerTypo is the number of characters in a key for which one more edit is tolerated;
+// one edit is always tolerated, so that "wiat" matches "wait".
 const charactersPerTypo = 4
 
-// nearest finds the word that key was most likely meant to be.
-func nearest(key string, words []string) (string, bool) {
+// closestKey returns the key that was most likely meant.
+func closestKey(key string, keys []string) (string, bool) {
 	best := ""
 	bestDistance := 2 + len(key)/charactersPerTypo
-	for _, w := range words {
+	for _, w := range keys {
 		d := levenshtein.ComputeDistance(strings.ToLower(key), strings.ToLower(w))
 		if d < bestDistance {
 			best = w
--- a/internal/jsonc/scalar.go
+++ b/internal/jsonc/scalar.go
@@ -14,9 +14,10 @@
 	"github.com/tailscale/hujson"
 )
 
-// unmarshaler decodes a value whose type does it itself, and says whether the
-// type does. Text comes first, as its errors say more of what is allowed.
-func (dec *decoder) unmarshaler(v *hujson.Value, dst reflect.Value, path *trail) bool {
+// decodeCustom decodes a value whose type implements TextUnmarshaler or json.Unmarshaler, and
+// reports whether it does. UnmarshalText takes precedence, as its errors describe the allowed
+// values better.
+func (dec *decoder) decodeCustom(v *hujson.Value, dst reflect.Value, path *chain) bool {
 	if !dst.CanAddr() {
 		return false
 	}
@@ -28,41 +29,39 @@
 	case (isText || isCustom) && v.Value.Kind() == 'n':
 		dec.report(v, path, "null is not allowed here")
 	case isText && v.Value.Kind() == '"':
-		dec.custom(v, path, text.UnmarshalText([]byte(unquote(lit))))
+		dec.reportCustom(v, path, text.UnmarshalText([]byte(unquote(lit))))
 	case isCustom:
-		dec.custom(v, path, custom.UnmarshalJSON(standard(v)))
+		dec.reportCustom(v, path, custom.UnmarshalJSON(standardJSON(v)))
 	case isText:
-		dec.notText(v, dst.Type(), path)
+		dec.reportNotString(v, dst.Type(), path)
 	default:
 		return false
 	}
 	return true
 }
 
-// notText reports a value that should be a string. A bare number is tried as
-// text on a value that is thrown away, since the type's own error names the
-// unit that is missing.
-func (dec *decoder) notText(v *hujson.Value, t reflect.Type, path *trail) {
+// reportNotString reports a value that should be a string. It first passes a bare number to
+// the type's UnmarshalText, into a discarded value, since that error names the missing unit.
+func (dec *decoder) reportNotString(v *hujson.Value, t reflect.Type, path *chain) {
 	lit, ok := v.Value.(hujson.Literal)
 	scratch := reflect.New(t).Interface().(encoding.TextUnmarshaler)
 	if ok && lit.Kind() == '0' {
 		if err := scratch.UnmarshalText(lit); err != nil {
-			dec.custom(v, path, err)
+			dec.reportCustom(v, path, err)
 			return
 		}
 	}
 	want := "a string"
-	if words := allowed(t); words != "" {
+	if words := allowedValues(t); words != "" {
 		want += " (" + words + ")"
 	}
 	dec.wrongKind(v, path, want)
 }
 
-// exampleTime shows how a time is written.
 const exampleTime = "2026-01-31T15:04:05Z"
 
-// custom reports the error, if any, of a type's own decoding.
-func (dec *decoder) custom(v *hujson.Value, path *trail, err error) {
+// reportCustom reports an error of a type's own decoding.
+func (dec *decoder) reportCustom(v *hujson.Value, path *chain, err error) {
 	var badTime *time.ParseError
 	switch {
 	case err == nil:
@@ -73,22 +72,22 @@
 	}
 }
 
-// anything decodes into an interface, as encoding/json does.
-func (dec *decoder) anything(v *hujson.Value, dst reflect.Value, path *trail) {
-	if err := json.Unmarshal(standard(v), dst.Addr().Interface()); err != nil {
+// decodeAny decodes into an interface, as encoding/json does.
+func (dec *decoder) decodeAny(v *hujson.Value, dst reflect.Value, path *chain) {
+	if err := json.Unmarshal(standardJSON(v), dst.Addr().Interface()); err != nil {
 		dec.report(v, path, "%s", err.Error())
 	}
 }
 
-// standard returns a value as JSON without comments.
-func standard(v *hujson.Value) []byte {
+// standardJSON returns a value as JSON without comments.
+func standardJSON(v *hujson.Value) []byte {
 	c := v.Clone()
 	c.Minimize()
 	return c.Pack()
 }
 
-// scalar decodes a boolean, string or number.
-func (dec *decoder) scalar(v *hujson.Value, dst reflect.Value, path *trail) {
+// decodeScalar decodes a boolean, string or number.
+func (dec *decoder) decodeScalar(v *hujson.Value, dst reflect.Value, path *chain) {
 	lit, _ := v.Value.(hujson.Literal)
 	kind := v.Value.Kind()
 	switch {
@@ -105,40 +104,40 @@
 		}
 		dst.SetString(unquote(lit))
 	case dst.CanInt():
-		dec.signed(v, dst, path)
+		dec.decodeInt(v, dst, path)
 	case dst.CanUint():
-		dec.unsigned(v, dst, path)
+		dec.decodeUint(v, dst, path)
 	case dst.CanFloat():
-		dec.float(v, dst, path)
+		dec.decodeFloat(v, dst, path)
 	default:
 		dec.report(v, path, "can't be stored in a %s", dst.Type())
 	}
 }
 
-func (dec *decoder) signed(v *hujson.Value, dst reflect.Value, path *trail) {
+func (dec *decoder) decodeInt(v *hujson.Value, dst reflect.Value, path *chain) {
 	bits := dst.Type().Bits()
-	n, err := strconv.ParseInt(number(v), 10, bits)
+	n, err := strconv.ParseInt(numberText(v), 10, bits)
 	if err != nil {
-		low := int64(math.MinInt64) >> (64 - bits)
-		dec.wrongKind(v, path, fmt.Sprintf("a whole number from %d to %d", low, -(low+1)))
+		lowest := int64(math.MinInt64) >> (64 - bits)
+		dec.wrongKind(v, path, fmt.Sprintf("a whole number from %d to %d", lowest, -(lowest+1)))
 		return
 	}
 	dst.SetInt(n)
 }
 
-func (dec *decoder) unsigned(v *hujson.Value, dst reflect.Value, path *trail) {
+func (dec *decoder) decodeUint(v *hujson.Value, dst reflect.Value, path *chain) {
 	bits := dst.Type().Bits()
-	n, err := strconv.ParseUint(number(v), 10, bits)
+	n, err := strconv.ParseUint(numberText(v), 10, bits)
 	if err != nil {
-		high := uint64(math.MaxUint64) >> (64 - bits)
-		dec.wrongKind(v, path, fmt.Sprintf("a whole number from 0 to %d", high))
+		highest := uint64(math.MaxUint64) >> (64 - bits)
+		dec.wrongKind(v, path, fmt.Sprintf("a whole number from 0 to %d", highest))
 		return
 	}
 	dst.SetUint(n)
 }
 
-func (dec *decoder) float(v *hujson.Value, dst reflect.Value, path *trail) {
-	n, err := strconv.ParseFloat(number(v), dst.Type().Bits())
+func (dec *decoder) decodeFloat(v *hujson.Value, dst reflect.Value, path *chain) {
+	n, err := strconv.ParseFloat(numberText(v), dst.Type().Bits())
 	if err != nil {
 		dec.wrongKind(v, path, "a number within the range of its type")
 		return
@@ -146,21 +145,21 @@
 	dst.SetFloat(n)
 }
 
-// number returns the text of a JSON number, empty for other kinds.
-func number(v *hujson.Value) string {
+// numberText returns the text of a JSON number, or an empty string for other kinds.
+func numberText(v *hujson.Value) string {
 	if lit, ok := v.Value.(hujson.Literal); ok && lit.Kind() == '0' {
 		return string(lit)
 	}
 	return ""
 }
 
-// wrongKind reports a value of another kind than the one wanted.
-func (dec *decoder) wrongKind(v *hujson.Value, path *trail, want string) {
-	dec.report(v, path, "must be %s, not %s", want, describe(v))
+// wrongKind reports a value that isn't of the wanted kind.
+func (dec *decoder) wrongKind(v *hujson.Value, path *chain, want string) {
+	dec.report(v, path, "must be %s, not %s", want, describeValue(v))
 }
 
-// describe names what stands in the document, in a few words.
-func describe(v *hujson.Value) string {
+// describeValue describes a value of the document for a message.
+func describeValue(v *hujson.Value) string {
 	lit, _ := v.Value.(hujson.Literal)
 	switch v.Value.Kind() {
 	case '{':
@@ -168,18 +167,18 @@
 	case '[':
 		return "a list"
 	case '"':
-		return "the string " + shorten(strconv.Quote(unquote(lit)))
+		return "the string " + truncate(strconv.Quote(unquote(lit)))
 	default:
-		return shorten(string(lit))
+		return truncate(string(lit))
 	}
 }
 
-// maxShown is how much of a wrong value a message repeats, in bytes.
-const maxShown = 60
+// maxShownBytes is the length to which a message truncates a wrong value.
+const maxShownBytes = 60
 
-func shorten(s string) string {
-	if len(s) <= maxShown {
+func truncate(s string) string {
+	if len(s) <= maxShownBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:maxShown], "") + "..."
+	return strings.ToValidUTF8(s[:maxShownBytes], "") + "..."
 }
--- a/internal/settings/words.go
+++ b/internal/settings/enums.go
@@ -8,20 +8,20 @@
 	"github.com/cockroachdb/errors"
 )
 
-// choose stores a word if it is one of the allowed ones.
-func choose[T ~string](dst *T, text []byte, words []T) error {
-	word := T(text)
-	if !slices.Contains(words, word) {
-		return errors.Newf("must be %s, not %q", oneOf(words), text)
+// parseEnum stores text in dst if it is one of the allowed values.
+func parseEnum[T ~string](dst *T, text []byte, allowed []T) error {
+	value := T(text)
+	if !slices.Contains(allowed, value) {
+		return errors.Newf("must be %s, not %q", quotedAlternatives(allowed), text)
 	}
-	*dst = word
+	*dst = value
 	return nil
 }
 
-// oneOf writes `"a", "b" or "c"`.
-func oneOf[T ~string](words []T) string {
-	quoted := make([]string, len(words))
-	for i, w := range words {
+// quotedAlternatives formats values as `"a", "b" or "c"`.
+func quotedAlternatives[T ~string](values []T) string {
+	quoted := make([]string, len(values))
+	for i, w := range values {
 		quoted[i] = quote(string(w))
 	}
 	last := len(quoted) - 1
@@ -30,10 +30,10 @@
 
 func quote(s string) string { return strconv.Quote(s) }
 
-// BalancePolicy names how a router chooses endpoints.
+// BalancePolicy is a policy by which a router selects endpoints.
 type BalancePolicy string
 
-// The balance policies; each has the name of its implementation.
+// The balance policies; each value is the name of its implementation.
 const (
 	BalanceLoadAware   BalancePolicy = "load-aware"
 	BalanceHotCold     BalancePolicy = "hot-cold"
@@ -53,20 +53,21 @@
 
 // UnmarshalText reads the name of a policy.
 func (p *BalancePolicy) UnmarshalText(text []byte) error {
-	return choose(p, text, BalancePolicies())
+	return parseEnum(p, text, BalancePolicies())
 }
 
-// Allowed names the policies.
-func (BalancePolicy) Allowed() string { return oneOf(BalancePolicies()) }
+// Allowed implements jsonc.Describer.
+func (BalancePolicy) Allowed() string { return quotedAlternatives(BalancePolicies()) }
 
-// SchedulerPolicy names how an agent orders its queue.
+// SchedulerPolicy is a policy by which an agent orders its queue.
 type SchedulerPolicy string
 
 // The scheduler policies.
 const (
-	// SchedulerTiered goes by tier, team and deadline, with a reserve.
+	// SchedulerTiered orders by tier, team and deadline, and reserves time for starving
+	// classes.
 	SchedulerTiered SchedulerPolicy = "tiered"
-	// SchedulerFIFO goes by arrival; it is there to compare with.
+	// SchedulerFIFO orders by arrival; it serves as a baseline for comparisons.
 	SchedulerFIFO SchedulerPolicy = "fifo"
 )
 
@@ -77,13 +78,13 @@
 
 // UnmarshalText reads the name of a policy.
 func (p *SchedulerPolicy) UnmarshalText(text []byte) error {
-	return choose(p, text, SchedulerPolicies())
+	return parseEnum(p, text, SchedulerPolicies())
 }
 
-// Allowed names the policies.
-func (SchedulerPolicy) Allowed() string { return oneOf(SchedulerPolicies()) }
+// Allowed implements jsonc.Describer.
+func (SchedulerPolicy) Allowed() string { return quotedAlternatives(SchedulerPolicies()) }
 
-// EngineKind says what runs beside an agent.
+// EngineKind is the kind of back end of an agent.
 type EngineKind string
 
 // The kinds of back end.
@@ -96,12 +97,12 @@
 func EngineKinds() []EngineKind { return []EngineKind{KindEngine, KindService} }
 
 // UnmarshalText reads the name of a kind.
-func (k *EngineKind) UnmarshalText(text []byte) error { return choose(k, text, EngineKinds()) }
+func (k *EngineKind) UnmarshalText(text []byte) error { return parseEnum(k, text, EngineKinds()) }
 
-// Allowed names the kinds.
-func (EngineKind) Allowed() string { return oneOf(EngineKinds()) }
+// Allowed implements jsonc.Describer.
+func (EngineKind) Allowed() string { return quotedAlternatives(EngineKinds()) }
 
-// LogLevel is the least level that is logged; the words are zerolog's.
+// LogLevel is the lowest level that is logged; the names are zerolog's.
 type LogLevel string
 
 // The log levels.
@@ -116,12 +117,12 @@
 func LogLevels() []LogLevel { return []LogLevel{LogDebug, LogInfo, LogWarn, LogError} }
 
 // UnmarshalText reads the name of a level.
-func (l *LogLevel) UnmarshalText(text []byte) error { return choose(l, text, LogLevels()) }
+func (l *LogLevel) UnmarshalText(text []byte) error { return parseEnum(l, text, LogLevels()) }
 
-// Allowed names the levels.
-func (LogLevel) Allowed() string { return oneOf(LogLevels()) }
+// Allowed implements jsonc.Describer.
+func (LogLevel) Allowed() string { return quotedAlternatives(LogLevels()) }
 
-// LogFormat is how log lines are written.
+// LogFormat is the encoding of log lines.
 type LogFormat string
 
 // The log formats.
@@ -134,7 +135,7 @@
 func LogFormats() []LogFormat { return []LogFormat{FormatJSON, FormatConsole} }
 
 // UnmarshalText reads the name of a format.
-func (f *LogFormat) UnmarshalText(text []byte) error { return choose(f, text, LogFormats()) }
+func (f *LogFormat) UnmarshalText(text []byte) error { return parseEnum(f, text, LogFormats()) }
 
-// Allowed names the formats.
-func (LogFormat) Allowed() string { return oneOf(LogFormats()) }
+// Allowed implements jsonc.Describer.
+func (LogFormat) Allowed() string { return quotedAlternatives(LogFormats()) }
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -22,7 +22,7 @@
 	reference = "../../docs/operations/settings.md"
 )
 
-// row is what the reference page says of a key, but for its meaning.
+// row is a row of the reference page without its description.
 type row struct{ key, unit, def, allowed string }
 
 var unitOf = map[reflect.Type]string{
@@ -39,42 +39,42 @@
 	reflect.TypeFor[bool]():           "boolean",
 }
 
-// rowsOf lists the keys of settings as the reference has to show them.
-func rowsOf(f file) []row {
+// expectedRows returns the rows that the reference must have for some settings.
+func expectedRows(f roleSettings) []row {
 	allowed := make(map[string]string)
-	for _, r := range f.rules() {
+	for _, r := range f.checks() {
 		if r.allowed != "" {
 			allowed[r.path] = r.allowed
 		}
 	}
-	rows := walk(reflect.ValueOf(f).Elem(), "")
+	rows := rowsOfStruct(reflect.ValueOf(f).Elem(), "")
 	for i := range rows {
-		words := []string{allowed[rows[i].key], rows[i].allowed}
-		rows[i].allowed = strings.Join(slices.DeleteFunc(words, func(s string) bool { return s == "" }), "; each ")
+		parts := []string{allowed[rows[i].key], rows[i].allowed}
+		rows[i].allowed = strings.Join(slices.DeleteFunc(parts, func(s string) bool { return s == "" }), "; each ")
 	}
 	return rows
 }
 
-func walk(v reflect.Value, path string) []row {
+func rowsOfStruct(v reflect.Value, path string) []row {
 	var rows []row
 	for sf, value := range v.Fields() {
 		key, _, _ := strings.Cut(sf.Tag.Get("json"), ",")
-		sub := jsonc.Key(path, key)
+		fieldPath := jsonc.Key(path, key)
 		_, isText := reflect.New(sf.Type).Interface().(encoding.TextUnmarshaler)
 		switch {
 		case sf.Anonymous:
-			rows = append(rows, walk(value, path)...)
+			rows = append(rows, rowsOfStruct(value, path)...)
 		case sf.Type.Kind() == reflect.Struct && !isText:
-			rows = append(rows, walk(value, sub)...)
+			rows = append(rows, rowsOfStruct(value, fieldPath)...)
 		default:
-			rows = append(rows, rowOf(sf, value, sub))
+			rows = append(rows, rowOf(sf, value, fieldPath))
 		}
 	}
 	return rows
 }
 
 func rowOf(sf reflect.StructField, v reflect.Value, path string) row {
-	r := row{key: path, unit: unitOf[sf.Type], def: "`" + show(v.Interface()) + "`"}
+	r := row{key: path, unit: unitOf[sf.Type], def: "`" + formatValue(v.Interface()) + "`"}
 	if r.unit == "" {
 		r.unit = "word"
 	}
@@ -97,8 +97,8 @@
 	return r
 }
 
-// pageRows reads the table below a heading of the reference.
-func pageRows(heading string) (rows []row, meanings []string) {
+// documentedRows reads the table below a heading of the reference.
+func documentedRows(heading string) (rows []row, meanings []string) {
 	page, err := os.ReadFile(reference)
 	Expect(err).NotTo(HaveOccurred())
 	_, section, _ := strings.Cut(string(page), "\n## "+heading+"\n")
@@ -114,11 +114,11 @@
 	return rows, meanings
 }
 
-var _ = Describe("what operators read", func() {
+var _ = Describe("reference and examples", func() {
 	for _, role := range Roles() {
 		It("describes every key of "+string(role)+" in the reference", func() {
-			got, meanings := pageRows(string(role))
-			want := rowsOf(newSettings(role))
+			got, meanings := documentedRows(string(role))
+			want := expectedRows(newSettings(role))
 			for _, r := range want {
 				Expect(got).To(ContainElement(r), fmt.Sprintf("| `%s` | MEANING | %s | %s | %s |", r.key, r.unit, r.def, r.allowed))
 			}
@@ -139,9 +139,9 @@
 			Expect(doc.Decode(&keys)).To(BeEmpty())
 			example := newSettings(role)
 			decode(doc, example, "")
-			shown := rowsOf(example)
-			for i, r := range rowsOf(newSettings(role)) {
-				Expect(has(keys, r.key)).To(BeTrue(), r.key)
+			shown := expectedRows(example)
+			for i, r := range expectedRows(newSettings(role)) {
+				Expect(hasPath(keys, r.key)).To(BeTrue(), r.key)
 				if r.def != "required" && r.def != "none" && !strings.HasPrefix(r.key, "engine.") {
 					Expect(shown[i].def).To(Equal(r.def), r.key)
 				}
@@ -149,7 +149,7 @@
 		})
 	}
 
-	It("names the balance policies as they name themselves", func() {
+	It("uses the names of the balance policies' implementations", func() {
 		policies := []balance.Policy{
 			balance.LoadAware{}, balance.HotCold{}, balance.PowerOfTwo{},
 			balance.LeastLoaded{}, balance.Random{}, &balance.RoundRobin{},
@@ -162,13 +162,13 @@
 	})
 })
 
-// has says whether a decoded document has a key.
-func has(keys map[string]any, path string) bool {
+// hasPath reports whether a decoded document has a key.
+func hasPath(keys map[string]any, path string) bool {
 	first, rest, nested := strings.Cut(path, ".")
 	value, ok := keys[first]
 	if !nested {
 		return ok
 	}
 	inner, _ := value.(map[string]any)
-	return has(inner, rest)
+	return hasPath(inner, rest)
 }
--- a/internal/settings/router.go
+++ b/internal/settings/router.go
@@ -6,64 +6,63 @@
 	"coveferry/internal/units"
 )
 
-// Router is what a router reads from its settings file.
+// Router holds the settings of a router.
 type Router struct {
 	Process
 	Shutdown RouterShutdown `json:"shutdown"`
 	Limits   Limits         `json:"limits"`
 	Retry    Retry          `json:"retry"`
 	Balance  Balance        `json:"balance"`
-	// VMList lists the servers of the platform's list of VMs; empty means that
-	// the list is heard of from other routers only.
+	// VMList lists the servers of the platform's list of VMs; if empty, the list is learned
+	// from other routers only.
 	VMList []URL `json:"vm_list"`
 }
 
-// RouterShutdown bounds a planned stop. It takes BalancerGrace and then at
-// most StreamsGrace.
+// RouterShutdown bounds a planned shutdown. It takes BalancerGrace and then at most
+// StreamsGrace.
 type RouterShutdown struct {
-	// BalancerGrace is how long the router says that it isn't ready while it
-	// still accepts, so that the platform's balancer has turned away.
+	// BalancerGrace is how long the router reports not ready while still accepting
+	// connections, so that the load balancer stops sending them.
 	BalancerGrace units.Duration `json:"balancer_grace"`
-	// StreamsGrace is how long answers under way may then go on.
+	// StreamsGrace is how long open responses may then continue.
 	StreamsGrace units.Duration `json:"streams_grace"`
 }
 
-// Limits bound what callers can make a router hold.
+// Limits bounds the resources that callers can make a router hold.
 type Limits struct {
-	// HeaderTimeout and BodyTimeout are how long a caller may take to send
-	// the head and the body of a request.
+	// HeaderTimeout and BodyTimeout bound the time in which a caller sends the header and the
+	// body of a request.
 	HeaderTimeout units.Duration `json:"header_timeout"`
 	BodyTimeout   units.Duration `json:"body_timeout"`
-	// MaxHeaderBytes bounds the head of a request. The bundle bounds the body.
+	// MaxHeaderBytes bounds a request's header. The bundle bounds its body.
 	MaxHeaderBytes units.Bytes `json:"max_header_bytes"`
-	// MaxConnections bounds the callers' open connections.
+	// MaxConnections bounds callers' open connections.
 	MaxConnections int `json:"max_connections"`
-	// MaxOpenRequests bounds the requests held at once, over all connections.
+	// MaxOpenRequests bounds the concurrent requests over all connections.
 	MaxOpenRequests int `json:"max_open_requests"`
-	// MaxBodyMemory bounds the bodies held at once, together.
+	// MaxBodyMemory bounds the total size of buffered bodies.
 	MaxBodyMemory units.Bytes `json:"max_body_memory"`
 }
 
-// Retry bounds further attempts after one that didn't run.
+// Retry bounds retries of attempts that didn't run.
 type Retry struct {
-	// MaxAttempts bounds the attempts of one request, the first included.
+	// MaxAttempts bounds the attempts of one request, including the first.
 	MaxAttempts int `json:"max_attempts"`
-	// BudgetRatio bounds retries to this part of the requests.
+	// BudgetRatio is the maximum ratio of retries to requests.
 	BudgetRatio float64 `json:"budget_ratio"`
 }
 
-// Balance is how a router chooses endpoints.
+// Balance configures how a router selects endpoints.
 type Balance struct {
 	Policy BalancePolicy `json:"policy"`
-	// SubsetSize is how many endpoints of each model the router uses; 0
-	// means all.
+	// SubsetSize is the number of endpoints of each model that the router uses; 0 means all.
 	SubsetSize int `json:"subset_size"`
-	// LateBinding has a request wait at two endpoints where none is known to
-	// have room, and run at the one that has room first.
+	// LateBinding queues a request at two endpoints if none is known to have a free slot, and
+	// runs it at the first that has one.
 	LateBinding bool `json:"late_binding"`
 }
 
-// Bounds of a router's settings.
+// Limits of a router's settings.
 const (
 	maxBalancerGrace = units.Duration(5 * time.Minute)
 	minStreamsGrace  = units.Duration(time.Second)
@@ -84,8 +83,7 @@
 	maxSubsetSize = 10_000
 )
 
-// DefaultRouter returns the settings of a router whose file gives only what is
-// required.
+// DefaultRouter returns the settings of a router whose file has only the required keys.
 func DefaultRouter() Router {
 	return Router{
 		Process:  defaultProcess(RoleRouter),
@@ -103,31 +101,31 @@
 	}
 }
 
-// defaultStreamsGrace leaves time for the longest answers.
+// defaultStreamsGrace allows for the longest responses.
 const defaultStreamsGrace = units.Duration(10 * time.Minute)
 
 func defaultBalance() Balance { return Balance{Policy: BalanceLoadAware, LateBinding: true} }
 
 func (r *Router) role() Role { return RoleRouter }
 
-func (r *Router) rules() []rule {
-	rules := r.Process.rules()
-	rules = append(rules, r.Shutdown.rules()...)
-	rules = append(rules, r.Limits.rules()...)
-	rules = append(rules, r.Retry.rules()...)
-	rules = append(rules, r.Balance.rules()...)
-	return append(rules, count("vm_list", len(r.VMList), 0, maxVMList))
+func (r *Router) checks() []checkResult {
+	results := r.Process.checks()
+	results = append(results, r.Shutdown.checks()...)
+	results = append(results, r.Limits.checks()...)
+	results = append(results, r.Retry.checks()...)
+	results = append(results, r.Balance.checks()...)
+	return append(results, countBetween("vm_list", len(r.VMList), 0, maxVMList))
 }
 
-func (s RouterShutdown) rules() []rule {
-	return []rule{
+func (s RouterShutdown) checks() []checkResult {
+	return []checkResult{
 		between("shutdown.balancer_grace", s.BalancerGrace, 0, maxBalancerGrace),
 		between("shutdown.streams_grace", s.StreamsGrace, minStreamsGrace, maxGrace),
 	}
 }
 
-func (l Limits) rules() []rule {
-	return []rule{
+func (l Limits) checks() []checkResult {
+	return []checkResult{
 		between("limits.header_timeout", l.HeaderTimeout, minReadTimeout, maxHeaderTimeout),
 		between("limits.body_timeout", l.BodyTimeout, minReadTimeout, maxBodyTimeout),
 		between("limits.max_header_bytes", l.MaxHeaderBytes, minHeaderBytes, maxHeaderBytes),
@@ -137,13 +135,13 @@
 	}
 }
 
-func (r Retry) rules() []rule {
-	return []rule{
+func (r Retry) checks() []checkResult {
+	return []checkResult{
 		between("retry.max_attempts", r.MaxAttempts, 1, maxAttempts),
 		between("retry.budget_ratio", r.BudgetRatio, 0, 1),
 	}
 }
 
-func (b Balance) rules() []rule {
-	return []rule{between("balance.subset_size", b.SubsetSize, 0, maxSubsetSize)}
+func (b Balance) checks() []checkResult {
+	return []checkResult{between("balance.subset_size", b.SubsetSize, 0, maxSubsetSize)}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads the file that a process of coveferryd is started with:
-// its addresses, its place, whom it trusts and its bounds. A file is JSON with
-// comments, decoded strictly; every fault is reported at once, with its place
-// and what is allowed. What all processes share stands in the bundle instead.
+// Package settings reads the settings file of a coveferryd process: its addresses, location,
+// trusted keys and limits. A file is JSON with comments and is decoded strictly; all errors
+// are reported at once, with their positions and the allowed values. Configuration that all
+// processes share is in the bundle instead.
 package settings
 
 import (
@@ -16,10 +16,10 @@
 	"coveferry/internal/jsonc"
 )
 
-// InvalidError says that a settings file can't be used, and why.
+// InvalidError lists the problems of a settings file.
 type InvalidError struct{ Problems jsonc.Problems }
 
-// Error writes one line for each problem.
+// Error returns one line for each problem.
 func (e *InvalidError) Error() string { return e.Problems.Error() }
 
 // Unwrap returns the problems.
@@ -43,8 +43,8 @@
 	return &s, nil
 }
 
-// LoadStandalone reads the settings of a standalone run; an empty file is one
-// of defaults. An error is an *InvalidError.
+// LoadStandalone reads the settings of a standalone run; an empty file means the defaults. An
+// error is an *InvalidError.
 func LoadStandalone(path string) (*Standalone, error) {
 	s := DefaultStandalone()
 	if err := load(path, &s); err != nil {
@@ -53,30 +53,30 @@
 	return &s, nil
 }
 
-// Check reads a settings file of any role. It returns the role that the file
-// names, empty if it names none, and what is wrong with it.
+// Check reads a settings file of any role. It returns the role in the file, empty if it has
+// none, and the problems found.
 func Check(path string) (Role, jsonc.Problems) {
 	doc, problems := read(path)
 	if doc == nil {
 		return "", problems
 	}
-	role, problems := roleOf(doc)
+	role, problems := readRole(doc)
 	if len(problems) > 0 {
 		return "", problems
 	}
 	return role, decode(doc, newSettings(role), filepath.Dir(path))
 }
 
-// file is what the settings of every role can do.
-type file interface {
+// roleSettings is implemented by the settings of every role.
+type roleSettings interface {
 	role() Role
-	// rules are checked once the file is decoded.
-	rules() []rule
-	// files are the paths in the settings, to be resolved.
+	// checks returns the results of the checks of the decoded values.
+	checks() []checkResult
+	// files returns the paths that are resolved against the folder of the settings file.
 	files() []*File
 }
 
-func newSettings(role Role) file {
+func newSettings(role Role) roleSettings {
 	switch role {
 	case RoleRouter:
 		s := DefaultRouter()
@@ -90,7 +90,7 @@
 	}
 }
 
-func load(path string, dst file) error {
+func load(path string, dst roleSettings) error {
 	doc, problems := read(path)
 	if doc != nil {
 		problems = loadRole(doc, dst, filepath.Dir(path))
@@ -101,12 +101,12 @@
 	return nil
 }
 
-// loadRole decodes the document if it is meant for the role of dst. Settings
-// of another role aren't looked at further: most keys would be wrong.
-func loadRole(doc *jsonc.Document, dst file, dir string) jsonc.Problems {
-	role, problems := roleOf(doc)
+// loadRole decodes the document if it is for the role of dst. Settings of another role aren't
+// checked further, since most of their keys would be reported as unknown.
+func loadRole(doc *jsonc.Document, dst roleSettings, dir string) jsonc.Problems {
+	role, problems := readRole(doc)
 	switch {
-	case role == "" && dst.role() == RoleStandalone && !names(doc, keyRole):
+	case role == "" && dst.role() == RoleStandalone && !hasKey(doc, keyRole):
 		// the role has a default
 	case len(problems) > 0:
 		return problems
@@ -117,11 +117,11 @@
 	return decode(doc, dst, dir)
 }
 
-// decode fills dst, checks its rules and resolves its paths against dir.
-func decode(doc *jsonc.Document, dst file, dir string) jsonc.Problems {
+// decode fills dst, runs its checks and resolves its paths against dir.
+func decode(doc *jsonc.Document, dst roleSettings, dir string) jsonc.Problems {
 	problems := doc.Decode(dst)
-	for _, r := range dst.rules() {
-		if !r.ok && !reported(problems, r.path) {
+	for _, r := range dst.checks() {
+		if !r.ok && !hasProblemAt(problems, r.path) {
 			problems = append(problems, doc.Problem(r.path, r.message))
 		}
 	}
@@ -132,28 +132,28 @@
 	return problems
 }
 
-// reported says whether a problem was found at a path, within or around it; a
-// rule on the value would then only repeat it.
-func reported(problems jsonc.Problems, path string) bool {
+// hasProblemAt reports whether there is a problem at the path, within it or around it; a
+// failed check of the value would only repeat it.
+func hasProblemAt(problems jsonc.Problems, path string) bool {
 	for _, p := range problems {
-		if within(p.Path, path) || within(path, p.Path) {
+		if isWithin(p.Path, path) || isWithin(path, p.Path) {
 			return true
 		}
 	}
 	return false
 }
 
-// within says whether path lies in the value at outer.
-func within(path, outer string) bool {
+// isWithin reports whether path lies in the value at outer.
+func isWithin(path, outer string) bool {
 	rest, ok := strings.CutPrefix(path, outer)
 	return ok && (rest == "" || rest[0] == '.' || rest[0] == '[')
 }
 
-// read parses a file. Without a document there is at least one problem.
+// read parses a file. If it returns no document, it returns at least one problem.
 func read(path string) (*jsonc.Document, jsonc.Problems) {
 	src, err := readLimited(path)
 	if err != nil {
-		return nil, jsonc.Problems{{File: path, Message: "can't be read: " + reason(err)}}
+		return nil, jsonc.Problems{{File: path, Message: "can't be read: " + errorReason(err)}}
 	}
 	if len(src) <= jsonc.MaxSize && len(bytes.TrimSpace(src)) == 0 {
 		src = []byte("{}")
@@ -169,7 +169,7 @@
 	return doc, nil
 }
 
-// readLimited reads no more than it takes to see that a file is too large.
+// readLimited reads at most one byte more than the size limit.
 func readLimited(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -179,8 +179,8 @@
 	return io.ReadAll(io.LimitReader(f, jsonc.MaxSize+1))
 }
 
-// reason leaves the path out of an error, as the problem names it already.
-func reason(err error) string {
+// errorReason removes the path from an error, since the problem already contains it.
+func errorReason(err error) string {
 	var pathErr *os.PathError
 	if errors.As(err, &pathErr) {
 		return pathErr.Err.Error()
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// notAllowed is the error of a text that isn't what its type allows.
-func notAllowed(text []byte, allowed string) error {
+// invalidText returns the error for a text that its type doesn't allow.
+func invalidText(text []byte, allowed string) error {
 	return errors.Newf("must be %s, not %q", allowed, text)
 }
 
@@ -24,35 +24,35 @@
 func (a *Address) UnmarshalText(text []byte) error {
 	ap, err := netip.ParseAddrPort(string(text))
 	if err != nil || ap.Addr().IsMulticast() {
-		return notAllowed(text, a.Allowed())
+		return invalidText(text, a.Allowed())
 	}
 	a.AddrPort = netip.AddrPortFrom(ap.Addr().Unmap(), ap.Port())
 	return nil
 }
 
-// overlaps says whether the two can't be listened on at once. Ports that the
-// system chooses don't clash.
+// overlaps reports whether the two addresses can't be listened on at the same time. Ports that
+// the system chooses never conflict.
 func (a Address) overlaps(b Address) bool {
 	if !a.IsValid() || !b.IsValid() || a.Port() != b.Port() || a.Port() == 0 {
 		return false
 	}
-	wild := a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
-	return a.Addr() == b.Addr() || wild && a.Addr().Is4() == b.Addr().Is4()
+	unspecified := a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
+	return a.Addr() == b.Addr() || unspecified && a.Addr().Is4() == b.Addr().Is4()
 }
 
-// Allowed says what an address is.
+// Allowed implements jsonc.Describer.
 func (Address) Allowed() string {
 	return `a literal IP and port such as "10.0.0.7:8080", not a host name`
 }
 
-// URL is the address of a server that the process calls, by IP number.
+// URL is the URL, with a literal IP address, of a server that the process calls.
 type URL struct{ url.URL }
 
 // UnmarshalText reads "http://10.0.0.7:8000/path".
 func (u *URL) UnmarshalText(text []byte) error {
 	parsed, err := url.Parse(string(text))
-	if err != nil || !callable(parsed) {
-		return notAllowed(text, u.Allowed())
+	if err != nil || !isServerURL(parsed) {
+		return invalidText(text, u.Allowed())
 	}
 	u.URL = *parsed
 	return nil
@@ -61,52 +61,52 @@
 // MarshalText writes the URL.
 func (u URL) MarshalText() ([]byte, error) { return []byte(u.String()), nil }
 
-// Allowed says what a URL is.
+// Allowed implements jsonc.Describer.
 func (URL) Allowed() string {
 	return `an http or https URL with a literal IP and port such as "http://10.0.0.7:8000", with no user, query or fragment`
 }
 
-func callable(u *url.URL) bool {
+func isServerURL(u *url.URL) bool {
 	ap, err := netip.ParseAddrPort(u.Host)
 	return err == nil && ap.Port() != 0 && !ap.Addr().IsUnspecified() && !ap.Addr().IsMulticast() &&
 		(u.Scheme == "http" || u.Scheme == "https") &&
 		u.User == nil && u.RawQuery == "" && !u.ForceQuery && u.Fragment == ""
 }
 
-// Name names a VM, a failure domain, a region or an endpoint. Its form is that
-// of the names in a bundle, where the same names stand.
+// Name is the name of a VM, a failure domain, a region or an endpoint, in the same form as in
+// a bundle.
 type Name string
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 // UnmarshalText reads a name.
 func (n *Name) UnmarshalText(text []byte) error {
-	if !nameForm.Match(text) {
-		return notAllowed(text, n.Allowed())
+	if !namePattern.Match(text) {
+		return invalidText(text, n.Allowed())
 	}
 	*n = Name(text)
 	return nil
 }
 
-// Allowed says what a name is.
+// Allowed implements jsonc.Describer.
 func (Name) Allowed() string {
 	return "1 to 63 lower-case letters, digits, '.', '_' or '-', beginning with a letter or digit"
 }
 
-// File is the path of a file. In a settings file a relative path starts from
-// the folder of that file; once loaded it is resolved.
+// File is a path. In a settings file a relative path is relative to the folder of that file;
+// it is resolved when the file is loaded.
 type File string
 
 // UnmarshalText reads a path.
 func (f *File) UnmarshalText(text []byte) error {
 	if len(text) == 0 || strings.ContainsRune(string(text), 0) {
-		return notAllowed(text, f.Allowed())
+		return invalidText(text, f.Allowed())
 	}
 	*f = File(text)
 	return nil
 }
 
-// Allowed says what a path is.
+// Allowed implements jsonc.Describer.
 func (File) Allowed() string {
 	return "a path, absolute or relative to the folder of the settings file"
 }
@@ -123,12 +123,12 @@
 // UnmarshalText reads a key in minisign's form, without a comment.
 func (k *PublicKey) UnmarshalText(text []byte) error {
 	if strings.ContainsAny(string(text), "\r\n") || k.PublicKey.UnmarshalText(text) != nil {
-		return notAllowed(text, k.Allowed())
+		return invalidText(text, k.Allowed())
 	}
 	return nil
 }
 
-// Allowed says what a key is.
+// Allowed implements jsonc.Describer.
 func (PublicKey) Allowed() string {
 	return `a minisign public key, the line of a .pub file that begins with "RW"`
 }
