--- a/internal/balance/bound.go
+++ b/internal/balance/bound.go
@@ -8,85 +8,86 @@
 )
 
 const (
-	// partFor is how long a router's part of an endpoint's rate holds before it is worked out
-	// again: routers come and go more slowly.
-	partFor = 500 * time.Millisecond
-	// leastRate is what an endpoint gets that names a limit of less, 0 included, in requests
-	// a second from all routers: by the answer they hear that it takes more again.
-	leastRate = 0.1
+	// shareTTL is how long a router's share of an endpoint's rate is used before it is computed
+	// again. Routers come and go more slowly.
+	shareTTL = 500 * time.Millisecond
+	// minRate is the rate, in requests a second from all routers, of an endpoint that states a
+	// lower limit, 0 included: only a response tells the routers that the limit has risen.
+	minRate = 0.1
 )
 
-// bound is what is known of how many requests a second an endpoint takes from all routers.
+// bound is the state of an endpoint's rate limit, in requests a second from all routers.
 type bound struct {
 	coldUntil time.Time
-	// suspect says that connections to the endpoint fail or it is silent: it may be a process
-	// that has just started, or be one at any moment.
+	// suspect says that connections to the endpoint fail or that it is unresponsive. Its process
+	// may have just started, or may restart at any moment.
 	suspect bool
 	limit   limit
 	pace    endpointrate.Pace
-	// part is this router's requests a second of rate, as worked out at partAt.
-	part, rate float64
-	partAt     time.Time
+	// share is this router's share of rate, as computed at shareAt.
+	share, rate float64
+	shareAt     time.Time
 }
 
-// cold says whether the endpoint has just started or was taken back. rate is what a cold one
-// takes; 0 bounds nothing.
+// cold says whether the endpoint has just started or rejoined. rate is what a cold endpoint
+// accepts; 0 means that cold endpoints aren't limited.
 func (b *bound) cold(now time.Time, rate float64) bool { return rate > 0 && now.Before(b.coldUntil) }
 
-// takenForCold says whether the endpoint gets what a cold one does. Where nothing else may take a
-// request it goes to one that is suspect, which must not get all there is then.
-func (b *bound) takenForCold(now time.Time, req Request) bool {
+// treatAsCold says whether the endpoint gets the rate of a cold one. A suspect endpoint does too:
+// where no other endpoint may take requests, it must not get all of them at once.
+func (b *bound) treatAsCold(now time.Time, req Request) bool {
 	return b.cold(now, req.ColdRate) || b.suspect && req.ColdRate > 0 && !req.mostUnsure
 }
 
-// now is what the endpoint takes at present; false if anything.
+// now is the rate limit that currently applies to the endpoint; false if none does.
 func (b *bound) now(now time.Time, e *bundle.Endpoint, req Request) (endpointrate.Bound, bool) {
-	cold := b.takenForCold(now, req)
+	cold := b.treatAsCold(now, req)
 	switch {
 	case cold && (!b.limit.named || req.ColdRate <= b.limit.perSecond):
 		return endpointrate.Cold(e.Name, e.FailureDomain, req.ColdRate), true
 	case b.limit.named:
-		return endpointrate.Limited(e.Name, e.FailureDomain, max(b.limit.perSecond, leastRate)), true
+		return endpointrate.Limited(e.Name, e.FailureDomain, max(b.limit.perSecond, minRate)), true
 	}
 	return endpointrate.Bound{}, false
 }
 
-// rankOf is the rank by which requests yield to each other. Cold endpoints have none: they are
-// cold for a few seconds, and what yields there is lost.
-func (b *bound) rankOf(now time.Time, req Request) int {
-	if b.takenForCold(now, req) {
+// rank is the rank by which requests yield their turn to others. At a cold endpoint all have the
+// highest: it is cold for a few seconds only, and a turn that is yielded there goes unused.
+func (b *bound) rank(now time.Time, req Request) int {
+	if b.treatAsCold(now, req) {
 		return 0
 	}
 	return req.Tier
 }
 
-// aside says whether the endpoint has no place among those by which it is decided who is kept
-// apart and where homes are: a cold one, or one whose limit leaves requests out. A limit that
-// nothing comes up against changes nothing.
+// aside says whether the endpoint is left out of the decisions on isolated kinds and preferred
+// endpoints: it is cold, or its limit turns requests away. A limit that no request reaches
+// changes nothing.
 func (b *bound) aside(now time.Time, coldRate float64) bool {
 	return b.cold(now, coldRate) || b.limit.named && b.pace.Binds(now)
 }
 
-// partOf is this router's part of a bound of the endpoint.
-func (p *Pool) partOf(now time.Time, b *bound, of endpointrate.Bound) float64 {
-	if b.partAt.IsZero() || now.Sub(b.partAt) > partFor || b.rate != of.PerSecond {
-		b.part, b.rate, b.partAt = p.cfg.Part(now, of), of.PerSecond, now
-		b.pace.Change(now, b.part)
+// shareOf is this router's share of a rate limit of the endpoint.
+func (p *Pool) shareOf(now time.Time, b *bound, limit endpointrate.Bound) float64 {
+	if b.shareAt.IsZero() || now.Sub(b.shareAt) > shareTTL || b.rate != limit.PerSecond {
+		b.share, b.rate, b.shareAt = p.cfg.Part(now, limit), limit.PerSecond, now
+		b.pace.Change(now, b.share)
 	}
-	return b.part
+	return b.share
 }
 
-// ready says whether the endpoint, whose shard is locked, may be sent the request now.
+// ready says whether the endpoint may be sent the request now. The caller holds the lock of its
+// shard.
 func (p *Pool) ready(now time.Time, st *state, e *bundle.Endpoint, req Request) bool {
-	of, bounded := st.bound.now(now, e, req)
-	if !bounded {
+	limit, limited := st.bound.now(now, e, req)
+	if !limited {
 		return true
 	}
-	return st.bound.pace.Ready(now, p.partOf(now, &st.bound, of), st.bound.rankOf(now, req))
+	return st.bound.pace.Ready(now, p.shareOf(now, &st.bound, limit), st.bound.rank(now, req))
 }
 
-// SetCold notes that an endpoint is cold for so much longer. What is known already isn't
-// shortened: a word of how long may be older than another one.
+// SetCold sets the endpoint cold for the time left. It never shortens the time known already, since
+// reports of it may arrive out of order.
 func (p *Pool) SetCold(now time.Time, endpoint string, left time.Duration) {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
@@ -97,59 +98,59 @@
 	}
 }
 
-// Take says whether an endpoint may be sent a request, and counts it where the endpoint takes
-// so many a second from all routers. Of the request, only the tier and the cold rate count.
+// Take says whether an endpoint may be sent a request now and, if its rate is limited, counts the
+// request against this router's share. Only the tier and the cold rate of req matter.
 func (p *Pool) Take(now time.Time, e *bundle.Endpoint, req Request) bool {
 	sh := p.shard(e.Name)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	st := sh.state(e.Name)
-	of, bounded := st.bound.now(now, e, req)
-	if !bounded {
+	limit, limited := st.bound.now(now, e, req)
+	if !limited {
 		return true
 	}
-	taken := st.bound.pace.Take(now, p.partOf(now, &st.bound, of), st.bound.rankOf(now, req))
+	taken := st.bound.pace.Take(now, p.shareOf(now, &st.bound, limit), st.bound.rank(now, req))
 	if taken && st.bound.limit.named {
 		p.limits.sent.Add(1)
 	}
 	return taken
 }
 
-// MayCheck says whether an endpoint may be sent a health check, and counts it where the
-// endpoint names a limit: a check takes a place like any request. Those of cold endpoints
-// aren't counted, as that they have returned is found out by checks.
+// MayCheck says whether an endpoint may be sent a health check and, if the endpoint states a limit,
+// counts the check like a request. Checks of cold endpoints aren't counted, since only checks find
+// out that such an endpoint has returned.
 func (p *Pool) MayCheck(now time.Time, e *bundle.Endpoint) bool { return p.Take(now, e, Request{}) }
 
-// refuse notes that there was no endpoint for a request, so that less urgent ones leave it what
-// comes next at those that take so many a second.
+// refuse records that no endpoint could take a request, so that less urgent requests leave it the
+// next turn at the rate-limited candidates.
 func (p *Pool) refuse(now time.Time, candidates []*bundle.Endpoint, req Request) {
 	for _, e := range candidates {
 		sh := p.shard(e.Name)
 		sh.mu.Lock()
 		if st, known := sh.states[e.Name]; known {
-			st.bound.pace.Refuse(now, st.bound.rankOf(now, req))
+			st.bound.pace.Refuse(now, st.bound.rank(now, req))
 		}
 		sh.mu.Unlock()
 	}
 }
 
-// turnAway notes that a request wasn't sent to an endpoint, and returns how long that takes no
-// further one from this router.
+// turnAway records that an endpoint couldn't take a request, and returns the time until it can take
+// one from this router.
 func (p *Pool) turnAway(now time.Time, e *bundle.Endpoint, req Request) time.Duration {
 	sh := p.shard(e.Name)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	b := &sh.state(e.Name).bound
-	of, bounded := b.now(now, e, req)
-	if !bounded {
+	limit, limited := b.now(now, e, req)
+	if !limited {
 		return 0
 	}
-	rank := b.rankOf(now, req)
+	rank := b.rank(now, req)
 	b.pace.TurnAway(now)
-	part := p.partOf(now, b, of)
-	if part <= 0 {
-		// Its owners send what it takes: another one may.
-		return endpointrate.Gap(of.PerSecond)
+	share := p.shareOf(now, b, limit)
+	if share <= 0 {
+		// The whole rate is assigned to other routers, which send at this interval.
+		return endpointrate.Gap(limit.PerSecond)
 	}
-	return max(0, b.pace.FreeAt(now, part, rank).Sub(now))
+	return max(0, b.pace.FreeAt(now, share, rank).Sub(now))
 }
--- a/internal/balance/copy.go
+++ b/internal/balance/copy.go
@@ -2,45 +2,45 @@
 
 import "coveferry/internal/prompt"
 
-// copyRatio is the most prompt tokens for each token of output with which a
-// run's memory is copied: copying is paid by the token, and what it saves
-// grows with the time that the stream runs.
+// copyRatio is the largest ratio of prompt to output tokens at which a run's KV cache is copied:
+// the cost of copying grows with the tokens, the benefit with how long the stream runs.
 const copyRatio = 5
 
-// copyTo is the place of the endpoint to which to copy the run's memory. Runs are copied
-// that would be lost with their endpoint, or that go on late elsewhere, and only those
-// that take little memory for what they produce. Copies are spread, since they take memory
-// where they lie: over the endpoints that are kept for such streams, in another failure
-// domain if there is one. group are those of the request's kind, which may be fewer than
-// were decided for, as a retry leaves out those that were tried.
+// copyTo is the index of the endpoint to copy the run's KV cache to, -1 if none. Runs are copied that
+// couldn't be repeated after a crash of their endpoint, or whose stream would be late if resumed
+// elsewhere, and only if their prompt is short relative to the output. Since copies take memory they
+// are spread over the endpoints dedicated to such streams, if possible in another failure domain.
+// group are the endpoints of the request's kind. A retry leaves out those already tried, so that
+// they may be fewer than at the last isolation decision.
 func copyTo(req Request, views []View, e Expectation, group, all []int, chosen int) int {
 	if !e.Tight && !req.Once || req.Prompt.Tokens > copyRatio*req.Prompt.Output {
 		return -1
 	}
 	if e.Tight {
-		if to := copyAmong(req.Prompt, views, group, chosen); to >= 0 {
+		if to := bestCopyTarget(req.Prompt, views, group, chosen); to >= 0 {
 			return to
 		}
 	}
-	return copyAmong(req.Prompt, views, all, chosen)
+	return bestCopyTarget(req.Prompt, views, all, chosen)
 }
 
-// copyAmong is the endpoint of a group that takes the copy, -1 if none may.
-func copyAmong(p prompt.Prompt, views []View, group []int, chosen int) int {
+// bestCopyTarget is the index of the endpoint in a group that takes the copy, -1 if none may.
+func bestCopyTarget(p prompt.Prompt, views []View, group []int, chosen int) int {
 	best := -1
 	for _, i := range group {
 		if i == chosen || views[i].Bounded || views[i].requests() >= views[i].slots() {
 			continue
 		}
-		if best < 0 || betterCopy(p, views, chosen, i, best) {
+		if best < 0 || betterCopyTarget(p, views, chosen, i, best) {
 			best = i
 		}
 	}
 	return best
 }
 
-// betterCopy says whether a copy is better kept at a than at b.
-func betterCopy(p prompt.Prompt, views []View, chosen, a, b int) bool {
+// betterCopyTarget says whether a is a better place for the copy than b: in another failure domain
+// than the chosen endpoint, or else by rendezvous hashing.
+func betterCopyTarget(p prompt.Prompt, views []View, chosen, a, b int) bool {
 	farA := views[a].FailureDomain != views[chosen].FailureDomain
 	farB := views[b].FailureDomain != views[chosen].FailureDomain
 	if farA != farB {
--- a/internal/balance/detect.go
+++ b/internal/balance/detect.go
@@ -8,8 +8,8 @@
 	"coveferry/internal/bundle"
 )
 
-// detect compares the peers and sheds outliers, at most once an interval
-// unless urgent. No lock may be held.
+// detect compares the peers and ejects outliers, at most once per interval unless urgent. The
+// caller must not hold a shard's lock.
 func (p *Pool) detect(now time.Time, urgent bool) {
 	if p.cfg.Outlier.Off {
 		return
@@ -20,7 +20,7 @@
 	}
 	next := now.Add(p.cfg.Outlier.Interval).UnixNano()
 	if !p.detectAt.CompareAndSwap(due, next) {
-		return // another goroutine does it
+		return // another goroutine compares them
 	}
 	p.detecting.Lock()
 	defer p.detecting.Unlock()
@@ -34,7 +34,7 @@
 	}
 }
 
-// peers returns all endpoints in use, ordered by group and name.
+// peers returns all endpoints that accept new requests, ordered by group and name.
 func (p *Pool) peers(now time.Time) []peer {
 	var peers []peer
 	for i := range p.shards {
@@ -54,13 +54,13 @@
 			continue
 		}
 		peers = append(peers, peer{
-			endpoint:   name,
-			group:      st.group,
-			service:    st.service(),
-			firstToken: st.firstToken,
-			samples:    st.health.samples,
-			failures:   st.health.failures,
-			shed:       st.health.weight(now, o) == 0,
+			endpoint:     name,
+			group:        st.group,
+			service:      st.service(),
+			firstToken:   st.firstToken,
+			samples:      st.health.samples,
+			failureShare: st.health.failures,
+			ejected:      st.health.weight(now, o) == 0,
 		})
 	}
 	return peers
@@ -86,8 +86,8 @@
 	st.running, st.drain, st.firstToken = 0, 0, 0
 }
 
-// peerGroup names the endpoints that can be compared with c: those of the same
-// first model or service.
+// peerGroup names the group of endpoints that c is compared with: those of the same first model,
+// or else of the same first service.
 func peerGroup(c *bundle.Endpoint) string {
 	if len(c.Models) > 0 {
 		return "model " + c.Models[0]
--- a/internal/balance/errors.go
+++ b/internal/balance/errors.go
@@ -10,15 +10,16 @@
 // ErrNoEndpoint matches every NoEndpointError with errors.Is.
 var ErrNoEndpoint = errors.New("no endpoint may take the request")
 
-// NoEndpointError says why Choose found nothing: of Candidates endpoints,
-// Skipped were ruled out by the caller, Leaving accept no new work, and Bounded take so many
-// requests a second and have had them.
+// NoEndpointError says why Choose found no endpoint: of Candidates endpoints, Skipped were ruled out
+// by the caller, Leaving accept no new requests, and Bounded are rate-limited with this router's
+// share used up.
 type NoEndpointError struct {
 	Candidates int
 	Skipped    int
 	Leaving    int
 	Bounded    int
-	// FreeIn is when one of the bounded ones takes the next request, 0 if none is.
+	// FreeIn is the time until the first of the rate-limited endpoints takes the next request, 0
+	// if there are none.
 	FreeIn time.Duration
 }
 
--- a/internal/balance/failures.go
+++ b/internal/balance/failures.go
@@ -9,43 +9,44 @@
 	"coveferry/internal/throttle/window"
 )
 
-// When several routers together find an endpoint failing.
+// Thresholds above which several routers together find an endpoint failing.
 const (
-	// failureWindow is how long an attempt counts: a few of them, at the rates at
-	// which a router among many uses one endpoint.
+	// failureWindow is how long an attempt counts. One of many routers makes only a few
+	// attempts at an endpoint in that time.
 	failureWindow = 2 * time.Second
-	// minWitnesses is how many routers must have seen failures: one alone may be
-	// cut off itself.
-	minWitnesses = 2
-	// minFailed is how many attempts must have failed at all routers, and
-	// failingShare the share of them that must have.
-	minFailed    = 4
-	failingShare = 0.3
-	// failingDeviations is by how many standard deviations more must have failed
-	// than at the peers: where all fail alike, avoiding some helps nobody, and a
-	// plain service whose requests fail by themselves now and then isn't failing.
-	failingDeviations = 3
-	// avoidFor is how long an endpoint is avoided then. Its health checks may be
-	// good all the while, so that only requests can tell whether it has recovered.
+	// minReporters is how many routers must have seen failures: a single router may itself be
+	// cut off.
+	minReporters = 2
+	// minFailed is how many attempts must have failed at all routers together, and
+	// minFailedShare what share of the attempts must have.
+	minFailed      = 4
+	minFailedShare = 0.3
+	// failingStdDevs is by how many standard deviations the failures must exceed those of the
+	// peers: where all endpoints fail alike, avoiding some helps nobody, and a plain service with
+	// occasional failures of its own isn't failing.
+	failingStdDevs = 3
+	// avoidFor is how long a failing endpoint is avoided. Its health checks may pass all the
+	// while, so that only requests can tell whether it has recovered.
 	avoidFor = 3 * time.Second
-	// failuresOfBefore is how long after a restart others' words may still count attempts
-	// at the process before: as long as attempts count, and some time on the way.
-	failuresOfBefore = failureWindow + time.Second
+	// restartGracePeriod is how long after a restart peer reports may still include attempts at
+	// the previous process: the failure window and some time for the report to arrive.
+	restartGracePeriod = failureWindow + time.Second
 )
 
-// FailureWord is what one router tells another of attempts at an endpoint.
+// FailureWord is a peer report of failed attempts at an endpoint and of its being unresponsive.
 type FailureWord struct {
 	Endpoint string `json:"e"`
 	Attempts int    `json:"n"`
 	Failed   int    `json:"f"`
-	// Witnesses is how many routers saw some of them fail.
+	// Witnesses is how many routers had failed attempts.
 	Witnesses int `json:"w"`
-	// Silent is for how many routers it is silent, and SilentMillis for how long at the least.
+	// Silent is how many routers found the endpoint unresponsive, and SilentMillis the shortest
+	// time for which it was.
 	Silent       int   `json:"s,omitempty"`
 	SilentMillis int64 `json:"q,omitempty"`
 }
 
-// Plus adds what another router saw of the same endpoint.
+// Plus adds the report of another router of the same endpoint.
 func (w FailureWord) Plus(o FailureWord) FailureWord {
 	w.Attempts += o.Attempts
 	w.Failed += o.Failed
@@ -57,46 +58,46 @@
 	return w
 }
 
-// FailureWords lists the endpoints at which this router's attempts failed lately,
-// those with most failures first, at most so many.
-func (p *Pool) FailureWords(now time.Time, most int) []FailureWord {
-	var words []FailureWord
+// FailureWords lists up to limit endpoints at which attempts of this router failed recently or that
+// it found unresponsive, those with the most failures first.
+func (p *Pool) FailureWords(now time.Time, limit int) []FailureWord {
+	var failures []FailureWord
 	for i := range p.shards {
-		words = p.shards[i].failureWords(words, now)
+		failures = p.shards[i].appendFailures(failures, now)
 	}
-	slices.SortFunc(words, func(a, b FailureWord) int {
+	slices.SortFunc(failures, func(a, b FailureWord) int {
 		return cmp.Or(cmp.Compare(b.Failed, a.Failed), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
-	return words[:min(most, len(words))]
+	return failures[:min(limit, len(failures))]
 }
 
-func (sh *shard) failureWords(words []FailureWord, now time.Time) []FailureWord {
+func (sh *shard) appendFailures(failures []FailureWord, now time.Time) []FailureWord {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for name, st := range sh.states {
-		n := st.results(now)
-		if n.Part == 0 && !st.isSilent(now) {
+		n := st.recentAttempts(now)
+		if n.Part == 0 && !st.isUnresponsive(now) {
 			continue
 		}
 		w := FailureWord{Endpoint: name, Attempts: n.Total, Failed: n.Part, Witnesses: min(1, n.Part)}
-		if st.isSilent(now) {
+		if st.isUnresponsive(now) {
 			w.Silent, w.SilentMillis = 1, now.Sub(maxTime(st.heardAt, st.quietSince)).Milliseconds()
 		}
-		words = append(words, w)
+		failures = append(failures, w)
 	}
-	return words
+	return failures
 }
 
-// results are this router's attempts of late, Part of which failed.
-func (st *state) results(now time.Time) window.Counts {
+// recentAttempts counts this router's attempts within the failure window; Part of them failed.
+func (st *state) recentAttempts(now time.Time) window.Counts {
 	if st.attempts == nil {
 		return window.Counts{}
 	}
 	return st.attempts.Sum(now)
 }
 
-// noteResult counts an attempt. What the caller broke off or the endpoint refused
-// says nothing.
+// noteResult counts an attempt. Cancelled and refused attempts say nothing about the endpoint's
+// health and aren't counted.
 func (st *state) noteResult(now time.Time, res Result) {
 	if res != ResultOK && res != ResultFailed {
 		return
@@ -112,60 +113,60 @@
 	st.attempts.Add(now, c)
 }
 
-// HearFailures takes in what other routers saw, and has endpoints avoided for a
-// while that fail for several of them. Each call tells all that others see. It
-// returns those that are avoided from now on.
-func (p *Pool) HearFailures(now time.Time, words []FailureWord) []FailureWord {
-	heard := make(map[string]FailureWord, len(words))
-	for _, w := range words {
-		heard[w.Endpoint] = w
+// HearFailures applies the failures that peers report, and avoids for a while the endpoints that
+// fail at several routers. Each call passes everything that all peers report. It returns the
+// endpoints that are avoided from now on.
+func (p *Pool) HearFailures(now time.Time, reports []FailureWord) []FailureWord {
+	byEndpoint := make(map[string]FailureWord, len(reports))
+	for _, w := range reports {
+		byEndpoint[w.Endpoint] = w
 	}
-	seen := make(map[string][]FailureWord) // by group
+	byGroup := make(map[string][]FailureWord)
 	avoided := make(map[string]int)
 	for i := range p.shards {
-		p.shards[i].seen(seen, avoided, heard, now)
+		p.shards[i].collectFailures(byGroup, avoided, byEndpoint, now)
 	}
-	var all []FailureWord
-	for group, of := range seen {
-		all = append(all, failing(of, avoided[group], p.cfg.Outlier)...)
+	var failing []FailureWord
+	for group, attempts := range byGroup {
+		failing = append(failing, failingEndpoints(attempts, avoided[group], p.cfg.Outlier)...)
 	}
-	for _, w := range all {
+	for _, w := range failing {
 		p.avoid(now, w.Endpoint)
 	}
-	p.hearSilences(now, words)
-	return all
+	p.applyPeerUnresponsive(now, reports)
+	return failing
 }
 
-// hearSilences has endpoints avoided that several other routers find silent, unless this one
-// hears of them: among many routers each has few requests at an endpoint, and would find
-// out by sending one there.
-func (p *Pool) hearSilences(now time.Time, words []FailureWord) {
-	told := make(map[string]int)
-	for _, w := range words {
+// applyPeerUnresponsive avoids endpoints that several peers found unresponsive, unless they have
+// responded or reported since. With many routers each sends few requests to an endpoint, and would
+// otherwise lose a request there to find out.
+func (p *Pool) applyPeerUnresponsive(now time.Time, reports []FailureWord) {
+	reported := make(map[string]int)
+	for _, w := range reports {
 		if w.Silent > 0 {
-			told[p.groupOf(w.Endpoint)]++
+			reported[p.groupOf(w.Endpoint)]++
 		}
 	}
-	tooMany := make(map[string]bool, len(told))
-	for group, silent := range told {
+	tooMany := make(map[string]bool, len(reported))
+	for group, unresponsive := range reported {
 		all, _ := p.countInGroup(group)
-		tooMany[group] = float64(silent) > mostSilent*float64(all)
+		tooMany[group] = float64(unresponsive) > maxUnresponsiveShare*float64(all)
 	}
-	for _, w := range words {
+	for _, w := range reports {
 		if w.Silent == 0 || tooMany[p.groupOf(w.Endpoint)] {
 			continue
 		}
 		sh := p.shard(w.Endpoint)
 		sh.mu.Lock()
-		if st, known := sh.states[w.Endpoint]; known && !st.contradicts(now, w) {
+		if st, known := sh.states[w.Endpoint]; known && !st.contradictsPeers(now, w) {
 			st.toldAt = now
-			st.avoidUntil = maxTime(st.avoidUntil, now.Add(silentFor))
+			st.avoidUntil = maxTime(st.avoidUntil, now.Add(unresponsiveReportTTL))
 		}
 		sh.mu.Unlock()
 	}
 }
 
-// groupOf is the group of an endpoint; empty if it isn't known.
+// groupOf is the peer group of an endpoint; empty if the endpoint isn't known.
 func (p *Pool) groupOf(endpoint string) string {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
@@ -176,9 +177,9 @@
 	return ""
 }
 
-// seen adds what this router and others saw of each endpoint in use, and counts
-// those that are avoided.
-func (sh *shard) seen(seen map[string][]FailureWord, avoided map[string]int, heard map[string]FailureWord, now time.Time) {
+// collectFailures adds up what this router and its peers saw of each endpoint in use, by group, and
+// counts those already avoided.
+func (sh *shard) collectFailures(byGroup map[string][]FailureWord, avoided map[string]int, peerReports map[string]FailureWord, now time.Time) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for name, st := range sh.states {
@@ -189,45 +190,44 @@
 			avoided[st.group]++
 			continue
 		}
-		n := st.results(now)
+		n := st.recentAttempts(now)
 		w := FailureWord{Endpoint: name, Attempts: n.Total, Failed: n.Part, Witnesses: min(1, n.Part)}
-		if now.Sub(st.restartedAt) > failuresOfBefore {
-			w = w.Plus(heard[name])
+		if now.Sub(st.restartedAt) > restartGracePeriod {
+			w = w.Plus(peerReports[name])
 		}
-		seen[st.group] = append(seen[st.group], w)
+		byGroup[st.group] = append(byGroup[st.group], w)
 	}
 }
 
-// failing returns those of a group's endpoints that fail for several routers and
-// much more than their peers do, the worst first. No more than the largest share
-// may be avoided at once.
-func failing(seen []FailureWord, avoided int, o Outlier) []FailureWord {
-	slices.SortFunc(seen, func(a, b FailureWord) int {
+// failingEndpoints returns the endpoints of a group that fail at several routers and much more than
+// their peers, the worst first. No more than Outlier.MaxShare of them are avoided at once.
+func failingEndpoints(attempts []FailureWord, avoided int, o Outlier) []FailureWord {
+	slices.SortFunc(attempts, func(a, b FailureWord) int {
 		return cmp.Or(cmp.Compare(b.failedShare(), a.failedShare()), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
-	most := int(o.MaxShare * float64(len(seen)+avoided))
+	maxAvoided := int(o.MaxShare * float64(len(attempts)+avoided))
 	peers := FailureWord{}
-	for _, w := range seen[min(most, len(seen)):] {
+	for _, w := range attempts[min(maxAvoided, len(attempts)):] {
 		peers = peers.Plus(w)
 	}
-	room := max(1, most) - avoided
-	var bad []FailureWord
-	for _, w := range seen {
-		if len(bad) < room && w.Witnesses >= minWitnesses && w.isFailing(peers.failedShare()) {
-			bad = append(bad, w)
+	remaining := max(1, maxAvoided) - avoided
+	var failing []FailureWord
+	for _, w := range attempts {
+		if len(failing) < remaining && w.Witnesses >= minReporters && w.isFailing(peers.failedShare()) {
+			failing = append(failing, w)
 		}
 	}
-	return bad
+	return failing
 }
 
-// isFailing says that more attempts failed than chance explains, where this share
-// of those at the peers did. Failures that are few come about as by Poisson's law,
-// whose variance is its mean; one is added, since the mean is only estimated.
-func (w FailureWord) isFailing(peers float64) bool {
-	expected := peers * float64(w.Attempts)
-	most := expected + failingDeviations*math.Sqrt(expected+1)
-	return w.Failed >= minFailed && float64(w.Failed) > most &&
-		w.failedShare() > failingShare
+// isFailing says whether more attempts failed than chance explains, given the peers' share of
+// failures. Rare failures follow a Poisson distribution, whose variance is its mean; one is added
+// because the mean is only an estimate.
+func (w FailureWord) isFailing(peerShare float64) bool {
+	expected := peerShare * float64(w.Attempts)
+	threshold := expected + failingStdDevs*math.Sqrt(expected+1)
+	return w.Failed >= minFailed && float64(w.Failed) > threshold &&
+		w.failedShare() > minFailedShare
 }
 
 func (w FailureWord) failedShare() float64 {
--- a/internal/balance/limit.go
+++ b/internal/balance/limit.go
@@ -10,32 +10,34 @@
 	"coveferry/internal/upstream"
 )
 
-// limit is what an endpoint says of how many requests a second it takes from all routers.
+// limit is the rate limit that an endpoint states in its responses, for all routers together.
 type limit struct {
 	named     bool
 	perSecond float64
-	// saidAt is when it said so last, as far as is known; zero if it never named a limit.
-	saidAt time.Time
-	// changed is when this router heard what is news to others, and toldAs the limit then.
-	changed time.Time
-	toldAs  float64
+	// statedAt is when the endpoint last stated it, as far as known; zero if it never stated one.
+	statedAt time.Time
+	// changedAt is when this router learned of the last change to report to its peers, and
+	// advertised the limit at that time.
+	changedAt  time.Time
+	advertised float64
 }
 
-// newsFrom is by which part a limit must differ from what was told of it to be told again:
-// owners hear its value from the endpoint itself, and others need no more than its size.
-const newsFrom = 0.1
-
-// hear takes in what an answer to a request that was sent at a moment says. Answers overtake
-// each other: one that was on its way while the endpoint said something else ends no limit,
-// and begins none that has ended.
-func (l *limit) hear(now, sent time.Time, said upstream.RateLimit) (changed bool) {
-	outdated := sent.Before(l.saidAt)
-	switch said.Statement {
+// minRelativeChange is the share by which a limit must differ from the last advertised one to be
+// reported to peers again. Routers that have a share of the limit learn its value from the
+// endpoint's own responses; the others need only its magnitude.
+const minRelativeChange = 0.1
+
+// applyResponse applies what a response to a request sent at the given time states. Responses can
+// arrive out of order: one whose request was sent before the last statement neither ends a limit
+// nor sets one that has ended.
+func (l *limit) applyResponse(now, sent time.Time, stated upstream.RateLimit) (changed bool) {
+	outdated := sent.Before(l.statedAt)
+	switch stated.Statement {
 	case upstream.LimitNamed:
 		if outdated && !l.named {
 			return false
 		}
-		return l.set(now, now, true, said.PerSecond)
+		return l.set(now, now, true, stated.PerSecond)
 	case upstream.LimitNone:
 		if !l.named || outdated {
 			return false
@@ -45,77 +47,78 @@
 	return false
 }
 
-// set notes what the endpoint said at a moment.
+// set stores a limit that the endpoint stated at the given time.
 func (l *limit) set(now, at time.Time, named bool, perSecond float64) (changed bool) {
-	changed = named != l.named || math.Abs(perSecond-l.toldAs) > newsFrom*l.toldAs
-	l.named, l.perSecond, l.saidAt = named, perSecond, at
+	changed = named != l.named || math.Abs(perSecond-l.advertised) > minRelativeChange*l.advertised
+	l.named, l.perSecond, l.statedAt = named, perSecond, at
 	if changed {
-		l.changed, l.toldAs = now, perSecond
+		l.changedAt, l.advertised = now, perSecond
 	}
 	return changed
 }
 
-// limits counts what has to do with limits that endpoints name.
+// limits is the state shared by the rate limits of all endpoints.
 type limits struct {
-	// heard says that some endpoint has named one since this router started.
-	heard atomic.Bool
-	// sent counts requests to endpoints that name one.
+	// seen says that some endpoint has stated a limit since this router started.
+	seen atomic.Bool
+	// sent counts requests to endpoints with a limit.
 	sent atomic.Int64
-	// turn is whose turn it is to be told where there are many.
-	turn atomic.Uint64
+	// rotation is the offset of the next batch for peers, where there are too many for one.
+	rotation atomic.Uint64
 }
 
-// LimitEvent is a change of the limit that an endpoint names.
+// LimitEvent is a change of the limit that an endpoint states.
 type LimitEvent struct {
 	Endpoint string
-	// Named says that it names one, PerSecond from all routers, else that it no longer does.
+	// Named says that the endpoint limits all routers together to PerSecond; false if it no
+	// longer does.
 	Named     bool
 	PerSecond float64
-	// FromPeer says that another router told of it.
+	// FromPeer says that another router reported the change.
 	FromPeer bool
 }
 
-// HearLimit takes in what an endpoint's answer to a request that was sent at a moment says of
-// its limit.
-func (p *Pool) HearLimit(now, sent time.Time, endpoint string, said upstream.RateLimit) {
-	if said.Statement == upstream.LimitNone && !p.limits.heard.Load() {
+// HearLimit applies what an endpoint states about its limit in the response to a request sent at
+// the given time.
+func (p *Pool) HearLimit(now, sent time.Time, endpoint string, stated upstream.RateLimit) {
+	if stated.Statement == upstream.LimitNone && !p.limits.seen.Load() {
 		return
 	}
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
 	l := &sh.state(endpoint).bound.limit
-	changed := l.hear(now, sent, said)
+	changed := l.applyResponse(now, sent, stated)
 	event := LimitEvent{Endpoint: endpoint, Named: l.named, PerSecond: l.perSecond}
 	sh.mu.Unlock()
 	if changed {
-		p.tellLimit(event)
+		p.notifyLimit(event)
 	}
 }
 
-func (p *Pool) tellLimit(e LimitEvent) {
-	p.limits.heard.Store(true)
+func (p *Pool) notifyLimit(e LimitEvent) {
+	p.limits.seen.Store(true)
 	if p.cfg.OnLimit != nil {
 		p.cfg.OnLimit(e)
 	}
 }
 
-// LimitUse is what is known and used of the limit of an endpoint.
+// LimitUse is the limit of an endpoint and this router's use of it.
 type LimitUse struct {
-	// PerSecond is what the endpoint takes from all routers, said Age ago, Part what this
-	// router may send of it and Used what it sent lately, each in requests a second.
+	// PerSecond is what the endpoint accepts from all routers, as stated Age ago, Part this
+	// router's share of it and Used what this router sent recently, each in requests a second.
 	PerSecond  float64
 	Part, Used float64
 	Age        time.Duration
 }
 
-// String is the use as a line of a log tells it.
+// String formats the use for a log line.
 func (u LimitUse) String() string {
-	return fmt.Sprintf("part %.3g/s, %.3g/s used, of %.3g/s said %s ago", u.Part, u.Used, u.PerSecond, u.Age.Round(time.Millisecond))
+	return fmt.Sprintf("share %.3g/s, %.3g/s used, of %.3g/s stated %s ago", u.Part, u.Used, u.PerSecond, u.Age.Round(time.Millisecond))
 }
 
-// LimitOf is the limit of an endpoint; false if it names none.
+// LimitOf is the use of an endpoint's limit; false if the endpoint states none.
 func (p *Pool) LimitOf(now time.Time, e *bundle.Endpoint) (LimitUse, bool) {
-	if !p.limits.heard.Load() {
+	if !p.limits.seen.Load() {
 		return LimitUse{}, false
 	}
 	sh := p.shard(e.Name)
@@ -127,24 +130,24 @@
 	}
 	b := &st.bound
 	return LimitUse{
-		PerSecond: b.limit.perSecond, Part: b.part, Used: b.pace.Used(now), Age: now.Sub(b.limit.saidAt),
+		PerSecond: b.limit.perSecond, Part: b.share, Used: b.pace.Used(now), Age: now.Sub(b.limit.statedAt),
 	}, true
 }
 
-// LimitSum is what this router knows of all limits that endpoints name.
+// LimitSum sums up the limits that endpoints state.
 type LimitSum struct {
-	// Endpoints is how many name one.
+	// Endpoints is how many endpoints state one.
 	Endpoints int
-	// PerSecond is what they take together from all routers, and Part what this one may send.
+	// PerSecond is what they accept together from all routers, and Part this router's share.
 	PerSecond, Part float64
 	// Sent counts this router's requests to such endpoints.
 	Sent int64
 }
 
-// Limits adds up the limits that endpoints name.
+// Limits sums up the limits that endpoints state.
 func (p *Pool) Limits() LimitSum {
 	sum := LimitSum{Sent: p.limits.sent.Load()}
-	if !p.limits.heard.Load() {
+	if !p.limits.seen.Load() {
 		return sum
 	}
 	for i := range p.shards {
@@ -160,7 +163,7 @@
 		if st.bound.limit.named {
 			sum.Endpoints++
 			sum.PerSecond += st.bound.limit.perSecond
-			sum.Part += st.bound.part
+			sum.Part += st.bound.share
 		}
 	}
 }
--- a/internal/balance/limit_test.go
+++ b/internal/balance/limit_test.go
@@ -237,7 +237,7 @@
 		a.HearLimits(at(ms+50), at(ms+50), b.TellLimits(at(ms), 1, time.Minute).Words)
 	}
 	use, _ := a.LimitOf(at(5000), engines(1)[0])
-	g.Expect(use.Age).To(BeNumerically(">=", 5*time.Second-limitOnWay))
+	g.Expect(use.Age).To(BeNumerically(">=", 5*time.Second-timestampTolerance))
 }
 
 func TestManyLimitsAreToldInTurn(t *testing.T) {
@@ -250,9 +250,9 @@
 		a.HearLimit(at(0), at(0), name, names(1))
 	}
 	for _, started := range []int{1, 60000} { // as news, and long after
-		for i := range many/maxLimitWords + 1 {
+		for i := range many/maxPeerLimits + 1 {
 			words := tell(at(started+250*i), a, b, time.Second)
-			g.Expect(len(words.Words)).To(BeNumerically("<=", maxLimitWords))
+			g.Expect(len(words.Words)).To(BeNumerically("<=", maxPeerLimits))
 		}
 		g.Expect(b.Limits().Endpoints).To(Equal(many))
 		b = NewPool(Config{})
--- a/internal/balance/limitwords.go
+++ b/internal/balance/limitwords.go
@@ -8,60 +8,60 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxLimitWords bounds the limits in one word, some 60 bytes each: 2 KB with each question to
-// a reader while many endpoints begin to name one at once.
-const maxLimitWords = 32
+// maxPeerLimits bounds the limits in one message to a peer. One takes some 60 bytes: 2 KB are added
+// to each request to a peer while many endpoints begin to state a limit at once.
+const maxPeerLimits = 32
 
-// LimitWord is what one router tells another of the limit of an endpoint.
+// LimitWord is a peer report of an endpoint's limit.
 type LimitWord struct {
 	Endpoint string `json:"e"`
-	// PerSecond is nil if the endpoint no longer names one.
+	// PerSecond is nil if the endpoint no longer states a limit.
 	PerSecond *float64 `json:"l,omitempty"`
-	// AgeMillis is how long ago it said so.
+	// AgeMillis is how long ago the endpoint stated it.
 	AgeMillis int64 `json:"a"`
 }
 
-// LimitWords is what a router tells another one of all endpoints.
+// LimitWords is what a router reports to a peer about the limits of all endpoints.
 type LimitWords struct {
-	// Sum is over the endpoints that name a limit: where two routers differ in it they tell
-	// each other of all.
+	// Sum is a hash of the names of the endpoints that state a limit. Two routers whose hashes
+	// differ report all limits to each other.
 	Sum   uint64      `json:"d,omitempty"`
 	Words []LimitWord `json:"w,omitempty"`
 }
 
-// Digest is what a router says to be told no more than news.
+// Digest is the hash that a router sends so that its peer reports only changes if they agree.
 func (w LimitWords) Digest() uint64 { return w.Sum }
 
-// TellLimits is what is to be told to a router that said this digest: what changed within a
-// while, and all if it knows of others.
+// TellLimits returns the limits to report to a peer that sent the digest theirs: those changed
+// within the given time, and the others too if the digests differ.
 func (p *Pool) TellLimits(now time.Time, theirs uint64, within time.Duration) LimitWords {
-	if !p.limits.heard.Load() {
+	if !p.limits.seen.Load() {
 		return LimitWords{}
 	}
-	told := LimitWords{Sum: p.limitDigest()}
-	var news, rest []LimitWord
+	report := LimitWords{Sum: p.limitDigest()}
+	var changed, rest []LimitWord
 	for i := range p.shards {
-		news, rest = p.shards[i].limitWords(news, rest, now, within)
+		changed, rest = p.shards[i].appendLimits(changed, rest, now, within)
 	}
-	told.Words = p.someInTurn(news, maxLimitWords)
-	if told.Sum != theirs {
-		told.Words = append(told.Words, p.someInTurn(rest, maxLimitWords-len(told.Words))...)
+	report.Words = p.nextBatch(changed, maxPeerLimits)
+	if report.Sum != theirs {
+		report.Words = append(report.Words, p.nextBatch(rest, maxPeerLimits-len(report.Words))...)
 	}
-	return told
+	return report
 }
 
-// someInTurn is so many of the words at most, others each time where there are more.
-func (p *Pool) someInTurn(words []LimitWord, most int) []LimitWord {
-	slices.SortFunc(words, func(a, b LimitWord) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
-	if len(words) <= most {
-		return words
+// nextBatch returns up to size of the limits, others at each call if there are more.
+func (p *Pool) nextBatch(limits []LimitWord, size int) []LimitWord {
+	slices.SortFunc(limits, func(a, b LimitWord) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+	if len(limits) <= size {
+		return limits
 	}
-	first := int(p.limits.turn.Add(uint64(most)) % uint64(len(words)))
-	return slices.Concat(words[first:], words[:first])[:most]
+	first := int(p.limits.rotation.Add(uint64(size)) % uint64(len(limits)))
+	return slices.Concat(limits[first:], limits[:first])[:size]
 }
 
-// limitDigest is over the endpoints that name a limit, whatever its size: a limit that
-// changes with each answer would make all routers tell each other of all others.
+// limitDigest is a hash of the names of the endpoints that state a limit, whatever its value: a
+// limit that changes with each response would make all routers report all limits to each other.
 func (p *Pool) limitDigest() uint64 {
 	var sum uint64
 	for i := range p.shards {
@@ -82,25 +82,25 @@
 	return sum
 }
 
-// limitWords adds the words on limits that are news of a while, and on the rest.
-func (sh *shard) limitWords(news, rest []LimitWord, now time.Time, within time.Duration) (_, _ []LimitWord) {
+// appendLimits appends the limits that changed within the given time to changed, the others to rest.
+func (sh *shard) appendLimits(changed, rest []LimitWord, now time.Time, within time.Duration) (_, _ []LimitWord) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for name, st := range sh.states {
 		l := &st.bound.limit
 		switch {
-		case l.saidAt.IsZero():
-		case now.Sub(l.changed) < within:
-			news = append(news, l.word(name, now))
+		case l.statedAt.IsZero():
+		case now.Sub(l.changedAt) < within:
+			changed = append(changed, l.peerReport(name, now))
 		default:
-			rest = append(rest, l.word(name, now))
+			rest = append(rest, l.peerReport(name, now))
 		}
 	}
-	return news, rest
+	return changed, rest
 }
 
-func (l *limit) word(endpoint string, now time.Time) LimitWord {
-	w := LimitWord{Endpoint: endpoint, AgeMillis: now.Sub(l.saidAt).Milliseconds()}
+func (l *limit) peerReport(endpoint string, now time.Time) LimitWord {
+	w := LimitWord{Endpoint: endpoint, AgeMillis: now.Sub(l.statedAt).Milliseconds()}
 	if l.named {
 		perSecond := l.perSecond
 		w.PerSecond = &perSecond
@@ -108,19 +108,19 @@
 	return w
 }
 
-// HearLimits takes in what another router said at a moment. Of endpoints that this one
-// doesn't know it learns nothing.
-func (p *Pool) HearLimits(now, said time.Time, words []LimitWord) {
-	for _, w := range words {
-		p.hearLimitWord(now, said.Add(-time.Duration(max(0, w.AgeMillis))*time.Millisecond), w)
+// HearLimits applies the limits that a peer sent at sentAt. Endpoints that this router doesn't know
+// are skipped.
+func (p *Pool) HearLimits(now, sentAt time.Time, limits []LimitWord) {
+	for _, w := range limits {
+		p.applyPeerLimit(now, sentAt.Add(-time.Duration(max(0, w.AgeMillis))*time.Millisecond), w)
 	}
 }
 
-func (p *Pool) hearLimitWord(now, at time.Time, w LimitWord) {
+func (p *Pool) applyPeerLimit(now, at time.Time, w LimitWord) {
 	sh := p.shard(w.Endpoint)
 	sh.mu.Lock()
 	st, known := sh.states[w.Endpoint]
-	changed := known && !at.Before(st.restartedAt) && st.bound.limit.told(now, at, w)
+	changed := known && !at.Before(st.restartedAt) && st.bound.limit.applyPeer(now, at, w)
 	sh.mu.Unlock()
 	if !changed {
 		return
@@ -129,24 +129,25 @@
 	if event.Named {
 		event.PerSecond = *w.PerSecond
 	}
-	p.tellLimit(event)
+	p.notifyLimit(event)
 }
 
-// limitOnWay is how far a time that went from router to router may be off: the time of a call.
-const limitOnWay = 300 * time.Millisecond
+// timestampTolerance is the error of a time passed between routers as an age: the time of a call.
+const timestampTolerance = 300 * time.Millisecond
 
-// told takes in what another router says that the endpoint said at a moment. Where both agree
-// it must be later by more than the way takes, or the moment would grow with each telling.
-func (l *limit) told(now, at time.Time, w LimitWord) (changed bool) {
+// applyPeer applies a limit that, by another router's report, the endpoint stated at the given time.
+// If it equals the known one, it must be newer by more than timestampTolerance: otherwise the delay
+// of each report would make the statement look newer than it is.
+func (l *limit) applyPeer(now, at time.Time, w LimitWord) (changed bool) {
 	named, perSecond := w.PerSecond != nil, 0.0
 	if named {
 		perSecond = *w.PerSecond
 	}
-	least := l.saidAt
+	after := l.statedAt
 	if named == l.named && perSecond == l.perSecond {
-		least = least.Add(limitOnWay)
+		after = after.Add(timestampTolerance)
 	}
-	if !at.After(least) || !(perSecond >= 0) || l.saidAt.IsZero() && !named {
+	if !at.After(after) || !(perSecond >= 0) || l.statedAt.IsZero() && !named {
 		return false
 	}
 	return l.set(now, at, named, perSecond)
--- a/internal/balance/outlier.go
+++ b/internal/balance/outlier.go
@@ -17,33 +17,33 @@
 	defaultMaxEject     = time.Minute
 	defaultReturn       = 30 * time.Second
 
-	// resultShare is the weight of a new result in the smoothed failure share.
-	resultShare = 0.2
-	// firstWeight is the weight with which a shed endpoint starts to return.
-	firstWeight = 0.05
+	// resultWeight is the weight of a new result in the smoothed failure share.
+	resultWeight = 0.2
+	// initialReturnWeight is the weight of an endpoint whose ejection has just ended.
+	initialReturnWeight = 0.05
 )
 
-// Outlier sets up the detection of endpoints that are much slower than their
-// peers, which are those of the same model or service, or that fail. The zero
-// value is usable: every field that is zero takes its default.
+// Outlier configures outlier detection: the ejection of endpoints that fail, or that are much
+// slower than their peers, which are the endpoints of the same model or service. The zero value is
+// usable: every field that is zero takes its default.
 type Outlier struct {
-	// Off turns the detection off, for comparison.
+	// Off turns outlier detection off, for comparison.
 	Off bool
-	// SlowFactor is how many times the peers' median time an endpoint may take.
+	// SlowFactor is the multiple of the peers' median time above which an endpoint is ejected.
 	SlowFactor float64
-	// FailureShare is the smoothed share of failed attempts that sheds.
+	// FailureShare is the smoothed share of failed attempts above which an endpoint is ejected.
 	FailureShare float64
-	// MinSamples is how many reports or first tokens come before a verdict of
-	// slowness, and MaxShare the largest share of the peers shed at once.
+	// MinSamples is how many load reports or first tokens are needed before an endpoint can be
+	// ejected as slow. MaxShare is the largest share of the peers ejected at once.
 	MinSamples int
 	MaxShare   float64
 	// Interval is the time between two comparisons of the peers.
 	Interval time.Duration
-	// EjectFor is how long an endpoint is shed the first time; each time that
-	// follows doubles it, up to MaxEject.
+	// EjectFor is the length of the first ejection; each one that follows is twice as long, up
+	// to MaxEject.
 	EjectFor time.Duration
 	MaxEject time.Duration
-	// Return is the time over which the weight then grows back to 1.
+	// Return is the time after an ejection over which the weight grows back to 1.
 	Return time.Duration
 }
 
@@ -59,88 +59,88 @@
 	return o
 }
 
-// health is what outlier detection keeps of one endpoint.
+// health is the state of outlier detection for one endpoint.
 type health struct {
-	samples  int     // reports or first tokens since it was last shed
-	failures float64 // smoothed share of failed attempts
-	until    time.Time
-	times    int // it was shed, without a full return between
+	samples      int     // load reports or first tokens since the last ejection
+	failures     float64 // smoothed share of failed attempts
+	ejectedUntil time.Time
+	ejections    int // in a row, without a full return in between
 }
 
 func (h *health) result(res Result) {
 	switch res {
 	case ResultOK:
-		h.failures -= resultShare * h.failures
+		h.failures -= resultWeight * h.failures
 	case ResultFailed:
-		h.failures += resultShare * (1 - h.failures)
+		h.failures += resultWeight * (1 - h.failures)
 	case ResultRefused, ResultCancelled:
 	}
 }
 
 func (h *health) sample(now time.Time) {
-	if now.Before(h.until) {
-		return // work from before it was shed
+	if now.Before(h.ejectedUntil) {
+		return // the work began before the ejection
 	}
 	h.samples++
 }
 
-// weight is 0 while the endpoint is shed and then grows linearly to 1.
+// weight is 0 while the endpoint is ejected and then grows linearly to 1.
 func (h *health) weight(now time.Time, o Outlier) float64 {
-	if h.until.IsZero() {
+	if h.ejectedUntil.IsZero() {
 		return 1
 	}
-	if now.Before(h.until) {
+	if now.Before(h.ejectedUntil) {
 		return 0
 	}
-	grown := float64(now.Sub(h.until)) / float64(o.Return)
-	return min(1, firstWeight+(1-firstWeight)*grown)
+	elapsed := float64(now.Sub(h.ejectedUntil)) / float64(o.Return)
+	return min(1, initialReturnWeight+(1-initialReturnWeight)*elapsed)
 }
 
 func (h *health) eject(now time.Time, o Outlier) {
 	if h.weight(now, o) == 1 {
-		h.times = 0
+		h.ejections = 0
 	}
-	length := min(o.EjectFor<<min(h.times, 16), o.MaxEject)
-	*h = health{until: now.Add(length), times: h.times + 1}
+	duration := min(o.EjectFor<<min(h.ejections, 16), o.MaxEject)
+	*h = health{ejectedUntil: now.Add(duration), ejections: h.ejections + 1}
 }
 
-// peer is what the comparison knows of one endpoint.
+// peer is one endpoint in the comparison of a group.
 type peer struct {
-	endpoint   string
-	group      string
-	service    time.Duration
-	firstToken time.Duration
-	samples    int
-	failures   float64
-	shed       bool
+	endpoint     string
+	group        string
+	service      time.Duration
+	firstToken   time.Duration
+	samples      int
+	failureShare float64
+	ejected      bool
 }
 
-// outliers returns those of the peers, all of one group, that are to be shed,
-// the worst first, so that no more than the largest share is shed at once.
+// outliers returns those of the peers, all of one group, to eject, the worst first. With those
+// already ejected they are at most MaxShare of the peers.
 func outliers(peers []peer, o Outlier) []peer {
-	room := int(o.MaxShare * float64(len(peers)))
+	remaining := int(o.MaxShare * float64(len(peers)))
 	service := median(peers, func(p peer) time.Duration { return p.service })
 	firstToken := median(peers, func(p peer) time.Duration { return p.firstToken })
-	badness := func(p peer) float64 {
+	severity := func(p peer) float64 {
 		slow := slowness(p, service, firstToken, o)
-		return max(slow/o.SlowFactor, p.failures/o.FailureShare)
+		return max(slow/o.SlowFactor, p.failureShare/o.FailureShare)
 	}
-	var bad []peer
+	var found []peer
 	for _, p := range peers {
-		if p.shed {
-			room--
+		if p.ejected {
+			remaining--
 			continue
 		}
-		if badness(p) > 1 {
-			bad = append(bad, p)
+		if severity(p) > 1 {
+			found = append(found, p)
 		}
 	}
-	slices.SortStableFunc(bad, func(a, b peer) int { return cmp.Compare(badness(b), badness(a)) })
-	return bad[:min(len(bad), max(room, 0))]
+	slices.SortStableFunc(found, func(a, b peer) int { return cmp.Compare(severity(b), severity(a)) })
+	return found[:min(len(found), max(remaining, 0))]
 }
 
-// slowness is how many times the median the peer takes: by its time in a slot,
-// which doesn't depend on its queue, or else by its time to the first token.
+// slowness is the ratio of the peer's time to the median: of its time per slot, which doesn't
+// depend on its queue, or else of its time to the first token.
 func slowness(p peer, service, firstToken time.Duration, o Outlier) float64 {
 	if p.samples < o.MinSamples {
 		return 0
@@ -154,11 +154,12 @@
 	return 0
 }
 
-// median is that of the peers for which the value is known, 0 if there is none.
+// median is the lower median over the peers that aren't ejected and whose value is known; 0 if
+// there are none.
 func median(peers []peer, value func(peer) time.Duration) time.Duration {
 	var known []time.Duration
 	for _, p := range peers {
-		if v := value(p); v > 0 && !p.shed {
+		if v := value(p); v > 0 && !p.ejected {
 			known = append(known, v)
 		}
 	}
--- a/internal/balance/outlier_test.go
+++ b/internal/balance/outlier_test.go
@@ -46,7 +46,7 @@
 	g.Expect(weight(now)).To(gomega.BeZero())
 	g.Expect(shedCount(p, now, 6)).To(gomega.Equal(1))
 	back := now.Add(defaultEjectFor)
-	g.Expect(weight(back)).To(gomega.BeNumerically("~", firstWeight, 0.15))
+	g.Expect(weight(back)).To(gomega.BeNumerically("~", initialReturnWeight, 0.15))
 	g.Expect(weight(back.Add(defaultReturn / 2))).To(gomega.BeNumerically("~", 0.5, 0.15))
 	g.Expect(weight(back.Add(defaultReturn))).To(gomega.Equal(1.0))
 }
--- a/internal/balance/recent.go
+++ b/internal/balance/recent.go
@@ -7,25 +7,24 @@
 )
 
 const (
-	// cachedFor is how long an endpoint is taken to keep a part of a prompt
-	// after its last use. Engines keep parts for as long as memory lasts, which
-	// is longer at the loads that were measured.
-	cachedFor = 20 * time.Second
-	// maxRecent bounds the parts that are remembered of one endpoint.
+	// cacheTTL is how long an endpoint is assumed to cache a part of a prompt after its last use.
+	// Engines evict parts when memory runs out, which took longer at the measured loads.
+	cacheTTL = 20 * time.Second
+	// maxRecent bounds the prompt parts tracked per endpoint.
 	maxRecent = 512
 )
 
-// recentParts are the parts of prompts that this router sent to an endpoint
-// lately, with the time of each one's last use.
+// recentParts are the prompt parts that this router sent to an endpoint recently, by ID, with the
+// time of their last use.
 type recentParts map[uint64]time.Time
 
-// cached is how many tokens at the start of a prompt the endpoint has probably
-// cached: a part counts only if all before it do.
+// cached is how many tokens at the start of a prompt the endpoint has probably cached. A part counts
+// only if all parts before it do.
 func (r recentParts) cached(now time.Time, p prompt.Prompt) int {
 	tokens := 0
 	for _, part := range p.Parts {
 		used, ok := r[part.ID]
-		if !ok || now.Sub(used) > cachedFor {
+		if !ok || now.Sub(used) > cacheTTL {
 			break
 		}
 		tokens += part.Tokens
@@ -33,20 +32,20 @@
 	return tokens
 }
 
-// use notes the parts of a prompt that others share.
+// use records the parts of a prompt, except for the last one, which no other prompt shares.
 func (r recentParts) use(now time.Time, p prompt.Prompt) {
 	if len(r) >= maxRecent {
-		r.forgetOld(now)
+		r.evictOld(now)
 	}
 	for _, part := range p.Parts[:max(0, len(p.Parts)-1)] {
 		r[part.ID] = now
 	}
 }
 
-// forgetOld drops the parts that are old, or all if none is.
-func (r recentParts) forgetOld(now time.Time) {
+// evictOld drops the expired parts, or all of them if the map is still full.
+func (r recentParts) evictOld(now time.Time) {
 	for id, used := range r {
-		if now.Sub(used) > cachedFor {
+		if now.Sub(used) > cacheTTL {
 			delete(r, id)
 		}
 	}
--- a/internal/balance/refuse.go
+++ b/internal/balance/refuse.go
@@ -6,11 +6,10 @@
 	"coveferry/internal/bundle"
 )
 
-// MayRefuse says whether a router may refuse a request of the tier on its own
-// account: only if each of the usable candidates reported, not longer than
-// RefuseAge ago, that its slots are full and that it has no work of a lower
-// tier that could give way. An endpoint that is shed still counts: it can give
-// way. With no usable candidate the answer is true.
+// MayRefuse says whether a router may refuse a request of the tier by itself: only if each usable
+// candidate reported, within Config.RefuseAge, that all its slots are in use and that it has no
+// work of a lower tier to preempt. An ejected endpoint still counts, since it can preempt work.
+// With no usable candidate the result is true.
 func (p *Pool) MayRefuse(now time.Time, tier int, candidates []*bundle.Endpoint) bool {
 	var v View
 	for _, c := range candidates {
@@ -24,7 +23,8 @@
 	return true
 }
 
-// canTake says that the endpoint may have room for the tier, as far as known.
+// canTake says whether the endpoint may have room for the tier. Without a report younger than maxAge
+// it may.
 func (v *View) canTake(now time.Time, tier int, maxAge time.Duration) bool {
 	unknown := v.ReportedAt.IsZero() || now.Sub(v.ReportedAt) > maxAge
 	hasRoom := v.Load.TotalRunning() < v.Load.Slots
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -61,5 +61,5 @@
 	viewOf(p, now, 8)
 	bad := []FailureWord{{Endpoint: "e8", Attempts: 9, Failed: 9, Witnesses: 3}}
 	g.Expect(p.HearFailures(now.Add(time.Second), bad)).To(BeEmpty())
-	g.Expect(p.HearFailures(now.Add(2*failuresOfBefore), bad)).To(HaveLen(1))
+	g.Expect(p.HearFailures(now.Add(2*restartGracePeriod), bad)).To(HaveLen(1))
 }
--- a/internal/balance/separate.go
+++ b/internal/balance/separate.go
@@ -6,128 +6,127 @@
 	"time"
 )
 
-// fleet is what the endpoints of a service have in common, as far as it decides who
-// is kept apart.
+// fleet describes the endpoints of a service for the isolation decision.
 type fleet struct {
 	endpoints int
 	slots     float64 // of one endpoint
-	// pause is the time between two events where nothing is read beside them.
+	// pause is the time between two events of a stream while the endpoint reads no prompts.
 	pause time.Duration
 }
 
-// separation is which kinds of request are kept apart from the others, and how many
-// endpoints are theirs.
+// separation is the isolation decision: which kinds of request are isolated from the others, and how
+// many endpoints are dedicated to them.
 type separation struct {
-	tight []int64 // the pauses of those kinds
+	tight []int64 // gap limits of the isolated kinds, in milliseconds
 	kept  int
 }
 
-// tightFor says whether a stream that may pause for so long is kept apart.
+// tightFor says whether streams with this gap limit are isolated.
 func (s separation) tightFor(gap time.Duration) bool {
 	return slices.Contains(s.tight, gap.Milliseconds())
 }
 
 const (
-	// apartFrom is the share of a kind's streams that have to be late by the
-	// prompts of others for it to be kept apart, and togetherBelow that below which
-	// it no longer is: what is kept apart lacks the others' endpoints when it grows
-	// or they fail, which some late streams are worth.
-	apartFrom     = 0.05
-	togetherBelow = 0.02
-	// readTarget is the part of an endpoint's time for reading prompts above which
-	// they wait for each other for longer than they are read: half of what they
-	// would at 0.5.
-	readTarget = 0.35
-	// fillTarget is the part of the slots to fill with streams on the whole, so
-	// that chance and bursts find room.
-	fillTarget = 0.7
+	// isolateAbove is the share of a kind's streams made late by the prompts of others above
+	// which it is isolated, and rejoinBelow the share below which it no longer is. Some late
+	// streams are accepted, because an isolated kind can't use the other endpoints when its load
+	// grows or its own endpoints fail.
+	isolateAbove = 0.05
+	rejoinBelow  = 0.02
+	// prefillTarget is the target share of an endpoint's time spent on reading prompts (prefill).
+	// Above it prompts wait for each other for longer than they take to read; at it they wait
+	// half as long as at 0.5.
+	prefillTarget = 0.35
+	// slotTarget is the target share of slots in use by streams, which leaves room for chance
+	// and bursts.
+	slotTarget = 0.7
 )
 
-// next decides anew. It is pure: what was decided last only keeps it from flapping.
-// Kinds are in the order of their pauses, so that the one that may hardly pause comes
-// first, and no later one joins it whose prompts would make it late.
+// next computes a new decision from the demand. It is pure; the last decision only adds hysteresis.
+// Kinds come in the order of their gap limits, so that the one with the tightest limit is considered
+// first and a later kind can't join if its prompts would make the earlier ones late.
 func (last separation) next(d Demand, f fleet) separation {
 	if f.endpoints < 2 {
 		return separation{}
 	}
 	var next separation
-	var apart Demand
+	var isolated Demand
 	rest := slices.Clone(d)
 	for i, k := range d {
-		limit := apartFrom
+		threshold := isolateAbove
 		if slices.Contains(last.tight, k.GapMillis) {
-			limit = togetherBelow
+			threshold = rejoinBelow
 		}
-		if lateByOthers(d, i, f) <= limit {
+		if lateShareFromOthers(d, i, f) <= threshold {
 			continue
 		}
-		with := append(slices.Clone(apart), k)
+		with := append(slices.Clone(isolated), k)
 		without := slices.DeleteFunc(slices.Clone(rest), func(o Kind) bool { return o.key() == k.key() })
-		if !harmless(k, apart, divide(last.kept, f, with, without), f) {
+		if !canJoin(k, isolated, divideEndpoints(last.kept, f, with, without), f) {
 			continue
 		}
-		apart, rest = with, without
+		isolated, rest = with, without
 		next.tight = append(next.tight, k.GapMillis)
 	}
-	next.kept = divide(last.kept, f, apart, rest)
+	next.kept = divideEndpoints(last.kept, f, isolated, rest)
 	return next
 }
 
-// besideStreams is how much longer a prompt takes to read beside streams that run than
-// by itself, as it was learned.
-const besideStreams = 1.5
+// prefillSlowdown is how much longer a prompt takes to read beside running streams than alone, as
+// observed.
+const prefillSlowdown = 1.5
 
-// harmless says whether hardly any stream of other kinds would be late by a kind's
-// prompts at so many endpoints that are theirs together.
-func harmless(k Kind, others Demand, endpoints int, f fleet) bool {
+// canJoin says whether at most rejoinBelow of the streams of each other kind would be late because of
+// the kind's prompts, on the given number of dedicated endpoints.
+func canJoin(k Kind, others Demand, endpoints int, f fleet) bool {
 	rate := k.rate() / float64(max(endpoints, 1))
-	read := besideStreams * k.read()
+	prefill := prefillSlowdown * k.read()
 	for _, o := range others {
-		if late(rate*beyond(o.room(f), read, rate*read), o.held()) > togetherBelow {
+		if lateShare(rate*backlogProbability(o.gapSlack(f), prefill, rate*prefill), o.held()) > rejoinBelow {
 			return false
 		}
 	}
 	return true
 }
 
-// divide gives each side its part of the endpoints by what it needs, and no less than
-// what it can't do without. Where that is more than there are, the more urgent side gets
-// some of the other's.
-func divide(last int, f fleet, apart, others Demand) int {
-	tight, bulk := needOf(apart), needOf(others)
-	kept := split(last, f.endpoints, tight.endpoints(f), bulk.endpoints(f))
-	least, rest := int(math.Ceil(tight.least(f))), int(math.Ceil(bulk.least(f)))
-	if least+rest > f.endpoints {
-		kept = split(last, f.endpoints, tight.least(f), bulk.least(f))
+// divideEndpoints returns how many endpoints to dedicate to the isolated kinds. Each side gets
+// endpoints in proportion to its need, and at least its minimum if both minimums fit. In an overload
+// the more urgent side then gets some endpoints of the other one.
+func divideEndpoints(last int, f fleet, isolated, others Demand) int {
+	isolatedNeed, othersNeed := needOf(isolated), needOf(others)
+	dedicated := split(last, f.endpoints, isolatedNeed.endpoints(f), othersNeed.endpoints(f))
+	isolatedMin, othersMin := int(math.Ceil(isolatedNeed.minEndpoints(f))), int(math.Ceil(othersNeed.minEndpoints(f)))
+	if isolatedMin+othersMin > f.endpoints {
+		dedicated = split(last, f.endpoints, isolatedNeed.minEndpoints(f), othersNeed.minEndpoints(f))
 	} else {
-		kept = min(max(kept, least), f.endpoints-rest)
+		dedicated = min(max(dedicated, isolatedMin), f.endpoints-othersMin)
 	}
 	switch {
-	case tight.urgency() < bulk.urgency():
-		return kept + yielded(kept, f.endpoints-kept, tight, f)
-	case bulk.urgency() < tight.urgency():
-		return kept - yielded(f.endpoints-kept, kept, bulk, f)
+	case isolatedNeed.urgency() < othersNeed.urgency():
+		return dedicated + yielded(dedicated, f.endpoints-dedicated, isolatedNeed, f)
+	case othersNeed.urgency() < isolatedNeed.urgency():
+		return dedicated - yielded(f.endpoints-dedicated, dedicated, othersNeed, f)
 	}
-	return kept
+	return dedicated
 }
 
-// mostYield is the most of its endpoints that the less urgent side yields to the more
-// urgent: what it loses by that is a tenth of what it could do, at the most.
-const mostYield = 0.1
-
-// yielded is how many of the other side's endpoints a side gets that is more urgent and
-// needs more than it has. In an overload both sides get the same part of what they need:
-// with 1.5 to 2 times the usual long prompts the streams that may hardly pause were left 6
-// of 180 endpoints, and half of them were late, for 4% more of the long prompts on time.
-func yielded(has, others int, n need, f fleet) int {
-	lacks := int(math.Ceil(n.endpoints(f))) - has
-	return max(0, min(lacks, int(mostYield*float64(others))))
+// maxYieldShare is the largest share of its endpoints that the less urgent side yields to the more
+// urgent one, so that it loses a tenth of its capacity at most.
+const maxYieldShare = 0.1
+
+// yielded is how many of the other side's endpoints the more urgent side gets if it needs more than
+// it has. Without this both sides get the same share of their need in an overload: with 1.5 to 2
+// times the usual long prompts, the streams with tight gap limits were left 6 of 180 endpoints and
+// half of them were late, while 4% more of the long prompts were on time.
+func yielded(own, others int, n capacityNeed, f fleet) int {
+	missing := int(math.Ceil(n.endpoints(f))) - own
+	return max(0, min(missing, int(maxYieldShare*float64(others))))
 }
 
-// lateByOthers is the share of a kind's streams that would pause for too long by the
-// prompts of other kinds, if all used all endpoints alike. How many are late by their
-// own doesn't matter: in an overload that is most of them, and the others still harm.
-func lateByOthers(d Demand, kind int, f fleet) float64 {
+// lateShareFromOthers is the share of a kind's streams that would exceed their gap limit because of
+// other kinds' prompts if all kinds shared all endpoints evenly. Streams late because of their own
+// kind's prompts don't count: in an overload most are, and other kinds would still delay them.
+func lateShareFromOthers(d Demand, kind int, f fleet) float64 {
 	if d[kind].GapMillis == 0 {
 		return 0
 	}
@@ -138,48 +137,48 @@
 	rate := 0.0
 	for i, k := range d {
 		if i != kind {
-			rate += k.rate() / float64(f.endpoints) * beyond(d[kind].room(f), k.read(), busy)
+			rate += k.rate() / float64(f.endpoints) * backlogProbability(d[kind].gapSlack(f), k.read(), busy)
 		}
 	}
-	return late(rate, d[kind].held())
+	return lateShare(rate, d[kind].held())
 }
 
-// room is how many seconds of reading a stream's pause leaves room for.
-func (k Kind) room(f fleet) float64 { return float64(k.GapMillis)/1000 - f.pause.Seconds() }
+// gapSlack is how many seconds of prefill fit into a gap of the stream without making it late.
+func (k Kind) gapSlack(f fleet) float64 { return float64(k.GapMillis)/1000 - f.pause.Seconds() }
 
-// beyond is the part of prompts that bring what an endpoint has to read to more than
-// room seconds, where it reads for the part busy of its time and a prompt takes read
-// seconds on average: by the tail of a queue with lengths that vary much.
-func beyond(room, read, busy float64) float64 {
+// backlogProbability is the share of prompts that bring an endpoint's prefill backlog above slack
+// seconds, where busy is the share of its time spent on prefill and a prompt takes prefill seconds on
+// average. It is the tail of a queue with highly variable service times.
+func backlogProbability(slack, prefill, busy float64) float64 {
 	switch {
-	case read <= 0:
+	case prefill <= 0:
 		return 0
-	case room <= 0 || busy >= 1:
+	case slack <= 0 || busy >= 1:
 		return 1
 	}
-	return math.Exp(-(1 - busy) * room / read)
+	return math.Exp(-(1 - busy) * slack / prefill)
 }
 
-// late is the part of streams of so many seconds that meet what comes so many times
-// a second.
-func late(rate, seconds float64) float64 { return 1 - math.Exp(-rate*seconds) }
+// lateShare is the probability that a stream of the given length meets at least one event of a
+// Poisson process with this rate a second.
+func lateShare(rate, seconds float64) float64 { return 1 - math.Exp(-rate*seconds) }
 
-// need is what kinds of request ask of endpoints.
-type need struct {
-	reading, running float64
+// capacityNeed is the capacity that kinds of request need, with their late answers and ranks.
+type capacityNeed struct {
+	prefill, slotUse float64
 	ended, late      float64
 	requests, ranks  float64
 }
 
-// lateWeight is by how much of itself a need grows for the share of answers that are
-// late, so that endpoints go to the side that lacks them more than was foreseen.
+// lateWeight is how much a need grows with the share of late answers, so that endpoints go to the side
+// whose need was underestimated: by 8 times itself if all are late.
 const lateWeight = 8.0
 
-func needOf(kinds Demand) need {
-	var n need
+func needOf(kinds Demand) capacityNeed {
+	var n capacityNeed
 	for _, k := range kinds {
-		n.reading += k.rate() * k.read()
-		n.running += k.rate() * k.held()
+		n.prefill += k.rate() * k.read()
+		n.slotUse += k.rate() * k.held()
 		n.ended += k.Ended
 		n.late += k.Late
 		n.requests += k.Requests
@@ -188,47 +187,47 @@
 	return n
 }
 
-// urgency is the mean rank of the requests, the lower the more urgent.
-func (n need) urgency() float64 { return perRequest(n.ranks, n.requests) }
+// urgency is the mean rank of the requests; lower is more urgent.
+func (n capacityNeed) urgency() float64 { return perRequest(n.ranks, n.requests) }
 
-// endpoints is how many endpoints that takes, by what binds.
-func (n need) endpoints(f fleet) float64 {
-	foreseen := max(n.reading/readTarget, n.running/(fillTarget*max(f.slots, 1)))
-	return foreseen * (1 + lateWeight*perRequest(n.late, n.ended))
+// endpoints is how many endpoints are needed, by prefill time or slots, whichever needs more.
+func (n capacityNeed) endpoints(f fleet) float64 {
+	estimate := max(n.prefill/prefillTarget, n.slotUse/(slotTarget*max(f.slots, 1)))
+	return estimate * (1 + lateWeight*perRequest(n.late, n.ended))
 }
 
-// Parts of the time and of the slots beyond which requests wait without end.
+// Shares of an endpoint's time and slots above which queues grow without bound.
 const (
-	readMost = 0.8
-	fillMost = 0.9
+	maxPrefillShare = 0.8
+	maxSlotShare    = 0.9
 )
 
-// least is the number of endpoints below which they are overloaded.
-func (n need) least(f fleet) float64 {
-	return max(n.reading/readMost, n.running/(fillMost*max(f.slots, 1)))
+// minEndpoints is the number of endpoints below which these are overloaded.
+func (n capacityNeed) minEndpoints(f fleet) float64 {
+	return max(n.prefill/maxPrefillShare, n.slotUse/(maxSlotShare*max(f.slots, 1)))
 }
 
-// splitHold is how far the best number of endpoints must be from the last one
-// before it changes; without it the boundary would flap, and caches with it.
-const splitHold = 0.75
+// splitHysteresis is how far the ideal number of endpoints must be from the last one for it to
+// change. Without it the number would flap, and each change costs cached prompts.
+const splitHysteresis = 0.75
 
-// split divides n endpoints in proportion to two needs. Each kind that asks
-// for anything gets one at least, where there are two.
-func split(last, n int, tight, bulk float64) int {
-	if n < 2 || tight+bulk <= 0 {
+// split divides n endpoints in proportion to two needs and returns the first part. If there are two
+// endpoints or more, each side with any need gets at least one.
+func split(last, n int, isolated, others float64) int {
+	if n < 2 || isolated+others <= 0 {
 		return 0
 	}
-	ideal := float64(n) * tight / (tight + bulk)
-	kept := last
-	if kept > n || math.Abs(ideal-float64(last)) > splitHold {
-		kept = int(math.Round(ideal))
+	ideal := float64(n) * isolated / (isolated + others)
+	dedicated := last
+	if dedicated > n || math.Abs(ideal-float64(last)) > splitHysteresis {
+		dedicated = int(math.Round(ideal))
 	}
-	least, most := 0, n
-	if tight > 0 {
-		least = 1
+	low, high := 0, n
+	if isolated > 0 {
+		low = 1
 	}
-	if bulk > 0 {
-		most = n - 1
+	if others > 0 {
+		high = n - 1
 	}
-	return min(max(kept, least), most)
+	return min(max(dedicated, low), high)
 }
--- a/internal/balance/separate_test.go
+++ b/internal/balance/separate_test.go
@@ -93,7 +93,7 @@
 		kindOf(s, 400*time.Millisecond, 15, 4500, 100),
 		kindOf(s, time.Second, 60, 9000, 50),
 	}
-	g.Expect(lateByOthers(d, 1, s.fleet(9))).To(BeNumerically(">", apartFrom))
+	g.Expect(lateShareFromOthers(d, 1, s.fleet(9))).To(BeNumerically(">", isolateAbove))
 	g.Expect(separation{}.next(d, s.fleet(9)).tight).To(Equal([]int64{250}))
 }
 
@@ -107,12 +107,12 @@
 		d[0].Recent *= 2
 		got := last.next(d, s.fleet(n))
 		tight, bulk := needOf(d[:1]), needOf(d[1:])
-		if math.Ceil(tight.least(s.fleet(n)))+math.Ceil(bulk.least(s.fleet(n))) > float64(n) {
+		if math.Ceil(tight.minEndpoints(s.fleet(n)))+math.Ceil(bulk.minEndpoints(s.fleet(n))) > float64(n) {
 			return // one of them has to be overloaded
 		}
-		if float64(got.kept) < tight.least(s.fleet(n)) || float64(n-got.kept) < bulk.least(s.fleet(n)) {
+		if float64(got.kept) < tight.minEndpoints(s.fleet(n)) || float64(n-got.kept) < bulk.minEndpoints(s.fleet(n)) {
 			t.Fatalf("%s: %d of %d are kept; %.1f and %.1f are needed", s.name, got.kept, n,
-				tight.least(s.fleet(n)), bulk.least(s.fleet(n)))
+				tight.minEndpoints(s.fleet(n)), bulk.minEndpoints(s.fleet(n)))
 		}
 	})
 }
@@ -121,7 +121,7 @@
 	g := NewWithT(t)
 	s := shapes[1]
 	d := s.mixed(9, 0.3)
-	for lateByOthers(d, 0, s.fleet(9)) > (apartFrom+togetherBelow)/2 {
+	for lateShareFromOthers(d, 0, s.fleet(9)) > (isolateAbove+rejoinBelow)/2 {
 		d[0].GapMillis++
 	}
 	g.Expect(separation{}.next(d, s.fleet(9)).tight).To(BeEmpty())
--- a/internal/balance/silence.go
+++ b/internal/balance/silence.go
@@ -6,74 +6,77 @@
 )
 
 const (
-	// SilenceLimit is the silence, over all open requests at an endpoint, after which it is
-	// asked for its health, whatever its peers do: longer than the longest prompts take to be
-	// read where nothing else runs, and a third of the time in which the list drops an
-	// endpoint that has gone dark.
+	// SilenceLimit is the time without any response data, over all open requests at an endpoint,
+	// after which the endpoint is health-checked regardless of its peers. It is longer than an
+	// idle engine needs to read the longest prompts, and a third of the time after which the
+	// endpoint list drops an endpoint that has stopped reporting.
 	SilenceLimit = time.Second
-	// SilenceTick is the time between two looks for endpoints that fell silent.
+	// SilenceTick is the interval between two checks for unresponsive endpoints.
 	SilenceTick = 100 * time.Millisecond
-	// leastSilence is the least silence that counts: below it lie pauses of the network and
-	// of routers with a small part of a core.
-	leastSilence = 250 * time.Millisecond
-	// quietQuantile of the times for which peers are heard nothing of while they have requests
-	// is what is usual, and quietFactor times that isn't.
-	quietQuantile = 0.98
-	quietFactor   = 6
-	// mostSilent is the part of a group's endpoints that may count as silent before the limit:
-	// a queue that grows is spread over all, a silence isn't.
-	mostSilent = 0.5
-	// silentWitnesses is how many other routers must find an endpoint silent for it to be
-	// avoided here where it tells no load: one alone may be cut off itself. Where it does,
-	// a report since contradicts them.
-	silentWitnesses = 2
-	// silentFor is how long their word counts, two tellings and some slack.
-	silentFor = 750 * time.Millisecond
+	// minUnresponsiveTime is the shortest response gap that counts. Network pauses, and pauses
+	// of routers that have a small part of a core, are shorter.
+	minUnresponsiveTime = 250 * time.Millisecond
+	// A response gap is the time without response data from an endpoint that has open
+	// requests. A gap is unusual above responseGapFactor times this quantile of the peers' gaps.
+	responseGapQuantile = 0.98
+	responseGapFactor   = 6
+	// maxUnresponsiveShare is the largest share of a group's endpoints that may count as
+	// unresponsive before UnresponsiveTimeout. Where more stop responding, load is the likelier cause:
+	// growing queues affect all endpoints.
+	maxUnresponsiveShare = 0.5
+	// minUnresponsiveReporters is how many other routers must report an endpoint unresponsive
+	// for this router to avoid it, if the endpoint sends no load reports: a single router may
+	// itself be cut off. Where the endpoint sends load reports, a newer one refutes the peers.
+	minUnresponsiveReporters = 2
+	// unresponsiveReportTTL is how long such a peer report is valid: two report intervals
+	// and some slack.
+	unresponsiveReportTTL = 750 * time.Millisecond
 )
 
-// openEndpoint is an endpoint at which requests of this router are open.
-type openEndpoint struct {
+// activeEndpoint is an endpoint with open requests of this router.
+type activeEndpoint struct {
 	name, group string
-	quiet       time.Duration // nothing was heard for so long
-	early       bool          // that is more than is usual for its peers
+	responseGap time.Duration
+	unusual     bool // responseGap is longer than usual among its peers
 }
 
-// peerGroupState is what a router knows of the endpoints of a group together.
+// peerGroupState is what a router knows of all endpoints of a peer group together.
 type peerGroupState struct {
-	endpoints int       // that may get work
-	early     int       // at which requests are open and it is more quiet than usual
-	heardAt   time.Time // of any of them
-	engines   *engineSpeeds
-	domains   []*quietDomain
+	endpoints      int       // that accept new requests
+	unusual        int       // that have open requests and an unusual response gap
+	lastResponseAt time.Time // of any of them
+	engines        *engineSpeeds
+	domains        []*domainState
 }
 
-// Silent lists the endpoints that have open requests of this router and from which nothing
-// was heard for so long, or for longer than is usual for their peers. A busy endpoint goes on
-// with others. Where nothing was heard of any peer meanwhile it may be this router that is
-// slow or cut off.
+// Silent lists the endpoints that have open requests of this router and sent no response data
+// for longer than limit, or for longer than is usual among their peers. An endpoint that is only
+// busy still responds to other requests. The peer comparison is skipped if no peer responded in
+// the meantime, since this router may then be slow or cut off.
 func (p *Pool) Silent(now time.Time, limit time.Duration) []string {
-	var open []openEndpoint
+	var active []activeEndpoint
 	groups := make(map[string]*peerGroupState)
 	for i := range p.shards {
-		open = p.shards[i].open(open, groups, now)
+		active = p.shards[i].addActive(active, groups, now)
 	}
-	silent := p.silentDomains(now, groups)
-	for _, e := range open {
+	unresponsive := p.checkDomains(now, groups)
+	for _, e := range active {
 		g := groups[e.group]
-		few := float64(g.early) <= mostSilent*float64(g.endpoints)
-		peersHeard := g.heardAt.After(now.Add(leastSilence - e.quiet))
-		if e.quiet > limit || e.early && few && peersHeard {
-			silent = append(silent, e.name)
+		withinShare := float64(g.unusual) <= maxUnresponsiveShare*float64(g.endpoints)
+		peersResponded := g.lastResponseAt.After(now.Add(minUnresponsiveTime - e.responseGap))
+		if e.responseGap > limit || e.unusual && withinShare && peersResponded {
+			unresponsive = append(unresponsive, e.name)
 		}
 	}
-	slices.Sort(silent)
-	silent = slices.Compact(silent)
-	p.noteSilent(now, silent)
-	return silent
+	slices.Sort(unresponsive)
+	unresponsive = slices.Compact(unresponsive)
+	p.markUnresponsive(now, unresponsive)
+	return unresponsive
 }
 
-// open adds the endpoints at which requests are open, and what is known of all by group.
-func (sh *shard) open(list []openEndpoint, groups map[string]*peerGroupState, now time.Time) []openEndpoint {
+// addActive appends the shard's endpoints with open requests to list, and adds all of its
+// endpoints to the state of their groups.
+func (sh *shard) addActive(list []activeEndpoint, groups map[string]*peerGroupState, now time.Time) []activeEndpoint {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for name, st := range sh.states {
@@ -85,26 +88,26 @@
 		if !st.leaving {
 			g.endpoints++
 		}
-		g.heardAt = maxTime(g.heardAt, st.heardAt)
-		g.domain(st.domain).note(now, name, st)
+		g.lastResponseAt = maxTime(g.lastResponseAt, st.heardAt)
+		g.domain(st.domain).add(now, name, st)
 		if st.inflight == 0 {
 			continue
 		}
-		quiet := now.Sub(st.quietSince)
-		usual, known := st.engines.usualQuiet()
-		// Where no load is told a queue that grows looks like a silence.
-		early := known && quiet > usual && !st.reportedAt.IsZero()
-		if early {
-			g.early++
+		gap := now.Sub(st.quietSince)
+		usual, known := st.engines.responseGapLimit()
+		// Without load reports a growing queue can't be told from an unresponsive endpoint.
+		unusual := known && gap > usual && !st.reportedAt.IsZero()
+		if unusual {
+			g.unusual++
 		}
-		list = append(list, openEndpoint{name: name, group: st.group, quiet: quiet, early: early})
+		list = append(list, activeEndpoint{name: name, group: st.group, responseGap: gap, unusual: unusual})
 	}
 	return list
 }
 
-// countInGroup is how many endpoints of a group there are that may get work, and how many of them
-// connections fail to or are silent.
-func (p *Pool) countInGroup(group string) (all, unsure int) {
+// countInGroup counts the endpoints of a group that accept new requests, and those of them that
+// are suspect: connections to them fail or they are unresponsive.
+func (p *Pool) countInGroup(group string) (all, suspect int) {
 	for i := range p.shards {
 		sh := &p.shards[i]
 		sh.mu.Lock()
@@ -114,17 +117,18 @@
 			}
 			all++
 			if st.bound.suspect {
-				unsure++
+				suspect++
 			}
 		}
 		sh.mu.Unlock()
 	}
-	return all, unsure
+	return all, suspect
 }
 
-// noteSilent notes which endpoints this router finds silent, to tell others.
-func (p *Pool) noteSilent(now time.Time, silent []string) {
-	for _, name := range silent {
+// markUnresponsive records the endpoints that this router found unresponsive, to report them to
+// its peers.
+func (p *Pool) markUnresponsive(now time.Time, unresponsive []string) {
+	for _, name := range unresponsive {
 		sh := p.shard(name)
 		sh.mu.Lock()
 		if st, known := sh.states[name]; known {
@@ -134,36 +138,36 @@
 	}
 }
 
-// isSilent says whether this router finds the endpoint silent: it did just now, or hasn't
-// heard of it since.
-func (st *state) isSilent(now time.Time) bool {
+// isUnresponsive says whether this router found the endpoint unresponsive and got no response
+// since. The finding holds while the endpoint is suspect, or for two check intervals.
+func (st *state) isUnresponsive(now time.Time) bool {
 	return !st.silentAt.IsZero() && (st.bound.suspect || now.Sub(st.silentAt) <= 2*SilenceTick) && st.silentAt.After(st.heardAt)
 }
 
-// contradicts says whether somebody has heard of the endpoint since others have found it
-// silent, or too few others did.
-func (st *state) contradicts(now time.Time, w FailureWord) bool {
+// contradictsPeers says whether the peers' finding that the endpoint is unresponsive doesn't hold
+// here: too few peers report it, or the endpoint has responded or reported its load since.
+func (st *state) contradictsPeers(now time.Time, w FailureWord) bool {
 	since := now.Add(-time.Duration(w.SilentMillis) * time.Millisecond)
-	if st.reportedAt.IsZero() && w.Silent < silentWitnesses {
+	if st.reportedAt.IsZero() && w.Silent < minUnresponsiveReporters {
 		return true
 	}
 	return st.heardAt.After(since) || st.reportedAt.After(since)
 }
 
-// usualQuiet is the silence beyond which an endpoint isn't like its peers; false while too
-// little is known of them.
-func (e *engineSpeeds) usualQuiet() (time.Duration, bool) {
+// responseGapLimit is the response gap above which an endpoint's gap is unusual among its peers;
+// false while there are too few samples.
+func (e *engineSpeeds) responseGapLimit() (time.Duration, bool) {
 	if e == nil {
 		return 0, false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.quiet.unusual()
+	return e.quiet.gapLimit()
 }
 
-// sawQuiet takes for how long an endpoint with open requests was heard nothing of.
-func (e *engineSpeeds) sawQuiet(quiet time.Duration) {
+// sawQuiet records a response gap of an endpoint with open requests.
+func (e *engineSpeeds) sawQuiet(gap time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.quiet.add(quiet.Seconds(), quietQuantile)
+	e.quiet.add(gap.Seconds(), responseGapQuantile)
 }
--- a/internal/balance/silence_test.go
+++ b/internal/balance/silence_test.go
@@ -53,7 +53,7 @@
 		}
 		return p.Silent(last.Add(after), SilenceLimit)
 	}
-	g.Expect(heard(5, leastSilence)).To(BeEmpty())
+	g.Expect(heard(5, minUnresponsiveTime)).To(BeEmpty())
 	g.Expect(heard(5, 600*time.Millisecond)).To(Equal([]string{"e5"}))
 	g.Expect(heard(4, 600*time.Millisecond)).To(Equal([]string{"e4", "e5"}))
 	g.Expect(heard(2, 600*time.Millisecond)).To(BeEmpty(), "most are so quiet")
--- a/internal/balance/silentdomain.go
+++ b/internal/balance/silentdomain.go
@@ -7,255 +7,260 @@
 )
 
 const (
-	// leastSilentEndpoints is how many endpoints of a failure domain must be silent for it to
-	// be: one may have ended alone.
-	leastSilentEndpoints = 2
-	// leastLostEndpoints is how many must be for those to be taken for lost at which requests are
-	// open: two may be slow at once.
-	leastLostEndpoints = 3
-	// mostInSilentDomains is the part of a group's endpoints that may count as silent with their
-	// failure domains where several of each are: as long as the rest answers it doesn't
-	// matter whether it is this router that is cut off from them.
-	mostInSilentDomains = 0.75
-	// domainTold is for how long nothing must have been heard of a failure domain where
-	// others found its endpoints silent: two of their tellings of load.
-	domainTold = 500 * time.Millisecond
-	// domainHold is how long a failure domain is avoided by one look: until the next one, with
-	// some slack.
-	domainHold = 2 * SilenceTick
-	// steadyLook is the longest time between two looks of a router that runs. One that stood
-	// still has unread answers of some endpoints and has read those of others.
-	steadyLook = leastSilence
+	// minUnresponsiveEndpoints is how many endpoints of a failure domain must be unresponsive
+	// for the domain to be: a single process may have ended by itself.
+	minUnresponsiveEndpoints = 2
+	// minUnreachableEndpoints is how many endpoints of a failure domain must be unresponsive for
+	// its endpoints with open requests to count as unreachable: two may be slow at the same time.
+	minUnreachableEndpoints = 3
+	// maxUnresponsiveDomainShare is the largest share of a group's endpoints in unresponsive
+	// failure domains, where at least minUnreachableEndpoints of each domain are unresponsive.
+	// While the remaining endpoints respond, avoiding the others is right even if it is this
+	// router that is cut off from them.
+	maxUnresponsiveDomainShare = 0.75
+	// minReportedDomainGap is how long no endpoint of a failure domain may have responded to or
+	// reported to any router, where its endpoints were found unresponsive one by one: two
+	// intervals of the peers' load reports.
+	minReportedDomainGap = 500 * time.Millisecond
+	// domainAvoidFor is how long one check has a failure domain avoided: until the next check,
+	// with some slack.
+	domainAvoidFor = 2 * SilenceTick
+	// maxCheckGap is the longest interval between two checks of a router that runs steadily.
+	// After a longer pause it has read the responses of some endpoints and not yet of others.
+	maxCheckGap = minUnresponsiveTime
 )
 
-// quietDomain is what a router knows of the endpoints of a group in one failure domain. It finds
-// out sooner than at each endpoint alone that all have fallen silent, and before a request is
-// sent to each of them.
-type quietDomain struct {
-	name      string
-	members   int // that may get work
-	open      []quietEndpoint
-	found     int       // that somebody found silent
-	heardAt   time.Time // of any of them, by this router or by others
-	tellsLoad bool
+// domainState is what a router knows of the endpoints of a group in one failure domain. It shows
+// that all of them are unresponsive earlier than each endpoint's own state does, and before a
+// request has been sent to each of them.
+type domainState struct {
+	name           string
+	endpoints      int // that accept new requests
+	active         []domainEndpoint
+	unresponsive   int       // endpoints that this router or its peers found unresponsive
+	lastResponseAt time.Time // of any of them, a load report to this router or a peer included
+	reportsLoad    bool
 }
 
-// quietEndpoint is one at which requests are open and nothing was heard since a moment.
-type quietEndpoint struct {
-	name  string
-	since time.Time
-	found bool // somebody found it silent
+// domainEndpoint is an endpoint with open requests.
+type domainEndpoint struct {
+	name         string
+	waitingSince time.Time // of the last response data, or of the first open request
+	unresponsive bool      // by this router or its peers
 }
 
-// domainWatch is what is kept from one look for silent failure domains to the next.
+// domainWatch is the state kept between two checks for unresponsive failure domains.
 type domainWatch struct {
-	mu     sync.Mutex
-	last   time.Time // the look before
-	steady time.Time // looks have come without a long pause since
-	silent map[groupDomain]bool
-	// lost are endpoints of the silent ones that nothing was heard of for SilenceLimit
-	// though requests are open there.
-	lost []string
+	mu           sync.Mutex
+	lastCheck    time.Time
+	steadySince  time.Time // no long pause between checks since
+	unresponsive map[groupDomain]bool
+	// unreachable are endpoints of unresponsive domains that have open requests and sent no
+	// response data for UnresponsiveTimeout.
+	unreachable []string
 }
 
 // groupDomain names the endpoints of a group in one failure domain.
 type groupDomain struct{ group, domain string }
 
-// SilentDomain is a failure domain of which a router hears nothing any more, or hears again.
+// SilentDomain is the event that a failure domain became unresponsive, or responds again.
 type SilentDomain struct {
 	Group, FailureDomain string
-	Endpoints            int // of the group there
+	Endpoints            int // of the group in the failure domain
 	Silent               bool
 }
 
-// look notes a look and says whether the router has run without a long pause for a while.
-func (w *domainWatch) look(now time.Time) bool {
+// recordCheck records a check and says whether the checks have come without a long pause for at
+// least maxCheckGap.
+func (w *domainWatch) recordCheck(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now.Sub(w.last) > steadyLook {
-		w.steady = now
+	if now.Sub(w.lastCheck) > maxCheckGap {
+		w.steadySince = now
 	}
-	w.last = now
-	return now.Sub(w.steady) >= steadyLook
+	w.lastCheck = now
+	return now.Sub(w.steadySince) >= maxCheckGap
 }
 
-// note notes which failure domains are silent and which endpoints are lost, and returns the
-// domains that weren't silent before and those that no longer are.
-func (w *domainWatch) note(silent map[groupDomain]int, lost []string) []SilentDomain {
+// update stores the unresponsive domains and the unreachable endpoints, and returns an event for
+// each domain that became unresponsive or responds again.
+func (w *domainWatch) update(unresponsive map[groupDomain]int, unreachable []string) []SilentDomain {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lost = lost
+	w.unreachable = unreachable
 	var events []SilentDomain
-	for k, endpoints := range silent {
-		if !w.silent[k] {
+	for k, endpoints := range unresponsive {
+		if !w.unresponsive[k] {
 			events = append(events, SilentDomain{k.group, k.domain, endpoints, true})
 		}
 	}
-	for k := range w.silent {
-		if _, still := silent[k]; !still {
+	for k := range w.unresponsive {
+		if _, found := unresponsive[k]; !found {
 			events = append(events, SilentDomain{Group: k.group, FailureDomain: k.domain})
 		}
 	}
-	w.silent = make(map[groupDomain]bool, len(silent))
-	for k := range silent {
-		w.silent[k] = true
+	w.unresponsive = make(map[groupDomain]bool, len(unresponsive))
+	for k := range unresponsive {
+		w.unresponsive[k] = true
 	}
 	return events
 }
 
-// Lost lists the endpoints that are taken for lost by the last look: their whole failure domain
-// is silent, several of them long enough, and nothing has come for a second though requests are
-// open there. A slow endpoint isn't: a run must not go on elsewhere while its endpoint still works
-// on it.
+// Lost lists the endpoints that the last check found unreachable: their whole failure domain is
+// unresponsive, minUnreachableEndpoints of it or more, and they sent nothing for UnresponsiveTimeout
+// though requests are open. An endpoint that is only slow must not be listed, since a run must not
+// be resumed elsewhere while its endpoint still works on it.
 func (p *Pool) Lost() []string {
 	p.domains.mu.Lock()
 	defer p.domains.mu.Unlock()
-	return p.domains.lost
+	return p.domains.unreachable
 }
 
-// SilentDomains is how many groups of endpoints this router avoids, each in one failure domain
-// of which it hears nothing.
+// SilentDomains counts the failure domains, per group of endpoints, that this router avoids as
+// unresponsive.
 func (p *Pool) SilentDomains() int {
 	p.domains.mu.Lock()
 	defer p.domains.mu.Unlock()
-	return len(p.domains.silent)
+	return len(p.domains.unresponsive)
 }
 
-// domain returns the state of a failure domain, of which there are few.
-func (g *peerGroupState) domain(name string) *quietDomain {
+// domain returns the state of a failure domain and adds it if needed. There are few, so that a
+// linear search will do.
+func (g *peerGroupState) domain(name string) *domainState {
 	for _, d := range g.domains {
 		if d.name == name {
 			return d
 		}
 	}
-	d := &quietDomain{name: name}
+	d := &domainState{name: name}
 	g.domains = append(g.domains, d)
 	return d
 }
 
-// note adds an endpoint of the failure domain, whose shard is locked.
-func (d *quietDomain) note(now time.Time, name string, st *state) {
-	d.heardAt = maxTime(d.heardAt, maxTime(st.heardAt, st.reportedAt))
+// add adds an endpoint to its failure domain. The caller holds the lock of its shard.
+func (d *domainState) add(now time.Time, name string, st *state) {
+	d.lastResponseAt = maxTime(d.lastResponseAt, maxTime(st.heardAt, st.reportedAt))
 	if st.leaving {
 		return
 	}
-	d.members++
-	d.tellsLoad = d.tellsLoad || !st.reportedAt.IsZero()
-	found := st.isSilent(now) || now.Sub(st.toldAt) <= silentFor
-	if found {
-		d.found++
+	d.endpoints++
+	d.reportsLoad = d.reportsLoad || !st.reportedAt.IsZero()
+	unresponsive := st.isUnresponsive(now) || now.Sub(st.toldAt) <= unresponsiveReportTTL
+	if unresponsive {
+		d.unresponsive++
 	}
 	if st.inflight > 0 {
-		d.open = append(d.open, quietEndpoint{name, st.quietSince, found})
+		d.active = append(d.active, domainEndpoint{name, st.quietSince, unresponsive})
 	}
 }
 
-// lost lists the endpoints of a silent failure domain of which nothing has come for
-// SilenceLimit though requests are open there, where enough others are as silent.
-func (d *quietDomain) lost(now time.Time) []string {
+// unreachable lists the endpoints with open requests that sent no response data for UnresponsiveTimeout;
+// none if fewer than minUnreachableEndpoints of the failure domain are unresponsive.
+func (d *domainState) unreachable(now time.Time) []string {
 	var names []string
-	silent := d.found
-	for _, e := range d.open {
-		if now.Sub(e.since) < SilenceLimit {
+	unresponsive := d.unresponsive
+	for _, e := range d.active {
+		if now.Sub(e.waitingSince) < SilenceLimit {
 			continue
 		}
 		names = append(names, e.name)
-		if !e.found {
-			silent++
+		if !e.unresponsive {
+			unresponsive++
 		}
 	}
-	if silent < leastLostEndpoints {
+	if unresponsive < minUnreachableEndpoints {
 		return nil
 	}
 	return names
 }
 
-// quiet is for how long nothing has come of so many endpoints with open requests, nor of any
-// other one; 0 if there are no such endpoints.
-func (d *quietDomain) quiet(now time.Time, endpoints int) time.Duration {
-	if len(d.open) < endpoints {
+// responseGap is how long the given number of endpoints with open requests, and all other endpoints
+// of the failure domain, have sent nothing; 0 if fewer endpoints have open requests.
+func (d *domainState) responseGap(now time.Time, endpoints int) time.Duration {
+	if len(d.active) < endpoints {
 		return 0
 	}
-	slices.SortFunc(d.open, func(a, b quietEndpoint) int { return a.since.Compare(b.since) })
-	return max(0, now.Sub(maxTime(d.heardAt, d.open[endpoints-1].since)))
+	slices.SortFunc(d.active, func(a, b domainEndpoint) int { return a.waitingSince.Compare(b.waitingSince) })
+	return max(0, now.Sub(maxTime(d.lastResponseAt, d.active[endpoints-1].waitingSince)))
 }
 
-// isSilent says whether the failure domain is, by so many endpoints there and what is usual for
-// the group's domains.
-func (d *quietDomain) isSilent(now time.Time, e *engineSpeeds, endpoints int) bool {
-	if d.found >= endpoints && now.Sub(d.heardAt) >= domainTold {
+// isUnresponsive says whether the failure domain is unresponsive: the given number of endpoints was
+// found so, or their response gap is unusual among the group's domains.
+func (d *domainState) isUnresponsive(now time.Time, e *engineSpeeds, endpoints int) bool {
+	if d.unresponsive >= endpoints && now.Sub(d.lastResponseAt) >= minReportedDomainGap {
 		return true
 	}
-	if !d.tellsLoad {
-		return d.quiet(now, endpoints) > SilenceLimit // a queue that grows looks like a silence
+	if !d.reportsLoad {
+		return d.responseGap(now, endpoints) > SilenceLimit // shorter gaps may be growing queues
 	}
-	usual, known := e.usualDomainQuiet()
-	return known && d.quiet(now, endpoints) > usual
+	limit, known := e.domainGapLimit()
+	return known && d.responseGap(now, endpoints) > limit
 }
 
-// silentDomains has the endpoints of failure domains avoided that have fallen silent as a whole,
-// and returns those of them at which requests of this router are open.
-func (p *Pool) silentDomains(now time.Time, groups map[string]*peerGroupState) []string {
-	steady := p.domains.look(now)
-	silent := make(map[groupDomain]int)
-	var open, lost []string
+// checkDomains avoids the endpoints of failure domains that are unresponsive as a whole, and returns
+// those of them with open requests of this router.
+func (p *Pool) checkDomains(now time.Time, groups map[string]*peerGroupState) []string {
+	steady := p.domains.recordCheck(now)
+	unresponsive := make(map[groupDomain]int)
+	var active, unreachable []string
 	for group, g := range groups {
-		for _, d := range g.silentDomains(now, steady) {
-			silent[groupDomain{group, d.name}] = d.members
-			p.avoidAll(now.Add(domainHold), group, d.name)
-			lost = append(lost, d.lost(now)...)
-			for _, e := range d.open {
-				open = append(open, e.name)
+		for _, d := range g.unresponsiveDomains(now, steady) {
+			unresponsive[groupDomain{group, d.name}] = d.endpoints
+			p.avoidDomain(now.Add(domainAvoidFor), group, d.name)
+			unreachable = append(unreachable, d.unreachable(now)...)
+			for _, e := range d.active {
+				active = append(active, e.name)
 			}
 		}
 	}
-	for _, event := range p.domains.note(silent, lost) {
+	for _, event := range p.domains.update(unresponsive, unreachable) {
 		if p.cfg.OnSilentDomain != nil {
 			p.cfg.OnSilentDomain(event)
 		}
 	}
-	return open
+	return active
 }
 
-// silentDomains lists the failure domains of the group that are silent, and learns from the
-// others what is usual. Where nothing was heard of the rest, or too many endpoints would be
-// silent, it may be this router that is cut off, or slow.
-func (g *peerGroupState) silentDomains(now time.Time, steady bool) []*quietDomain {
-	var silent, certain []*quietDomain
-	var restHeard time.Time
+// unresponsiveDomains lists the unresponsive failure domains of the group and records the response
+// gaps of the others. It returns none if the others don't respond either, or if too many endpoints
+// would be unresponsive: this router may then be slow or cut off. steady says that checks have come
+// without a long pause.
+func (g *peerGroupState) unresponsiveDomains(now time.Time, steady bool) []*domainState {
+	var unresponsive, certain []*domainState
+	var othersRespondedAt time.Time
 	for _, d := range g.domains {
-		if d.name == "" || !d.isSilent(now, g.engines, leastSilentEndpoints) {
-			restHeard = maxTime(restHeard, d.heardAt)
-			g.engines.sawDomainQuiet(d.quiet(now, leastSilentEndpoints))
+		if d.name == "" || !d.isUnresponsive(now, g.engines, minUnresponsiveEndpoints) {
+			othersRespondedAt = maxTime(othersRespondedAt, d.lastResponseAt)
+			g.engines.recordDomainGap(d.responseGap(now, minUnresponsiveEndpoints))
 			continue
 		}
-		silent = append(silent, d)
-		if d.isSilent(now, g.engines, leastLostEndpoints) {
+		unresponsive = append(unresponsive, d)
+		if d.isUnresponsive(now, g.engines, minUnreachableEndpoints) {
 			certain = append(certain, d)
 		}
 	}
 	switch {
-	case !steady || now.Sub(restHeard) > leastSilence:
+	case !steady || now.Sub(othersRespondedAt) > minUnresponsiveTime:
 		return nil
-	case g.part(silent) <= mostSilent:
-		return silent
-	case g.part(certain) <= mostInSilentDomains:
+	case g.endpointShare(unresponsive) <= maxUnresponsiveShare:
+		return unresponsive
+	case g.endpointShare(certain) <= maxUnresponsiveDomainShare:
 		return certain
 	}
 	return nil
 }
 
-// part is the part of the group's endpoints that some of its failure domains have.
-func (g *peerGroupState) part(domains []*quietDomain) float64 {
+// endpointShare is the share of the group's endpoints that are in the given failure domains.
+func (g *peerGroupState) endpointShare(domains []*domainState) float64 {
 	endpoints := 0
 	for _, d := range domains {
-		endpoints += d.members
+		endpoints += d.endpoints
 	}
 	return float64(endpoints) / float64(g.endpoints)
 }
 
-// avoidAll has the endpoints of a group in a failure domain avoided until a moment.
-func (p *Pool) avoidAll(until time.Time, group, domain string) {
+// avoidDomain avoids the endpoints of a group in a failure domain until the given time.
+func (p *Pool) avoidDomain(until time.Time, group, domain string) {
 	for i := range p.shards {
 		sh := &p.shards[i]
 		sh.mu.Lock()
@@ -268,31 +273,31 @@
 	}
 }
 
-// usualDomainQuiet is the silence beyond which a failure domain isn't like the others; false
-// while too little is known of them.
-func (e *engineSpeeds) usualDomainQuiet() (time.Duration, bool) {
+// domainGapLimit is the response gap above which a failure domain's gap is unusual; false while
+// there are too few samples.
+func (e *engineSpeeds) domainGapLimit() (time.Duration, bool) {
 	if e == nil {
 		return 0, false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.domainQuiet.unusual()
+	return e.domainQuiet.gapLimit()
 }
 
-// sawDomainQuiet takes for how long nothing was heard of a failure domain with open requests.
-func (e *engineSpeeds) sawDomainQuiet(quiet time.Duration) {
+// recordDomainGap records a response gap of a failure domain.
+func (e *engineSpeeds) recordDomainGap(gap time.Duration) {
 	if e == nil {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.domainQuiet.add(quiet.Seconds(), quietQuantile)
+	e.domainQuiet.add(gap.Seconds(), responseGapQuantile)
 }
 
-// unusual is the silence that isn't usual any more; false while too little is known.
-func (m *quantile) unusual() (time.Duration, bool) {
+// gapLimit is the response gap above which a gap is unusual; false while there are too few samples.
+func (m *quantile) gapLimit() (time.Duration, bool) {
 	if m.samples < leastSamples {
 		return 0, false
 	}
-	return max(leastSilence, seconds(quietFactor*m.value)), true
+	return max(minUnresponsiveTime, seconds(responseGapFactor*m.value)), true
 }
