--- a/internal/balance/errors.go
+++ b/internal/balance/errors.go
@@ -11,8 +11,8 @@
 var ErrNoEndpoint = errors.New("no endpoint may take the request")
 
 // NoEndpointError says why Choose found no endpoint: of Candidates endpoints, Skipped were ruled out
-// by the caller, Leaving accept no new requests, and Bounded are rate-limited with this router's
-// share used up.
+// by the caller, Leaving accept no new requests, and RateLimited have used up this router's share
+// of their rate limit.
 type NoEndpointError struct {
 	Candidates int
 	Skipped    int
--- a/internal/balance/failures.go
+++ b/internal/balance/failures.go
@@ -40,8 +40,8 @@
 	Failed   int    `json:"f"`
 	// Witnesses is how many routers had failed attempts.
 	Witnesses int `json:"w"`
-	// Silent is how many routers found the endpoint unresponsive, and SilentMillis the shortest
-	// time for which it was.
+	// Silent is how many routers found the endpoint unresponsive, and UnresponsiveMillis the
+	// shortest time for which it was.
 	Silent       int   `json:"s,omitempty"`
 	SilentMillis int64 `json:"q,omitempty"`
 }
--- a/internal/balance/limit.go
+++ b/internal/balance/limit.go
@@ -104,8 +104,8 @@
 
 // LimitUse is the limit of an endpoint and this router's use of it.
 type LimitUse struct {
-	// PerSecond is what the endpoint accepts from all routers, as stated Age ago, Part this
-	// router's share of it and Used what this router sent recently, each in requests a second.
+	// PerSecond is what the endpoint accepts from all routers, as stated Age ago, Share
+	// this router's share of it and Used what this router sent recently, each in requests a second.
 	PerSecond  float64
 	Part, Used float64
 	Age        time.Duration
--- a/internal/balance/limitwords.go
+++ b/internal/balance/limitwords.go
@@ -23,8 +23,8 @@
 
 // LimitWords is what a router reports to a peer about the limits of all endpoints.
 type LimitWords struct {
-	// Sum is a hash of the names of the endpoints that state a limit. Two routers whose hashes
-	// differ report all limits to each other.
+	// Sum is computed from the names of the endpoints that state a limit. Two routers whose
+	// values differ report all limits to each other.
 	Sum   uint64      `json:"d,omitempty"`
 	Words []LimitWord `json:"w,omitempty"`
 }
