--- a/internal/balance/bound.go
+++ b/internal/balance/bound.go
@@ -51,9 +51,9 @@
 	return endpointrate.Bound{}, false
 }
 
-// rank is the rank by which requests yield their turn to others. At a cold endpoint all have the
+// tier is the tier by which requests yield their turn to others. At a cold endpoint all have the
 // highest: it is cold for a few seconds only, and a turn that is yielded there goes unused.
-func (b *bound) rank(now time.Time, req Request) int {
+func (b *bound) tier(now time.Time, req Request) int {
 	if b.treatAsCold(now, req) {
 		return 0
 	}
@@ -83,7 +83,7 @@
 	if !limited {
 		return true
 	}
-	return st.bound.pace.Ready(now, p.shareOf(now, &st.bound, limit), st.bound.rank(now, req))
+	return st.bound.pace.Ready(now, p.shareOf(now, &st.bound, limit), st.bound.tier(now, req))
 }
 
 // SetCold sets the endpoint cold for the time left. It never shortens the time known already, since
@@ -109,7 +109,7 @@
 	if !limited {
 		return true
 	}
-	taken := st.bound.pace.Take(now, p.shareOf(now, &st.bound, limit), st.bound.rank(now, req))
+	taken := st.bound.pace.Take(now, p.shareOf(now, &st.bound, limit), st.bound.tier(now, req))
 	if taken && st.bound.limit.named {
 		p.limits.sent.Add(1)
 	}
@@ -121,14 +121,14 @@
 // out that such an endpoint has returned.
 func (p *Pool) MayCheck(now time.Time, e *bundle.Endpoint) bool { return p.Take(now, e, Request{}) }
 
-// refuse records that no endpoint could take a request, so that less urgent requests leave it the
-// next turn at the rate-limited candidates.
+// refuse records that no endpoint could take a request, so that the next turn at the rate-limited
+// candidates is not given to a less urgent request.
 func (p *Pool) refuse(now time.Time, candidates []*bundle.Endpoint, req Request) {
 	for _, e := range candidates {
 		sh := p.shard(e.Name)
 		sh.mu.Lock()
 		if st, known := sh.states[e.Name]; known {
-			st.bound.pace.Refuse(now, st.bound.rank(now, req))
+			st.bound.pace.Refuse(now, st.bound.tier(now, req))
 		}
 		sh.mu.Unlock()
 	}
@@ -145,12 +145,12 @@
 	if !limited {
 		return 0
 	}
-	rank := b.rank(now, req)
+	tier := b.tier(now, req)
 	b.pace.TurnAway(now)
 	share := p.shareOf(now, b, limit)
 	if share <= 0 {
 		// The whole rate is assigned to other routers, which send at this interval.
 		return endpointrate.Gap(limit.PerSecond)
 	}
-	return max(0, b.pace.FreeAt(now, share, rank).Sub(now))
+	return max(0, b.pace.FreeAt(now, share, tier).Sub(now))
 }
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -3,8 +3,9 @@
 // A fifth of the endpoints of a model crash at twice the usual load and restart with empty caches. A
 // restarted endpoint looks idle to all routers, which sent it all their requests; above what a cold
 // endpoint tolerates it crashes and restarts cold again. On a day with two crashes 116 processes ran
-// at 56 endpoints and seconds 12 to 20 scored .37 to .58, no more than on the same day with endpoints
-// that never restarted. In this simulation, without the limit, restarted endpoints crashed 33 times.
+// at 56 endpoints and seconds 12 to 20 earned .37 to .58 of the points of the load test, as much as
+// on the same day with endpoints that never restarted. In this simulation, without the limit,
+// restarted endpoints crashed 33 times.
 
 import (
 	"container/heap"
@@ -83,12 +84,12 @@
 	rate      float64 // cold rate that routers know of; 0 for none
 	// repeatedCrashes counts crashes of endpoints that had restarted.
 	repeatedCrashes int
-	asked           map[int]int
+	total           map[int]int
 	answered        map[int]int // in time, by the second of the request
 }
 
 func runCrashSim(routers int, limit float64, lasts time.Duration) *crashSim {
-	c := &crashSim{rnd: rand.New(rand.NewPCG(7, 7)), rate: limit, asked: map[int]int{}, answered: map[int]int{}}
+	c := &crashSim{rnd: rand.New(rand.NewPCG(7, 7)), rate: limit, total: map[int]int{}, answered: map[int]int{}}
 	const domains, endpoints = 3, 56
 	var names []string
 	for d := range domains {
@@ -146,7 +147,7 @@
 func (c *crashSim) request(now time.Time) {
 	asked := now
 	second := int(now.Sub(epoch) / time.Second)
-	c.asked[second]++
+	c.total[second]++
 	p := c.pools[c.rnd.IntN(len(c.pools))]
 	var candidates []*bundle.Endpoint
 	for _, e := range c.endpoints {
@@ -193,7 +194,7 @@
 func (c *crashSim) served(from, to int) float64 {
 	asked, answered := 0, 0
 	for s := from; s < to; s++ {
-		asked += c.asked[s]
+		asked += c.total[s]
 		answered += c.answered[s]
 	}
 	return float64(answered) / float64(asked)
@@ -213,7 +214,7 @@
 // Shows that the simulation has the failure: without the limit endpoints crash again and again.
 func TestColdEndpointsCrashAgainWithoutColdRate(t *testing.T) {
 	repeated := runCrashSim(31, 0, 12*time.Second).repeatedCrashes
-	t.Logf("endpoints that had come back ended %d times", repeated)
+	t.Logf("restarted endpoints crashed %d times", repeated)
 	NewWithT(t).Expect(repeated).To(BeNumerically(">", 20))
 }
 
--- a/internal/balance/copy.go
+++ b/internal/balance/copy.go
@@ -6,9 +6,9 @@
 // the cost of copying grows with the tokens, the benefit with how long the stream runs.
 const copyRatio = 5
 
-// copyTo is the index of the endpoint to copy the run's KV cache to, -1 if none. Runs are copied that
-// couldn't be repeated after a crash of their endpoint, or whose stream would be late if resumed
-// elsewhere, and only if their prompt is short relative to the output. Since copies take memory they
+// copyTo is the index of the endpoint to copy the run's KV cache to, -1 if none. A run is copied if it
+// couldn't be repeated after its endpoint crashed, or if its stream would be late when resumed
+// elsewhere, and only if its prompt is short relative to the output. Since copies take memory they
 // are spread over the endpoints dedicated to such streams, if possible in another failure domain.
 // group are the endpoints of the request's kind. A retry leaves out those already tried, so that
 // they may be fewer than at the last isolation decision.
--- a/internal/balance/detect.go
+++ b/internal/balance/detect.go
@@ -8,8 +8,8 @@
 	"coveferry/internal/bundle"
 )
 
-// detect compares the peers and ejects outliers, at most once per interval unless urgent. The
-// caller must not hold a shard's lock.
+// detect compares the endpoints of each group and ejects outliers, at most once per interval unless
+// urgent. The caller must not hold a shard's lock.
 func (p *Pool) detect(now time.Time, urgent bool) {
 	if p.cfg.Outlier.Off {
 		return
@@ -24,36 +24,36 @@
 	}
 	p.detecting.Lock()
 	defer p.detecting.Unlock()
-	peers := p.peers(now)
-	for len(peers) > 0 {
-		n := groupLen(peers)
-		for _, out := range outliers(peers[:n], p.cfg.Outlier) {
+	members := p.groupMembers(now)
+	for len(members) > 0 {
+		n := groupLen(members)
+		for _, out := range outliers(members[:n], p.cfg.Outlier) {
 			p.eject(now, out.endpoint)
 		}
-		peers = peers[n:]
+		members = members[n:]
 	}
 }
 
-// peers returns all endpoints that accept new requests, ordered by group and name.
-func (p *Pool) peers(now time.Time) []peer {
-	var peers []peer
+// groupMembers returns all endpoints that accept new requests, ordered by group and name.
+func (p *Pool) groupMembers(now time.Time) []groupMember {
+	var members []groupMember
 	for i := range p.shards {
-		peers = p.shards[i].peers(peers, now, p.cfg.Outlier)
+		members = p.shards[i].appendGroupMembers(members, now, p.cfg.Outlier)
 	}
-	slices.SortFunc(peers, func(a, b peer) int {
+	slices.SortFunc(members, func(a, b groupMember) int {
 		return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.endpoint, b.endpoint))
 	})
-	return peers
+	return members
 }
 
-func (sh *shard) peers(peers []peer, now time.Time, o Outlier) []peer {
+func (sh *shard) appendGroupMembers(members []groupMember, now time.Time, o Outlier) []groupMember {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for name, st := range sh.states {
 		if st.leaving {
 			continue
 		}
-		peers = append(peers, peer{
+		members = append(members, groupMember{
 			endpoint:     name,
 			group:        st.group,
 			service:      st.service(),
@@ -63,13 +63,13 @@
 			ejected:      st.health.weight(now, o) == 0,
 		})
 	}
-	return peers
+	return members
 }
 
-func groupLen(peers []peer) int {
-	n := slices.IndexFunc(peers, func(p peer) bool { return p.group != peers[0].group })
+func groupLen(members []groupMember) int {
+	n := slices.IndexFunc(members, func(p groupMember) bool { return p.group != members[0].group })
 	if n < 0 {
-		return len(peers)
+		return len(members)
 	}
 	return n
 }
--- a/internal/balance/errors.go
+++ b/internal/balance/errors.go
@@ -28,7 +28,7 @@
 	text := fmt.Sprintf("no endpoint may take the request: %d candidates, %d skipped, %d leaving",
 		e.Candidates, e.Skipped, e.Leaving)
 	if e.Bounded > 0 {
-		text += fmt.Sprintf(", %d take no more now, one in %s", e.Bounded, e.FreeIn)
+		text += fmt.Sprintf(", %d rate-limited, the next available in %s", e.Bounded, e.FreeIn)
 	}
 	return text
 }
--- a/internal/balance/failures.go
+++ b/internal/balance/failures.go
@@ -22,18 +22,18 @@
 	minFailed      = 4
 	minFailedShare = 0.3
 	// failingStdDevs is by how many standard deviations the failures must exceed those of the
-	// peers: where all endpoints fail alike, avoiding some helps nobody, and a plain service with
-	// occasional failures of its own isn't failing.
+	// other endpoints of the group: where all fail alike, avoiding some helps nobody, and a plain
+	// service with occasional failures of its own isn't failing.
 	failingStdDevs = 3
 	// avoidFor is how long a failing endpoint is avoided. Its health checks may pass all the
 	// while, so that only requests can tell whether it has recovered.
 	avoidFor = 3 * time.Second
-	// restartGracePeriod is how long after a restart peer reports may still include attempts at
-	// the previous process: the failure window and some time for the report to arrive.
+	// restartGracePeriod is how long after a restart reports from peers may still include attempts
+	// at the previous process: the failure window and some time for the report to arrive.
 	restartGracePeriod = failureWindow + time.Second
 )
 
-// FailureWord is a peer report of failed attempts at an endpoint and of its being unresponsive.
+// FailureWord is a router's summary of failed attempts at an endpoint and of its being unresponsive.
 type FailureWord struct {
 	Endpoint string `json:"e"`
 	Attempts int    `json:"n"`
@@ -46,7 +46,7 @@
 	SilentMillis int64 `json:"q,omitempty"`
 }
 
-// Plus adds the report of another router of the same endpoint.
+// Plus adds another router's summary of the same endpoint.
 func (w FailureWord) Plus(o FailureWord) FailureWord {
 	w.Attempts += o.Attempts
 	w.Failed += o.Failed
@@ -158,7 +158,7 @@
 		}
 		sh := p.shard(w.Endpoint)
 		sh.mu.Lock()
-		if st, known := sh.states[w.Endpoint]; known && !st.contradictsPeers(now, w) {
+		if st, known := sh.states[w.Endpoint]; known && !st.rejectsPeerReport(now, w) {
 			st.toldAt = now
 			st.avoidUntil = maxTime(st.avoidUntil, now.Add(unresponsiveReportTTL))
 		}
@@ -166,7 +166,7 @@
 	}
 }
 
-// groupOf is the peer group of an endpoint; empty if the endpoint isn't known.
+// groupOf is the group of an endpoint; empty if the endpoint isn't known.
 func (p *Pool) groupOf(endpoint string) string {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
@@ -200,31 +200,31 @@
 }
 
 // failingEndpoints returns the endpoints of a group that fail at several routers and much more than
-// their peers, the worst first. No more than Outlier.MaxShare of them are avoided at once.
+// the other endpoints, the worst first. No more than Outlier.MaxShare of them are avoided at once.
 func failingEndpoints(attempts []FailureWord, avoided int, o Outlier) []FailureWord {
 	slices.SortFunc(attempts, func(a, b FailureWord) int {
 		return cmp.Or(cmp.Compare(b.failedShare(), a.failedShare()), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	maxAvoided := int(o.MaxShare * float64(len(attempts)+avoided))
-	peers := FailureWord{}
+	othersInGroup := FailureWord{}
 	for _, w := range attempts[min(maxAvoided, len(attempts)):] {
-		peers = peers.Plus(w)
+		othersInGroup = othersInGroup.Plus(w)
 	}
 	remaining := max(1, maxAvoided) - avoided
 	var failing []FailureWord
 	for _, w := range attempts {
-		if len(failing) < remaining && w.Witnesses >= minReporters && w.isFailing(peers.failedShare()) {
+		if len(failing) < remaining && w.Witnesses >= minReporters && w.isFailing(othersInGroup.failedShare()) {
 			failing = append(failing, w)
 		}
 	}
 	return failing
 }
 
-// isFailing says whether more attempts failed than chance explains, given the peers' share of
-// failures. Rare failures follow a Poisson distribution, whose variance is its mean; one is added
-// because the mean is only an estimate.
-func (w FailureWord) isFailing(peerShare float64) bool {
-	expected := peerShare * float64(w.Attempts)
+// isFailing says whether more attempts failed than chance explains, given the share of failures at the
+// other endpoints of the group. Rare failures follow a Poisson distribution, whose variance is its
+// mean; one is added because the mean is only an estimate.
+func (w FailureWord) isFailing(groupShare float64) bool {
+	expected := groupShare * float64(w.Attempts)
 	threshold := expected + failingStdDevs*math.Sqrt(expected+1)
 	return w.Failed >= minFailed && float64(w.Failed) > threshold &&
 		w.failedShare() > minFailedShare
--- a/internal/balance/limit_play_test.go
+++ b/internal/balance/limit_play_test.go
@@ -63,9 +63,9 @@
 	queue   happenings
 	pools   []*Pool
 	engines []*limitedEngine
-	// asked, noEndpoint, late and inTime count requests by rank while limits are stated: all,
+	// total, noEndpoint, late and inTime count requests by rank while limits are stated: all,
 	// those without an available endpoint, those refused because of the wait, and those on time.
-	asked, noEndpoint, late, inTime [3]int
+	total, noEndpoint, late, inTime [3]int
 	// sharedTokensRead counts the tokens of shared prompt parts that weren't cached.
 	sharedTokensRead int
 }
@@ -142,7 +142,7 @@
 	k := limitSimKinds[rank]
 	counts := !now.Before(epoch.Add(limitStart+3*time.Second)) && now.Before(epoch.Add(limitEnd))
 	if counts {
-		n.asked[k.rank]++
+		n.total[k.rank]++
 	}
 	p := n.pools[n.rnd.IntN(len(n.pools))]
 	candidates := make([]*bundle.Endpoint, len(n.engines))
@@ -245,10 +245,10 @@
 		g := NewWithT(t)
 		n := runLimitSim(routers, 4, 1)
 		before, during, after := n.requestRate(4, 0, limitStart), n.requestRate(4, limitStart+3*time.Second, limitEnd), n.requestRate(4, limitEnd+3*time.Second, limitSimDuration)
-		t.Logf("%d routers: asked %v, in time %v; limited endpoints got %.1f a second before, %.1f during and %.1f after the limit", routers, n.asked, n.inTime, before, during, after)
-		for rank := range n.asked {
+		t.Logf("%d routers: requests %v, in time %v; limited endpoints got %.1f a second before, %.1f during and %.1f after the limit", routers, n.total, n.inTime, before, during, after)
+		for rank := range n.total {
 			g.Expect(n.noEndpoint[rank]+n.late[rank]).To(BeZero(), "no request is refused")
-			g.Expect(float64(n.inTime[rank])).To(BeNumerically(">=", 0.98*float64(n.asked[rank])))
+			g.Expect(float64(n.inTime[rank])).To(BeNumerically(">=", 0.98*float64(n.total[rank])))
 		}
 		for _, e := range n.engines[:4] {
 			g.Expect(e.maxIn4s(epoch.Add(limitStart+3*time.Second))).To(BeNumerically("<=", 11), e.Name)
@@ -265,7 +265,7 @@
 		n := runLimitSim(routers, limitSimEndpoints, 2)
 		var sent [3]float64
 		for rank := range sent {
-			sent[rank] = 1 - float64(n.noEndpoint[rank]+n.late[rank])/float64(n.asked[rank])
+			sent[rank] = 1 - float64(n.noEndpoint[rank]+n.late[rank])/float64(n.total[rank])
 		}
 		rate := n.requestRate(limitSimEndpoints, limitStart+3*time.Second, limitEnd)
 		t.Logf("%d routers: %.2f of the most urgent sent, %.2f, %.2f; %.1f a second of 24", routers, sent[0], sent[1], sent[2], rate)
--- a/internal/balance/limitwords.go
+++ b/internal/balance/limitwords.go
@@ -12,7 +12,7 @@
 // to each request to a peer while many endpoints begin to state a limit at once.
 const maxPeerLimits = 32
 
-// LimitWord is a peer report of an endpoint's limit.
+// LimitWord is a router's summary of an endpoint's limit.
 type LimitWord struct {
 	Endpoint string `json:"e"`
 	// PerSecond is nil if the endpoint no longer states a limit.
@@ -23,17 +23,17 @@
 
 // LimitWords is what a router reports to a peer about the limits of all endpoints.
 type LimitWords struct {
-	// Sum is computed from the names of the endpoints that state a limit. Two routers whose
-	// values differ report all limits to each other.
+	// Sum is a digest of the names of the endpoints that state a limit. Two routers whose
+	// digests differ report all limits to each other.
 	Sum   uint64      `json:"d,omitempty"`
 	Words []LimitWord `json:"w,omitempty"`
 }
 
-// Digest is the hash that a router sends so that its peer reports only changes if they agree.
+// Digest is what a router sends so that its peer reports only changes if both digests agree.
 func (w LimitWords) Digest() uint64 { return w.Sum }
 
-// TellLimits returns the limits to report to a peer that sent the digest theirs: those changed
-// within the given time, and the others too if the digests differ.
+// TellLimits returns the limits to report to a peer whose digest is theirs: those changed within the
+// given time, and the others too if the digests differ.
 func (p *Pool) TellLimits(now time.Time, theirs uint64, within time.Duration) LimitWords {
 	if !p.limits.seen.Load() {
 		return LimitWords{}
@@ -91,15 +91,15 @@
 		switch {
 		case l.statedAt.IsZero():
 		case now.Sub(l.changedAt) < within:
-			changed = append(changed, l.peerReport(name, now))
+			changed = append(changed, l.summary(name, now))
 		default:
-			rest = append(rest, l.peerReport(name, now))
+			rest = append(rest, l.summary(name, now))
 		}
 	}
 	return changed, rest
 }
 
-func (l *limit) peerReport(endpoint string, now time.Time) LimitWord {
+func (l *limit) summary(endpoint string, now time.Time) LimitWord {
 	w := LimitWord{Endpoint: endpoint, AgeMillis: now.Sub(l.statedAt).Milliseconds()}
 	if l.named {
 		perSecond := l.perSecond
@@ -132,7 +132,8 @@
 	p.notifyLimit(event)
 }
 
-// timestampTolerance is the error of a time passed between routers as an age: the time of a call.
+// timestampTolerance bounds the error of a time that one router sends to another as an age, since the
+// age doesn't include the duration of the call.
 const timestampTolerance = 300 * time.Millisecond
 
 // applyPeer applies a limit that, by another router's report, the endpoint stated at the given time.
--- a/internal/balance/member.go
+++ b/internal/balance/member.go
@@ -11,15 +11,15 @@
 	sh.state(endpoint).bound.suspect = suspect
 }
 
-// MostUnsure says whether more than half of the endpoint's peer group, itself included, is suspect:
+// MostUnsure says whether more than half of the endpoint's group, itself included, is suspect:
 // then it is this router that was cut off.
 func (p *Pool) MostUnsure(endpoint string) bool {
 	all, suspect := p.countInGroup(p.groupOf(endpoint))
 	return 2*suspect > all
 }
 
-// Return sets an endpoint that was leaving, suspect or gone back into use. Its weight grows as after
-// an ejection. The last load report stays, so that an older one can't replace it.
+// Return puts an endpoint back into use that was leaving, suspect or gone. Its weight grows as after an
+// ejection. The last load report stays, so that an older one can't replace it.
 func (p *Pool) Return(now time.Time, endpoint string) {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
--- a/internal/balance/member_test.go
+++ b/internal/balance/member_test.go
@@ -37,7 +37,7 @@
 		v := p.Views(epoch.Add(after), list)[0]
 		weights = append(weights, v.Weight)
 	}
-	g.Expect(weights).To(gomega.Equal([]float64{initialReturnWeight, (1 + initialReturnWeight) / 2, 1}))
+	g.Expect(weights).To(gomega.Equal([]float64{initialSlowStartWeight, (1 + initialSlowStartWeight) / 2, 1}))
 	e, err := p.Choose(epoch, Request{}, list[:1], nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(e.Name).To(gomega.Equal("a"))
--- a/internal/balance/outlier.go
+++ b/internal/balance/outlier.go
@@ -19,25 +19,25 @@
 
 	// resultWeight is the weight of a new result in the smoothed failure share.
 	resultWeight = 0.2
-	// initialReturnWeight is the weight of an endpoint whose ejection has just ended.
-	initialReturnWeight = 0.05
+	// initialSlowStartWeight is the weight of an endpoint whose ejection has just ended.
+	initialSlowStartWeight = 0.05
 )
 
-// Outlier configures outlier detection: the ejection of endpoints that fail, or that are much
-// slower than their peers, which are the endpoints of the same model or service. The zero value is
+// Outlier configures outlier detection: the ejection of endpoints that fail, or that are much slower
+// than the other endpoints of their group, which have the same model or service. The zero value is
 // usable: every field that is zero takes its default.
 type Outlier struct {
 	// Off turns outlier detection off, for comparison.
 	Off bool
-	// SlowFactor is the multiple of the peers' median time above which an endpoint is ejected.
+	// SlowFactor is the multiple of the group's median time above which an endpoint is ejected.
 	SlowFactor float64
 	// FailureShare is the smoothed share of failed attempts above which an endpoint is ejected.
 	FailureShare float64
 	// MinSamples is how many load reports or first tokens are needed before an endpoint can be
-	// ejected as slow. MaxShare is the largest share of the peers ejected at once.
+	// ejected as slow. MaxShare is the largest share of a group ejected at once.
 	MinSamples int
 	MaxShare   float64
-	// Interval is the time between two comparisons of the peers.
+	// Interval is the time between two comparisons.
 	Interval time.Duration
 	// EjectFor is the length of the first ejection; each one that follows is twice as long, up
 	// to MaxEject.
@@ -64,7 +64,7 @@
 	samples      int     // load reports or first tokens since the last ejection
 	failures     float64 // smoothed share of failed attempts
 	ejectedUntil time.Time
-	ejections    int // in a row, without a full return in between
+	ejections    int // in a row, without a complete slow start in between
 }
 
 func (h *health) result(res Result) {
@@ -93,7 +93,7 @@
 		return 0
 	}
 	elapsed := float64(now.Sub(h.ejectedUntil)) / float64(o.Return)
-	return min(1, initialReturnWeight+(1-initialReturnWeight)*elapsed)
+	return min(1, initialSlowStartWeight+(1-initialSlowStartWeight)*elapsed)
 }
 
 func (h *health) eject(now time.Time, o Outlier) {
@@ -104,8 +104,8 @@
 	*h = health{ejectedUntil: now.Add(duration), ejections: h.ejections + 1}
 }
 
-// peer is one endpoint in the comparison of a group.
-type peer struct {
+// groupMember is one endpoint in the comparison of a group.
+type groupMember struct {
 	endpoint     string
 	group        string
 	service      time.Duration
@@ -115,18 +115,18 @@
 	ejected      bool
 }
 
-// outliers returns those of the peers, all of one group, to eject, the worst first. With those
-// already ejected they are at most MaxShare of the peers.
-func outliers(peers []peer, o Outlier) []peer {
-	remaining := int(o.MaxShare * float64(len(peers)))
-	service := median(peers, func(p peer) time.Duration { return p.service })
-	firstToken := median(peers, func(p peer) time.Duration { return p.firstToken })
-	severity := func(p peer) float64 {
+// outliers returns those members of a group to eject, the worst first. With those already ejected they
+// are at most MaxShare of the group.
+func outliers(members []groupMember, o Outlier) []groupMember {
+	remaining := int(o.MaxShare * float64(len(members)))
+	service := median(members, func(p groupMember) time.Duration { return p.service })
+	firstToken := median(members, func(p groupMember) time.Duration { return p.firstToken })
+	severity := func(p groupMember) float64 {
 		slow := slowness(p, service, firstToken, o)
 		return max(slow/o.SlowFactor, p.failureShare/o.FailureShare)
 	}
-	var found []peer
-	for _, p := range peers {
+	var found []groupMember
+	for _, p := range members {
 		if p.ejected {
 			remaining--
 			continue
@@ -135,13 +135,13 @@
 			found = append(found, p)
 		}
 	}
-	slices.SortStableFunc(found, func(a, b peer) int { return cmp.Compare(severity(b), severity(a)) })
+	slices.SortStableFunc(found, func(a, b groupMember) int { return cmp.Compare(severity(b), severity(a)) })
 	return found[:min(len(found), max(remaining, 0))]
 }
 
-// slowness is the ratio of the peer's time to the median: of its time per slot, which doesn't
-// depend on its queue, or else of its time to the first token.
-func slowness(p peer, service, firstToken time.Duration, o Outlier) float64 {
+// slowness is the ratio of the member's time to the median: of its time per slot, which doesn't depend
+// on its queue, or else of its time to the first token.
+func slowness(p groupMember, service, firstToken time.Duration, o Outlier) float64 {
 	if p.samples < o.MinSamples {
 		return 0
 	}
@@ -154,11 +154,11 @@
 	return 0
 }
 
-// median is the lower median over the peers that aren't ejected and whose value is known; 0 if
-// there are none.
-func median(peers []peer, value func(peer) time.Duration) time.Duration {
+// median is the lower median over the members that aren't ejected and whose value is known; 0 if there
+// are none.
+func median(members []groupMember, value func(groupMember) time.Duration) time.Duration {
 	var known []time.Duration
-	for _, p := range peers {
+	for _, p := range members {
 		if v := value(p); v > 0 && !p.ejected {
 			known = append(known, v)
 		}
--- a/internal/balance/outlier_test.go
+++ b/internal/balance/outlier_test.go
@@ -26,7 +26,7 @@
 	return now
 }
 
-func shedCount(p *Pool, now time.Time, n int) int {
+func ejectedCount(p *Pool, now time.Time, n int) int {
 	count := 0
 	for i := range n {
 		v := p.Views(now, endpoints(fmt.Sprintf("e%d", i)))[0]
@@ -40,13 +40,13 @@
 func TestSlowEndpointIsEjectedAndReturnsGradually(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{})
-	shedCount(p, epoch, 6) // adds the endpoints to the pool
+	ejectedCount(p, epoch, 6) // adds the endpoints to the pool
 	now := reportAll(p, epoch, 12, 6, 1)
 	weight := func(at time.Time) float64 { return p.Views(at, endpoints("e0"))[0].Weight }
 	g.Expect(weight(now)).To(gomega.BeZero())
-	g.Expect(shedCount(p, now, 6)).To(gomega.Equal(1))
+	g.Expect(ejectedCount(p, now, 6)).To(gomega.Equal(1))
 	back := now.Add(defaultEjectFor)
-	g.Expect(weight(back)).To(gomega.BeNumerically("~", initialReturnWeight, 0.15))
+	g.Expect(weight(back)).To(gomega.BeNumerically("~", initialSlowStartWeight, 0.15))
 	g.Expect(weight(back.Add(defaultReturn / 2))).To(gomega.BeNumerically("~", 0.5, 0.15))
 	g.Expect(weight(back.Add(defaultReturn))).To(gomega.Equal(1.0))
 }
@@ -54,9 +54,9 @@
 func TestEjectedShareIsLimited(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{Outlier: Outlier{MaxShare: 0.25}})
-	shedCount(p, epoch, 10)
+	ejectedCount(p, epoch, 10)
 	now := reportAll(p, epoch, 15, 10, 4)
-	g.Expect(shedCount(p, now, 10)).To(gomega.Equal(2))
+	g.Expect(ejectedCount(p, now, 10)).To(gomega.Equal(2))
 }
 
 func TestFailingEndpointIsEjectedAtOnceAndLongerNextTime(t *testing.T) {
--- a/internal/balance/recent.go
+++ b/internal/balance/recent.go
@@ -8,7 +8,7 @@
 
 const (
 	// cacheTTL is how long an endpoint is assumed to cache a part of a prompt after its last use.
-	// Engines evict parts when memory runs out, which took longer at the measured loads.
+	// Engines keep parts for longer than this at the measured loads, until memory runs out.
 	cacheTTL = 20 * time.Second
 	// maxRecent bounds the prompt parts tracked per endpoint.
 	maxRecent = 512
--- a/internal/balance/separate.go
+++ b/internal/balance/separate.go
@@ -72,8 +72,7 @@
 	return next
 }
 
-// prefillSlowdown is how much longer a prompt takes to read beside running streams than alone, as
-// observed.
+// prefillSlowdown is how much longer a prompt takes to read beside running streams than alone.
 const prefillSlowdown = 1.5
 
 // canJoin says whether at most rejoinBelow of the streams of each other kind would be late because of
@@ -102,9 +101,9 @@
 		dedicated = min(max(dedicated, isolatedMin), f.endpoints-othersMin)
 	}
 	switch {
-	case isolatedNeed.urgency() < othersNeed.urgency():
+	case isolatedNeed.meanTier() < othersNeed.meanTier():
 		return dedicated + yielded(dedicated, f.endpoints-dedicated, isolatedNeed, f)
-	case othersNeed.urgency() < isolatedNeed.urgency():
+	case othersNeed.meanTier() < isolatedNeed.meanTier():
 		return dedicated - yielded(f.endpoints-dedicated, dedicated, othersNeed, f)
 	}
 	return dedicated
@@ -163,15 +162,15 @@
 // Poisson process with this rate a second.
 func lateShare(rate, seconds float64) float64 { return 1 - math.Exp(-rate*seconds) }
 
-// capacityNeed is the capacity that kinds of request need, with their late answers and ranks.
+// capacityNeed is the capacity that kinds of request need, with their late responses and tiers.
 type capacityNeed struct {
 	prefill, slotUse float64
 	ended, late      float64
-	requests, ranks  float64
+	requests, tiers  float64
 }
 
-// lateWeight is how much a need grows with the share of late answers, so that endpoints go to the side
-// whose need was underestimated: by 8 times itself if all are late.
+// lateWeight is how much a need grows with the share of late responses, so that endpoints go to the
+// side whose need was underestimated: by lateWeight times itself if all are late.
 const lateWeight = 8.0
 
 func needOf(kinds Demand) capacityNeed {
@@ -182,13 +181,13 @@
 		n.ended += k.Ended
 		n.late += k.Late
 		n.requests += k.Requests
-		n.ranks += k.Ranks
+		n.tiers += k.Ranks
 	}
 	return n
 }
 
-// urgency is the mean rank of the requests; lower is more urgent.
-func (n capacityNeed) urgency() float64 { return perRequest(n.ranks, n.requests) }
+// meanTier is the mean tier of the requests; lower is more urgent.
+func (n capacityNeed) meanTier() float64 { return perRequest(n.tiers, n.requests) }
 
 // endpoints is how many endpoints are needed, by prefill time or slots, whichever needs more.
 func (n capacityNeed) endpoints(f fleet) float64 {
--- a/internal/balance/separate_test.go
+++ b/internal/balance/separate_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func (s shape) fleet(n int) fleet {
+func (s shape) service(n int) fleet {
 	return fleet{endpoints: n, slots: s.slots, pause: seconds(s.token * float64(s.stride))}
 }
 
@@ -56,7 +56,7 @@
 		for _, n := range []int{2, 3, 9, 55, 300} {
 			g := NewWithT(t)
 			d := s.mixedDemand(n, 0.3)
-			got := separation{}.next(d, s.fleet(n))
+			got := separation{}.next(d, s.service(n))
 			g.Expect(got.tight).To(Equal([]int64{d[0].GapMillis}), "%s, %d", s.name, n)
 			g.Expect(got.kept).To(And(BeNumerically(">=", 1), BeNumerically("<", n)), "%s, %d", s.name, n)
 		}
@@ -68,10 +68,10 @@
 		g := NewWithT(t)
 		d := s.mixedDemand(9, 0.3)
 		d[0].GapMillis *= 10
-		g.Expect(separation{}.next(d, s.fleet(9))).To(Equal(separation{}), s.name)
+		g.Expect(separation{}.next(d, s.service(9))).To(Equal(separation{}), s.name)
 		d = s.mixedDemand(9, 0.3)
 		d[0].GapMillis = 0 // no gap limit
-		g.Expect(separation{}.next(d, s.fleet(9))).To(Equal(separation{}), s.name)
+		g.Expect(separation{}.next(d, s.service(9))).To(Equal(separation{}), s.name)
 	}
 }
 
@@ -79,7 +79,7 @@
 	for _, s := range shapes {
 		d := s.mixedDemand(9, 0.3)
 		d[1].GapMillis = d[0].GapMillis
-		NewWithT(t).Expect(separation{}.next(d[1:], s.fleet(9))).To(Equal(separation{}), s.name)
+		NewWithT(t).Expect(separation{}.next(d[1:], s.service(9))).To(Equal(separation{}), s.name)
 	}
 }
 
@@ -93,8 +93,8 @@
 		kindOf(s, 400*time.Millisecond, 15, 4500, 100),
 		kindOf(s, time.Second, 60, 9000, 50),
 	}
-	g.Expect(lateShareFromOthers(d, 1, s.fleet(9))).To(BeNumerically(">", isolateAbove))
-	g.Expect(separation{}.next(d, s.fleet(9)).tight).To(Equal([]int64{250}))
+	g.Expect(lateShareFromOthers(d, 1, s.service(9))).To(BeNumerically(">", isolateAbove))
+	g.Expect(separation{}.next(d, s.service(9)).tight).To(Equal([]int64{250}))
 }
 
 func TestNeitherSideIsOverloadedIfBothFit(t *testing.T) {
@@ -105,14 +105,14 @@
 		d := s.mixedDemand(n, 0.3)
 		d[0].Requests, d[0].Held = d[0].Requests*2, d[0].Held*2
 		d[0].Recent *= 2
-		got := last.next(d, s.fleet(n))
+		got := last.next(d, s.service(n))
 		isolatedNeed, othersNeed := needOf(d[:1]), needOf(d[1:])
-		if math.Ceil(isolatedNeed.minEndpoints(s.fleet(n)))+math.Ceil(othersNeed.minEndpoints(s.fleet(n))) > float64(n) {
+		if math.Ceil(isolatedNeed.minEndpoints(s.service(n)))+math.Ceil(othersNeed.minEndpoints(s.service(n))) > float64(n) {
 			return // one of the sides has to be overloaded
 		}
-		if float64(got.kept) < isolatedNeed.minEndpoints(s.fleet(n)) || float64(n-got.kept) < othersNeed.minEndpoints(s.fleet(n)) {
-			t.Fatalf("%s: %d of %d are kept; %.1f and %.1f are needed", s.name, got.kept, n,
-				isolatedNeed.minEndpoints(s.fleet(n)), othersNeed.minEndpoints(s.fleet(n)))
+		if float64(got.kept) < isolatedNeed.minEndpoints(s.service(n)) || float64(n-got.kept) < othersNeed.minEndpoints(s.service(n)) {
+			t.Fatalf("%s: %d of %d are dedicated; %.1f and %.1f are needed", s.name, got.kept, n,
+				isolatedNeed.minEndpoints(s.service(n)), othersNeed.minEndpoints(s.service(n)))
 		}
 	})
 }
@@ -121,22 +121,22 @@
 	g := NewWithT(t)
 	s := shapes[1]
 	d := s.mixedDemand(9, 0.3)
-	for lateShareFromOthers(d, 0, s.fleet(9)) > (isolateAbove+rejoinBelow)/2 {
+	for lateShareFromOthers(d, 0, s.service(9)) > (isolateAbove+rejoinBelow)/2 {
 		d[0].GapMillis++
 	}
-	g.Expect(separation{}.next(d, s.fleet(9)).tight).To(BeEmpty())
-	g.Expect(separation{tight: []int64{d[0].GapMillis}}.next(d, s.fleet(9)).tight).To(HaveLen(1))
+	g.Expect(separation{}.next(d, s.service(9)).tight).To(BeEmpty())
+	g.Expect(separation{tight: []int64{d[0].GapMillis}}.next(d, s.service(9)).tight).To(HaveLen(1))
 }
 
 func TestSideWithMoreLateAnswersGetsMoreEndpoints(t *testing.T) {
 	g := NewWithT(t)
 	s := shapes[0]
 	d := s.mixedDemand(30, 0.3)
-	before := separation{}.next(d, s.fleet(30)).kept
+	before := separation{}.next(d, s.service(30)).kept
 	d[0].Ended, d[0].Late = 10, 3
-	g.Expect(separation{}.next(d, s.fleet(30)).kept).To(BeNumerically(">", before))
+	g.Expect(separation{}.next(d, s.service(30)).kept).To(BeNumerically(">", before))
 	d[1].Ended, d[1].Late = 10, 3
-	g.Expect(separation{}.next(d, s.fleet(30)).kept).To(Equal(before), "both sides are as late")
+	g.Expect(separation{}.next(d, s.service(30)).kept).To(Equal(before), "both sides are as late")
 }
 
 // fleetViews are views of n endpoints with 10 slots, whose load reports of the given time show so many
@@ -183,8 +183,8 @@
 		k.Service = "a"
 		d.seen = append(d.seen, k)
 	}
-	g.Expect(d.separate(epoch, "a", s.fleet(9)).kept).To(BeNumerically(">", 0))
-	g.Expect(d.separate(epoch, "b", s.fleet(9))).To(Equal(separation{}))
+	g.Expect(d.separate(epoch, "a", s.service(9)).kept).To(BeNumerically(">", 0))
+	g.Expect(d.separate(epoch, "b", s.service(9))).To(Equal(separation{}))
 	g.Expect(d.decided("a").kept).To(BeNumerically(">", 0))
 }
 
@@ -208,8 +208,8 @@
 	d := Demand{
 		kindOf(s, 200*time.Millisecond, 63, 2200, 900), kindOf(s, 300*time.Millisecond, 16, 3400, 50),
 	}
-	g.Expect(separation{tight: []int64{200}, kept: 4}.next(d, s.fleet(9)).tight).To(Equal([]int64{200}))
-	g.Expect(separation{}.next(d, s.fleet(9)).tight).To(Equal([]int64{200}))
+	g.Expect(separation{tight: []int64{200}, kept: 4}.next(d, s.service(9)).tight).To(Equal([]int64{200}))
+	g.Expect(separation{}.next(d, s.service(9)).tight).To(Equal([]int64{200}))
 }
 
 // In an overload, with 1.5 to 2 times the usual long prompts and a fifth of 180 endpoints down, both
@@ -218,7 +218,7 @@
 // The figures are from the logs of 44 of 103 routers, by the number of dedicated endpoints in each.
 //
 // Giving them all they need was worse at nine and at 58 endpoints that were already overloaded with
-// long prompts: these lost .09 to .16 of the day's score. Where each endpoint matters much, the gain
+// long prompts: these lost .09 to .16 of the points of the load test. Where each endpoint matters much, the gain
 // of one side isn't worth the loss of the other.
 func TestLessUrgentSideYieldsATenthInOverload(t *testing.T) {
 	for _, s := range shapes {
@@ -226,24 +226,24 @@
 			g := NewWithT(t)
 			d := s.mixedDemand(n, 0.2)
 			d[1].Requests, d[1].Recent, d[1].Read, d[1].Held = 8*d[1].Requests, 8*d[1].Recent, 8*d[1].Read, 8*d[1].Held
-			need := int(math.Ceil(needOf(d[:1]).endpoints(s.fleet(n))))
-			even := separation{}.next(d, s.fleet(n)).kept
+			need := int(math.Ceil(needOf(d[:1]).endpoints(s.service(n))))
+			even := separation{}.next(d, s.service(n)).kept
 			g.Expect(even).To(BeNumerically("<", need), "%s, %d", s.name, n)
 
 			d[1].Ranks = 2 * d[1].Requests
-			urgent := separation{}.next(d, s.fleet(n)).kept
+			urgent := separation{}.next(d, s.service(n)).kept
 			g.Expect(urgent).To(Equal(min(need, even+(n-even)/10)), "%s, %d", s.name, n)
 
 			// The other side keeps nine tenths of its endpoints, whatever the urgent side needs.
 			d[0].Requests, d[0].Recent, d[0].Held = 40*d[0].Requests, 40*d[0].Recent, 40*d[0].Held
-			flooded := separation{}.next(d, s.fleet(n)).kept
+			flooded := separation{}.next(d, s.service(n)).kept
 			d[1].Ranks = 0
-			unranked := separation{}.next(d, s.fleet(n)).kept
+			unranked := separation{}.next(d, s.service(n)).kept
 			g.Expect(float64(n-flooded)).To(BeNumerically(">=", 0.9*float64(n-unranked)), "%s, %d", s.name, n)
 
 			// If the long prompts are more urgent, the other side yields.
 			d[0].Ranks, d[1].Ranks = 3*d[0].Requests, d[1].Requests
-			reverse := separation{}.next(d, s.fleet(n)).kept
+			reverse := separation{}.next(d, s.service(n)).kept
 			g.Expect(reverse).To(BeNumerically("<=", unranked), "%s, %d", s.name, n)
 			g.Expect(reverse).To(BeNumerically(">=", unranked-unranked/10-1), "%s, %d", s.name, n)
 		}
--- a/internal/balance/silence.go
+++ b/internal/balance/silence.go
@@ -7,17 +7,18 @@
 
 const (
 	// SilenceLimit is the time without any response data, over all open requests at an endpoint,
-	// after which the endpoint is health-checked regardless of its peers. It is longer than an
-	// idle engine needs to read the longest prompts, and a third of the time after which the
-	// endpoint list drops an endpoint that has stopped reporting.
+	// after which the endpoint is health-checked regardless of the other endpoints. It is longer
+	// than an idle engine needs to read the longest prompts, and a third of the time after which
+	// the endpoint list drops an endpoint that has stopped reporting.
 	SilenceLimit = time.Second
 	// SilenceTick is the interval between two checks for unresponsive endpoints.
 	SilenceTick = 100 * time.Millisecond
-	// minUnresponsiveTime is the shortest response gap that counts. Network pauses, and pauses
+	// minResponseGap is the shortest response gap that counts. Network pauses, and pauses
 	// of routers that have a small part of a core, are shorter.
-	minUnresponsiveTime = 250 * time.Millisecond
-	// A response gap is the time without response data from an endpoint that has open
-	// requests. A gap is unusual above responseGapFactor times this quantile of the peers' gaps.
+	minResponseGap = 250 * time.Millisecond
+	// responseGapQuantile and responseGapFactor set which response gap is unusual: one above
+	// responseGapFactor times this quantile of the group's gaps. A response gap is the time
+	// without response data from an endpoint that has open requests.
 	responseGapQuantile = 0.98
 	responseGapFactor   = 6
 	// maxUnresponsiveShare is the largest share of a group's endpoints that may count as
@@ -26,10 +27,10 @@
 	maxUnresponsiveShare = 0.5
 	// minUnresponsiveReporters is how many other routers must report an endpoint unresponsive
 	// for this router to avoid it, if the endpoint sends no load reports: a single router may
-	// itself be cut off. Where the endpoint sends load reports, a newer one refutes the peers.
+	// itself be cut off. If it sends load reports, a newer one refutes the other routers.
 	minUnresponsiveReporters = 2
-	// unresponsiveReportTTL is how long such a peer report is valid: two report intervals
-	// and some slack.
+	// unresponsiveReportTTL is how long a peer's report that an endpoint is unresponsive is
+	// valid: two report intervals and some slack.
 	unresponsiveReportTTL = 750 * time.Millisecond
 )
 
@@ -37,25 +38,27 @@
 type activeEndpoint struct {
 	name, group string
 	responseGap time.Duration
-	unusual     bool // responseGap is longer than usual among its peers
+	unusual     bool // responseGap is longer than usual in its group
 }
 
-// peerGroupState is what a router knows of all endpoints of a peer group together.
-type peerGroupState struct {
+// groupState is what a router knows of all endpoints of a group together.
+type groupState struct {
 	endpoints      int       // that accept new requests
 	unusual        int       // that have open requests and an unusual response gap
 	lastResponseAt time.Time // of any of them
-	engines        *engineSpeeds
+	speeds         *engineSpeeds
 	domains        []*domainState
 }
 
-// Silent lists the endpoints that have open requests of this router and sent no response data
-// for longer than limit, or for longer than is usual among their peers. An endpoint that is only
-// busy still responds to other requests. The peer comparison is skipped if no peer responded in
-// the meantime, since this router may then be slow or cut off.
+// Silent lists the endpoints that have open requests of this router and sent no response data for
+// longer than limit, or for longer than is usual in their group. An endpoint that is only busy still
+// responds to other requests. Gaps aren't compared if no endpoint of the group responded in the
+// meantime, since this router may then be slow or cut off. Silent also avoids unresponsive failure
+// domains, reports their changes to Config.OnDomainEvent, lists their endpoints with open requests too
+// and marks all endpoints listed for reports to peers.
 func (p *Pool) Silent(now time.Time, limit time.Duration) []string {
 	var active []activeEndpoint
-	groups := make(map[string]*peerGroupState)
+	groups := make(map[string]*groupState)
 	for i := range p.shards {
 		active = p.shards[i].addActive(active, groups, now)
 	}
@@ -63,8 +66,8 @@
 	for _, e := range active {
 		g := groups[e.group]
 		withinShare := float64(g.unusual) <= maxUnresponsiveShare*float64(g.endpoints)
-		peersResponded := g.lastResponseAt.After(now.Add(minUnresponsiveTime - e.responseGap))
-		if e.responseGap > limit || e.unusual && withinShare && peersResponded {
+		groupResponded := g.lastResponseAt.After(now.Add(minResponseGap - e.responseGap))
+		if e.responseGap > limit || e.unusual && withinShare && groupResponded {
 			unresponsive = append(unresponsive, e.name)
 		}
 	}
@@ -76,13 +79,13 @@
 
 // addActive appends the shard's endpoints with open requests to list, and adds all of its
 // endpoints to the state of their groups.
-func (sh *shard) addActive(list []activeEndpoint, groups map[string]*peerGroupState, now time.Time) []activeEndpoint {
+func (sh *shard) addActive(list []activeEndpoint, groups map[string]*groupState, now time.Time) []activeEndpoint {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for name, st := range sh.states {
 		g := groups[st.group]
 		if g == nil {
-			g = &peerGroupState{engines: st.engines}
+			g = &groupState{speeds: st.engines}
 			groups[st.group] = g
 		}
 		if !st.leaving {
@@ -144,9 +147,10 @@
 	return !st.silentAt.IsZero() && (st.bound.suspect || now.Sub(st.silentAt) <= 2*SilenceTick) && st.silentAt.After(st.heardAt)
 }
 
-// contradictsPeers says whether the peers' finding that the endpoint is unresponsive doesn't hold
-// here: too few peers report it, or the endpoint has responded or reported its load since.
-func (st *state) contradictsPeers(now time.Time, w FailureWord) bool {
+// rejectsPeerReport says whether a peer's report that the endpoint is unresponsive isn't accepted:
+// too few routers found it so, if the endpoint sends no load reports, or it has responded or reported
+// its load since.
+func (st *state) rejectsPeerReport(now time.Time, w FailureWord) bool {
 	since := now.Add(-time.Duration(w.SilentMillis) * time.Millisecond)
 	if st.reportedAt.IsZero() && w.Silent < minUnresponsiveReporters {
 		return true
@@ -154,8 +158,8 @@
 	return st.heardAt.After(since) || st.reportedAt.After(since)
 }
 
-// responseGapLimit is the response gap above which an endpoint's gap is unusual among its peers;
-// false while there are too few samples.
+// responseGapLimit is the response gap above which an endpoint's gap is unusual in its group; false
+// while there are too few samples.
 func (e *engineSpeeds) responseGapLimit() (time.Duration, bool) {
 	if e == nil {
 		return 0, false
--- a/internal/balance/silence_kinds_play_test.go
+++ b/internal/balance/silence_kinds_play_test.go
@@ -101,7 +101,7 @@
 
 // worstWindow counts the requests of a rank, and those of them without a response, in the window of
 // the rule with the largest share of such requests; all requests of the rank if each got a response.
-func (d *silenceSim) worstWindow(rank int) (unserved, asked int) {
+func (d *silenceSim) worstWindow(rank int) (unserved, total int) {
 	var requests []*simRequest
 	for _, a := range d.requests {
 		if a.rank == rank {
@@ -119,20 +119,20 @@
 				failed--
 			}
 		}
-		if n := last - first + 1; failed*max(asked, 1) > unserved*n {
-			unserved, asked = failed, n
+		if n := last - first + 1; failed*max(total, 1) > unserved*n {
+			unserved, total = failed, n
 		}
 	}
 	if unserved == 0 {
 		return 0, len(requests)
 	}
-	return unserved, asked
+	return unserved, total
 }
 
 // violatesRule says whether too many of the most urgent requests got no response.
 func (d *silenceSim) violatesRule() bool {
-	unserved, asked := d.worstWindow(0)
-	return unserved >= ruleMinUnserved && float64(unserved) > ruleMaxShare*float64(asked)
+	unserved, total := d.worstWindow(0)
+	return unserved >= ruleMinUnserved && float64(unserved) > ruleMaxShare*float64(total)
 }
 
 // runCase simulates a case and fails if the rule for urgent requests is violated.
@@ -145,8 +145,8 @@
 			d := scenario.run()
 			var counts []string
 			for rank := range 3 {
-				unserved, asked := d.worstWindow(rank)
-				counts = append(counts, fmt.Sprintf("%d of %d", unserved, asked))
+				unserved, total := d.worstWindow(rank)
+				counts = append(counts, fmt.Sprintf("%d of %d", unserved, total))
 			}
 			t.Logf("no response, by rank: %v; %d sent to silent endpoints, %d others suspected", counts, len(d.sentToSilent), d.falselySuspected)
 			NewWithT(t).Expect(d.violatesRule()).To(BeFalse())
--- a/internal/balance/silence_play_test.go
+++ b/internal/balance/silence_play_test.go
@@ -2,9 +2,9 @@
 
 // A third of a model's endpoints stops responding at once without closing connections. Before routers
 // exchanged and compared response gaps, each found out by itself, a second after it had sent requests
-// there, and sent one again a second after the clients had cancelled: of 369 of the most urgent
-// requests 25 got no response. With many routers, each of which sends few requests to an endpoint,
-// hardly any found out before the outage ended.
+// there, and sent the next request there a second after the clients had cancelled: of 369 of the most
+// urgent requests 25 got no response. With many routers, each of which sends few requests to an
+// endpoint, hardly any found out before the outage ended.
 
 import (
 	"container/heap"
@@ -111,8 +111,8 @@
 	sentToSilent []time.Time
 	// demand is that of the first router; the others' is assumed to be the same.
 	demand balance.Demand
-	// asked and completed count, by rank, the requests sent while engines are silent.
-	asked, completed [3]int
+	// total and completed count, by rank, the requests sent while engines are silent.
+	total, completed [3]int
 	requests         []*simRequest
 	// falselySuspected counts how often an engine that wasn't silent was found unresponsive.
 	falselySuspected int
@@ -246,7 +246,8 @@
 	}
 }
 
-// exchangeReports has the routers of a failure domain exchange peer reports through a reader.
+// exchangeReports has the routers of a failure domain exchange reports through the router that
+// polls for their failure domain.
 func (d *silenceSim) exchangeReports(now time.Time) {
 	for domain := range 3 {
 		total := make(map[string]balance.FailureWord)
@@ -302,9 +303,9 @@
 		for _, at := range d.sentToSilent {
 			last = max(last, at.Sub(simEpoch.Add(silenceStart)))
 		}
-		served := func(rank int) float64 { return float64(d.completed[rank]) / float64(d.asked[rank]) }
+		served := func(rank int) float64 { return float64(d.completed[rank]) / float64(d.total[rank]) }
 		t.Logf("%3d routers: %4d of %d sent to silent endpoints, the last after %s; completed %.3f %.3f %.3f by rank; %d others suspected",
-			c.routers, len(d.sentToSilent), d.asked[0]+d.asked[1]+d.asked[2], last.Round(time.Millisecond), served(0), served(1), served(2), d.falselySuspected)
+			c.routers, len(d.sentToSilent), d.total[0]+d.total[1]+d.total[2], last.Round(time.Millisecond), served(0), served(1), served(2), d.falselySuspected)
 		if last > c.last {
 			late = append(late, fmt.Sprint(c.routers, " routers: ", last))
 		}
@@ -321,13 +322,13 @@
 		before int
 	}{{fleetSize{3, 9}, 13}, {fleetSize{12, 24}, 91}, {fleetSize{31, 56}, 367}} {
 		d := simulateSilence(c.fleetSize, silenceThird)
-		t.Logf("%d routers: %d of %d, %d before; %d others suspected", c.routers, len(d.sentToSilent), d.asked[0]+d.asked[1]+d.asked[2], c.before, d.falselySuspected)
+		t.Logf("%d routers: %d of %d, %d before; %d others suspected", c.routers, len(d.sentToSilent), d.total[0]+d.total[1]+d.total[2], c.before, d.falselySuspected)
 		g.Expect(3 * len(d.sentToSilent)).To(BeNumerically("<=", 2*c.before))
 		g.Expect(d.falselySuspected).To(BeNumerically("<=", c.routers), "of the endpoints that respond")
 	}
 }
 
-// Endpoints that take four times as long as their peers still respond. Less than a tenth of the
+// Endpoints that take four times as long as the others still respond. Less than a tenth of the
 // pairs of router and slow endpoint may lead to a finding within four seconds.
 func TestSlowEndpointsAreNotUnresponsive(t *testing.T) {
 	g := NewWithT(t)
--- a/internal/balance/silence_run_test.go
+++ b/internal/balance/silence_run_test.go
@@ -17,7 +17,7 @@
 	k := simKinds[kind]
 	counts := !now.Before(simEpoch.Add(silenceStart)) && now.Before(simEpoch.Add(silenceEnd))
 	if counts {
-		d.asked[k.rank]++
+		d.total[k.rank]++
 	}
 	outcome := &simRequest{at: now, rank: k.rank}
 	d.requests = append(d.requests, outcome)
--- a/internal/balance/silence_test.go
+++ b/internal/balance/silence_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// A response gap counts if it is unusual among the peers. If this router itself may be cut off, or
+// A response gap counts if it is unusual in its group. If this router itself may be cut off, or
 // most endpoints are as slow, only gaps longer than UnresponsiveTimeout count.
-func TestResponseGapIsComparedWithPeers(t *testing.T) {
+func TestResponseGapIsComparedInGroup(t *testing.T) {
 	g := NewWithT(t)
 	last := epoch.Add(20 * (3*leastSamples - 1) * time.Millisecond)
 	// unresponsive has the first n of six endpoints respond, and lists the unresponsive ones.
@@ -54,7 +54,7 @@
 		}
 		return p.Silent(last.Add(after), SilenceLimit)
 	}
-	g.Expect(unresponsive(5, minUnresponsiveTime)).To(BeEmpty())
+	g.Expect(unresponsive(5, minResponseGap)).To(BeEmpty())
 	g.Expect(unresponsive(5, 600*time.Millisecond)).To(Equal([]string{"e5"}))
 	g.Expect(unresponsive(4, 600*time.Millisecond)).To(Equal([]string{"e4", "e5"}))
 	g.Expect(unresponsive(2, 600*time.Millisecond)).To(BeEmpty(), "most endpoints have the same gap")
@@ -62,7 +62,7 @@
 	g.Expect(unresponsive(2, SilenceLimit+time.Millisecond)).To(HaveLen(4), "a gap above the limit always counts")
 }
 
-func TestNoEndpointIsUnresponsiveIfNoPeerResponds(t *testing.T) {
+func TestNoEndpointIsUnresponsiveIfNoOtherResponds(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
 	learnResponseGaps(p, 1)
@@ -83,7 +83,7 @@
 	p.HearFailures(epoch, []FailureWord{{Endpoint: "e0", Silent: 2, SilentMillis: 300}})
 	g.Expect(avoided(epoch)).To(BeTrue())
 	now := epoch.Add(2 * time.Second)
-	g.Expect(avoided(now)).To(BeFalse(), "the peer report has expired")
+	g.Expect(avoided(now)).To(BeFalse(), "the report has expired")
 	earlier := loadReport(1, 0)
 	earlier.Seq = 1
 	p.Report(now.Add(-time.Second), "e0", earlier)
--- a/internal/balance/silentdomain.go
+++ b/internal/balance/silentdomain.go
@@ -10,11 +10,11 @@
 	// minUnresponsiveEndpoints is how many endpoints of a failure domain must be unresponsive
 	// for the domain to be: a single process may have ended by itself.
 	minUnresponsiveEndpoints = 2
-	// minUnreachableEndpoints is how many endpoints of a failure domain must be unresponsive for
-	// its endpoints with open requests to count as unreachable: two may be slow at the same time.
-	minUnreachableEndpoints = 3
+	// minPresumedDown is how many endpoints of a failure domain must be unresponsive for those
+	// with open requests to be presumed down: two may be slow at the same time.
+	minPresumedDown = 3
 	// maxUnresponsiveDomainShare is the largest share of a group's endpoints in unresponsive
-	// failure domains, where at least minUnreachableEndpoints of each domain are unresponsive.
+	// failure domains, where at least minPresumedDown endpoints of each are unresponsive.
 	// While the remaining endpoints respond, avoiding the others is right even if it is this
 	// router that is cut off from them.
 	maxUnresponsiveDomainShare = 0.75
@@ -27,7 +27,7 @@
 	domainAvoidFor = 2 * SilenceTick
 	// maxCheckGap is the longest interval between two checks of a router that runs steadily.
 	// After a longer pause it has read the responses of some endpoints and not yet of others.
-	maxCheckGap = minUnresponsiveTime
+	maxCheckGap = minResponseGap
 )
 
 // domainState is what a router knows of the endpoints of a group in one failure domain. It shows
@@ -55,9 +55,9 @@
 	lastCheck    time.Time
 	steadySince  time.Time // no long pause between checks since
 	unresponsive map[groupDomain]bool
-	// unreachable are endpoints of unresponsive domains that have open requests and sent no
+	// presumedDown are endpoints of unresponsive domains that have open requests and sent no
 	// response data for UnresponsiveTimeout.
-	unreachable []string
+	presumedDown []string
 }
 
 // groupDomain names the endpoints of a group in one failure domain.
@@ -82,12 +82,12 @@
 	return now.Sub(w.steadySince) >= maxCheckGap
 }
 
-// update stores the unresponsive domains and the unreachable endpoints, and returns an event for
+// update stores the unresponsive domains and the endpoints presumed down, and returns an event for
 // each domain that became unresponsive or responds again.
-func (w *domainWatch) update(unresponsive map[groupDomain]int, unreachable []string) []SilentDomain {
+func (w *domainWatch) update(unresponsive map[groupDomain]int, presumedDown []string) []SilentDomain {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.unreachable = unreachable
+	w.presumedDown = presumedDown
 	var events []SilentDomain
 	for k, endpoints := range unresponsive {
 		if !w.unresponsive[k] {
@@ -106,14 +106,14 @@
 	return events
 }
 
-// Lost lists the endpoints that the last check found unreachable: they sent nothing for
+// Lost lists the endpoints that the last check presumed down: they sent nothing for
 // UnresponsiveTimeout while requests were open, and their failure domain is unresponsive, with at
-// least minUnreachableEndpoints such endpoints. An endpoint that is only slow must not be listed,
-// since a run must not be resumed elsewhere while its endpoint still works on it.
+// least minPresumedDown such endpoints. An endpoint that is only slow must not be listed, since a run
+// must not be resumed elsewhere while its endpoint still works on it.
 func (p *Pool) Lost() []string {
 	p.domains.mu.Lock()
 	defer p.domains.mu.Unlock()
-	return p.domains.unreachable
+	return p.domains.presumedDown
 }
 
 // SilentDomains counts the failure domains, per group of endpoints, that this router avoids as
@@ -126,7 +126,7 @@
 
 // domain returns the state of a failure domain and adds it if needed. There are few, so that a
 // linear search will do.
-func (g *peerGroupState) domain(name string) *domainState {
+func (g *groupState) domain(name string) *domainState {
 	for _, d := range g.domains {
 		if d.name == name {
 			return d
@@ -154,9 +154,9 @@
 	}
 }
 
-// unreachable lists the endpoints with open requests that sent no response data for
-// UnresponsiveTimeout; none if fewer than minUnreachableEndpoints of the failure domain are unresponsive.
-func (d *domainState) unreachable(now time.Time) []string {
+// presumedDown lists the endpoints with open requests that sent no response data for
+// UnresponsiveTimeout; none if fewer than minPresumedDown of the failure domain are unresponsive.
+func (d *domainState) presumedDown(now time.Time) []string {
 	var names []string
 	unresponsive := d.unresponsive
 	for _, e := range d.active {
@@ -168,7 +168,7 @@
 			unresponsive++
 		}
 	}
-	if unresponsive < minUnreachableEndpoints {
+	if unresponsive < minPresumedDown {
 		return nil
 	}
 	return names
@@ -199,21 +199,21 @@
 
 // checkDomains avoids the endpoints of failure domains that are unresponsive as a whole, and returns
 // those of them with open requests of this router.
-func (p *Pool) checkDomains(now time.Time, groups map[string]*peerGroupState) []string {
+func (p *Pool) checkDomains(now time.Time, groups map[string]*groupState) []string {
 	steady := p.domains.recordCheck(now)
 	unresponsive := make(map[groupDomain]int)
-	var active, unreachable []string
+	var active, presumedDown []string
 	for group, g := range groups {
 		for _, d := range g.unresponsiveDomains(now, steady) {
 			unresponsive[groupDomain{group, d.name}] = d.endpoints
 			p.avoidDomain(now.Add(domainAvoidFor), group, d.name)
-			unreachable = append(unreachable, d.unreachable(now)...)
+			presumedDown = append(presumedDown, d.presumedDown(now)...)
 			for _, e := range d.active {
 				active = append(active, e.name)
 			}
 		}
 	}
-	for _, event := range p.domains.update(unresponsive, unreachable) {
+	for _, event := range p.domains.update(unresponsive, presumedDown) {
 		if p.cfg.OnSilentDomain != nil {
 			p.cfg.OnSilentDomain(event)
 		}
@@ -225,22 +225,22 @@
 // gaps of the others. It returns none if the others don't respond either, or if too many endpoints
 // would be unresponsive: this router may then be slow or cut off. steady says that checks have come
 // without a long pause.
-func (g *peerGroupState) unresponsiveDomains(now time.Time, steady bool) []*domainState {
+func (g *groupState) unresponsiveDomains(now time.Time, steady bool) []*domainState {
 	var unresponsive, certain []*domainState
 	var othersRespondedAt time.Time
 	for _, d := range g.domains {
-		if d.name == "" || !d.isUnresponsive(now, g.engines, minUnresponsiveEndpoints) {
+		if d.name == "" || !d.isUnresponsive(now, g.speeds, minUnresponsiveEndpoints) {
 			othersRespondedAt = maxTime(othersRespondedAt, d.lastResponseAt)
-			g.engines.recordDomainGap(d.responseGap(now, minUnresponsiveEndpoints))
+			g.speeds.recordDomainGap(d.responseGap(now, minUnresponsiveEndpoints))
 			continue
 		}
 		unresponsive = append(unresponsive, d)
-		if d.isUnresponsive(now, g.engines, minUnreachableEndpoints) {
+		if d.isUnresponsive(now, g.speeds, minPresumedDown) {
 			certain = append(certain, d)
 		}
 	}
 	switch {
-	case !steady || now.Sub(othersRespondedAt) > minUnresponsiveTime:
+	case !steady || now.Sub(othersRespondedAt) > minResponseGap:
 		return nil
 	case g.endpointShare(unresponsive) <= maxUnresponsiveShare:
 		return unresponsive
@@ -251,7 +251,7 @@
 }
 
 // endpointShare is the share of the group's endpoints that are in the given failure domains.
-func (g *peerGroupState) endpointShare(domains []*domainState) float64 {
+func (g *groupState) endpointShare(domains []*domainState) float64 {
 	endpoints := 0
 	for _, d := range domains {
 		endpoints += d.endpoints
@@ -299,5 +299,5 @@
 	if m.samples < leastSamples {
 		return 0, false
 	}
-	return max(minUnresponsiveTime, seconds(responseGapFactor*m.value)), true
+	return max(minResponseGap, seconds(responseGapFactor*m.value)), true
 }
--- a/internal/balance/silentdomain_test.go
+++ b/internal/balance/silentdomain_test.go
@@ -143,7 +143,7 @@
 	g.Expect(l.avoided()).To(BeEmpty())
 }
 
-// A router without requests in the failure domain relies on peer reports until an endpoint there
+// A router without requests in the failure domain relies on reports from peers until an endpoint there
 // responds or reports to any router.
 func TestFailureDomainIsAvoidedByPeerReports(t *testing.T) {
 	g := NewWithT(t)
@@ -179,7 +179,7 @@
 	g.Expect(l.p.SilentDomains()).To(BeZero(), "it reported its load since")
 }
 
-func TestEndpointIsUnreachableAfterASecondOfUnresponsiveDomain(t *testing.T) {
+func TestEndpointIsPresumedDownAfterASecondOfUnresponsiveDomain(t *testing.T) {
 	g := NewWithT(t)
 	l := newDomainHarnessOf(9)
 	l.run(900*time.Millisecond, 0, 3, 6)
--- a/internal/balance/unsure_test.go
+++ b/internal/balance/suspect_test.go
@@ -116,7 +116,7 @@
 	g.Expect(countSentInSecond(p, epoch, all)).To(Equal(100))
 }
 
-func TestMostSuspectIsTrueAboveHalf(t *testing.T) {
+func TestMajoritySuspectIsTrueAboveHalf(t *testing.T) {
 	g := NewWithT(t)
 	all := engines(4)
 	p := NewPool(Config{Policy: NewPromptAware()})
--- a/internal/balance/words.go
+++ b/internal/balance/words.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// LoadWord is a peer report of an endpoint's load.
+// LoadWord is a router's summary of an endpoint's load.
 type LoadWord struct {
 	Endpoint string `json:"e"`
 	Running  int    `json:"r"`
