--- a/internal/balance/limit.go
+++ b/internal/balance/limit.go
@@ -113,7 +113,7 @@
 
 // String formats the use for a log line.
 func (u LimitUse) String() string {
-	return fmt.Sprintf("share %.3g/s, %.3g/s used, of %.3g/s stated %s ago", u.Part, u.Used, u.PerSecond, u.Age.Round(time.Millisecond))
+	return fmt.Sprintf("part %.3g/s, %.3g/s used, of %.3g/s said %s ago", u.Part, u.Used, u.PerSecond, u.Age.Round(time.Millisecond))
 }
 
 // LimitOf is the use of an endpoint's limit; false if the endpoint states none.
