--- a/internal/balance/detect.go
+++ b/internal/balance/detect.go
@@ -8,8 +8,8 @@
 	"coveferry/internal/bundle"
 )
 
-// detect compares the peers and sheds outliers, at most once an interval
-// unless urgent. No lock may be held.
+// detect compares the endpoints of each group and ejects outliers, at most once per interval unless
+// urgent. The caller must not hold a shard's lock.
 func (p *Pool) detect(now time.Time, urgent bool) {
 	if p.cfg.Outlier.Off {
 		return
@@ -20,56 +20,56 @@
 	}
 	next := now.Add(p.cfg.Outlier.Interval).UnixNano()
 	if !p.detectAt.CompareAndSwap(due, next) {
-		return // another goroutine does it
+		return // another goroutine compares them
 	}
 	p.detecting.Lock()
 	defer p.detecting.Unlock()
-	peers := p.peers(now)
-	for len(peers) > 0 {
-		n := groupLen(peers)
-		for _, out := range outliers(peers[:n], p.cfg.Outlier) {
+	members := p.groupMembers(now)
+	for len(members) > 0 {
+		n := groupLen(members)
+		for _, out := range outliers(members[:n], p.cfg.Outlier) {
 			p.eject(now, out.endpoint)
 		}
-		peers = peers[n:]
+		members = members[n:]
 	}
 }
 
-// peers returns all endpoints in use, ordered by group and name.
-func (p *Pool) peers(now time.Time) []peer {
-	var peers []peer
+// groupMembers returns all endpoints that accept new requests, ordered by group and name.
+func (p *Pool) groupMembers(now time.Time) []groupMember {
+	var members []groupMember
 	for i := range p.shards {
-		peers = p.shards[i].peers(peers, now, p.cfg.Outlier)
+		members = p.shards[i].appendGroupMembers(members, now, p.cfg.Outlier)
 	}
-	slices.SortFunc(peers, func(a, b peer) int {
+	slices.SortFunc(members, func(a, b groupMember) int {
 		return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.endpoint, b.endpoint))
 	})
-	return peers
+	return members
 }
 
-func (sh *shard) peers(peers []peer, now time.Time, o Outlier) []peer {
+func (sh *shard) appendGroupMembers(members []groupMember, now time.Time, o Outlier) []groupMember {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for name, st := range sh.states {
 		if st.leaving {
 			continue
 		}
-		peers = append(peers, peer{
-			endpoint:   name,
-			group:      st.group,
-			service:    st.service(),
-			firstToken: st.firstToken,
-			samples:    st.health.samples,
-			failures:   st.health.failures,
-			shed:       st.health.weight(now, o) == 0,
+		members = append(members, groupMember{
+			endpoint:     name,
+			group:        st.group,
+			service:      st.service(),
+			firstToken:   st.firstToken,
+			samples:      st.health.samples,
+			failureShare: st.health.failures,
+			ejected:      st.health.weight(now, o) == 0,
 		})
 	}
-	return peers
+	return members
 }
 
-func groupLen(peers []peer) int {
-	n := slices.IndexFunc(peers, func(p peer) bool { return p.group != peers[0].group })
+func groupLen(members []groupMember) int {
+	n := slices.IndexFunc(members, func(p groupMember) bool { return p.group != members[0].group })
 	if n < 0 {
-		return len(peers)
+		return len(members)
 	}
 	return n
 }
@@ -86,8 +86,8 @@
 	st.running, st.drain, st.firstToken = 0, 0, 0
 }
 
-// peerGroup names the endpoints that can be compared with c: those of the same
-// first model or service.
+// peerGroup names the group of endpoints that c is compared with: those of the same first model,
+// or else of the same first service.
 func peerGroup(c *bundle.Endpoint) string {
 	if len(c.Models) > 0 {
 		return "model " + c.Models[0]
