--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,6 +1,6 @@
-// Package balance chooses the endpoint for a request at a router. The state
-// that a router keeps of endpoints lives in a Pool, in shards that each have
-// their own lock; a Policy is a pure choice among views taken from it.
+// Package balance implements client-side load balancing: it selects an endpoint for each request
+// that a router forwards. A Pool holds the router's state of all endpoints, in shards with a lock
+// each; a Policy chooses among the Views taken from that state and holds no lock.
 package balance
 
 import (
@@ -11,111 +11,112 @@
 	"coveferry/internal/prompt"
 )
 
-// maxRanks is how many ranks of requests are told apart, as many as endpoints do.
-const maxRanks = 10
+// maxTiers is the number of priority tiers that are tracked, the same as at endpoints.
+const maxTiers = 10
 
-// Request is what the choice of an endpoint depends on.
+// Request holds the properties of a request that the choice of an endpoint depends on.
 type Request struct {
-	Service string // of a routed request
-	Tier    int    // rank by which the endpoint admits it; 0 is the highest
+	Service string // set for requests routed by service
+	Tier    int    // priority at the endpoint; 0 is the highest
 	Class   string
-	// Prefix is a hash of the start of the prompt; requests that share it
-	// profit from the same endpoint's prefix cache. 0 means none.
+	// Prefix is a hash of the start of the prompt. Requests with the same prefix benefit from the
+	// same endpoint's prefix cache. 0 means none.
 	Prefix uint64
-	// Prompt is the shape of the prompt, where the caller tells it.
+	// Prompt describes the parts and sizes of the prompt, if the caller sent them.
 	Prompt prompt.Prompt
-	// MaxGap is the longest pause between two events of a stream that is on time; 0
-	// if any will do. Stride is how many tokens an event holds.
+	// MaxGap is the longest allowed pause between two events of the stream; 0 means no limit.
+	// Stride is the number of tokens in an event.
 	MaxGap time.Duration
 	Stride int
-	// Objective is the time to the first event of an answer that is on time; 0 if any will do.
+	// Objective is the target for the time to the first event of the response; 0 means none.
 	Objective time.Duration
-	// Again says that an endpoint has had the request before: it isn't sent to one that is
-	// known to be full, and to none if all are.
+	// Retry marks a request that was already sent to an endpoint. It isn't sent to an endpoint
+	// known to be full, and is rejected if all are.
 	Again bool
-	// ColdRate is how many requests a second a cold endpoint takes from all routers; 0
-	// bounds nothing.
+	// ColdRate limits the requests a second that a cold endpoint receives from all routers; 0
+	// means no limit.
 	ColdRate float64
-	// Once says that the request may not run again after its endpoint broke off.
+	// AtMostOnce marks a request that must not be retried after its endpoint failed while running
+	// it.
 	Once bool
-	// mostUnsure says that connections to more than half of the candidates fail.
+	// majoritySuspect is set if connections to more than half of the candidates fail.
 	mostUnsure bool
 }
 
-// kind is the kind that the request is of.
+// kind returns the key under which demand for this request is counted.
 func (r *Request) kind() kindKey { return kindKey{r.Service, r.MaxGap.Milliseconds()} }
 
-// View is what a router knows of one endpoint at one moment.
+// View is a snapshot of a router's state of one endpoint.
 type View struct {
 	Endpoint      string
 	FailureDomain string
-	// Inflight counts this router's own requests at the endpoint.
+	// Inflight is the number of this router's own requests at the endpoint.
 	Inflight int
-	// Prefill is how many prompt tokens this router sent that the endpoint
-	// isn't known to have read, of each tier.
-	Prefill [maxRanks]int
-	// Open counts this router's own requests whose work is known, of each tier.
-	Open [maxRanks]int
-	// Tight is how many of this router's tight streams run there.
+	// PendingPrefill is the number of prompt tokens, by tier, that this router sent and that the
+	// endpoint may not have prefilled yet.
+	Prefill [maxTiers]int
+	// InflightByTier is the number of this router's own tracked requests, by tier.
+	Open [maxTiers]int
+	// TightGapStreams is the number of this router's streams with a tight gap limit.
 	Tight int
-	// Cached is how many tokens at the start of the request's prompt this
-	// router sent there lately.
+	// CachedTokens is the number of tokens at the start of the prompt that this router sent to
+	// the endpoint recently, so that its prefix cache probably holds them.
 	Cached int
-	// SinceReport counts those of this router's requests that were sent after
-	// the last report arrived and haven't ended, so that the report misses them.
+	// OwnUnreported is the number of this router's inflight requests that were sent after the
+	// last load report arrived, so that the report doesn't include them.
 	SinceReport int
-	// Since is how many requests all routers together probably sent that the last report
-	// lacks; a policy that needs it works it out from all views.
+	// EstimatedUnreported estimates the requests of all routers that the last report doesn't
+	// include. A policy that needs it computes it from all views.
 	Since float64
-	// Expected is how many requests all routers together probably have there, where
-	// the endpoint doesn't say; a policy that needs it works it out from all views.
+	// EstimatedInflight estimates the requests of all routers at an endpoint without a load
+	// report. A policy that needs it computes it from all views.
 	Expected float64
-	// Load is the last report and ReportedAt when it arrived; zero if none.
+	// Load is the last load report and ReportedAt when it arrived; zero if there is none.
 	Load       load.Report
 	ReportedAt time.Time
-	// FirstToken is the smoothed time to the first token.
+	// TimeToFirstToken is a moving average.
 	FirstToken time.Duration
-	// Service is the smoothed time for which a request holds a slot, worked
-	// out from the reports' running requests and drain rate; 0 if unknown.
+	// ServiceTime is the average time for which a request holds a slot, derived from the running
+	// requests and the drain rate in load reports; 0 if unknown.
 	Service time.Duration
-	// Token is how many seconds the endpoint takes between two tokens, 0 if that
-	// isn't known, and PerToken how many for reading a token of a prompt.
+	// SecondsPerOutputToken is the time between two output tokens, 0 if unknown, and
+	// SecondsPerPromptToken the prefill time of a prompt token.
 	Token, PerToken float64
-	// First is how many seconds a prompt takes besides, however short it is.
+	// PrefillOverhead is the fixed part of a prompt's prefill time, in seconds.
 	First float64
-	// Bounded says that it takes so many requests a second from all routers, and may be sent
-	// this one. One that may not isn't among the views.
+	// RateLimited is set if the endpoint has a rate limit over all routers that still admits this
+	// request. Endpoints at their limit aren't among the views.
 	Bounded bool
-	// Unsure says that connections to it fail or it is silent.
+	// Suspect is set if connections to the endpoint fail or it is unresponsive.
 	Unsure bool
-	// Aside says that it is no part of what decides who is kept apart, where homes are and
-	// how long requests wait: it takes too little, and only what costs more elsewhere.
+	// ReducedCapacity is set for a cold or rate-limited endpoint. It is left out when endpoints
+	// are reserved for tight-gap streams, preferred endpoints are assigned and waits are
+	// estimated, and only receives requests that would cost more elsewhere.
 	Aside bool
-	// Full says that it had no room just now.
+	// Full is set if the endpoint recently rejected a request for lack of capacity.
 	Full bool
-	// Weight is 1 for a healthy endpoint; less for one that comes back
-	// slowly after it was found slow, failing or away; 0 for one that is
-	// shed or suspect.
+	// Weight is 1 for a healthy endpoint, less for one that ramps up after it was slow, failing
+	// or gone, and 0 for one that is ejected or suspect.
 	Weight float64
 }
 
-// Policy picks one of the views for a request. It returns false if none may be
-// used. Implementations are pure but for the random source handed in.
+// Policy chooses one of the views for a request. Choose returns false if none is usable.
+// Implementations draw randomness from rnd only, and don't use the pool.
 type Policy interface {
 	Name() string
 	Choose(now time.Time, req Request, views []View, rnd *rand.Rand) (int, bool)
 }
 
-// Result is how an attempt at an endpoint ended, as far as its health counts.
+// Result is the outcome of an attempt as far as it affects the endpoint's health.
 type Result uint8
 
-// The results of an attempt.
+// Outcomes of an attempt.
 const (
 	ResultOK Result = iota
-	// ResultRefused: the endpoint said that it didn't run the request.
+	// ResultRefused: the endpoint rejected the request without running it.
 	ResultRefused
-	// ResultFailed: the connection or the engine broke.
+	// ResultFailed: the connection or the inference engine failed.
 	ResultFailed
-	// ResultCancelled: the caller left; says nothing about the endpoint.
+	// ResultCancelled: the caller cancelled, which doesn't affect the endpoint's health.
 	ResultCancelled
 )
--- a/internal/balance/config.go
+++ b/internal/balance/config.go
@@ -6,44 +6,42 @@
 	"coveferry/internal/endpointrate"
 )
 
-// Defaults of a Config.
+// Default values of Config fields.
 const (
-	defaultFirstTokenShare = 0.2
-	defaultSeqHold         = 5 * time.Second
-	defaultRefuseAge       = 5 * time.Second
-	defaultSecondAbove     = 0.7
+	defaultFirstTokenSmoothing  = 0.2
+	defaultSeqHold              = 5 * time.Second
+	defaultRefuseReportMaxAge   = 5 * time.Second
+	defaultLateBindingThreshold = 0.7
 )
 
-// Config sets up a Pool. The zero value is usable: every field that is zero
-// takes its default.
+// Config configures a Pool. Zero fields take their defaults.
 type Config struct {
-	// Policy chooses among the views; the default is LoadAware.
+	// Policy selects endpoints; the default is LoadAware.
 	Policy Policy
-	// Seed starts the random source: pools with the same seed that are asked
-	// the same questions give the same answers.
+	// Seed initializes the random source: pools with the same seed make the same choices for the
+	// same sequence of calls.
 	Seed uint64
-	// FirstTokenShare is the weight, from 0 to 1, of a new sample in the
-	// smoothed time to the first token.
+	// FirstTokenSmoothing is the weight, from 0 to 1, of a new sample in the moving average of
+	// the time to first token.
 	FirstTokenShare float64
-	// SeqHold is how long a report keeps out those with a lower Seq. After
-	// it a lower Seq means that the agent was restarted.
+	// SeqHold is how long after a report those with a lower Seq are ignored. Later, a lower Seq
+	// means that the agent restarted.
 	SeqHold time.Duration
-	// RefuseAge is the age up to which a report can prove that an endpoint
-	// has no room.
+	// RefuseReportMaxAge is the maximum age of a report by which an endpoint counts as full.
 	RefuseAge time.Duration
-	// SecondAbove is the part of an endpoint's slots from which ChoosePair
-	// names a second endpoint; negative means always.
+	// LateBindingThreshold is the slot utilization from which ChoosePair returns a second
+	// endpoint; negative means always.
 	SecondAbove float64
-	// Part is this router's part, in requests a second, of what an endpoint takes from all
-	// routers; nil is all of it.
+	// RateShare returns this router's share, in requests a second, of an endpoint's rate limit
+	// over all routers. If nil, the router uses the whole limit.
 	Part func(now time.Time, b endpointrate.Bound) float64
-	// OnLimit takes each change of a limit that an endpoint names; nil for nobody. It must
-	// not wait.
+	// OnLimit is called for each change of the rate limit that an endpoint announces. It must not
+	// block. It may be nil.
 	OnLimit func(LimitEvent)
-	// OnSilentDomain takes each failure domain that falls silent or no longer is; nil for
-	// nobody. It must not wait.
+	// OnSilentDomain is called when a failure domain becomes unresponsive or responsive again. It
+	// must not block. It may be nil.
 	OnSilentDomain func(SilentDomain)
-	// Outlier sets up the shedding of slow and failing endpoints.
+	// Outlier configures outlier detection.
 	Outlier Outlier
 }
 
@@ -52,16 +50,16 @@
 		c.Policy = LoadAware{}
 	}
 	if c.FirstTokenShare <= 0 {
-		c.FirstTokenShare = defaultFirstTokenShare
+		c.FirstTokenShare = defaultFirstTokenSmoothing
 	}
 	if c.SeqHold <= 0 {
 		c.SeqHold = defaultSeqHold
 	}
 	if c.RefuseAge <= 0 {
-		c.RefuseAge = defaultRefuseAge
+		c.RefuseAge = defaultRefuseReportMaxAge
 	}
 	if c.SecondAbove == 0 {
-		c.SecondAbove = defaultSecondAbove
+		c.SecondAbove = defaultLateBindingThreshold
 	}
 	if c.Part == nil {
 		c.Part = func(_ time.Time, b endpointrate.Bound) float64 { return b.PerSecond }
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -6,60 +6,59 @@
 	"time"
 )
 
-// Weights of the cost of a candidate, in milliseconds. What matters is their
-// proportion; note 0013 and the commits of this file have the measurements.
+// Cost weights in milliseconds. Only their ratios matter; design note 0013 has the measurements.
 const (
-	// streamCost is what one more stream in a batch costs those in it. 4
+	// perStreamCost is the delay that one more stream in a batch causes the others. A value of 4
 	// was no better.
-	streamCost = 2.0
-	// fullCost is added where all slots are taken, more where more requests are there:
-	// one waits for another one's end, which is a part of a stream's two to three
-	// seconds, or has another one put back.
-	fullCost = 500.0
-	// rereadFactor is how much more a token that has to be read again, or
-	// fetched, counts than its time: it delays the streams beside it as well.
-	// 0.4 and 1 were worse, 4 and 6 no better.
-	rereadFactor = 2.5
-	// pausePenalty is what a long prompt costs each tight stream that runs
-	// beside it: the stream is probably late.
+	perStreamCost = 2.0
+	// noFreeSlotCost is added if all slots are in use, scaled by the ratio of requests to slots:
+	// the request waits for another one to end, which takes part of a stream's two to three
+	// seconds, or preempts one.
+	noFreeSlotCost = 500.0
+	// recomputeFactor weights the prefill time of tokens that are cached elsewhere and have to be
+	// recomputed or fetched, because that delays concurrent streams as well. 0.4 and 1 were
+	// worse, 4 and 6 no better.
+	recomputeFactor = 2.5
+	// pausePenalty is the cost of a long prompt for each tight-gap stream on the endpoint, which
+	// will probably exceed its gap limit.
 	pausePenalty = 80.0
-	// queuedCost is what one request costs that waits in an endpoint's queue: the
-	// time in which a usual prompt is read.
-	queuedCost = 50.0
+	// perQueuedCost is the cost of one request in the endpoint's queue: the prefill time of a
+	// typical prompt.
+	perQueuedCost = 50.0
 )
 
-// aheadOf is how many prompt tokens this router sent to the endpoint that are
-// read before those of a new request of the tier.
-func (v *View) aheadOf(tier int) int {
+// prefillAhead returns the number of prompt tokens sent by this router that the endpoint prefills
+// before a new request of the tier.
+func (v *View) prefillAhead(tier int) int {
 	tokens := 0
-	for _, n := range v.Prefill[:min(tier, maxRanks-1)+1] {
+	for _, n := range v.Prefill[:min(tier, maxTiers-1)+1] {
 		tokens += n
 	}
 	return tokens
 }
 
-// cheapest is the endpoint at which the request costs itself and others the
-// least time: its home, if it has one, or one of so many others, drawn by chance.
-func cheapest(req Request, views []View, group []int, home, drawn int, tight bool, rnd *rand.Rand) int {
+// lowestCostEndpoint returns the endpoint with the lowest cost among the preferred endpoint, if
+// there is one, and a random sample of the group.
+func lowestCostEndpoint(req Request, views []View, group []int, preferred, sampled int, tightGap bool, rnd *rand.Rand) int {
 	start := rnd.IntN(len(group))
-	best, bestCost := group[start], promptCost(req, &views[group[start]], group[start] == home, tight)
-	if home >= 0 {
-		best, bestCost = home, promptCost(req, &views[home], true, tight)
+	best, bestCost := group[start], promptCost(req, &views[group[start]], group[start] == preferred, tightGap)
+	if preferred >= 0 {
+		best, bestCost = preferred, promptCost(req, &views[preferred], true, tightGap)
 	}
-	for n := range drawn {
+	for n := range sampled {
 		i := group[(start+n)%len(group)]
-		if drawn < len(group) {
+		if sampled < len(group) {
 			i = group[rnd.IntN(len(group))]
 		}
-		if cost := promptCost(req, &views[i], i == home, tight); cost < bestCost {
+		if cost := promptCost(req, &views[i], i == preferred, tightGap); cost < bestCost {
 			best, bestCost = i, cost
 		}
 	}
 	return best
 }
 
-// ownPart is this router's part, from 0 to 1, of the requests at the endpoints.
-func ownPart(views []View) float64 {
+// ownInflightShare returns this router's share, from 0 to 1, of all requests at the endpoints.
+func ownInflightShare(views []View) float64 {
 	own, all := 1.0, 1.0
 	for i := range views {
 		own += float64(views[i].Inflight)
@@ -68,92 +67,94 @@
 	return own / all
 }
 
-// countOthers notes in all views what all routers together probably sent that a report
-// lacks. share is this router's part of all requests; it tells of endpoints that say
-// nothing. together is from 0 to 1 how far routers that see the same reports make the same
-// choice: an endpoint that looks empty to all, and is looked at by all, gets the requests
-// of all.
-func countOthers(views []View, share, together float64) {
-	part := ownPart(views)
-	inflight, sent := 0.0, 0.0
+// estimateOtherRouters sets EstimatedUnreported and EstimatedInflight in all views. share is this
+// router's share of all requests and scales the estimate for endpoints without a report.
+// correlation, from 0 to 1, says how far routers that see the same reports make the same choice:
+// an endpoint that appears idle to all routers and is sampled by all receives the requests of
+// all.
+func countOthers(views []View, share, correlation float64) {
+	ownShare := ownInflightShare(views)
+	inflight, unreported := 0.0, 0.0
 	for i := range views {
 		inflight += float64(views[i].Inflight) / float64(len(views))
-		sent += float64(views[i].SinceReport) / float64(len(views))
+		unreported += float64(views[i].SinceReport) / float64(len(views))
 	}
 	for i := range views {
 		v := &views[i]
-		v.Since = sentSince(float64(v.SinceReport), sent, part, together)
+		v.Since = sentSince(float64(v.SinceReport), unreported, ownShare, correlation)
 		if v.ReportedAt.IsZero() {
-			// Where a router has few requests they differ by chance, and count the
-			// less the fewer they are.
-			likely := (float64(v.Inflight) + 1) * inflight / (inflight + 1)
-			v.Expected = likely / share
+			// With few requests per router the counts differ mostly by chance, so that they are
+			// shrunk towards the mean, the more the fewer there are.
+			estimate := (float64(v.Inflight) + 1) * inflight / (inflight + 1)
+			v.Expected = estimate / share
 		}
 	}
 }
 
-// sentSince is what all routers probably sent to an endpoint where this one, which makes
-// the given part of all requests, sent own and to all endpoints mean. What others sent
-// without looking at the same is a matter of chance, of which a single request of one's
-// own says little: one in a hundred routers took it for a hundred requests, left homes for
-// it that had room, and a fifth to two fifths of the prompts were sent elsewhere.
-func sentSince(own, mean, part, together float64) float64 {
-	likely := own / part
-	if apart := 1 - together; apart > 0 && mean > 0 {
-		// The mean of a gamma distribution around the mean of all endpoints, of which one
-		// request is known beforehand, less where choices are made together.
-		likely = (own + apart) / (part + apart*part/mean)
+// estimateUnreported estimates how many requests all routers sent to an endpoint since its last
+// report. This router has the given share of all requests, and sent own to this endpoint and mean
+// to an average one. Requests of routers that sample independently are random, and a single own
+// request says little about them: one router of a hundred counted it as a hundred requests and
+// left preferred endpoints that had capacity, which sent a fifth to two fifths of the prompts
+// elsewhere.
+func sentSince(own, mean, share, correlation float64) float64 {
+	estimate := own / share
+	if independence := 1 - correlation; independence > 0 && mean > 0 {
+		// The posterior mean of a gamma distribution around the mean of all endpoints, with a
+		// prior of one request, less for correlated choices.
+		estimate = (own + independence) / (share + independence*share/mean)
 	}
-	return own + (1-part)*likely
+	return own + (1-share)*estimate
 }
 
 const (
-	// looksEach is how many routers look at an endpoint for each request that it gets, on
-	// the whole: enough for the emptier ones to be found, and few enough for them not to be
-	// filled by all at once.
-	looksEach = 3
-	// leastLooks is the least number of endpoints that a router looks at: the better of
-	// two chosen by chance is exponentially better than one.
-	leastLooks = 2
+	// samplesPerRequest is the average number of routers that sample an endpoint for each request
+	// that it receives: enough for idle endpoints to be found, and few enough for them not to be
+	// overloaded by all routers at once.
+	samplesPerRequest = 3
+	// minSampledEndpoints is the minimum sample size: the better of two random choices is
+	// exponentially better than one.
+	minSampledEndpoints = 2
 )
 
-// looks is at how many of a group's endpoints a router looks that makes the given share of
-// all requests: all if it is alone, a few if it is one of many.
+// sampleSize returns how many endpoints of a group a router with the given share of all requests
+// compares: all if it is the only router, a few if it is one of many.
 func looks(group int, share float64) int {
-	n := int(math.Ceil(looksEach * share * float64(group)))
-	return min(max(n, leastLooks), group)
+	n := int(math.Ceil(samplesPerRequest * share * float64(group)))
+	return min(max(n, minSampledEndpoints), group)
 }
 
-// reread is how many tokens an endpoint would read again. At the home they were
-// read already, or are to be read once anyway.
-func reread(req Request, v *View, home bool) int {
-	if home {
+// recomputedTokens returns the number of shared prompt tokens that the endpoint would have to
+// recompute. The preferred endpoint has them cached or has to prefill them once anyway.
+func recomputedTokens(req Request, v *View, preferred bool) int {
+	if preferred {
 		return 0
 	}
 	return max(0, req.Prompt.Shared()-v.Cached)
 }
 
-// promptCost is in milliseconds.
-func promptCost(req Request, v *View, home, tight bool) float64 {
+// promptCost returns the cost of sending the request to the endpoint, in milliseconds.
+func promptCost(req Request, v *View, preferred, tightGap bool) float64 {
 	perToken := 1000 * v.PerToken
-	waiting := perToken*float64(v.aheadOf(maxRanks)) + queuedCost*float64(v.Load.TotalQueued())
+	waiting := perToken*float64(v.prefillAhead(maxTiers)) + perQueuedCost*float64(v.Load.TotalQueued())
 	waiting *= waitWeight(req.Objective)
-	again := perToken * rereadFactor * float64(reread(req, v, home))
-	cost := waiting + again + streamCost*v.requests()
-	if !tight {
+	recompute := perToken * recomputeFactor * float64(recomputedTokens(req, v, preferred))
+	cost := waiting + recompute + perStreamCost*v.requests()
+	if !tightGap {
 		cost += pausePenalty * float64(v.Tight)
 	}
-	if all := max(v.requests(), v.Expected); all >= v.slots() {
-		cost += fullCost * all / v.slots()
+	if inflight := max(v.requests(), v.Expected); inflight >= v.slots() {
+		cost += noFreeSlotCost * inflight / v.slots()
 	}
 	return cost
 }
 
-// shortObjective is the longest objective of which all of a wait counts.
+// shortObjective is the longest objective for which waiting time counts in full.
 const shortObjective = 500 * time.Millisecond
 
-// waitWeight is how much of a wait counts against what prompts cost that are read again: one
-// that is well within the objective harms nobody, and what is read again delays others.
+// waitWeight returns the weight of waiting time relative to recomputation. Waiting well within
+// the objective harms nobody, whereas recomputing tokens delays other requests. Without an
+// objective, waiting counts in full.
 func waitWeight(objective time.Duration) float64 {
 	if objective <= shortObjective {
 		return 1
@@ -161,7 +162,8 @@
 	return shortObjective.Seconds() / objective.Seconds()
 }
 
-// requests are those that run or wait at the endpoint.
+// estimatedRequests returns the estimated number of requests that run or are queued at the
+// endpoint.
 func (v *View) requests() float64 {
 	n := float64(v.Load.TotalQueued()+v.Load.TotalRunning()) + max(v.Since, float64(v.SinceReport))
 	return max(n, float64(v.Inflight))
--- a/internal/balance/demand.go
+++ b/internal/balance/demand.go
@@ -8,47 +8,47 @@
 	"time"
 )
 
-// Half-lives of the demand: the age at which a request counts half. A router
-// sees some ten requests of a kind a second, so that a memory of one second is
-// noisy by a third; a longer one lags behind bursts, which last seconds.
+// Half-lives of the demand statistics. A router sees some ten requests of a kind a second, so
+// that a half-life of one second is noisy by a third; a longer one lags behind bursts, which last
+// seconds.
 const (
 	slowHalfLife = 2 * time.Second
 	fastHalfLife = time.Second
 )
 
-// maxKinds bounds the kinds of request that are told apart: five for each of a dozen
-// models. What comes beyond isn't counted.
+// maxKinds limits the kinds of request that are tracked: five for each of a dozen models.
+// Requests of further kinds aren't counted.
 const maxKinds = 64
 
-// Kind is the requests for a service whose streams may pause equally long, as decaying
-// sums.
+// Kind holds decaying sums over the requests for a service with the same maximum gap.
 type Kind struct {
 	Service string `json:"service"`
-	// GapMillis is the longest pause between two events; 0 if any will do.
+	// GapMillis is the longest allowed pause between two events; 0 means no limit.
 	GapMillis int64 `json:"gap"`
-	// Requests is their number by the longer memory, Recent by the shorter.
+	// Requests is the number of requests with the longer half-life, RecentRequests with the
+	// shorter.
 	Requests float64 `json:"n"`
 	Recent   float64 `json:"recent"`
-	// Ranks is the sum of the ranks of Requests, 0 for each of the most urgent.
+	// TierSum is the sum of the priority tiers of Requests; the highest priority adds 0.
 	Ranks float64 `json:"rank"`
-	// Read is the seconds that an engine reads the prompts of Requests, and Held
-	// those for which they hold a slot.
+	// PrefillSeconds is the prefill time of Requests, and SlotSeconds the time for which they
+	// hold a slot.
 	Read float64 `json:"read"`
 	Held float64 `json:"held"`
-	// Ended is the number of answers that ended, and Late that of those which began
-	// or paused too late.
+	// Ended is the number of responses that ended, and Late of those that exceeded their
+	// objective or maximum gap.
 	Ended float64 `json:"ended"`
 	Late  float64 `json:"late"`
 }
 
-// rate is the kind's requests a second. One that grows is followed by the shorter
-// memory and falls by the longer: an endpoint that takes long prompts while streams
-// that may hardly pause still run there makes them late.
+// rate returns the kind's requests a second. It rises with the shorter half-life and falls with
+// the longer one: an endpoint that accepts long prompts while tight-gap streams still run there
+// makes them late.
 func (k Kind) rate() float64 {
 	return math.Ln2 * max(k.Requests/slowHalfLife.Seconds(), k.Recent/fastHalfLife.Seconds())
 }
 
-// read and held are the seconds of one request.
+// meanPrefillSeconds and meanSlotSeconds are the means per request.
 func (k Kind) read() float64 { return perRequest(k.Read, k.Requests) }
 func (k Kind) held() float64 { return perRequest(k.Held, k.Requests) }
 
@@ -61,7 +61,7 @@
 
 func (k Kind) key() kindKey { return kindKey{k.Service, k.GapMillis} }
 
-// kindKey names a kind.
+// kindKey identifies a kind.
 type kindKey struct {
 	service   string
 	gapMillis int64
@@ -71,19 +71,19 @@
 	return cmp.Or(cmp.Compare(k.service, o.service), cmp.Compare(k.gapMillis, o.gapMillis))
 }
 
-// Demand is what requests ask for, by kind, in the order of services and pauses.
+// Demand is the demand by kind, ordered by service and gap.
 type Demand []Kind
 
-// of is the part for a service.
-func (d Demand) of(service string) Demand {
+// forService returns the kinds of a service.
+func (d Demand) forService(service string) Demand {
 	return slices.DeleteFunc(slices.Clone(d), func(k Kind) bool { return k.Service != service })
 }
 
-// Plus adds two demands.
+// Add returns the sum of two demands.
 func (d Demand) Plus(o Demand) Demand {
 	sum := slices.Clone(d)
 	for _, k := range o {
-		i := sum.place(k.key())
+		i := sum.findOrInsert(k.key())
 		if i < 0 {
 			continue
 		}
@@ -98,16 +98,17 @@
 	return sum
 }
 
-// Times is the demand of so many times as many routers.
+// Scale returns the demand multiplied by x, for example by the number of equal routers.
 func (d Demand) Times(x float64) Demand {
-	more := slices.Clone(d)
-	for i := range more {
-		more[i].scale(x, x)
+	scaled := slices.Clone(d)
+	for i := range scaled {
+		scaled[i].scale(x, x)
 	}
-	return more
+	return scaled
 }
 
-// scale multiplies the sums of the longer memory, and that of the shorter.
+// scale multiplies the sums with the longer half-life by slow and the one with the shorter by
+// fast.
 func (k *Kind) scale(slow, fast float64) {
 	k.Requests *= slow
 	k.Ranks *= slow
@@ -126,9 +127,9 @@
 	return sum
 }
 
-// place is where a kind stands, which is added if there is room for one more; else it
-// is -1.
-func (d *Demand) place(key kindKey) int {
+// findOrInsert returns the index of a kind and inserts it if it is missing, or -1 if maxKinds are
+// tracked already.
+func (d *Demand) findOrInsert(key kindKey) int {
 	i, found := slices.BinarySearchFunc(*d, key, func(k Kind, key kindKey) int { return k.key().compare(key) })
 	switch {
 	case found:
@@ -140,111 +141,111 @@
 	return i
 }
 
-// decay has sums age. What is next to nothing is dropped.
+// decay ages the sums and drops kinds that are almost zero.
 func (d Demand) decay(age time.Duration) Demand {
 	slow := math.Exp2(-age.Seconds() / slowHalfLife.Seconds())
 	fast := math.Exp2(-age.Seconds() / fastHalfLife.Seconds())
 	for i := range d {
 		d[i].scale(slow, fast)
 	}
-	return slices.DeleteFunc(d, func(k Kind) bool { return max(k.Requests, k.Ended) < leastRequests })
+	return slices.DeleteFunc(d, func(k Kind) bool { return max(k.Requests, k.Ended) < minRequests })
 }
 
-// leastRequests is the sum below which a kind is forgotten: one request, some
-// thirteen seconds later.
-const leastRequests = 0.01
+// minRequests is the sum below which a kind is dropped: one request, some thirteen seconds later.
+const minRequests = 0.01
 
-// Others is what other routers see, and how many they are.
+// PeerDemand is the demand that other routers see, and their number.
 type Others struct {
 	Demand  Demand
 	Routers int
 }
 
-// demand measures what requests ask for and decides by it which endpoints are kept
-// apart. It is safe for concurrent use.
+// demand tracks the demand by kind and decides which endpoints are reserved for tight-gap
+// streams. It is safe for concurrent use.
 type demand struct {
-	mu sync.Mutex
-	at time.Time
-	// counted is for how long requests have been counted, 0 before the first.
-	counted time.Duration
-	seen    Demand
-	// held is how long streams of a kind held their slots.
-	held map[kindKey]mean
-	// others is what other routers see, nil if they don't say.
+	mu        sync.Mutex
+	decayedAt time.Time
+	// observedFor is the time since the first request, 0 before it.
+	observedFor time.Duration
+	seen        Demand
+	// slotTimes is how long streams of each kind held their slots, in seconds.
+	slotTimes map[kindKey]runningMean
+	// peerDemand returns the demand that other routers see; nil if they don't report it.
 	others func() Others
-	// last is what was decided last for each service.
+	// separations holds the last decision for each service.
 	last map[string]separation
-	// part is this router's part of all requests, as last worked out; 0 before.
-	part float64
+	// ownShare is this router's share of all requests as last computed; 0 before.
+	ownShare float64
 }
 
-// add notes a request of a rank that takes so long to read.
-func (d *demand) add(now time.Time, key kindKey, rank int, read time.Duration) {
+// add counts a request of a priority tier with the given prefill time.
+func (d *demand) add(now time.Time, key kindKey, tier int, prefill time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.decay(now)
-	i := d.seen.place(key)
+	i := d.seen.findOrInsert(key)
 	if i < 0 {
 		return
 	}
 	k := &d.seen[i]
 	k.Requests++
 	k.Recent++
-	k.Ranks += float64(rank)
-	k.Read += read.Seconds()
-	k.Held += d.heldFor(key)
+	k.Ranks += float64(tier)
+	k.Read += prefill.Seconds()
+	k.Held += d.slotTimeOf(key)
 }
 
 const (
-	// firstHeld is how long streams are taken to hold a slot until some have
-	// ended, in seconds: what several seconds of an answer's text take.
-	firstHeld = 2.0
-	// heldShare is the weight of a new one in the smoothed time, once there are many.
-	heldShare = 0.05
+	// defaultSlotSeconds is the assumed slot time until some streams have ended: what several
+	// seconds of response text take.
+	defaultSlotSeconds = 2.0
+	// slotTimeSmoothing is the weight of a new sample in the moving average once there are many.
+	slotTimeSmoothing = 0.05
 )
 
-func (d *demand) heldFor(key kindKey) float64 {
-	if held, ok := d.held[key]; ok {
-		return held.value
+func (d *demand) slotTimeOf(key kindKey) float64 {
+	if slotTime, ok := d.slotTimes[key]; ok {
+		return slotTime.value
 	}
-	return firstHeld
+	return defaultSlotSeconds
 }
 
-// heldOf is how long a request for a service holds a slot on the whole, in seconds.
-func (d *demand) heldOf(service string) float64 {
+// meanSlotTime returns how long a request for a service holds a slot on average, in seconds.
+func (d *demand) meanSlotTime(service string) float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	held, requests := 0.0, 0.0
+	slotSeconds, requests := 0.0, 0.0
 	for _, k := range d.seen {
 		if k.Service == service {
-			held += k.Held
+			slotSeconds += k.Held
 			requests += k.Requests
 		}
 	}
-	if held <= 0 {
-		return firstHeld
+	if slotSeconds <= 0 {
+		return defaultSlotSeconds
 	}
-	return perRequest(held, requests)
+	return perRequest(slotSeconds, requests)
 }
 
-// mean is a smoothed mean, a plain one of the first samples.
-type mean struct {
+// runningMean is an exponential moving average that starts as the plain mean of the first
+// samples.
+type runningMean struct {
 	value   float64
 	samples float64
 }
 
-func (m mean) add(sample float64) mean {
+func (m runningMean) add(sample float64) runningMean {
 	m.samples++
-	m.value += max(heldShare, 1/m.samples) * (sample - m.value)
+	m.value += max(slotTimeSmoothing, 1/m.samples) * (sample - m.value)
 	return m
 }
 
-// ended notes a stream that held its slot for so long.
-func (d *demand) ended(now time.Time, key kindKey, held time.Duration, late bool) {
+// recordEnded counts a stream that ended after it held its slot for the given time.
+func (d *demand) ended(now time.Time, key kindKey, slotTime time.Duration, late bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.decay(now)
-	i := d.seen.place(key)
+	i := d.seen.findOrInsert(key)
 	if i < 0 {
 		return
 	}
@@ -252,13 +253,13 @@
 	if late {
 		d.seen[i].Late++
 	}
-	if d.held == nil || len(d.held) > maxKinds {
-		d.held = make(map[kindKey]mean)
+	if d.slotTimes == nil || len(d.slotTimes) > maxKinds {
+		d.slotTimes = make(map[kindKey]runningMean)
 	}
-	d.held[key] = d.held[key].add(held.Seconds())
+	d.slotTimes[key] = d.slotTimes[key].add(slotTime.Seconds())
 }
 
-// separate decides which endpoints of a service are kept apart now, and for whom.
+// separate decides which endpoints of a service are reserved now, and for which kinds.
 func (d *demand) separate(now time.Time, service string, f fleet) separation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -266,80 +267,80 @@
 	own := d.whole()
 	all, routers := own, 1
 	if d.others != nil {
-		others := d.others()
-		all = all.Plus(others.Demand)
-		routers += others.Routers
+		peers := d.others()
+		all = all.Plus(peers.Demand)
+		routers += peers.Routers
 	}
-	d.part = partOf(own.requests(), all.requests(), routers)
+	d.ownShare = estimateShare(own.requests(), all.requests(), routers)
 	if d.last == nil || len(d.last) > maxKinds {
 		d.last = make(map[string]separation)
 	}
-	next := d.last[service].next(all.of(service), f)
+	next := d.last[service].next(all.forService(service), f)
 	d.last[service] = next
 	return next
 }
 
 const (
-	// leastSeen is how long requests must have been counted for their sums to tell of
-	// what comes: of a router's first few requests the gaps are mostly chance.
-	leastSeen = 500 * time.Millisecond
-	// equalPart is how many requests of all routers it takes for a router's own number
-	// to say as much of its part as that there are so many routers.
-	equalPart = 50
+	// minObservation is how long requests must have been counted before the sums are
+	// extrapolated: the gaps between a router's first few requests are mostly chance.
+	minObservation = 500 * time.Millisecond
+	// priorRequests is the number of requests of all routers at which a router's own count weighs
+	// as much in the estimate of its share as the assumption that all routers are equal.
+	priorRequests = 50
 )
 
-// coldFor is how long after a router's first requests it counts shared parts as still to be
-// read at their homes, unless it has sent them there. In a fleet that has just started
-// they are, and reading takes three times as long for it; a router that joins others is
-// one of many that say what is asked for.
+// coldStartPeriod is how long after a router's first requests shared prompt parts count as not
+// cached at their preferred endpoints, unless this router sent them there. In a fleet that has
+// just started they aren't, and prefill takes three times as long; a router that joins others is
+// one of many that report demand.
 const coldFor = 3 * time.Second
 
-// cold says whether homes may not have read the parts that prompts share.
+// cold reports whether preferred endpoints may not have cached the shared prompt parts yet.
 func (d *demand) cold() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.counted < coldFor
+	return d.observedFor < coldFor
 }
 
-// whole is what is seen as it would be had it been counted for ever. A sum that has been
-// counted for half a second holds a sixth of what it will: routers that had just started
-// took a full load for one that needs no endpoints apart, and a third of the streams that
-// may hardly pause were late for six seconds. d.mu is held.
+// extrapolated returns the sums as they would be after an unlimited observation time. A sum that
+// covers half a second holds a sixth of its final value: routers that had just started took a
+// full load for one that needs no reserved endpoints, and a third of the tight-gap streams were
+// late for six seconds. d.mu is held.
 func (d *demand) whole() Demand {
-	counted := max(d.counted, leastSeen)
-	part := func(halfLife time.Duration) float64 { return 1 - math.Exp2(-counted.Seconds()/halfLife.Seconds()) }
-	whole := slices.Clone(d.seen)
-	for i := range whole {
-		whole[i].scale(1/part(slowHalfLife), 1/part(fastHalfLife))
+	observedFor := max(d.observedFor, minObservation)
+	fraction := func(halfLife time.Duration) float64 { return 1 - math.Exp2(-observedFor.Seconds()/halfLife.Seconds()) }
+	scaled := slices.Clone(d.seen)
+	for i := range scaled {
+		scaled[i].scale(1/fraction(slowHalfLife), 1/fraction(fastHalfLife))
 	}
-	return whole
+	return scaled
 }
 
-// partOf is a router's part of all requests. What it has seen itself is little at first,
-// and routers are then taken to be alike: a router that joins under load took its first
-// request for a thousand of all, and all endpoints for full.
-func partOf(own, all float64, routers int) float64 {
-	return (own + equalPart/float64(routers)) / (all + equalPart)
+// estimateShare returns a router's share of all requests. Its own count is small at first, and
+// routers are then assumed to be equal: a router that joined under load counted its first request
+// for a thousand of all routers, and all endpoints as full.
+func estimateShare(own, all float64, routers int) float64 {
+	return (own + priorRequests/float64(routers)) / (all + priorRequests)
 }
 
-// share is this router's part of all requests, from just above 0 to 1.
+// share returns this router's share of all requests, from minShare to 1.
 func (d *demand) share() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return max(d.part, leastShare)
+	return max(d.ownShare, minShare)
 }
 
-// leastShare is the part of one router of the largest fleet planned for.
-const leastShare = 0.001
+// minShare is the share of one router of the largest fleet the design supports.
+const minShare = 0.001
 
-// decided is what was decided last for a service.
+// lastSeparation returns the last decision for a service.
 func (d *demand) decided(service string) separation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.last[service]
 }
 
-// own is what this router sees.
+// own returns the demand that this router sees.
 func (d *demand) own(now time.Time) Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -347,13 +348,13 @@
 	return d.whole()
 }
 
-// decay ages what is seen. d.mu is held.
+// decay ages the observed demand. d.mu is held.
 func (d *demand) decay(now time.Time) {
-	if age := now.Sub(d.at); !d.at.IsZero() && age > 0 {
-		if d.counted > 0 || len(d.seen) > 0 {
-			d.counted += age
+	if age := now.Sub(d.decayedAt); !d.decayedAt.IsZero() && age > 0 {
+		if d.observedFor > 0 || len(d.seen) > 0 {
+			d.observedFor += age
 		}
 		d.seen = d.seen.decay(age)
 	}
-	d.at = now
+	d.decayedAt = now
 }
--- a/internal/balance/expect.go
+++ b/internal/balance/expect.go
@@ -4,98 +4,99 @@
 
 // Expect implements Expecter.
 func (p PromptAware) Expect(req Request, views, leaving []View, chosen int) Expectation {
-	apart := p.demand.decided(req.Service)
-	full, _ := divideAside(views, usableViews(views))
-	ranked := rankForTight(views, full)
-	e := Expectation{Tight: apart.tightFor(req.MaxGap), Kept: apart.kept}
-	group := apart.groupOf(e.Tight, ranked)
-	e.Read = readTime(req, &views[chosen])
+	separated := p.demand.decided(req.Service)
+	regular, _ := splitReducedCapacity(views, usableViews(views))
+	ranked := rankForTightGap(views, regular)
+	e := Expectation{Tight: separated.tightFor(req.MaxGap), Kept: separated.kept}
+	group := separated.rankedGroup(e.Tight, ranked)
+	e.Read = prefillTime(req, &views[chosen])
 	reach := group
 	if e.Tight {
-		reach = ranked // what is kept apart goes elsewhere where its own endpoints are full
+		reach = ranked // tight-gap streams overflow to other endpoints if the reserved ones are full
 	}
-	e.Wait = max(waitTime(req, views, group, chosen), p.slotTime(req, views, reach, chosen)) + e.Read
-	e.Source = source(req, views, leaving, group, chosen)
+	e.Wait = max(prefillWait(req, views, group, chosen), p.slotWait(req, views, reach, chosen)) + e.Read
+	e.Source = fetchSource(req, views, leaving, group, chosen)
 	e.Copy = copyTo(req, views, e, group, ranked, chosen)
 	return e
 }
 
-// groupOf is the part of the ranked endpoints that is kept for tight streams, or the others;
-// each has one at least.
-func (s separation) groupOf(tight bool, ranked []int) []int {
+// rankedGroup returns the endpoints reserved for tight-gap streams or the other ones, from all in
+// rank order. Each group has at least one.
+func (s separation) rankedGroup(tight bool, ranked []int) []int {
 	if tight {
 		return ranked[:min(max(s.kept, 1), len(ranked))]
 	}
 	return ranked[min(s.kept, max(len(ranked)-1, 0)):]
 }
 
-// waitTime is how long a request waits for others until its own prompt is read. Prompts of
-// a higher rank are read first, so only those of the request's own rank and above count.
-// What other routers have sent isn't known; on the whole it is like what this one sent to
-// the endpoints of the request's group. At others more or less waits: where long prompts
-// had to wait, streams were refused that are kept apart from them, 30 in half a second.
-func waitTime(req Request, views []View, group []int, chosen int) time.Duration {
+// prefillWait returns how long a request waits until the prefill of its own prompt starts.
+// Prompts of higher tiers are prefilled first, so only those of its own tier and above count.
+// What other routers sent to the endpoint isn't known; on average it is what this router sent to
+// the endpoints of the request's group. Other endpoints have more or less to prefill: while long
+// prompts queued there, streams on reserved endpoints were rejected, 30 in half a second.
+func prefillWait(req Request, views []View, group []int, chosen int) time.Duration {
 	if req.Prompt.Tokens == 0 {
 		return 0
 	}
 	if views[chosen].Aside {
-		// Few routers send there, one of them this one.
-		return seconds(views[chosen].PerToken * float64(views[chosen].aheadOf(req.Tier)))
+		// Few routers send to this endpoint, and this one is among them.
+		return seconds(views[chosen].PerToken * float64(views[chosen].prefillAhead(req.Tier)))
 	}
 	mean := 0.0
 	for _, i := range group {
-		mean += float64(views[i].aheadOf(req.Tier)) / float64(len(group))
+		mean += float64(views[i].prefillAhead(req.Tier)) / float64(len(group))
 	}
-	others := mean * (1/ownPart(views) - 1)
-	ahead := float64(views[chosen].aheadOf(req.Tier)) + others
+	others := mean * (1/ownInflightShare(views) - 1)
+	ahead := float64(views[chosen].prefillAhead(req.Tier)) + others
 	return seconds(views[chosen].PerToken * ahead)
 }
 
-// roomShare is the part of the slots that is filled with requests of a rank, but for those of
-// the highest: what is left takes more urgent ones, which would else have others put back.
-const roomShare = 0.9
+// usableSlotShare is the share of the slots that requests of a tier may fill while there are
+// higher tiers. The rest stays free for more urgent requests, which would otherwise preempt
+// running ones.
+const usableSlotShare = 0.9
 
-// slotTime is how long a request waits for a slot behind those of its rank and above, where
-// its group's slots are taken. Engines begin with the more urgent ones and put the others
-// back, in the middle of their answers, so that what can't have a slot is better refused.
-// What is known of one endpoint is little; a group's requests are many. In two overloads of
-// 20 s at nine endpoints callers got .436 and .371 of what answers in time are worth to them,
-// with ranks by route, and .403 and .334 before both.
-func (p PromptAware) slotTime(req Request, views []View, group []int, chosen int) time.Duration {
+// slotWait returns how long a request waits for a slot behind those of its tier and above if the
+// slots of its group are in use. Engines start more urgent requests first and preempt others in
+// the middle of their responses, so that a request that can't get a slot is better rejected. The
+// estimate covers the whole group, because data on a single endpoint is sparse. In two overloads
+// of 20 s with nine endpoints callers got .436 and .371 of the value of timely responses with
+// this rule and per-route tiers, and .403 and .334 without them.
+func (p PromptAware) slotWait(req Request, views []View, group []int, chosen int) time.Duration {
 	if req.Prompt.Tokens == 0 || views[chosen].Aside {
 		return 0
 	}
-	requests, slots, open, ahead, above := 0.0, 0.0, 0, 0, 0
+	requests, slots, inflight, ahead, higherTier := 0.0, 0.0, 0, 0, 0
 	for _, i := range group {
 		v := &views[i]
 		requests += max(v.requests(), v.Expected)
 		slots += v.slots()
-		for rank, n := range v.Open {
-			open += n
-			if rank <= req.Tier {
+		for tier, n := range v.Open {
+			inflight += n
+			if tier <= req.Tier {
 				ahead += n
 			}
-			if rank < req.Tier {
-				above += n
+			if tier < req.Tier {
+				higherTier += n
 			}
 		}
 	}
-	if open == 0 {
+	if inflight == 0 {
 		return 0
 	}
-	room := slots
-	if above > 0 {
-		room *= roomShare
+	usable := slots
+	if higherTier > 0 {
+		usable *= usableSlotShare
 	}
-	waiting := requests*float64(ahead)/float64(open) - room
+	waiting := requests*float64(ahead)/float64(inflight) - usable
 	if waiting <= 0 {
 		return 0
 	}
-	return seconds(waiting * p.demand.heldOf(req.Service) / slots)
+	return seconds(waiting * p.demand.meanSlotTime(req.Service) / slots)
 }
 
-// readTime is how long the request's own prompt takes to read.
-func readTime(req Request, v *View) time.Duration {
+// prefillTime returns the prefill time of the request's own prompt.
+func prefillTime(req Request, v *View) time.Duration {
 	if req.Prompt.Tokens == 0 {
 		return 0
 	}
--- a/internal/balance/fetch.go
+++ b/internal/balance/fetch.go
@@ -1,22 +1,25 @@
 package balance
 
-// minFetch is the least number of tokens to fetch from another endpoint's
-// cache rather than read.
-const minFetch = 256
+// minFetchTokens is the minimum number of tokens that are fetched from another endpoint's cache
+// instead of recomputed.
+const minFetchTokens = 256
 
-// source is the place of the endpoint from which to fetch. Where this router knows of one
-// that has all shared parts, that is it. Else it is the home, which has what all routers
-// sent there, and for a prompt that is at its home the next in the home's order, which has
-// what was sent there while another was the home. One that has some of the parts is no
-// better: one router of a hundred sees of most parts only those that nearly all prompts
-// have, and fetched these where the home has all. Homes lie in the group that the
-// request's kind uses. An endpoint that is kept for others never had such prompts, however
-// high it ranks: where a third was kept apart, a third of the fetches asked for what
-// wasn't there, and the prompts were read again.
-func source(req Request, views, leaving []View, group []int, chosen int) int {
+// fetchSource returns the index of the endpoint to fetch cached prompt parts from, or -1. An
+// endpoint to which this router sent all shared parts comes first. Otherwise it is the preferred
+// endpoint, which has what all routers sent there. For a prompt that goes to its preferred
+// endpoint it is the next one in rendezvous order, which has what was sent there while it was the
+// preferred one.
+//
+// An endpoint with some of the parts is no better: one router of a hundred knows mostly of parts
+// that nearly all prompts have in common, and fetched those although the preferred endpoint had
+// all parts. The source belongs to the group of the request's kind, because endpoints reserved
+// for other kinds never received such prompts, whatever their rank: with a third of the endpoints
+// reserved, a third of the fetches asked for parts that weren't cached, and the prompts were
+// recomputed.
+func fetchSource(req Request, views, leaving []View, group []int, chosen int) int {
 	key := req.Prompt.Home()
 	shared := req.Prompt.Shared()
-	if key == 0 || shared-views[chosen].Cached < minFetch {
+	if key == 0 || shared-views[chosen].Cached < minFetchTokens {
 		return -1
 	}
 	best := -1
@@ -31,7 +34,7 @@
 	for _, i := range group {
 		consider(i, &views[i])
 	}
-	// The caches of endpoints that leave are still there.
+	// Leaving endpoints still serve their caches.
 	for i := range leaving {
 		consider(len(views)+i, &leaving[i])
 	}
@@ -45,7 +48,7 @@
 	return &leaving[i-len(views)]
 }
 
-// betterSource says whether a more probably has all shared parts cached than b.
+// betterSource reports whether a is more likely than b to have all shared parts cached.
 func betterSource(key uint64, shared int, a, b *View) bool {
 	if hasA, hasB := a.Cached >= shared, b.Cached >= shared; hasA != hasB {
 		return hasA
--- a/internal/balance/leastloaded.go
+++ b/internal/balance/leastloaded.go
@@ -5,15 +5,14 @@
 	"time"
 )
 
-// LeastLoaded takes the endpoint with the fewest requests for each slot as the
-// last report and this router's own sends tell, without regard to their age.
+// LeastLoaded chooses the endpoint with the fewest requests per slot according to its last report
+// and the router's own requests since, regardless of the report's age.
 type LeastLoaded struct{}
 
 // Name returns "least-loaded".
 func (LeastLoaded) Name() string { return "least-loaded" }
 
-// Choose returns the least loaded view; the first wins a tie, after a random
-// start.
+// Choose returns the least loaded view. Ties go to the first one after a random start.
 func (LeastLoaded) Choose(_ time.Time, _ Request, views []View, rnd *rand.Rand) (int, bool) {
 	best, found := 0, false
 	if len(views) == 0 {
@@ -25,16 +24,16 @@
 		if views[i].Weight <= 0 {
 			continue
 		}
-		if !found || views[i].knownLoad() < views[best].knownLoad() {
+		if !found || views[i].loadPerSlot() < views[best].loadPerSlot() {
 			best, found = i, true
 		}
 	}
 	return best, found
 }
 
-// knownLoad is the number of requests at the endpoint for each of its slots,
-// as far as the last report and the router's own sends tell.
-func (v *View) knownLoad() float64 {
+// loadPerSlot returns the number of requests per slot according to the last report and the
+// router's own requests.
+func (v *View) loadPerSlot() float64 {
 	n := v.Load.TotalQueued() + v.Load.TotalRunning() + v.SinceReport
 	return float64(max(n, v.Inflight)) / float64(max(v.Load.Slots, 1))
 }
--- a/internal/balance/loadaware.go
+++ b/internal/balance/loadaware.go
@@ -6,61 +6,60 @@
 	"time"
 )
 
-// Defaults of LoadAware.
+// Default values of LoadAware fields.
 const (
 	defaultDraws        = 5
 	defaultHalfLife     = 2 * time.Second
 	defaultPrefixSaving = 150 * time.Millisecond
-	// firstTokenPart is the part of a request's time in its slot that passes
-	// before its first token, and by which a busy batch slows its members.
-	firstTokenPart = 0.1
-	// slowRatio is how many times the mean an endpoint's time in a slot must be
-	// to count: below it the difference is mostly chance, since answers have
-	// long-tailed lengths, and following it herds requests.
+	// firstTokenFraction is the fraction of a request's service time that passes before its first
+	// token, and by which each request in a batch slows the others.
+	firstTokenFraction = 0.1
+	// slowRatio is the ratio to the mean above which an endpoint's service time is taken into
+	// account. Below it the difference is mostly chance, since response lengths have a long tail,
+	// and following it causes herding.
 	slowRatio = 1.5
-	// unknownService stands in until any endpoint reported its drain rate.
-	unknownService = time.Second
+	// defaultServiceTime is assumed until an endpoint reports its drain rate.
+	defaultServiceTime = time.Second
 )
 
-// LoadAware draws a few endpoints and takes the one with the least expected
-// time to the first token. The expectation comes from the last report, which
-// counts for less as it ages, and this router's own sends since; only what is
-// queued at the request's own tier and above counts as ahead of it. The
-// endpoint that caches the request's prefix is preferred until waiting there
-// costs more than the cache saves.
+// LoadAware samples a few endpoints and chooses the one with the lowest expected time to first
+// token. The estimate is based on the last load report, whose weight decays with age, and the
+// router's own requests since; only requests queued at the request's own tier and above count as
+// ahead of it. The preferred endpoint of the request's prefix is chosen unless waiting there
+// costs more than the cached prefix saves.
 type LoadAware struct {
-	// Draws is how many endpoints are compared.
+	// Draws is the number of endpoints that are sampled.
 	Draws int
-	// HalfLife is the age at which a report counts half, the other half being
-	// the mean of the endpoints.
+	// HalfLife is the age at which a report has half the weight; the mean of all endpoints has
+	// the rest.
 	HalfLife time.Duration
-	// PrefixSaving is the time that a cached prefix saves; negative turns
-	// prefix locality off.
+	// PrefixSaving is the time that a cached prefix saves; a negative value disables prefix
+	// affinity.
 	PrefixSaving time.Duration
 }
 
 // Name returns "load-aware".
 func (LoadAware) Name() string { return "load-aware" }
 
-// Choose returns the view with the least expected time to the first token.
+// Choose returns the view with the lowest expected time to first token.
 func (l LoadAware) Choose(now time.Time, req Request, views []View, rnd *rand.Rand) (int, bool) {
 	l = l.withDefaults()
-	e := l.estimate(now, req, views)
+	e := l.newEstimator(now, req, views)
 	best, ok := draw(views, rnd)
 	if !ok {
 		return 0, false
 	}
 	cost := e.cost(&views[best])
 	for range l.Draws - 1 {
-		i := drawApart(views, best, rnd)
+		i := drawOtherDomain(views, best, rnd)
 		c := e.cost(&views[i])
 		if c < cost {
 			best, cost = i, c
 		}
 	}
-	home, ok := prefixHome(req.Prefix, views)
-	if ok && e.cost(&views[home]) <= cost+l.PrefixSaving.Seconds() {
-		return home, true
+	preferred, ok := preferredForPrefix(req.Prefix, views)
+	if ok && e.cost(&views[preferred]) <= cost+l.PrefixSaving.Seconds() {
+		return preferred, true
 	}
 	return best, true
 }
@@ -78,9 +77,9 @@
 	return l
 }
 
-// drawApart draws a view, once more if the first is in the failure domain of
-// the view at other, so that one slow domain doesn't fill all draws.
-func drawApart(views []View, other int, rnd *rand.Rand) int {
+// drawOtherDomain samples a view, and once more if the first one is in the failure domain of the
+// view at index other, so that a single slow failure domain doesn't fill the sample.
+func drawOtherDomain(views []View, other int, rnd *rand.Rand) int {
 	i, _ := draw(views, rnd)
 	if views[i].FailureDomain == views[other].FailureDomain {
 		i, _ = draw(views, rnd)
@@ -88,24 +87,24 @@
 	return i
 }
 
-// estimator holds what the costs of all views of one choice share.
+// estimator holds the values that all cost estimates of one choice share.
 type estimator struct {
-	now      time.Time
-	tier     int
-	halfLife time.Duration
-	busy     float64 // mean requests ahead for each slot
-	service  float64 // harmonic mean of the seconds in a slot, which few slow ones hardly move
+	now              time.Time
+	tier             int
+	halfLife         time.Duration
+	meanAheadPerSlot float64 // requests ahead per slot, mean of all endpoints
+	meanServiceTime  float64 // harmonic mean in seconds, which a few slow endpoints hardly affect
 }
 
-func (l LoadAware) estimate(now time.Time, req Request, views []View) estimator {
-	e := estimator{now: now, tier: req.Tier, halfLife: l.HalfLife, service: unknownService.Seconds()}
+func (l LoadAware) newEstimator(now time.Time, req Request, views []View) estimator {
+	e := estimator{now: now, tier: req.Tier, halfLife: l.HalfLife, meanServiceTime: defaultServiceTime.Seconds()}
 	reported, measured := 0, 0
 	var busy, rate float64
 	for i := range views {
 		v := &views[i]
 		if !v.ReportedAt.IsZero() {
 			reported++
-			busy += v.ahead(req.Tier) / v.slots()
+			busy += v.requestsAhead(req.Tier) / v.slots()
 		}
 		if v.Service > 0 {
 			measured++
@@ -113,30 +112,30 @@
 		}
 	}
 	if reported > 0 {
-		e.busy = busy / float64(reported)
+		e.meanAheadPerSlot = busy / float64(reported)
 	}
 	if measured > 0 {
-		e.service = float64(measured) / rate
+		e.meanServiceTime = float64(measured) / rate
 	}
 	return e
 }
 
-// cost is the expected time to the first token at the view, in seconds.
+// cost returns the expected time to first token at the view, in seconds.
 func (e *estimator) cost(v *View) float64 {
 	slots := v.slots()
-	trust := e.trust(v)
-	ahead := trust*v.ahead(e.tier) + (1-trust)*e.busy*slots + float64(v.SinceReport)
-	ahead = max(ahead, float64(v.Inflight)*trust)
+	weight := e.reportWeight(v)
+	ahead := weight*v.requestsAhead(e.tier) + (1-weight)*e.meanAheadPerSlot*slots + float64(v.SinceReport)
+	ahead = max(ahead, float64(v.Inflight)*weight)
 	waiting := max(0, ahead+1-slots)
-	service := e.service
-	if v.Service.Seconds() > slowRatio*service {
-		service = v.Service.Seconds()
+	serviceTime := e.meanServiceTime
+	if v.Service.Seconds() > slowRatio*serviceTime {
+		serviceTime = v.Service.Seconds()
 	}
-	return service * (waiting + firstTokenPart*(ahead+1)) / slots
+	return serviceTime * (waiting + firstTokenFraction*(ahead+1)) / slots
 }
 
-// trust is 1 for a report of this moment, and halves with every half-life.
-func (e *estimator) trust(v *View) float64 {
+// reportWeight returns 1 for a new report and halves with every half-life.
+func (e *estimator) reportWeight(v *View) float64 {
 	if v.ReportedAt.IsZero() {
 		return 0
 	}
@@ -144,9 +143,9 @@
 	return math.Exp2(-age.Seconds() / e.halfLife.Seconds())
 }
 
-// ahead counts the requests that a new one of the tier finds before it: all
-// that run, and those that wait at its own tier and above.
-func (v *View) ahead(tier int) float64 {
+// requestsAhead counts the requests that a new one of the tier waits for or shares the batch
+// with: all running ones, and those queued at its own tier and above.
+func (v *View) requestsAhead(tier int) float64 {
 	return float64(v.Load.TotalRunning() + v.Load.QueuedAhead(tier))
 }
 
--- a/internal/balance/loadaware_test.go
+++ b/internal/balance/loadaware_test.go
@@ -60,7 +60,7 @@
 	req := Request{}
 	for home := -1; home != 0; { // a prefix whose home is the busier endpoint
 		req.Prefix++
-		home, _ = prefixHome(req.Prefix, views)
+		home, _ = preferredForPrefix(req.Prefix, views)
 	}
 	g.Expect(share(LoadAware{}, epoch, req, views...)).To(gomega.Equal(1.0))
 	g.Expect(share(LoadAware{PrefixSaving: -1}, epoch, req, views...)).To(gomega.BeNumerically("<", 0.1))
@@ -85,7 +85,7 @@
 	rnd := rand.New(rand.NewPCG(3, 4))
 	apart := 0
 	for range 3000 {
-		if drawApart(views, 0, rnd) == 2 {
+		if drawOtherDomain(views, 0, rnd) == 2 {
 			apart++
 		}
 	}
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -11,37 +11,35 @@
 	"coveferry/internal/load"
 )
 
-// Pool is what one router knows of the endpoints it uses. It is safe for
-// concurrent use.
+// Pool holds a router's state of the endpoints it uses. It is safe for concurrent use.
 type Pool struct {
 	cfg    Config
 	shards [shardCount]shard
-	// choices numbers the choices; each draws from its own random stream.
-	choices atomic.Uint64
-	scratch sync.Pool
-	// byGroup has what is known of the engines of each group, by its name.
-	byGroup sync.Map
-	// detectAt is when the peers are compared next, in Unix nanoseconds.
+	// choiceCount numbers the choices; each has its own random sequence.
+	choiceCount atomic.Uint64
+	scratch     sync.Pool
+	// speedsByGroup maps the name of a peer group to its *engineSpeeds.
+	speedsByGroup sync.Map
+	// nextDetectAt is when outlier detection runs next, in Unix nanoseconds.
 	detectAt  atomic.Int64
 	detecting sync.Mutex
 	limits    limits
 	domains   domainWatch
 }
 
-// scratch is the memory that one call of Choose works in.
+// scratch holds the reusable buffers of one call of Choose.
 type scratch struct {
-	views []View
-	from  []int // place in the candidates of each view
-	// leaving are the views of those that take no new work but serve on, and
-	// leavingFrom their places.
-	leaving     []View
-	leavingFrom []int
-	pcg         rand.PCG
-	rnd         *rand.Rand
+	views            []View
+	candidateIndexes []int // index in the candidates, by view
+	// leaving are the views of endpoints that accept no new requests but still serve running ones
+	// and their caches, and leavingIndexes their indexes in the candidates.
+	leaving        []View
+	leavingIndexes []int
+	pcg            rand.PCG
+	rnd            *rand.Rand
 }
 
-// NewPool returns a pool that knows no endpoint yet; endpoints are added as
-// they are asked about.
+// NewPool returns an empty pool. Endpoints are added when they are first used.
 func NewPool(cfg Config) *Pool {
 	p := &Pool{cfg: cfg.withDefaults()}
 	for i := range p.shards {
@@ -55,9 +53,9 @@
 	return p
 }
 
-// Choose picks the endpoint for a request among the candidates, leaving out
-// those for which skip (which may be nil) is true and those that are leaving.
-// The error is a *NoEndpointError, which matches ErrNoEndpoint.
+// Choose selects the endpoint for a request among the candidates, except those that are leaving
+// or for which skip (which may be nil) returns true. The error is a *NoEndpointError, which
+// matches ErrNoEndpoint.
 func (p *Pool) Choose(now time.Time, req Request, candidates []*bundle.Endpoint, skip func(endpoint string) bool) (*bundle.Endpoint, error) {
 	s := p.scratch.Get().(*scratch)
 	defer p.scratch.Put(s)
@@ -65,56 +63,55 @@
 	if err != nil {
 		return nil, err
 	}
-	return candidates[s.from[i]], nil
+	return candidates[s.candidateIndexes[i]], nil
 }
 
-// Choice is an endpoint with what the policy expects there.
+// Choice is the selected endpoint and what the policy expects there.
 type Choice struct {
 	Endpoint *bundle.Endpoint
-	// Wait is how long the request will probably wait for its first token; 0
-	// if the policy can't tell.
+	// Wait is the expected time to first token; 0 if the policy can't estimate it.
 	Wait time.Duration
-	// Read is the part of Wait in which its own prompt is read.
+	// PrefillTime is the part of Wait for the prefill of the request's own prompt.
 	Read time.Duration
-	// Source probably has cached parts of the prompt that the endpoint lacks;
-	// nil if there is none.
+	// FetchFrom probably has cached parts of the prompt that the endpoint lacks; nil if there is
+	// none.
 	Source *bundle.Endpoint
-	// Tight says that the request's stream would be late beside long prompts.
+	// TightGap is set if the stream would exceed its gap limit beside long prompts.
 	Tight bool
-	// Kept is how many endpoints are kept for such requests.
+	// TightGapEndpoints is the number of endpoints reserved for such streams.
 	Kept int
-	// Copy is where to copy the run's memory to as it grows, so that another
-	// endpoint can go on after a crash; nil if that isn't worth its price.
+	// CopyTo is the endpoint to which the stream's KV cache is copied as it grows, so that the
+	// stream can resume there after a crash; nil if that isn't worth its cost.
 	Copy *bundle.Endpoint
 }
 
-// Expecter is a Policy that can say more of its choice than the endpoint.
+// Expecter is a Policy that can estimate more about its choice.
 type Expecter interface {
-	// Expect is what the policy expects of the chosen view. leaving are the views of
-	// endpoints that take no new work, whose caches are still there.
+	// Expect returns the estimates for the chosen view. leaving are the views of endpoints that
+	// accept no new requests but still serve their caches.
 	Expect(req Request, views, leaving []View, chosen int) Expectation
 }
 
-// Expectation is what a policy expects of a choice. Places are those in the views, those
-// of leaving endpoints counting on behind the others; -1 is none.
+// Expectation holds a policy's estimates for a choice. Indexes are those of the views, followed
+// by those of leaving endpoints; -1 means none.
 type Expectation struct {
-	// Wait, Read, Tight and Kept are as in Choice.
+	// Wait, PrefillTime, TightGap and TightGapEndpoints are as in Choice.
 	Wait, Read time.Duration
 	Tight      bool
 	Kept       int
-	// Source is the place of the endpoint from which to fetch what the chosen one lacks,
-	// and Copy that of the one to which to copy the run's memory.
+	// FetchFrom is the index of the endpoint to fetch missing cached parts from, and CopyTo that
+	// of the one to which the KV cache is copied.
 	Source, Copy int
 }
 
-// Learner is a Policy that learns from answers.
+// StreamObserver is a Policy that learns from finished streams.
 type Learner interface {
-	// Ended notes that a stream of a service that may pause for gap has ended, after it
-	// had its endpoint for so long, and whether it began or paused too late.
+	// StreamEnded records the end of a stream of a service with the given maximum gap, the time
+	// for which it held its slot, and whether it exceeded its objective or maximum gap.
 	Ended(now time.Time, service string, gap, held time.Duration, late bool)
 }
 
-// ChooseExpecting is Choose that also tells what is expected of the choice.
+// ChooseExpecting is Choose that also returns the policy's estimates.
 func (p *Pool) ChooseExpecting(now time.Time, req Request, candidates []*bundle.Endpoint, skip func(endpoint string) bool) (Choice, error) {
 	s := p.scratch.Get().(*scratch)
 	defer p.scratch.Put(s)
@@ -122,119 +119,120 @@
 	if err != nil {
 		return Choice{}, err
 	}
-	choice := Choice{Endpoint: candidates[s.from[i]]}
+	choice := Choice{Endpoint: candidates[s.candidateIndexes[i]]}
 	e, ok := p.cfg.Policy.(Expecter)
 	if !ok {
 		return choice, nil
 	}
-	expect := e.Expect(req, s.views, s.leaving, i)
-	choice.Wait, choice.Read, choice.Tight, choice.Kept = expect.Wait, expect.Read, expect.Tight, expect.Kept
-	if expect.Source >= 0 {
-		choice.Source = candidates[append(s.from, s.leavingFrom...)[expect.Source]]
+	expected := e.Expect(req, s.views, s.leaving, i)
+	choice.Wait, choice.Read, choice.Tight, choice.Kept = expected.Wait, expected.Read, expected.Tight, expected.Kept
+	if expected.Source >= 0 {
+		choice.Source = candidates[append(s.candidateIndexes, s.leavingIndexes...)[expected.Source]]
 	}
-	if expect.Copy >= 0 {
-		choice.Copy = candidates[s.from[expect.Copy]]
+	if expected.Copy >= 0 {
+		choice.Copy = candidates[s.candidateIndexes[expected.Copy]]
 	}
 	return choice, nil
 }
 
-// choose returns the place of the chosen view in the scratch.
+// choose returns the index of the chosen view in the scratch.
 func (p *Pool) choose(s *scratch, now time.Time, req Request, candidates []*bundle.Endpoint, skip func(string) bool) (int, error) {
-	s.pcg.Seed(p.cfg.Seed, p.choices.Add(1))
-	left := p.collect(s, now, req, candidates, skip)
-	if left.bounded > 0 && 2*left.unsure > len(candidates) {
-		// It is this router that is cut off, or was: it must find out at once when it no
-		// longer is.
+	s.pcg.Seed(p.cfg.Seed, p.choiceCount.Add(1))
+	excluded := p.collect(s, now, req, candidates, skip)
+	if excluded.rateLimited > 0 && 2*excluded.suspect > len(candidates) {
+		// This router itself is or was disconnected. Suspect endpoints stay candidates, so that
+		// it notices at once when the network is back.
 		req.mostUnsure = true
-		left = p.collect(s, now, req, candidates, skip)
+		excluded = p.collect(s, now, req, candidates, skip)
 	}
-	reviveIfAllShed(s.views)
+	restoreIfAllEjected(s.views)
 	for {
 		i, ok := p.cfg.Policy.Choose(now, req, s.views, s.rnd)
 		if !ok {
-			if left.bounded > 0 {
+			if excluded.rateLimited > 0 {
 				p.refuse(now, candidates, req)
 			}
 			return 0, &NoEndpointError{
-				Candidates: len(candidates), Skipped: left.skipped, Leaving: left.leaving,
-				Bounded: left.bounded, FreeIn: left.freeIn,
+				Candidates: len(candidates), Skipped: excluded.skipped, Leaving: excluded.leaving,
+				Bounded: excluded.rateLimited, FreeIn: excluded.freeIn,
 			}
 		}
-		if !s.views[i].Bounded || p.Take(now, candidates[s.from[i]], req) {
+		if !s.views[i].Bounded || p.Take(now, candidates[s.candidateIndexes[i]], req) {
 			return i, nil
 		}
-		// Another request has been sent there meanwhile.
-		left.bound(p.turnAway(now, candidates[s.from[i]], req))
+		// A concurrent request used up the rate limit.
+		excluded.addRateLimited(p.turnAway(now, candidates[s.candidateIndexes[i]], req))
 		s.views = slices.Delete(s.views, i, i+1)
-		s.from = slices.Delete(s.from, i, i+1)
+		s.candidateIndexes = slices.Delete(s.candidateIndexes, i, i+1)
 	}
 }
 
-// leftOut counts the candidates that aren't among the views.
-type leftOut struct {
+// exclusions counts the candidates that aren't among the views.
+type exclusions struct {
 	skipped, leaving int
-	// bounded are those that take no further request now, one of them in freeIn.
-	bounded int
-	freeIn  time.Duration
-	// unsure are the candidates to which connections fail, bounded or not.
-	unsure int
+	// rateLimited counts the endpoints at their rate limit. The first of them admits a request in
+	// freeIn.
+	rateLimited int
+	freeIn      time.Duration
+	// suspect counts all candidates to which connections fail, rate-limited or not.
+	suspect int
 }
 
-// bound counts an endpoint that takes the next request in a while.
-func (l *leftOut) bound(freeIn time.Duration) {
-	if l.bounded == 0 || freeIn < l.freeIn {
+// addRateLimited counts an endpoint that admits its next request in freeIn.
+func (l *exclusions) addRateLimited(freeIn time.Duration) {
+	if l.rateLimited == 0 || freeIn < l.freeIn {
 		l.freeIn = freeIn
 	}
-	l.bounded++
+	l.rateLimited++
 }
 
 // collect fills the scratch with the views of the usable candidates.
-func (p *Pool) collect(s *scratch, now time.Time, req Request, candidates []*bundle.Endpoint, skip func(string) bool) (left leftOut) {
+func (p *Pool) collect(s *scratch, now time.Time, req Request, candidates []*bundle.Endpoint, skip func(string) bool) (excluded exclusions) {
 	s.views = s.views[:0]
-	s.from = s.from[:0]
+	s.candidateIndexes = s.candidateIndexes[:0]
 	s.leaving = s.leaving[:0]
-	s.leavingFrom = s.leavingFrom[:0]
+	s.leavingIndexes = s.leavingIndexes[:0]
 	for i, c := range candidates {
 		if skip != nil && skip(c.Name) {
-			left.skipped++
+			excluded.skipped++
 			continue
 		}
 		s.views = append(s.views, View{})
 		v := &s.views[len(s.views)-1]
-		may := p.view(now, c, v, req)
+		avail := p.view(now, c, v, req)
 		if v.Unsure {
-			left.unsure++
+			excluded.suspect++
 		}
-		switch may {
+		switch avail {
 		case takesWork:
-			s.from = append(s.from, i)
+			s.candidateIndexes = append(s.candidateIndexes, i)
 			continue
-		case takesNoMore:
-			left.bound(p.turnAway(now, c, req))
-		case leavesWork:
+		case atRateLimit:
+			excluded.addRateLimited(p.turnAway(now, c, req))
+		case draining:
 			s.leaving = append(s.leaving, *v)
-			s.leavingFrom = append(s.leavingFrom, i)
-			left.leaving++
+			s.leavingIndexes = append(s.leavingIndexes, i)
+			excluded.leaving++
 		}
 		s.views = s.views[:len(s.views)-1]
 	}
-	return left
+	return excluded
 }
 
-// standing is whether an endpoint may be sent a request.
-type standing uint8
+// availability says whether an endpoint may be sent a request.
+type availability uint8
 
 const (
-	takesWork standing = iota
-	// leavesWork: it takes no new work.
-	leavesWork
-	// takesNoMore: it takes so many requests a second, and this router has sent its part.
-	takesNoMore
+	takesWork availability = iota
+	// draining: it accepts no new requests.
+	draining
+	// atRateLimit: the endpoint has a rate limit, and this router has used up its share.
+	atRateLimit
 )
 
-// reviveIfAllShed gives the shed endpoints their weight back where there is no
-// other: a slow answer is better than none.
-func reviveIfAllShed(views []View) {
+// restoreIfAllEjected restores the weight of ejected endpoints if there are no others: a slow
+// response is better than none.
+func restoreIfAllEjected(views []View) {
 	for i := range views {
 		if views[i].Weight > 0 {
 			return
@@ -245,8 +243,8 @@
 	}
 }
 
-// view fills v and says whether the endpoint may be sent the request.
-func (p *Pool) view(now time.Time, c *bundle.Endpoint, v *View, req Request) standing {
+// fillView fills v and returns whether the endpoint may be sent the request.
+func (p *Pool) view(now time.Time, c *bundle.Endpoint, v *View, req Request) availability {
 	sh := p.shard(c.Name)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -255,12 +253,12 @@
 		st.group, st.domain = peerGroup(c), c.FailureDomain
 	}
 	if st.engines == nil {
-		st.engines = p.enginesOf(st.group)
+		st.engines = p.speedsOf(st.group)
 	}
-	st.view(c, v)
-	speed := st.engines.of(st.token)
-	v.Token, v.PerToken, v.First = speed.Token, speed.PerToken, speed.First
-	v.Cached = st.recent.cached(now, req.Prompt)
+	st.fillView(c, v)
+	speed := st.engines.estimate(st.outputToken)
+	v.Token, v.PerToken, v.First = speed.SecondsPerOutputToken, speed.SecondsPerPromptToken, speed.PrefillOverhead
+	v.Cached = st.cachedParts.cached(now, req.Prompt)
 	v.Full = st.full(now)
 	v.Weight = st.health.weight(now, p.cfg.Outlier)
 	if st.bound.suspect || now.Before(st.avoidUntil) {
@@ -271,20 +269,20 @@
 	v.Unsure = st.bound.suspect
 	switch {
 	case st.leaving:
-		return leavesWork
+		return draining
 	case !p.ready(now, st, c, req):
-		return takesNoMore
+		return atRateLimit
 	}
 	return takesWork
 }
 
-func (p *Pool) enginesOf(group string) *engineSpeeds {
-	known, _ := p.byGroup.LoadOrStore(group, &engineSpeeds{})
-	return known.(*engineSpeeds)
+func (p *Pool) speedsOf(group string) *engineSpeeds {
+	speeds, _ := p.speedsByGroup.LoadOrStore(group, &engineSpeeds{})
+	return speeds.(*engineSpeeds)
 }
 
-// Views returns what the pool knows of the candidates, in their order and with
-// the leaving ones included, for status pages.
+// Views returns the state of the candidates for status pages, in their order and including
+// leaving ones.
 func (p *Pool) Views(now time.Time, candidates []*bundle.Endpoint) []View {
 	views := make([]View, len(candidates))
 	for i, c := range candidates {
@@ -293,40 +291,39 @@
 	return views
 }
 
-// Sent notes that a request was sent to an endpoint; each call is followed by
-// one of Done.
+// Sent records that a request was sent to an endpoint. Each call must be followed by one of Done.
 func (p *Pool) Sent(now time.Time, endpoint string) {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	sh.state(endpoint).sent(now)
+	sh.state(endpoint).recordSent(now)
 }
 
-// Report takes in the load report of an endpoint. One with an older Seq than
-// the last is ignored.
+// Report records a load report of an endpoint. A report with an older Seq than the last one is
+// ignored.
 func (p *Pool) Report(now time.Time, endpoint string, r load.Report) {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
-	sh.state(endpoint).report(now, r, p.cfg.SeqHold)
+	sh.state(endpoint).recordReport(now, r, p.cfg.SeqHold)
 	sh.mu.Unlock()
 	p.detect(now, false)
 }
 
-// Done notes how a request that was sent ended. firstToken is the time from
-// sending to the first token, 0 if there was none.
+// Done records the outcome of a request. firstToken is the time from sending to the first token,
+// 0 if there was none.
 func (p *Pool) Done(now time.Time, endpoint string, res Result, firstToken time.Duration) {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
 	st := sh.state(endpoint)
-	st.done(now, res, firstToken, p.cfg.FirstTokenShare)
+	st.recordDone(now, res, firstToken, p.cfg.FirstTokenShare)
 	failing := res == ResultFailed && st.health.failures > p.cfg.Outlier.FailureShare
 	sh.mu.Unlock()
 	p.detect(now, failing)
 }
 
-// SetLeaving notes what membership says of an endpoint. A leaving endpoint is
-// chosen no more, whatever older reports say, until membership says that it
-// has returned (false) or Forget is called.
+// SetLeaving records whether membership lists an endpoint as leaving. A leaving endpoint isn't
+// chosen, whatever older reports say, until membership lists it as returned (false) or Forget is
+// called.
 func (p *Pool) SetLeaving(endpoint string, leaving bool) {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
@@ -334,7 +331,7 @@
 	sh.state(endpoint).leaving = leaving
 }
 
-// InUse says whether an endpoint may be sent new work and nothing speaks against it.
+// Usable reports whether an endpoint may be sent new requests and is neither suspect nor avoided.
 func (p *Pool) InUse(now time.Time, endpoint string) bool {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
@@ -343,7 +340,7 @@
 	return known && !st.leaving && !st.bound.suspect && !now.Before(st.avoidUntil)
 }
 
-// Open is how many requests of this router an endpoint has.
+// Inflight returns the number of this router's requests at an endpoint.
 func (p *Pool) Open(endpoint string) int {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
@@ -354,7 +351,7 @@
 	return 0
 }
 
-// TakesWork says whether an endpoint may be sent new work at all, as far as is known.
+// AcceptsWork reports whether an endpoint is known and not leaving.
 func (p *Pool) TakesWork(endpoint string) bool {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
@@ -363,9 +360,9 @@
 	return known && !st.leaving
 }
 
-// Restart notes that another process is at an endpoint from now on. It inherits nothing:
-// no cached parts, no running requests, no load, no failures. What other routers saw of
-// the one before may still be told for a while and isn't taken for this one's.
+// Restart records that the process of an endpoint was replaced by another one. The new process
+// inherits no cached parts, running requests, load or failures. Peer reports about the old
+// process may still arrive for a while and are ignored.
 func (p *Pool) Restart(now time.Time, endpoint string) {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
@@ -373,7 +370,7 @@
 	sh.states[endpoint] = &state{restartedAt: now}
 }
 
-// Forget drops what is known of an endpoint, for one that is gone.
+// Forget drops the state of an endpoint that is gone.
 func (p *Pool) Forget(endpoint string) {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
--- a/internal/balance/poweroftwo.go
+++ b/internal/balance/poweroftwo.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// PowerOfTwo draws two endpoints and takes the one that is less loaded as the
-// last report and this router's own sends tell.
+// PowerOfTwo samples two endpoints and chooses the less loaded one according to the last report
+// and the router's own requests since.
 type PowerOfTwo struct{}
 
 // Name returns "power-of-two".
 func (PowerOfTwo) Name() string { return "power-of-two" }
 
-// Choose draws two views by weight and returns the less loaded one.
+// Choose samples two views by weight and returns the less loaded one.
 func (PowerOfTwo) Choose(_ time.Time, _ Request, views []View, rnd *rand.Rand) (int, bool) {
 	a, ok := draw(views, rnd)
 	if !ok {
 		return 0, false
 	}
 	b, _ := draw(views, rnd)
-	if views[b].knownLoad() < views[a].knownLoad() {
+	if views[b].loadPerSlot() < views[a].loadPerSlot() {
 		return b, true
 	}
 	return a, true
--- a/internal/balance/prefix.go
+++ b/internal/balance/prefix.go
@@ -1,28 +1,27 @@
 package balance
 
-// prefixHome finds the endpoint that all routers prefer for a prefix: the one
-// with the highest rendezvous hash of prefix and endpoint. It returns false
-// for a request without a prefix.
-func prefixHome(prefix uint64, views []View) (int, bool) {
+// preferredForPrefix returns the endpoint that all routers prefer for a prefix: the one with the
+// highest rendezvous hash of prefix and endpoint. It returns false for a request without a
+// prefix.
+func preferredForPrefix(prefix uint64, views []View) (int, bool) {
 	if prefix == 0 {
 		return 0, false
 	}
-	home, found := 0, false
+	preferred, found := 0, false
 	var best uint64
 	for i := range views {
 		if views[i].Weight < 1 {
-			continue // its cache is cold, or it is shed
+			continue // cold cache, or ejected
 		}
-		rank := rendezvous(prefix, views[i].Endpoint)
-		if !found || rank > best {
-			home, best, found = i, rank, true
+		hash := rendezvous(prefix, views[i].Endpoint)
+		if !found || hash > best {
+			preferred, best, found = i, hash, true
 		}
 	}
-	return home, found
+	return preferred, found
 }
 
-// mix is the finalizer of SplitMix64: every bit of x moves every bit of the
-// result.
+// mix is the finalizer of SplitMix64: every bit of x affects every bit of the result.
 func mix(x uint64) uint64 {
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
--- a/internal/balance/prompts.go
+++ b/internal/balance/prompts.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// spillShare is the part of the slots from which endpoints kept for tight streams
-// count as full, so that the next one in the order takes some as well. At .85 some
-// were filled beyond their slots before routers knew, and had put back what ran.
-const spillShare = 0.7
-
-// PromptAware chooses by what a prompt costs those that run beside it. Prompts
-// are read in chunks between the tokens of all running streams, so that a long
-// one makes each of them pause. It therefore keeps some endpoints for streams
-// whose gaps are tight, as many as their part of the demand asks for and the
-// same ones at all routers, and brings prompts that share parts together.
+// spillThreshold is the slot utilization from which the endpoints reserved for tight-gap streams
+// count as full, so that the next endpoint in the order receives some as well. At .85 some
+// endpoints were filled beyond their slots before routers noticed, and preempted running
+// requests.
+const spillThreshold = 0.7
+
+// PromptAware chooses by what a prompt costs concurrent streams. Prompts are prefilled in chunks
+// between the output tokens of all running streams, so that a long prompt makes each of them
+// pause. PromptAware therefore reserves some endpoints for streams with a tight gap limit, in
+// proportion to their demand and the same ones at all routers, and sends prompts that share parts
+// to the same endpoint.
 type PromptAware struct{ demand *demand }
 
-// NewPromptAware returns a policy that has seen no demand yet.
+// NewPromptAware returns a policy without recorded demand.
 func NewPromptAware() PromptAware { return PromptAware{demand: &demand{}} }
 
-// Demand is what this router's requests ask for.
+// Demand returns the demand that this router sees.
 func (p PromptAware) Demand(now time.Time) Demand { return p.demand.own(now) }
 
-// HearOthers has the demand that other routers see counted as well. It must be
-// called before the policy is used.
+// SetPeerDemand sets the source of the demand that other routers see. It must be called before
+// the policy is used.
 func (p PromptAware) HearOthers(others func() Others) { p.demand.others = others }
 
 // Name implements Policy.
@@ -41,20 +42,20 @@
 		return 0, false
 	}
 	if req.Prompt.Tokens == 0 {
-		return leastBusy(views, usable, rnd), true
+		return leastLoadedOf(views, usable, rnd), true
 	}
-	full, aside := divideAside(views, usable)
-	apart := p.demand.separate(now, req.Service, fleetOf(req, views, full))
-	tight := apart.tightFor(req.MaxGap)
+	regular, reduced := splitReducedCapacity(views, usable)
+	separated := p.demand.separate(now, req.Service, summarizeFleet(req, views, regular))
+	tightGap := separated.tightFor(req.MaxGap)
 	share := p.demand.share()
-	group := groupFor(now, tight, apart, share, views, full)
-	home := homeOf(req, views, group)
-	seen := looks(len(group), share)
-	countOthers(views, share, float64(seen)/float64(len(group)))
-	chosen := cheapest(req, views, group, home, seen, tight, rnd)
-	chosen = orAside(req, views, aside, chosen, home, tight)
-	read := req.Prompt.Own() + reread(req, &views[chosen], chosen == home && !p.demand.cold())
-	p.demand.add(now, req.kind(), req.Tier, seconds(views[chosen].First+views[chosen].PerToken*float64(read)))
+	group := groupFor(now, tightGap, separated, share, views, regular)
+	preferred := preferredEndpoint(req, views, group)
+	sampled := looks(len(group), share)
+	countOthers(views, share, float64(sampled)/float64(len(group)))
+	chosen := lowestCostEndpoint(req, views, group, preferred, sampled, tightGap, rnd)
+	chosen = cheaperReducedCapacity(req, views, reduced, chosen, preferred, tightGap)
+	prefillTokens := req.Prompt.Own() + recomputedTokens(req, &views[chosen], chosen == preferred && !p.demand.cold())
+	p.demand.add(now, req.kind(), req.Tier, seconds(views[chosen].First+views[chosen].PerToken*float64(prefillTokens)))
 	return chosen, true
 }
 
@@ -63,8 +64,8 @@
 	p.demand.ended(now, kindKey{service, gap.Milliseconds()}, held, late)
 }
 
-// fleetOf is what the usable endpoints have in common.
-func fleetOf(req Request, views []View, usable []int) fleet {
+// summarizeFleet returns the averages of the usable endpoints.
+func summarizeFleet(req Request, views []View, usable []int) fleet {
 	f := fleet{endpoints: len(usable)}
 	token := 0.0
 	for _, i := range usable {
@@ -75,51 +76,53 @@
 	return f
 }
 
-// groupFor is the part of the endpoints that a kind uses. share is this router's part
-// of all requests.
-func groupFor(now time.Time, tight bool, apart separation, share float64, views []View, usable []int) []int {
-	ranked := rankForTight(views, usable)
-	group := apart.groupOf(tight, ranked)
+// endpointsFor returns the endpoints that a kind of request uses. share is this router's share of
+// all requests.
+func groupFor(now time.Time, tight bool, separated separation, share float64, views []View, usable []int) []int {
+	ranked := rankForTightGap(views, usable)
+	group := separated.rankedGroup(tight, ranked)
 	if !tight {
 		return group
 	}
-	most := len(group)
-	for most < len(ranked) && full(now, views, ranked[:most], share) {
-		most++
+	size := len(group)
+	for size < len(ranked) && groupFull(now, views, ranked[:size], share) {
+		size++
 	}
-	return ranked[:most]
+	return ranked[:size]
 }
 
-// reportFor is how long a report tells of an endpoint's room: streams last a second
-// or two. What is no longer asked tells nothing more, and would stay full for ever.
-const reportFor = time.Second
+// reportFreshness is how long a report is evidence that an endpoint is full: streams last a
+// second or two. An endpoint that receives no requests sends no reports, and would otherwise
+// count as full for ever.
+const reportFreshness = time.Second
 
-// running is how many requests an endpoint has: as it said lately, or by this
-// router's own, which are the given share of all. The smaller counts where it told
-// more once, as a router's own few tell little of many.
-func (v *View) running(now time.Time, share float64) float64 {
+// currentRequests returns the number of requests at an endpoint according to a recent report, or
+// estimated from this router's own requests, which are the given share of all. After an old
+// report the smaller number counts, since the estimate from a router's few own requests is
+// unreliable.
+func (v *View) currentRequests(now time.Time, share float64) float64 {
 	byShare := float64(v.Inflight) / share
 	switch {
 	case v.ReportedAt.IsZero():
 		return byShare
-	case now.Sub(v.ReportedAt) > reportFor:
+	case now.Sub(v.ReportedAt) > reportFreshness:
 		return min(v.requests(), byShare)
 	}
 	return v.requests()
 }
 
-// full says whether a group has hardly any room.
-func full(now time.Time, views []View, group []int, share float64) bool {
+// groupFull reports whether the slot utilization of a group has reached spillThreshold.
+func groupFull(now time.Time, views []View, group []int, share float64) bool {
 	requests, slots := 0.0, 0.0
 	for _, i := range group {
 		v := &views[i]
-		requests += v.running(now, share)
+		requests += v.currentRequests(now, share)
 		slots += v.slots()
 	}
-	return requests >= spillShare*slots
+	return requests >= spillThreshold*slots
 }
 
-// usableViews are the endpoints that are healthy, or all if none is.
+// usableViews returns the indexes of the endpoints with a weight above 0.
 func usableViews(views []View) []int {
 	usable := make([]int, 0, len(views))
 	for i := range views {
@@ -130,43 +133,43 @@
 	return usable
 }
 
-// divideAside divides endpoints into those by which it is decided who is kept apart and where
-// homes are, and those that take little and take this request now. Where all take little
-// they are all there is.
-func divideAside(views []View, usable []int) (full, aside []int) {
+// splitReducedCapacity separates the endpoints by which endpoints are reserved and preferred
+// endpoints are assigned from those with reduced capacity that admit this request. If all have
+// reduced capacity they are used as regular ones.
+func splitReducedCapacity(views []View, usable []int) (regular, reduced []int) {
 	for _, i := range usable {
 		if views[i].Aside {
-			aside = append(aside, i)
+			reduced = append(reduced, i)
 		} else {
-			full = append(full, i)
+			regular = append(regular, i)
 		}
 	}
-	if len(full) == 0 {
-		return aside, nil
+	if len(regular) == 0 {
+		return reduced, nil
 	}
-	return full, aside
+	return regular, reduced
 }
 
-// orAside is the chosen endpoint, or one aside at which the request costs less. Nothing of a
-// prompt is at a cold one yet, so that it takes those that would wait elsewhere for longer
-// than reading takes.
-func orAside(req Request, views []View, aside []int, chosen, home int, tight bool) int {
-	best, bestCost := chosen, promptCost(req, &views[chosen], chosen == home, tight)
-	for _, i := range aside {
-		if cost := promptCost(req, &views[i], false, tight); cost < bestCost {
+// cheaperReducedCapacity returns the chosen endpoint, or one with reduced capacity at which the
+// request costs less. A cold endpoint has no part of a prompt cached, so that it receives
+// requests that would wait elsewhere for longer than their prefill takes.
+func cheaperReducedCapacity(req Request, views []View, reduced []int, chosen, preferred int, tightGap bool) int {
+	best, bestCost := chosen, promptCost(req, &views[chosen], chosen == preferred, tightGap)
+	for _, i := range reduced {
+		if cost := promptCost(req, &views[i], false, tightGap); cost < bestCost {
 			best, bestCost = i, cost
 		}
 	}
 	return best
 }
 
-// leastBusy is the endpoint with the least requests, a random one of several.
-func leastBusy(views []View, among []int, rnd *rand.Rand) int {
+// leastLoadedOf returns the least loaded endpoint. Ties go to the first one after a random start.
+func leastLoadedOf(views []View, among []int, rnd *rand.Rand) int {
 	start := rnd.IntN(len(among))
 	best := among[start]
 	for n := range among {
 		i := among[(start+n)%len(among)]
-		if views[i].knownLoad() < views[best].knownLoad() {
+		if views[i].loadPerSlot() < views[best].loadPerSlot() {
 			best = i
 		}
 	}
--- a/internal/balance/random.go
+++ b/internal/balance/random.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Random draws an endpoint in proportion to its weight.
+// Random chooses an endpoint with a probability in proportion to its weight.
 type Random struct{}
 
 // Name returns "random".
 func (Random) Name() string { return "random" }
 
-// Choose draws a view in proportion to the weights.
+// Choose samples a view in proportion to the weights.
 func (Random) Choose(_ time.Time, _ Request, views []View, rnd *rand.Rand) (int, bool) {
 	return draw(views, rnd)
 }
 
-// draw returns the place of a view drawn in proportion to the weights, false
-// if all are shed.
+// draw samples a view in proportion to the weights and returns its index, or false if all are
+// ejected.
 func draw(views []View, rnd *rand.Rand) (int, bool) {
 	total := 0.0
 	for i := range views {
--- a/internal/balance/rank.go
+++ b/internal/balance/rank.go
@@ -7,30 +7,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// rendezvous ranks an endpoint for a key, by highest random weight hashing.
+// rendezvous returns the rendezvous hash (highest random weight) of a key and an endpoint.
 func rendezvous(key uint64, endpoint string) uint64 {
 	return mix(key ^ xxhash.Sum64String(endpoint))
 }
 
-// tightKey orders the endpoints by which those for tight streams are taken; any
-// constant does, as long as all routers have the same.
-const tightKey = 0x7469676874
+// tightGapKey is the rendezvous key for the order in which endpoints are reserved for tight-gap
+// streams. Any constant works that is the same at all routers.
+const tightGapKey = 0x7469676874
 
-// rankForTight orders endpoints for tight streams: the same at all routers, and
-// spread over failure domains, so that the loss of one leaves the others.
-func rankForTight(views []View, usable []int) []int {
-	order := make([]place, len(usable))
+// rankForTightGap orders endpoints for tight-gap streams: the same at all routers, and
+// alternating between failure domains, so that the loss of one leaves the others.
+func rankForTightGap(views []View, usable []int) []int {
+	order := make([]rankedView, len(usable))
 	for n, i := range usable {
-		order[n] = place{view: i, rank: rendezvous(tightKey, views[i].Endpoint)}
+		order[n] = rankedView{view: i, hash: rendezvous(tightGapKey, views[i].Endpoint)}
 	}
-	slices.SortFunc(order, func(a, b place) int { return cmp.Compare(b.rank, a.rank) })
-	seen := make(map[string]int)
+	slices.SortFunc(order, func(a, b rankedView) int { return cmp.Compare(b.hash, a.hash) })
+	perDomain := make(map[string]int)
 	for n := range order {
 		domain := views[order[n].view].FailureDomain
-		order[n].turn = seen[domain]
-		seen[domain]++
+		order[n].domainOrder = perDomain[domain]
+		perDomain[domain]++
 	}
-	slices.SortStableFunc(order, func(a, b place) int { return cmp.Compare(a.turn, b.turn) })
+	slices.SortStableFunc(order, func(a, b rankedView) int { return cmp.Compare(a.domainOrder, b.domainOrder) })
 	ranked := make([]int, len(order))
 	for n := range order {
 		ranked[n] = order[n].view
@@ -38,10 +38,10 @@
 	return ranked
 }
 
-// place is a view's in the order for tight streams: by its turn among those of its
-// failure domain, and then by its rank.
-type place struct {
-	view int
-	rank uint64
-	turn int
+// rankedView is a view in that order: sorted by its position among those of its failure domain,
+// and then by its hash.
+type rankedView struct {
+	view        int
+	hash        uint64
+	domainOrder int
 }
--- a/internal/balance/roundrobin.go
+++ b/internal/balance/roundrobin.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// RoundRobin takes the usable endpoints in turn. It is the naive baseline.
+// RoundRobin cycles through the usable endpoints. It serves as a baseline.
 type RoundRobin struct{ turn atomic.Uint64 }
 
 // Name returns "round-robin".
 func (*RoundRobin) Name() string { return "round-robin" }
 
-// Choose returns the next view in turn that isn't shed.
+// Choose returns the next view that isn't ejected.
 func (r *RoundRobin) Choose(_ time.Time, _ Request, views []View, _ *rand.Rand) (int, bool) {
 	for range views {
 		i := int((r.turn.Add(1) - 1) % uint64(len(views)))
--- a/internal/balance/speed.go
+++ b/internal/balance/speed.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// quantile follows a quantile of times that vary over orders of magnitude: each
-// sample moves it up or down by a share of itself, in proportion to what should lie
-// above and below. It needs no memory of samples and shrugs off outliers.
+// quantile estimates a quantile of durations that vary over orders of magnitude. Each sample
+// moves the estimate up or down by a fraction of its value, weighted by the shares of samples
+// that should lie above and below. It stores no samples and is robust to outliers.
 type quantile struct {
 	value   float64
 	samples int
 }
 
-// quantileStep is the share by which a sample moves the estimate; the first ones move
-// it further, so that a bad first sample is soon forgotten.
+// quantileStep is the fraction by which a sample moves the estimate. The first samples move it
+// further, so that a bad first sample is soon corrected.
 const (
-	quantileStep  = 0.05
-	quantileFirst = 0.5
+	quantileStep        = 0.05
+	quantileInitialStep = 0.5
 )
 
-// add takes a sample of a quantile q from (0, 1).
+// add updates the estimate of the quantile q, from (0, 1), with a sample.
 func (m *quantile) add(sample, q float64) {
 	if sample <= 0 || math.IsNaN(sample) || math.IsInf(sample, 0) {
 		return
@@ -31,7 +31,7 @@
 		m.value = sample
 		return
 	}
-	step := max(quantileStep, quantileFirst/float64(m.samples))
+	step := max(quantileStep, quantileInitialStep/float64(m.samples))
 	if sample > m.value {
 		m.value *= 1 + step*q
 		return
@@ -40,111 +40,109 @@
 }
 
 const (
-	// tokenQuantile of the times between tokens is that of an engine that reads
-	// nothing meanwhile: most of them.
-	tokenQuantile = 0.4
-	// readQuantile of the times to the first token, by token read, is that of
-	// prompts which had the engine to themselves. It is low, so that an overload,
-	// in which all wait, isn't taken for slow reading.
-	readQuantile = 0.1
-	// leastRead is how many tokens a prompt must have for its time to the first
-	// token to tell of reading rather than of the way there.
-	leastRead = 1024
-	// leastSamples is how many samples an estimate needs to be used.
+	// outputTokenQuantile of the times between output tokens is that of a step without concurrent
+	// prefill, as most steps are.
+	outputTokenQuantile = 0.4
+	// prefillQuantile of the times to first token per prompt token is that of prompts which had
+	// the engine to themselves. It is low, so that queueing in an overload isn't mistaken for
+	// slow prefill.
+	prefillQuantile = 0.1
+	// minPrefillTokens is the number of prompt tokens from which the time to first token is
+	// dominated by prefill rather than latency.
+	minPrefillTokens = 1024
+	// minSamples is the number of samples from which an estimate is used.
 	leastSamples = 20
-	// maxSpeed bounds by how much an endpoint is taken to be faster or slower than
-	// its peers.
-	maxSpeed = 4.0
-	// firstPerToken is how many seconds the reading of a token is taken to last
-	// until some have been seen, which takes a second or two.
-	firstPerToken = 20e-6
+	// maxSpeedRatio limits the estimated speed ratio of an endpoint to its peers.
+	maxSpeedRatio = 4.0
+	// defaultSecondsPerPromptToken is assumed until there are enough samples, which takes a
+	// second or two.
+	defaultSecondsPerPromptToken = 20e-6
 )
 
-// engineSpeeds is what is known of the speed of a group of endpoints. It is safe for
-// concurrent use.
+// engineSpeeds holds the speed estimates of a peer group of endpoints. It is safe for concurrent
+// use.
 type engineSpeeds struct {
-	mu    sync.Mutex
-	token quantile // seconds for a token of output
-	read  quantile // seconds for a token of a prompt
-	first quantile // seconds to the first token of prompts with little to read
-	quiet quantile // seconds for which nothing is heard though requests are open
-	// domainQuiet is the same of all endpoints in a failure domain together.
+	mu          sync.Mutex
+	outputToken quantile // seconds per output token
+	promptToken quantile // seconds per prompt token
+	firstToken  quantile // seconds to the first token of prompts with little to prefill
+	quiet       quantile // seconds without a response while requests are inflight
+	// domainResponseGap is the same over all endpoints of a failure domain.
 	domainQuiet quantile
 }
 
-// speeds is what an estimate of an endpoint rests on.
-type speeds struct {
-	// Token is the time between two tokens, 0 if unknown, and PerToken that for
-	// reading one token of a prompt, in seconds.
-	Token, PerToken float64
-	// First is what a prompt takes besides, however short it is.
-	First float64
+// speedEstimate is the expected speed of an endpoint.
+type speedEstimate struct {
+	// SecondsPerOutputToken is 0 if unknown.
+	SecondsPerOutputToken, SecondsPerPromptToken float64
+	// PrefillOverhead is the fixed part of a prompt's prefill time, in seconds.
+	PrefillOverhead float64
 }
 
-func (e *engineSpeeds) sawTokens(perToken float64) {
+func (e *engineSpeeds) recordOutputToken(perToken float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.token.add(perToken, tokenQuantile)
+	e.outputToken.add(perToken, outputTokenQuantile)
 }
 
-// sawFirst takes how long the first token of a prompt took of which so many tokens
-// had to be read.
-func (e *engineSpeeds) sawFirst(took float64, tokens int) {
+// recordFirstToken records the time to first token, in seconds, of a prompt of which the given
+// number of tokens was prefilled.
+func (e *engineSpeeds) recordFirstToken(elapsed float64, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if tokens >= leastRead {
-		e.read.add(took/float64(tokens), readQuantile)
+	if tokens >= minPrefillTokens {
+		e.promptToken.add(elapsed/float64(tokens), prefillQuantile)
 		return
 	}
-	e.first.add(took-e.perToken()*float64(tokens), readQuantile)
+	e.firstToken.add(elapsed-e.secondsPerPromptToken()*float64(tokens), prefillQuantile)
 }
 
-// perToken is the time for reading a token. e.mu is held.
-func (e *engineSpeeds) perToken() float64 {
-	if e.read.samples < leastSamples {
-		return firstPerToken
+// secondsPerPromptToken returns the prefill time of a token. e.mu is held.
+func (e *engineSpeeds) secondsPerPromptToken() float64 {
+	if e.promptToken.samples < leastSamples {
+		return defaultSecondsPerPromptToken
 	}
-	return e.read.value
+	return e.promptToken.value
 }
 
-// of is what is expected of an endpoint whose own time for a token is known as far
-// as own tells.
-func (e *engineSpeeds) of(own quantile) speeds {
+// estimate returns the expected speed of an endpoint whose own seconds per output token are
+// estimated by own.
+func (e *engineSpeeds) estimate(own quantile) speedEstimate {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := speeds{PerToken: e.perToken()}
-	if e.token.samples < leastSamples {
-		return s
+	est := speedEstimate{SecondsPerPromptToken: e.secondsPerPromptToken()}
+	if e.outputToken.samples < leastSamples {
+		return est
 	}
-	s.Token = e.token.value
-	if e.first.samples >= leastSamples {
-		// A prompt with nothing to read has its first token after one step.
-		s.First = max(0, e.first.value-s.Token)
+	est.SecondsPerOutputToken = e.outputToken.value
+	if e.firstToken.samples >= leastSamples {
+		// A fully cached prompt has its first token after one decoding step.
+		est.PrefillOverhead = max(0, e.firstToken.value-est.SecondsPerOutputToken)
 	}
 	if own.samples < leastSamples {
-		return s
+		return est
 	}
-	slower := min(max(own.value/e.token.value, 1/maxSpeed), maxSpeed)
-	s.Token *= slower
-	s.PerToken *= slower
-	return s
+	ratio := min(max(own.value/e.outputToken.value, 1/maxSpeedRatio), maxSpeedRatio)
+	est.SecondsPerOutputToken *= ratio
+	est.SecondsPerPromptToken *= ratio
+	return est
 }
 
-// pace measures one stream: the times between its events.
-type pace struct {
-	stride  float64 // tokens an event
-	last    time.Time
-	longest time.Duration // between two events
+// eventPace measures the time between the events of a stream.
+type eventPace struct {
+	stride     float64 // tokens per event
+	last       time.Time
+	longestGap time.Duration
 }
 
-// event takes the arrival of an event and returns the time for a token, 0 if it
-// doesn't tell.
-func (p *pace) event(now time.Time) float64 {
+// record records the arrival of an event and returns the time per token in seconds, or 0 for the
+// first event.
+func (p *eventPace) record(now time.Time) float64 {
 	last := p.last
 	p.last = now
 	if last.IsZero() {
 		return 0
 	}
-	p.longest = max(p.longest, now.Sub(last))
+	p.longestGap = max(p.longestGap, now.Sub(last))
 	return now.Sub(last).Seconds() / max(p.stride, 1)
 }
--- a/internal/balance/speed_test.go
+++ b/internal/balance/speed_test.go
@@ -109,7 +109,7 @@
 	engine{shape: shapes[4]}.answer(p, epoch, "e0", prompt.Prompt{Tokens: 4000})
 	v := p.Views(epoch, all)[0]
 	g.Expect(v.Token).To(BeZero())
-	g.Expect(v.PerToken).To(Equal(firstPerToken))
+	g.Expect(v.PerToken).To(Equal(defaultSecondsPerPromptToken))
 }
 
 // known has a pool know endpoints as peers of each other.
--- a/internal/balance/state.go
+++ b/internal/balance/state.go
@@ -11,13 +11,13 @@
 	"coveferry/internal/throttle/window"
 )
 
-// shardCount is a power of two well above the number of cores of an entry VM.
+// shardCount is a power of two well above the number of cores of a router VM.
 const shardCount = 32
 
-// reportShare is the weight of a new report in the smoothed figures.
-const reportShare = 0.1
+// reportSmoothing is the weight of a new report in the moving averages.
+const reportSmoothing = 0.1
 
-// shard is a part of the endpoints under one lock.
+// shard holds the endpoints that share a lock.
 type shard struct {
 	mu     sync.Mutex
 	states map[string]*state
@@ -27,8 +27,7 @@
 	return &p.shards[xxhash.Sum64String(endpoint)%shardCount]
 }
 
-// state returns the state of an endpoint, a new one if it wasn't known. The
-// caller holds the lock.
+// state returns the state of an endpoint and creates it if needed. The caller holds the lock.
 func (sh *shard) state(endpoint string) *state {
 	st, ok := sh.states[endpoint]
 	if !ok {
@@ -38,56 +37,56 @@
 	return st
 }
 
-// state is what the router knows of one endpoint.
+// state is the router's state of one endpoint.
 type state struct {
 	inflight int
-	// sends are when this router's requests were sent that the last report
-	// lacks, the oldest first.
-	sends      []time.Time
-	open       [maxRanks]int // requests whose work is known, of each tier
-	tight      int           // streams with a tight gap that run
-	quietSince time.Time     // nothing was heard since, while requests are open
-	heardAt    time.Time     // of a part of an answer to this router
-	silentAt   time.Time     // this router found it silent last; zero if never
-	toldAt     time.Time     // others found it silent last, and nobody has heard of it since
-	recent     recentParts
-	prefill    [maxRanks]int // tokens of prompts sent that aren't known to be read
-	load       load.Report
-	reportedAt time.Time
-	heard      bool // the last report came to another router
-	firstToken time.Duration
-	running    float64 // smoothed over the reports
-	drain      float64 // smoothed, requests a second
-	leaving    bool
-	group      string // of the endpoints that it is compared with
-	domain     string // the failure domain
-	health     health
-	// attempts are this router's of late, nil before the first; avoidUntil is
-	// until when the endpoint is avoided because it fails for several routers.
+	// unreportedSends are the send times, oldest first, of this router's requests that the last
+	// report doesn't include.
+	sends           []time.Time
+	inflightByTier  [maxTiers]int // tracked requests by tier
+	tightGapStreams int           // running streams with a tight gap limit
+	quietSince      time.Time     // start of the current wait for a response while requests are inflight
+	heardAt         time.Time     // of any part of a response to this router
+	silentAt        time.Time     // when this router last found it unresponsive; zero if never
+	toldAt          time.Time     // when other routers last found it unresponsive and none has had a response since
+	cachedParts     recentParts
+	pendingPrefill  [maxTiers]int // prompt tokens sent, by tier, that may not be prefilled yet
+	load            load.Report
+	reportedAt      time.Time
+	heard           bool // the last report was received from another router
+	firstToken      time.Duration
+	running         float64 // moving average of running requests
+	drain           float64 // moving average in requests a second
+	leaving         bool
+	group           string // peer group for outlier detection and speed estimates
+	domain          string
+	health          health
+	// attempts holds this router's recent attempts, nil before the first. The endpoint is avoided
+	// until avoidUntil because it fails for several routers.
 	attempts *window.Ring
-	// token is the time between two tokens of streams there, and engines what is
-	// known of all endpoints that this one is compared with.
-	token      quantile
-	engines    *engineSpeeds
-	avoidUntil time.Time
-	// refusedAt is when the endpoint last refused a request of this router for want of
-	// room, and refusedWith how many requests it then had.
-	refusedAt   time.Time
-	refusedWith int
-	bound       bound
-	// restartedAt is when this router heard that the process took another one's place;
-	// zero if it is the first that is known.
+	// outputToken estimates the seconds per output token at this endpoint, and speeds holds the
+	// estimates of its peer group.
+	outputToken quantile
+	engines     *engineSpeeds
+	avoidUntil  time.Time
+	// refusedAt is when the endpoint last rejected a request of this router for lack of capacity,
+	// and requestsAtRefusal the number of requests it had then.
+	refusedAt         time.Time
+	requestsAtRefusal int
+	bound             bound
+	// restartedAt is when this router learned that the endpoint's process was replaced; zero if
+	// it hasn't been.
 	restartedAt time.Time
 }
 
-func (st *state) view(c *bundle.Endpoint, v *View) {
+func (st *state) fillView(c *bundle.Endpoint, v *View) {
 	*v = View{
 		Endpoint:      c.Name,
 		FailureDomain: c.FailureDomain,
 		Inflight:      st.inflight,
-		Prefill:       st.prefill,
-		Open:          st.open,
-		Tight:         st.tight,
+		Prefill:       st.pendingPrefill,
+		Open:          st.inflightByTier,
+		Tight:         st.tightGapStreams,
 		SinceReport:   len(st.sends),
 		Load:          st.load,
 		ReportedAt:    st.reportedAt,
@@ -99,7 +98,7 @@
 	}
 }
 
-func (st *state) sent(now time.Time) {
+func (st *state) recordSent(now time.Time) {
 	if st.inflight == 0 {
 		st.quietSince = now
 	}
@@ -107,12 +106,12 @@
 	st.noteSend(now)
 }
 
-func (st *state) report(now time.Time, r load.Report, hold time.Duration) {
+func (st *state) recordReport(now time.Time, r load.Report, hold time.Duration) {
 	stale := !st.reportedAt.IsZero() && r.Seq <= st.load.Seq
 	if stale && now.Sub(st.reportedAt) < hold {
 		return
 	}
-	st.smooth(r)
+	st.updateAverages(r)
 	st.health.sample(now)
 	st.load = r
 	st.reportedAt = now
@@ -121,7 +120,7 @@
 	st.leaving = st.leaving || r.Leaving
 }
 
-func (st *state) done(now time.Time, res Result, firstToken time.Duration, share float64) {
+func (st *state) recordDone(now time.Time, res Result, firstToken time.Duration, smoothing float64) {
 	st.inflight = max(st.inflight-1, 0)
 	st.sends = st.sends[max(0, len(st.sends)-st.inflight):]
 	st.health.result(res)
@@ -134,18 +133,18 @@
 		st.firstToken = firstToken
 		return
 	}
-	st.firstToken += time.Duration(share * float64(firstToken-st.firstToken))
+	st.firstToken += time.Duration(smoothing * float64(firstToken-st.firstToken))
 }
 
-// smooth follows running requests and drain rate, whose ratio is by Little's
-// law the time for which a request holds a slot, at any load.
-func (st *state) smooth(r load.Report) {
-	share := reportShare
+// updateAverages averages the running requests and the drain rate. By Little's law their ratio is
+// the time for which a request holds a slot, at any load.
+func (st *state) updateAverages(r load.Report) {
+	smoothing := reportSmoothing
 	if st.reportedAt.IsZero() {
-		share = 1
+		smoothing = 1
 	}
-	st.running += share * (float64(r.TotalRunning()) - st.running)
-	st.drain += share * (r.DrainPerSecond - st.drain)
+	st.running += smoothing * (float64(r.TotalRunning()) - st.running)
+	st.drain += smoothing * (r.DrainPerSecond - st.drain)
 }
 
 func (st *state) service() time.Duration {
@@ -155,15 +154,15 @@
 	return time.Duration(st.running / st.drain * float64(time.Second))
 }
 
-// fullFor is how long an endpoint that had no room counts as full, unless a report of it
-// tells otherwise: by then other routers have told of its load.
+// fullRetention is how long an endpoint counts as full after it rejected a request, unless a
+// report shows fewer requests. After that time other routers have reported its load.
 const fullFor = 250 * time.Millisecond
 
-// full says whether the endpoint had no room just now.
+// full reports whether the endpoint recently rejected a request and has no fewer requests since.
 func (st *state) full(now time.Time) bool {
 	if st.refusedAt.IsZero() || now.Sub(st.refusedAt) > fullFor {
 		return false
 	}
-	has := st.load.TotalRunning() + st.load.TotalQueued()
-	return has >= st.refusedWith
+	requests := st.load.TotalRunning() + st.load.TotalQueued()
+	return requests >= st.requestsAtRefusal
 }
--- a/internal/balance/work.go
+++ b/internal/balance/work.go
@@ -7,182 +7,184 @@
 	"coveferry/internal/prompt"
 )
 
-// Work is what a request asks of its endpoint.
+// Work describes the resources that a request needs at its endpoint.
 type Work struct {
-	Service string // of a routed request
-	Tier    int    // rank, as in Request
+	Service string // set for requests routed by service
+	Tier    int    // as in Request
 	Prompt  prompt.Prompt
-	// Tight says that the stream is late if long prompts delay it.
+	// TightGap is set if long prompts beside the stream make it exceed its gap limit.
 	Tight bool
 	// MaxGap and Stride are as in Request.
 	MaxGap time.Duration
 	Stride int
-	// Objective is the time to the first event of an answer that is on time; 0 if
-	// any will do.
+	// Objective is the target for the time to the first event of the response; 0 means none.
 	Objective time.Duration
 }
 
-// Account is a request's place in what the pool knows of its endpoint. Each of
-// its methods counts once.
+// TrackedRequest tracks a request in the pool's state of its endpoint. Release and PrefillDone
+// take effect once.
 type Account struct {
 	pool     *Pool
 	endpoint string
-	// state is that of the process to which the request was sent. What comes of it later
-	// isn't held against another one that has followed under the endpoint's name.
-	state   *state
-	tier    int
-	tokens  int
-	tight   bool
-	sent    time.Time
-	service string
-	gap     time.Duration
-	goal    time.Duration // to the first event
-	// alone says that the prompt's time to the first token tells of its reading: this
-	// router knows what was cached, and sent nothing that is read before.
-	alone bool
-	pace  pace
-	begun time.Time // zero before the first event
-	// engines is what is known of the endpoint's peers; nil if it wasn't chosen, is cold or
-	// names a limit.
-	engines *engineSpeeds
-	// limited says that the endpoint named a limit when the request was sent. One in need is
-	// slow and fails requests, which tells nothing of how it serves what it can take.
-	limited bool
-	read    sync.Once
-	ended   sync.Once
+	// state belongs to the process to which the request was sent. Later results aren't attributed
+	// to another process under the same endpoint name.
+	state        *state
+	tier         int
+	promptTokens int
+	tightGap     bool
+	sent         time.Time
+	service      string
+	maxGap       time.Duration
+	objective    time.Duration
+	// measuresPrefill is set if the time to first token measures this prompt's prefill: this
+	// router knows which tokens were cached, and has no other prompts pending there.
+	measuresPrefill bool
+	pace            eventPace
+	firstEventAt    time.Time
+	// speeds are the estimates of the peer group; nil if the endpoint wasn't chosen by the pool,
+	// is cold or announces a rate limit.
+	speeds *engineSpeeds
+	// rateLimited is set if the endpoint announced a rate limit when the request was sent. Such an
+	// endpoint is overloaded: that it is slow and fails requests says nothing about its speed and
+	// health within the limit.
+	rateLimited bool
+	prefillOnce sync.Once
+	releaseOnce sync.Once
 }
 
-// SentWork is Sent for a request whose work is known.
+// Track is Sent for a request with known work, and returns its handle.
 func (p *Pool) SentWork(now time.Time, endpoint string, w Work) *Account {
 	a := &Account{
-		pool: p, endpoint: endpoint, tier: min(w.Tier, maxRanks-1), tight: w.Tight,
-		sent: now, service: w.Service, gap: w.MaxGap, goal: w.Objective, pace: pace{stride: float64(w.Stride)},
+		pool: p, endpoint: endpoint, tier: min(w.Tier, maxTiers-1), tightGap: w.Tight,
+		sent: now, service: w.Service, maxGap: w.MaxGap, objective: w.Objective, pace: eventPace{stride: float64(w.Stride)},
 	}
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	a.begin(sh.state(endpoint), w)
+	a.register(sh.state(endpoint), w)
 	return a
 }
 
-// begin notes the request at its endpoint, whose shard is locked.
-func (a *Account) begin(st *state, w Work) {
+// register adds the request to the state of its endpoint, whose shard is locked.
+func (a *Account) register(st *state, w Work) {
 	a.state = st
-	a.limited = st.bound.limit.named
-	if !a.limited && !a.sent.Before(st.bound.coldUntil) {
-		a.engines = st.engines // how fast one is that is cold or in need tells nothing of its peers
+	a.rateLimited = st.bound.limit.named
+	if !a.rateLimited && !a.sent.Before(st.bound.coldUntil) {
+		a.speeds = st.engines // the speed of a cold or rate-limited endpoint isn't typical of its peers
 	}
-	st.sent(a.sent)
-	st.open[a.tier]++
+	st.recordSent(a.sent)
+	st.inflightByTier[a.tier]++
 	if w.Tight {
-		st.tight++
+		st.tightGapStreams++
 	}
 	if w.Prompt.Tokens > 0 {
-		a.tokens = st.send(a.sent, w.Prompt)
-		a.alone = a.tokens <= w.Prompt.Own() && st.unread() == 0
-		st.prefill[a.tier] += a.tokens
+		a.promptTokens = st.recordPrompt(a.sent, w.Prompt)
+		a.measuresPrefill = a.promptTokens <= w.Prompt.Own() && st.pendingPrefillTokens() == 0
+		st.pendingPrefill[a.tier] += a.promptTokens
 	}
 }
 
-// send notes a prompt and returns how many of its tokens are to be read.
-func (st *state) send(now time.Time, p prompt.Prompt) int {
-	tokens := p.Tokens - st.recent.cached(now, p)
-	if st.recent == nil {
-		st.recent = make(recentParts)
+// recordPrompt marks the parts of a prompt as cached and returns the number of tokens to prefill.
+func (st *state) recordPrompt(now time.Time, p prompt.Prompt) int {
+	tokens := p.Tokens - st.cachedParts.cached(now, p)
+	if st.cachedParts == nil {
+		st.cachedParts = make(recentParts)
 	}
-	st.recent.use(now, p)
+	st.cachedParts.use(now, p)
 	return tokens
 }
 
-// unread is how many tokens of prompts this router sent that aren't known to be
-// read.
-func (st *state) unread() int {
+// pendingPrefillTokens returns the number of prompt tokens sent by this router that may not be
+// prefilled yet.
+func (st *state) pendingPrefillTokens() int {
 	tokens := 0
-	for _, n := range st.prefill {
+	for _, n := range st.pendingPrefill {
 		tokens += n
 	}
 	return tokens
 }
 
-// Heard notes that a part of an answer came from the endpoint.
+// ResponseReceived records that any part of a response arrived from the endpoint.
 func (a *Account) Heard(now time.Time) {
-	a.change(func(st *state) {
-		if a.engines != nil {
-			a.engines.sawQuiet(now.Sub(st.quietSince))
+	a.update(func(st *state) {
+		if a.speeds != nil {
+			a.speeds.sawQuiet(now.Sub(st.quietSince))
 		}
 		st.quietSince, st.heardAt = now, now
 	})
 }
 
-// Event notes that an event of the answer came. It isn't safe for concurrent use.
+// EventReceived records an event of the response. It isn't safe for concurrent use.
 func (a *Account) Event(now time.Time) {
-	if a.begun.IsZero() {
-		a.begun = now
+	if a.firstEventAt.IsZero() {
+		a.firstEventAt = now
 		a.Read()
-		if a.alone && a.engines != nil {
-			a.engines.sawFirst(now.Sub(a.sent).Seconds(), a.tokens)
+		if a.measuresPrefill && a.speeds != nil {
+			a.speeds.recordFirstToken(now.Sub(a.sent).Seconds(), a.promptTokens)
 		}
 	}
-	perToken := a.pace.event(now)
-	if perToken == 0 || a.engines == nil {
-		return // nothing is learned there
+	perToken := a.pace.record(now)
+	if perToken == 0 || a.speeds == nil {
+		return // no sample
 	}
-	a.change(func(st *state) { st.token.add(perToken, tokenQuantile) })
-	a.engines.sawTokens(perToken)
+	a.update(func(st *state) { st.outputToken.add(perToken, outputTokenQuantile) })
+	a.speeds.recordOutputToken(perToken)
 }
 
-// Read notes that the prompt has been read, or needs to be read no more.
+// PrefillDone records that the prompt is prefilled or no longer needs to be. Further calls have
+// no effect.
 func (a *Account) Read() {
-	a.read.Do(func() {
-		a.change(func(st *state) { st.prefill[a.tier] = max(0, st.prefill[a.tier]-a.tokens) })
+	a.prefillOnce.Do(func() {
+		a.update(func(st *state) { st.pendingPrefill[a.tier] = max(0, st.pendingPrefill[a.tier]-a.promptTokens) })
 	})
 }
 
-// Ended notes that the request takes no room at its endpoint any more.
+// Release records that the request no longer holds a slot at its endpoint. Further calls have no
+// effect.
 func (a *Account) Ended() {
 	a.Read()
-	a.ended.Do(func() {
-		a.change(func(st *state) {
-			st.open[a.tier] = max(0, st.open[a.tier]-1)
-			if a.tight {
-				st.tight = max(0, st.tight-1)
+	a.releaseOnce.Do(func() {
+		a.update(func(st *state) {
+			st.inflightByTier[a.tier] = max(0, st.inflightByTier[a.tier]-1)
+			if a.tightGap {
+				st.tightGapStreams = max(0, st.tightGapStreams-1)
 			}
 		})
-		if learner, ok := a.pool.cfg.Policy.(Learner); ok && !a.begun.IsZero() && !a.limited {
-			learner.Ended(a.pace.last, a.service, a.gap, a.pace.last.Sub(a.sent), a.late())
+		if learner, ok := a.pool.cfg.Policy.(Learner); ok && !a.firstEventAt.IsZero() && !a.rateLimited {
+			learner.Ended(a.pace.last, a.service, a.maxGap, a.pace.last.Sub(a.sent), a.late())
 		}
 	})
 }
 
-// late says whether the answer began or paused too late.
+// late reports whether the response exceeded its objective or maximum gap.
 func (a *Account) late() bool {
-	began := a.goal > 0 && a.begun.Sub(a.sent) > a.goal
-	paused := a.gap > 0 && a.pace.longest > a.gap
+	began := a.objective > 0 && a.firstEventAt.Sub(a.sent) > a.objective
+	paused := a.maxGap > 0 && a.pace.longestGap > a.maxGap
 	return began || paused
 }
 
-// Refused notes that the endpoint had no room for the request.
+// Refused records that the endpoint rejected the request for lack of capacity.
 func (a *Account) Refused(now time.Time) {
-	a.change(func(st *state) {
-		st.refusedAt, st.refusedWith = now, st.load.TotalRunning()+st.load.TotalQueued()
+	a.update(func(st *state) {
+		st.refusedAt, st.requestsAtRefusal = now, st.load.TotalRunning()+st.load.TotalQueued()
 	})
 }
 
-// Done notes how the request ended. Times to the first token differ by prompts, not by
-// endpoints, and aren't compared.
+// Done records the outcome of the request. Times to first token depend on the prompts rather than
+// the endpoints, so that they aren't compared between endpoints.
 func (a *Account) Done(now time.Time, res Result) {
-	if a.limited {
-		res = ResultCancelled // it says nothing of the endpoint
+	if a.rateLimited {
+		res = ResultCancelled // doesn't affect the endpoint's health
 	}
 	failing := false
-	a.change(func(st *state) {
-		st.done(now, res, 0, a.pool.cfg.FirstTokenShare)
+	a.update(func(st *state) {
+		st.recordDone(now, res, 0, a.pool.cfg.FirstTokenShare)
 		failing = res == ResultFailed && st.health.failures > a.pool.cfg.Outlier.FailureShare
 	})
 	a.pool.detect(now, failing)
 }
 
-func (a *Account) change(f func(*state)) {
+func (a *Account) update(f func(*state)) {
 	sh := a.pool.shard(a.endpoint)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
