--- a/internal/balance/lab/doc.go
+++ b/internal/balance/lab/doc.go
@@ -1,5 +1,5 @@
-// Package lab is a small queueing experiment in virtual time that compares the
-// policies of package balance. Only tests use it; run
+// Package lab compares the policies of package balance in a queueing simulation with virtual
+// time. Only tests use it; run
 //
 //	go test ./internal/balance/lab -run Table -v -table
 //
--- a/internal/balance/lab/storm.go
+++ b/internal/balance/lab/storm.go
@@ -9,25 +9,25 @@
 	"coveferry/internal/throttle"
 )
 
-// The storm: one back end that serves in order of arrival and doesn't notice
-// that a caller gave up, callers with a timeout, and a burst at three times
-// the normal load.
+// Parameters of the retry storm: one backend that serves requests in order of arrival and doesn't
+// notice when a caller gives up, callers with a timeout, and a burst at three times the normal
+// load.
 const (
-	stormService  = 10 * time.Millisecond // so 100 requests a second fit
+	stormService  = 10 * time.Millisecond // a capacity of 100 requests a second
 	stormNormal   = 80.0                  // requests a second
 	stormBurst    = 3 * stormNormal
 	stormTimeout  = time.Second
 	stormAttempts = 4
 	burstStart    = 20 * time.Second
 	burstEnd      = 30 * time.Second
-	// StormLength is the time over which requests arrive.
+	// StormLength is the duration of the arrivals.
 	StormLength = 120 * time.Second
-	// StormBin is the time that one figure of goodput covers.
+	// StormBin is the interval over which goodput is averaged.
 	StormBin = 5 * time.Second
 )
 
-// Defence says which mechanisms protect the back end in a storm.
-type Defence struct {
+// Protection selects the mechanisms that protect the backend.
+type Protection struct {
 	Budget   bool
 	Throttle bool
 }
@@ -44,13 +44,13 @@
 	policy   retry.Policy
 	budget   *retry.Budget
 	throttle *throttle.Throttle
-	freeAt   time.Time // when the back end will have served all that it holds
+	freeAt   time.Time // when the backend will have served its queue
 	goodput  []float64
 }
 
-// Storm plays the burst and returns the requests a second that were answered
-// within the timeout of their last attempt, for each bin of time.
-func Storm(d Defence, seed uint64) []float64 {
+// SimulateRetryStorm simulates the burst and returns the requests a second that were answered
+// within the timeout of their last attempt, for each StormBin.
+func SimulateRetryStorm(d Protection, seed uint64) []float64 {
 	s := &storm{now: start, freeAt: start, rnd: rand.New(rand.NewPCG(seed, 2))}
 	s.budget = retry.NewBudget(retry.BudgetConfig{})
 	s.policy = retry.Policy{MaxAttempts: stormAttempts}
@@ -88,7 +88,7 @@
 	s.at(s.now.Add(gap), s.arrive)
 }
 
-// send makes one attempt, which the throttle may refuse.
+// send makes one attempt, which the throttle may reject.
 func (s *storm) send(c *call) {
 	if !s.throttle.Allow(s.now, 0, s.rnd.Float64()) {
 		s.throttle.Refused(s.now, 0)
--- a/internal/balance/lab/storm_test.go
+++ b/internal/balance/lab/storm_test.go
@@ -8,8 +8,7 @@
 	"github.com/onsi/gomega"
 )
 
-// recoverBy is when goodput has to be normal again, ten seconds after the
-// burst.
+// recoverBy is when goodput has to be back to normal, ten seconds after the burst.
 const recoverBy = burstEnd + 10*time.Second
 
 func mean(bins []float64) float64 {
@@ -23,7 +22,7 @@
 func TestGoodputReturnsAfterABurst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for seed := range uint64(3) {
-		guarded := Storm(Defence{Budget: true, Throttle: true}, seed)
+		guarded := SimulateRetryStorm(Protection{Budget: true, Throttle: true}, seed)
 		before := mean(guarded[:burstStart/StormBin])
 		after := guarded[recoverBy/StormBin:]
 		g.Expect(mean(after)).To(gomega.BeNumerically(">", 0.95*before), "seed %d", seed)
@@ -34,7 +33,7 @@
 func TestNaiveRetriesNeverRecover(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for seed := range uint64(3) {
-		naive := Storm(Defence{}, seed)
+		naive := SimulateRetryStorm(Protection{}, seed)
 		before := mean(naive[:burstStart/StormBin])
 		after := naive[recoverBy/StormBin:]
 		g.Expect(after).To(gomega.HaveEach(gomega.BeNumerically("<", 0.1*before)), "seed %d", seed)
@@ -45,9 +44,9 @@
 	if !*printTable {
 		t.Skip("prints figures only; run with -table")
 	}
-	for _, d := range []Defence{{}, {Budget: true}, {Throttle: true}, {Budget: true, Throttle: true}} {
+	for _, d := range []Protection{{}, {Budget: true}, {Throttle: true}, {Budget: true, Throttle: true}} {
 		fmt.Printf("| budget %v, throttle %v |", d.Budget, d.Throttle)
-		for _, x := range Storm(d, 0) {
+		for _, x := range SimulateRetryStorm(d, 0) {
 			fmt.Printf(" %.0f", x)
 		}
 		fmt.Println(" |")
--- a/internal/endpointrate/limit_test.go
+++ b/internal/endpointrate/limit_test.go
@@ -16,27 +16,27 @@
 
 const limitWindow = 4 * time.Second
 
-// mostOf is what an endpoint that names a limit bears in a window: half more than the limit
+// maxAllowed is what an endpoint that names a limit bears in a window: half more than the limit
 // allows, and five.
-func mostOf(perSecond float64) float64 { return 1.5*perSecond*limitWindow.Seconds() + 5 }
+func maxAllowed(perSecond float64) float64 { return 1.5*perSecond*limitWindow.Seconds() + 5 }
 
-// shape is a fleet of routers in failure domains.
-type shape struct{ routers, domains int }
+// fleetShape is a fleet of routers in failure domains.
+type fleetShape struct{ routers, domains int }
 
-var shapes = []shape{{1, 1}, {3, 3}, {12, 3}, {31, 3}, {103, 5}, {300, 3}, {880, 27}}
+var fleetShapes = []fleetShape{{1, 1}, {3, 3}, {12, 3}, {31, 3}, {103, 5}, {300, 3}, {880, 27}}
 
 func limitOf(perSecond float64) Bound { return Limited("e", "domain0", perSecond) }
 
-// played is what an endpoint got in a play.
-type played struct {
-	most int // in the window that has most
-	mean float64
-	by   map[int]int // requests of each router
+// simResult is what an endpoint got in a play.
+type simResult struct {
+	maxInWindow int // in the window that has most
+	meanRate    float64
+	byRouter    map[int]int // requests of each router
 }
 
-// demand plays callers that all want the endpoint. They come unevenly: a router has from a
+// simulate plays callers that all want the endpoint. They come unevenly: a router has from a
 // third of the mean to twice as much.
-func demand(s shape, perSecond float64, lasts time.Duration, rnd *rand.Rand, may paced) played {
+func simulate(s fleetShape, perSecond float64, lasts time.Duration, rnd *rand.Rand, may admitFunc) simResult {
 	type arrival struct {
 		at     time.Duration
 		router int
@@ -49,12 +49,12 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b arrival) int { return int(a.at - b.at) })
-	p := played{by: make(map[int]int)}
+	p := simResult{byRouter: make(map[int]int)}
 	var sent []time.Duration
 	for _, a := range all {
 		if may(a.router, a.at) {
 			sent = append(sent, a.at)
-			p.by[a.router]++
+			p.byRouter[a.router]++
 		}
 	}
 	first := 0
@@ -62,31 +62,31 @@
 		for t-sent[first] >= limitWindow {
 			first++
 		}
-		p.most = max(p.most, i-first+1)
+		p.maxInWindow = max(p.maxInWindow, i-first+1)
 	}
-	p.mean = float64(len(sent)) / lasts.Seconds()
+	p.meanRate = float64(len(sent)) / lasts.Seconds()
 	return p
 }
 
-// callersEach is how many requests a second a router has on the whole for a service: 800 at
+// callersPerRouter is how many requests a second a router has on the whole for a service: 800 at
 // 103 routers.
-const callersEach = 8.0
+const callersPerRouter = 8.0
 
 func TestRoutersTogetherKeepToALimitAndUseIt(t *testing.T) {
 	g := NewWithT(t)
 	const lasts = 40 * time.Second
-	for _, s := range shapes {
+	for _, s := range fleetShapes {
 		for _, perSecond := range []float64{0.1, 0.5, 1, 1.1, 3, 7, 13, 50, 400} {
 			worst, least := 0, math.Inf(1)
 			for seed := range uint64(3) {
 				rnd := rand.New(rand.NewPCG(seed, 2))
-				asked := max(5*perSecond, callersEach*float64(s.routers))
-				p := demand(s, asked, lasts, rnd, owned(s.routers, s.domains, limitOf(perSecond), all))
-				worst, least = max(worst, p.most), min(least, p.mean/perSecond)
+				asked := max(5*perSecond, callersPerRouter*float64(s.routers))
+				p := simulate(s, asked, lasts, rnd, byOwners(s.routers, s.domains, limitOf(perSecond), allRouters))
+				worst, least = max(worst, p.maxInWindow), min(least, p.meanRate/perSecond)
 			}
-			t.Logf("%3d routers, limit %5.4g: most in 4 s %4d of %5.1f, used %.2f", s.routers, perSecond, worst, mostOf(perSecond), least)
-			g.Expect(float64(worst)).To(BeNumerically("<=", mostOf(perSecond)), "%+v, %g a second", s, perSecond)
-			g.Expect(least).To(BeNumerically(">=", leastUsed), "%+v, %g a second", s, perSecond)
+			t.Logf("%3d routers, limit %5.4g: most in 4 s %4d of %5.1f, used %.2f", s.routers, perSecond, worst, maxAllowed(perSecond), least)
+			g.Expect(float64(worst)).To(BeNumerically("<=", maxAllowed(perSecond)), "%+v, %g a second", s, perSecond)
+			g.Expect(least).To(BeNumerically(">=", minUtilization), "%+v, %g a second", s, perSecond)
 		}
 	}
 }
@@ -96,44 +96,44 @@
 func TestWaysToShareALimit(t *testing.T) {
 	g := NewWithT(t)
 	const lasts = 40 * time.Second
-	for _, s := range shapes[2:] {
+	for _, s := range fleetShapes[2:] {
 		for _, perSecond := range []float64{1, 13} {
-			asked := max(5*perSecond, callersEach*float64(s.routers))
-			play := func(may paced) played { return demand(s, asked, lasts, rand.New(rand.NewPCG(3, 2)), may) }
-			parts := play(even(s.routers, perSecond, rand.New(rand.NewPCG(3, 1))))
+			asked := max(5*perSecond, callersPerRouter*float64(s.routers))
+			play := func(may admitFunc) simResult { return simulate(s, asked, lasts, rand.New(rand.NewPCG(3, 2)), may) }
+			parts := play(byEqualShares(s.routers, perSecond, rand.New(rand.NewPCG(3, 1))))
 			wholes := make([]Pace, s.routers)
 			alone := play(func(router int, at time.Duration) bool { return wholes[router].Take(epoch.Add(at), perSecond, 0) })
-			owners := play(owned(s.routers, s.domains, limitOf(perSecond), all))
+			owners := play(byOwners(s.routers, s.domains, limitOf(perSecond), allRouters))
 			t.Logf("%3d routers, limit %2g: most in 4 s %d of %.0f, used %.2f with owners; %d, %.2f with a part each; %d with the whole each",
-				s.routers, perSecond, owners.most, mostOf(perSecond), owners.mean/perSecond, parts.most, parts.mean/perSecond, alone.most)
-			g.Expect(float64(alone.most)).To(BeNumerically(">", mostOf(perSecond)))
-			g.Expect(float64(owners.most)).To(BeNumerically("<=", mostOf(perSecond)))
+				s.routers, perSecond, owners.maxInWindow, maxAllowed(perSecond), owners.meanRate/perSecond, parts.maxInWindow, parts.meanRate/perSecond, alone.maxInWindow)
+			g.Expect(float64(alone.maxInWindow)).To(BeNumerically(">", maxAllowed(perSecond)))
+			g.Expect(float64(owners.maxInWindow)).To(BeNumerically("<=", maxAllowed(perSecond)))
 		}
 	}
 }
 
-// leastUsed is the part of a limit that is used while five times as much is asked for.
-const leastUsed = 0.75
+// minUtilization is the part of a limit that is used while five times as much is asked for.
+const minUtilization = 0.75
 
 // The router with the largest part stops, and others count it for a while longer.
 func TestALimitIsUsedWhileOneOfItsOwnersIsLost(t *testing.T) {
 	g := NewWithT(t)
 	const lasts = 40 * time.Second
-	for _, s := range shapes[1:] {
+	for _, s := range fleetShapes[1:] {
 		for _, perSecond := range []float64{0.5, 1, 13} {
-			play := func(lost int) played {
-				may := owned(s.routers, s.domains, limitOf(perSecond), all)
-				return demand(s, max(5*perSecond, callersEach*float64(s.routers)), lasts, rand.New(rand.NewPCG(1, 2)), func(router int, at time.Duration) bool {
+			play := func(lost int) simResult {
+				may := byOwners(s.routers, s.domains, limitOf(perSecond), allRouters)
+				return simulate(s, max(5*perSecond, callersPerRouter*float64(s.routers)), lasts, rand.New(rand.NewPCG(1, 2)), func(router int, at time.Duration) bool {
 					return router != lost && may(router, at)
 				})
 			}
 			largest, most := 0, 0
-			for router, n := range play(-1).by {
+			for router, n := range play(-1).byRouter {
 				if n > most {
 					largest, most = router, n
 				}
 			}
-			used := play(largest).mean / perSecond
+			used := play(largest).meanRate / perSecond
 			t.Logf("%3d routers, limit %3g: used %.2f without the owner that used most", s.routers, perSecond, used)
 			g.Expect(used).To(BeNumerically(">=", 0.5), "%+v, %g a second", s, perSecond)
 		}
@@ -146,8 +146,8 @@
 	for _, perSecond := range []float64{0.1, 1, 3, 13} {
 		for newcomer := range 31 {
 			sees := func(router, other int) bool { return router == other || router != newcomer && other != newcomer }
-			p := demand(shape{31, 3}, 248, 20*time.Second, rand.New(rand.NewPCG(uint64(newcomer), 2)), owned(31, 3, limitOf(perSecond), sees))
-			g.Expect(float64(p.most)).To(BeNumerically("<=", mostOf(perSecond)), "%g a second, router %d", perSecond, newcomer)
+			p := simulate(fleetShape{31, 3}, 248, 20*time.Second, rand.New(rand.NewPCG(uint64(newcomer), 2)), byOwners(31, 3, limitOf(perSecond), sees))
+			g.Expect(float64(p.maxInWindow)).To(BeNumerically("<=", maxAllowed(perSecond)), "%g a second, router %d", perSecond, newcomer)
 		}
 	}
 }
@@ -186,7 +186,7 @@
 	}
 	g.Expect(parts).To(BeNumerically("~", 1e300, 1e290))
 	g.Expect(Gap(1e300)).To(BeZero())
-	g.Expect(Gap(1e-300)).To(Equal(longestGap))
+	g.Expect(Gap(1e-300)).To(Equal(maxInterval))
 }
 
 // Requests of two ranks want five times what four endpoints take; the more urgent ones alone
@@ -194,16 +194,16 @@
 func TestTheMoreUrgentComeFirstWhereALimitTurnsRequestsAway(t *testing.T) {
 	g := NewWithT(t)
 	const urgentPerSecond, otherPerSecond = 8, 72
-	alone, _, _ := playRanks(urgentPerSecond, 0)
-	urgent, others, used := playRanks(urgentPerSecond, otherPerSecond)
+	alone, _, _ := simulateTiers(urgentPerSecond, 0)
+	urgent, others, used := simulateTiers(urgentPerSecond, otherPerSecond)
 	t.Logf("served %.2f of the urgent ones (%.2f without others) and %.2f of the others, %.2f of the limits used", urgent, alone, others, used)
 	g.Expect(urgent).To(BeNumerically(">=", 0.85*alone))
-	g.Expect(used).To(BeNumerically(">=", leastUsed))
+	g.Expect(used).To(BeNumerically(">=", minUtilization))
 }
 
-// playRanks has requests of two ranks ask four endpoints, each of which takes four a second.
+// simulateTiers has requests of two ranks ask four endpoints, each of which takes four a second.
 // It returns the part of each rank that is sent, and of the limits that is used.
-func playRanks(urgentPerSecond, otherPerSecond float64) (urgent, others, used float64) {
+func simulateTiers(urgentPerSecond, otherPerSecond float64) (urgent, others, used float64) {
 	const perSecond, lasts = 4.0, 60 * time.Second
 	rnd := rand.New(rand.NewPCG(1, 1))
 	var paces [4]Pace
@@ -221,15 +221,15 @@
 		}
 		next[rank] += time.Duration(rnd.ExpFloat64() / rates[rank] * float64(time.Second))
 		asked[rank]++
-		if sendToOne(paces[:], epoch.Add(at), perSecond, rank) {
+		if sendToFirst(paces[:], epoch.Add(at), perSecond, rank) {
 			sent[rank]++
 		}
 	}
 	return sent[0] / asked[0], sent[1] / asked[1], (sent[0] + sent[1]) / (lasts.Seconds() * perSecond * float64(len(paces)))
 }
 
-// sendToOne sends a request to the first of several endpoints that takes it.
-func sendToOne(paces []Pace, now time.Time, perSecond float64, rank int) bool {
+// sendToFirst sends a request to the first of several endpoints that takes it.
+func sendToFirst(paces []Pace, now time.Time, perSecond float64, rank int) bool {
 	for i := range paces {
 		if paces[i].Take(now, perSecond, rank) {
 			return true
--- a/internal/endpointrate/pace.go
+++ b/internal/endpointrate/pace.go
@@ -6,116 +6,116 @@
 )
 
 const (
-	// early is by which part of the time between two requests one may be sent too soon, so
-	// that a pause is made up for: without it owners with 11 callers a second use 8 of 13
+	// earlyFraction is how much earlier than due a request may be sent, as a fraction of the
+	// interval, to make up for pauses. Without it owners with 11 callers a second use 8 of 13
 	// requests.
-	early = 0.5
-	// bindsFor is how long a rate counts as one that turns requests away after the last time.
-	bindsFor = time.Second
-	// yieldFor is how long a rank counts as one that wants to be served after the last time,
-	// and yieldGaps the same in times between two requests, where that is longer.
-	yieldFor  = time.Second
-	yieldGaps = 6
-	// leaves is how much later than due such a request is sent, as a part of the time between
-	// two: what is due meanwhile is there for the more urgent.
-	leaves = 0.5
-	// usedFor is over which time it is smoothed how much of a part is used.
-	usedFor = 4 * time.Second
+	earlyFraction = 0.5
+	// limitingPeriod is how long a rate counts as limiting after a request was rejected.
+	limitingPeriod = time.Second
+	// minYieldPeriod is how long less urgent tiers yield after a request of a more urgent one,
+	// and yieldIntervals the same in multiples of the interval between requests, if that is
+	// longer.
+	minYieldPeriod = time.Second
+	yieldIntervals = 6
+	// yieldDelayFraction is how much later than due a yielding request is sent, as a fraction of
+	// the interval, so that more urgent ones come first.
+	yieldDelayFraction = 0.5
+	// halfLife is the half-life of the recent request count.
+	halfLife = 4 * time.Second
 )
 
-// Pace spaces a router's requests to an endpoint. The zero value lets the first one pass.
+// Pacer spaces a router's requests to an endpoint. The zero value admits the first one.
 type Pace struct {
-	due time.Time // when the next one is due
-	// turnedAt is when a request was last turned away, and refusedAt when there was no other
-	// endpoint for one either.
-	turnedAt, refusedAt time.Time
-	// topRank is the most urgent rank of the requests that lately wanted to be sent, and
-	// topAt when one of it last did.
-	topRank int
-	topAt   time.Time
-	// lately is for how long a refusal and a rank count.
-	lately time.Duration
-	// used is a decaying sum of the requests that passed, as of usedAt.
-	used   float64
-	usedAt time.Time
+	due time.Time // when the next request is due
+	// rejectedAt is when a request was last rejected, and unservedAt when no other endpoint
+	// admitted one either.
+	rejectedAt, unservedAt time.Time
+	// topTier is the most urgent tier of recent requests, and topTierAt the time of the last
+	// request of that tier.
+	topTier   int
+	topTierAt time.Time
+	// recentPeriod is how long an unserved request and a tier count as recent.
+	recentPeriod time.Duration
+	// recentRequests is a decaying count of admitted requests, as of recentRequestsAt.
+	recentRequests   float64
+	recentRequestsAt time.Time
 }
 
-// FreeAt is when a request of a rank, 0 for the most urgent, may be sent by so many a second,
-// which must be over 0.
-func (p *Pace) FreeAt(now time.Time, perSecond float64, rank int) time.Time {
-	if p.yields(now, rank) {
-		return p.due.Add(scale(Gap(perSecond), leaves))
+// FreeAt returns when a request of a tier, 0 for the most urgent, may be sent at the given rate,
+// which must be above 0.
+func (p *Pace) FreeAt(now time.Time, perSecond float64, tier int) time.Time {
+	if p.yields(now, tier) {
+		return p.due.Add(scale(Gap(perSecond), yieldDelayFraction))
 	}
-	return p.due.Add(-scale(Gap(perSecond), early))
+	return p.due.Add(-scale(Gap(perSecond), earlyFraction))
 }
 
-// yields says whether a request of a rank leaves what comes next to a more urgent one: there
-// are such, and requests are refused.
-func (p *Pace) yields(now time.Time, rank int) bool {
-	return now.Sub(p.refusedAt) < p.lately && rank > p.topRank && now.Sub(p.topAt) < p.lately
+// yields reports whether a request of a tier waits for more urgent ones: there were such requests
+// recently, and some stayed unserved.
+func (p *Pace) yields(now time.Time, tier int) bool {
+	return now.Sub(p.unservedAt) < p.recentPeriod && tier > p.topTier && now.Sub(p.topTierAt) < p.recentPeriod
 }
 
-// want notes a request of a rank.
-func (p *Pace) want(now time.Time, rank int) {
-	if rank <= p.topRank || now.Sub(p.topAt) >= p.lately {
-		p.topRank, p.topAt = rank, now
+// recordTier records the tier of a request.
+func (p *Pace) recordTier(now time.Time, tier int) {
+	if tier <= p.topTier || now.Sub(p.topTierAt) >= p.recentPeriod {
+		p.topTier, p.topTierAt = tier, now
 	}
 }
 
-// Ready says whether a request of a rank may be sent by so many a second.
-func (p *Pace) Ready(now time.Time, perSecond float64, rank int) bool {
-	return perSecond > 0 && !now.Before(p.FreeAt(now, perSecond, rank))
+// Ready reports whether a request of a tier may be sent now at the given rate.
+func (p *Pace) Ready(now time.Time, perSecond float64, tier int) bool {
+	return perSecond > 0 && !now.Before(p.FreeAt(now, perSecond, tier))
 }
 
-// Take is Ready that counts the request.
-func (p *Pace) Take(now time.Time, perSecond float64, rank int) bool {
-	if !p.Ready(now, perSecond, rank) {
+// Take is Ready and counts the request if it is admitted.
+func (p *Pace) Take(now time.Time, perSecond float64, tier int) bool {
+	if !p.Ready(now, perSecond, tier) {
 		return false
 	}
-	p.want(now, rank)
+	p.recordTier(now, tier)
 	if now.After(p.due) {
 		p.due = now
 	}
 	p.due = p.due.Add(Gap(perSecond))
-	p.lately = max(yieldFor, yieldGaps*Gap(perSecond))
-	p.used = p.decayed(now) + 1
-	p.usedAt = now
+	p.recentPeriod = max(minYieldPeriod, yieldIntervals*Gap(perSecond))
+	p.recentRequests = p.decayed(now) + 1
+	p.recentRequestsAt = now
 	return true
 }
 
-// Change notes that so many a second may be sent from now on: what was due at a lower rate
-// comes sooner.
+// SetRate sets a new rate. A request that was due late at a lower rate comes due sooner.
 func (p *Pace) Change(now time.Time, perSecond float64) {
-	if latest := now.Add(scale(Gap(perSecond), 1+early)); p.due.After(latest) {
+	if latest := now.Add(scale(Gap(perSecond), 1+earlyFraction)); p.due.After(latest) {
 		p.due = latest
 	}
 }
 
-// TurnAway notes that a request wasn't sent.
-func (p *Pace) TurnAway(now time.Time) { p.turnedAt = now }
+// RecordRejected records that a request wasn't admitted.
+func (p *Pace) TurnAway(now time.Time) { p.rejectedAt = now }
 
-// Refuse notes that there was no other endpoint either for a request of a rank.
-func (p *Pace) Refuse(now time.Time, rank int) {
-	p.want(now, rank)
-	p.refusedAt = now
+// RecordUnserved records that no other endpoint admitted a request of a tier either.
+func (p *Pace) Refuse(now time.Time, tier int) {
+	p.recordTier(now, tier)
+	p.unservedAt = now
 }
 
-// Binds says whether a request was turned away lately.
-func (p *Pace) Binds(now time.Time) bool { return now.Sub(p.turnedAt) < bindsFor }
+// Limiting reports whether a request was rejected recently.
+func (p *Pace) Binds(now time.Time) bool { return now.Sub(p.rejectedAt) < limitingPeriod }
 
-// Used is how many requests a second passed lately.
-func (p *Pace) Used(now time.Time) float64 { return math.Ln2 * p.decayed(now) / usedFor.Seconds() }
+// Rate returns the requests a second that were admitted recently.
+func (p *Pace) Used(now time.Time) float64 { return math.Ln2 * p.decayed(now) / halfLife.Seconds() }
 
 func (p *Pace) decayed(now time.Time) float64 {
-	return p.used * math.Exp2(-now.Sub(p.usedAt).Seconds()/usedFor.Seconds())
+	return p.recentRequests * math.Exp2(-now.Sub(p.recentRequestsAt).Seconds()/halfLife.Seconds())
 }
 
-// longestGap keeps the time between two requests a duration, however small a part is.
-const longestGap = 24 * time.Hour
+// maxInterval keeps the interval within the range of a Duration for very low rates.
+const maxInterval = 24 * time.Hour
 
-// Gap is the time between two requests at so many a second.
+// Interval returns the time between two requests at the given rate.
 func Gap(perSecond float64) time.Duration {
-	return scale(time.Second, min(1/perSecond, longestGap.Seconds()))
+	return scale(time.Second, min(1/perSecond, maxInterval.Seconds()))
 }
 
 func scale(d time.Duration, x float64) time.Duration { return time.Duration(x * float64(d)) }
--- a/internal/endpointrate/share_test.go
+++ b/internal/endpointrate/share_test.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	rate  = 13.0 // requests a second that the endpoint tolerates
-	bound = 24.5 // arrivals in any second beyond which it falls over
+	coldRate    = 13.0 // requests a second that the endpoint tolerates
+	maxArrivals = 24.5 // arrivals in any second beyond which it falls over
 )
 
-var cold = Cold("e", "domain0", rate)
+var coldEndpoint = Cold("e", "domain0", coldRate)
 
 var epoch = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// paced is one way to share an endpoint: it says whether a router may send at a moment.
-type paced func(router int, at time.Duration) bool
+// admitFunc is one way to share an endpoint: it says whether a router may send at a moment.
+type admitFunc func(router int, at time.Duration) bool
 
-// owned is the product's way among so many routers, of which each knows those that sees
+// byOwners is the product's way among so many routers, of which each knows those that sees
 // names for it.
-func owned(routers, domains int, bound Bound, sees func(router, other int) bool) paced {
+func byOwners(routers, domains int, bound Bound, sees func(router, other int) bool) admitFunc {
 	var names []string
 	for d := range domains {
 		names = append(names, fmt.Sprint("domain", d))
@@ -53,9 +53,9 @@
 	}
 }
 
-// even is the other way that was weighed: each router its part by how many there are, from
+// byEqualShares is the other way that was weighed: each router its part by how many there are, from
 // a moment that is drawn.
-func even(routers int, perSecond float64, rnd *rand.Rand) paced {
+func byEqualShares(routers int, perSecond float64, rnd *rand.Rand) admitFunc {
 	gap := time.Duration(float64(routers) / perSecond * float64(time.Second))
 	next := make([]time.Duration, routers)
 	for i := range next {
@@ -70,9 +70,9 @@
 	}
 }
 
-// use plays callers of each router for ten seconds, all of whom want the endpoint, and
+// simulateArrivals plays callers of each router for ten seconds, all of whom want the endpoint, and
 // returns the most arrivals in any second and how many there are in one on the whole.
-func use(routers int, perRouter float64, rnd *rand.Rand, may paced) (most int, mean float64) {
+func simulateArrivals(routers int, perRouter float64, rnd *rand.Rand, may admitFunc) (most int, mean float64) {
 	const lasts = 10 * time.Second
 	var at []time.Duration
 	for i := range routers {
@@ -97,7 +97,7 @@
 	return most, float64(len(sent)) / lasts.Seconds()
 }
 
-func all(int, int) bool { return true }
+func allRouters(int, int) bool { return true }
 
 func TestRoutersTogetherKeepToWhatAColdEndpointTakesAndUseIt(t *testing.T) {
 	g := NewWithT(t)
@@ -106,8 +106,8 @@
 			rnd := rand.New(rand.NewPCG(seed, 1))
 			// A single router has the callers of all.
 			perRouter := max(11, 33/float64(fleet.routers))
-			most, mean := use(fleet.routers, perRouter, rnd, owned(fleet.routers, fleet.domains, cold, all))
-			g.Expect(most).To(BeNumerically("<=", rate+5), "%+v: arrivals in a second", fleet)
+			most, mean := simulateArrivals(fleet.routers, perRouter, rnd, byOwners(fleet.routers, fleet.domains, coldEndpoint, allRouters))
+			g.Expect(most).To(BeNumerically("<=", coldRate+5), "%+v: arrivals in a second", fleet)
 			g.Expect(mean).To(BeNumerically(">=", 9), "%+v: of 13 a second", fleet)
 		}
 	}
@@ -121,9 +121,9 @@
 		mostEven, mostOwned := 0, 0
 		for seed := range uint64(50) {
 			rnd := rand.New(rand.NewPCG(seed, 1))
-			most, _ := use(routers, 11, rnd, even(routers, rate, rnd))
+			most, _ := simulateArrivals(routers, 11, rnd, byEqualShares(routers, coldRate, rnd))
 			mostEven = max(mostEven, most)
-			most, _ = use(routers, 11, rnd, owned(routers, 3, cold, all))
+			most, _ = simulateArrivals(routers, 11, rnd, byOwners(routers, 3, coldEndpoint, allRouters))
 			mostOwned = max(mostOwned, most)
 		}
 		t.Logf("%d routers: %d arrivals in a second with a part each, %d with owners", routers, mostEven, mostOwned)
@@ -138,15 +138,15 @@
 	for newcomer := range 31 {
 		rnd := rand.New(rand.NewPCG(uint64(newcomer), 1))
 		sees := func(router, other int) bool { return router == other || router != newcomer && other != newcomer }
-		most, _ := use(31, 11, rnd, owned(31, 3, cold, sees))
-		g.Expect(most).To(BeNumerically("<=", bound))
+		most, _ := simulateArrivals(31, 11, rnd, byOwners(31, 3, coldEndpoint, sees))
+		g.Expect(most).To(BeNumerically("<=", maxArrivals))
 	}
 }
 
 func TestARouterThatDoesNotKnowTheOthersOwnsNothing(t *testing.T) {
 	g := NewWithT(t)
 	s := Share{Self: "r", Domain: "d", Fleet: func(time.Time) Fleet { return Fleet{Domains: []string{"d"}} }}
-	g.Expect(s.Of(epoch, cold)).To(BeZero())
+	g.Expect(s.Of(epoch, coldEndpoint)).To(BeZero())
 }
 
 func TestAnEndpointThatTakesLittleHasFewOwnersOneInItsOwnDomain(t *testing.T) {
--- a/internal/subset/selector.go
+++ b/internal/subset/selector.go
@@ -8,13 +8,12 @@
 	"coveferry/internal/bundle"
 )
 
-// usersPerEndpoint is how many routers should use each endpoint on average.
+// usersPerEndpoint is the average number of routers that should use each endpoint.
 const usersPerEndpoint = 2
 
-// Selector keeps a router's subsets. A subset is worked out anew only when the
-// endpoints, their failure domains or the routers have changed, since that
-// costs far more than a look-up and most changes of a bundle are others. It is
-// safe for concurrent use.
+// Selector caches a router's subsets. A subset is recomputed only if the endpoints, their failure
+// domains or the routers have changed, since that costs far more than a lookup and most
+// configuration updates change other things. It is safe for concurrent use.
 type Selector struct {
 	self string
 	size int
@@ -23,12 +22,11 @@
 	chosen map[string]selection // by model or service
 }
 
-// selection is one subset and what it was worked out from.
+// selection is a cached subset with the fingerprint of its input.
 type selection struct {
-	from  uint64
-	names map[string]bool
-	// snapshot and endpoints are the subset in the form of the snapshot that
-	// was asked about last.
+	inputHash uint64
+	names     map[string]bool
+	// endpoints is the subset as objects of snapshot, the one that was last passed to Select.
 	snapshot  *bundle.Snapshot
 	endpoints []*bundle.Endpoint
 }
@@ -39,34 +37,33 @@
 	return &Selector{self: self, size: size, chosen: make(map[string]selection)}
 }
 
-// Of returns the endpoints that the router uses among all those of the model or
-// service called target. Without a size, or in a bundle that doesn't list
-// routers, these are all.
+// Select returns the endpoints that the router uses among all those of the model or service
+// called target. These are all if the selector has no size or the bundle lists no routers.
 func (s *Selector) Of(snap *bundle.Snapshot, target string, endpoints []*bundle.Endpoint) []*bundle.Endpoint {
 	routers := snap.Bundle().Routers
 	if s.size == 0 || len(routers) == 0 || len(endpoints) <= s.size {
 		return endpoints
 	}
-	size := s.enough(len(endpoints), len(routers))
+	size := s.effectiveSize(len(endpoints), len(routers))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sel := s.chosen[target]
 	if sel.snapshot == snap {
 		return sel.endpoints
 	}
-	if from := fingerprint(endpoints, routers); sel.names == nil || sel.from != from {
-		sel = selection{from: from, names: s.assign(endpoints, routers, size)}
+	if from := fingerprint(endpoints, routers); sel.names == nil || sel.inputHash != from {
+		sel = selection{inputHash: from, names: s.assign(endpoints, routers, size)}
 	}
 	sel.snapshot = snap
-	sel.endpoints = pick(endpoints, sel.names)
+	sel.endpoints = filterByName(endpoints, sel.names)
 	s.chosen[target] = sel
 	return sel.endpoints
 }
 
-// enough is the size with which an endpoint is used by two routers on average,
-// so that hardly one idles while a router is away; few routers take more than
-// was asked.
-func (s *Selector) enough(endpoints, routers int) int {
+// effectiveSize returns the subset size at which an endpoint is used by two routers on average,
+// so that hardly any endpoint is idle while a router is down; in small fleets it is larger than
+// the configured size.
+func (s *Selector) effectiveSize(endpoints, routers int) int {
 	return max(s.size, ceil(usersPerEndpoint*endpoints, routers))
 }
 
@@ -82,7 +79,7 @@
 	return chosen
 }
 
-func pick(endpoints []*bundle.Endpoint, names map[string]bool) []*bundle.Endpoint {
+func filterByName(endpoints []*bundle.Endpoint, names map[string]bool) []*bundle.Endpoint {
 	picked := make([]*bundle.Endpoint, 0, len(names))
 	for _, e := range endpoints {
 		if names[e.Name] {
@@ -92,22 +89,22 @@
 	return picked
 }
 
-// fingerprint is a hash of all that Assign depends on.
+// fingerprint returns a hash of the input of Assign.
 func fingerprint(endpoints []*bundle.Endpoint, routers []bundle.Router) uint64 {
 	h := xxhash.New()
 	for _, e := range endpoints {
-		writeName(h, e.Name)
-		writeName(h, e.FailureDomain)
+		hashName(h, e.Name)
+		hashName(h, e.FailureDomain)
 	}
-	writeName(h, "")
+	hashName(h, "")
 	for _, r := range routers {
-		writeName(h, r.Name)
+		hashName(h, r.Name)
 	}
 	return h.Sum64()
 }
 
-// writeName ends each name with a byte that none can hold.
-func writeName(h *xxhash.Digest, name string) {
-	_, _ = h.WriteString(name) // a hash takes all
+// hashName adds a name and a separator that no name contains.
+func hashName(h *xxhash.Digest, name string) {
+	_, _ = h.WriteString(name) // hash writes never fail
 	_, _ = h.Write([]byte{0})
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,8 +1,8 @@
-// Package subset picks the endpoints that each router uses, so that a router
-// holds a bounded number of connections, every endpoint is used by nearly the
-// same number of routers, and each router's endpoints are spread over the
-// failure domains. All routers that know the same lists agree without talking;
-// where their lists differ only the evenness suffers.
+// Package subset implements deterministic subsetting: it assigns each router the endpoints that
+// it uses. A router holds a bounded number of connections, all endpoints are used by nearly the
+// same number of routers, and each router's endpoints are spread over the failure domains.
+// Routers with the same lists compute the same assignment without communication; where their
+// lists differ the assignment is less even.
 package subset
 
 import (
@@ -14,19 +14,17 @@
 	"coveferry/internal/bundle"
 )
 
-// bands is into how many parts of falling rank the pairs are cut, so that only
-// the pairs that are still open are sorted.
+// bands is the number of rank ranges that are processed from the highest down, so that only the
+// pairs that are still open are sorted.
 const bands = 1 << bandBits
 
-// Assign returns the endpoints that the router self uses, in the order of the
-// list. routers are all routers, with or without self. Each router gets about
-// size endpoints: at most size and one more for each failure domain, and all
-// of them if there are no more than size.
+// Assign returns the endpoints that the router self uses, in the order of the list. routers are
+// all routers, with or without self. Each router gets about size endpoints: at most size plus one
+// for each failure domain, and all of them if there are no more than size.
 //
-// Within each failure domain every pair of router and endpoint has a rank, the
-// rendezvous hash of both names. Pairs are taken from the highest rank down
-// while both sides have room. That is the only stable matching, so a router or
-// endpoint that comes or goes changes few pairs.
+// Within each failure domain every pair of router and endpoint has a rank, the rendezvous hash of
+// both names. Pairs are taken from the highest rank down while both sides have capacity. That is
+// the only stable matching, so that an added or removed router or endpoint changes few pairs.
 func Assign(self string, routers []string, endpoints []*bundle.Endpoint, size int) []*bundle.Endpoint {
 	if len(endpoints) <= size {
 		return endpoints
@@ -52,10 +50,10 @@
 	return domains
 }
 
-// matcher matches routers with the endpoints of one failure domain at a time.
+// matcher assigns routers to the endpoints of one failure domain at a time.
 type matcher struct {
-	routers []uint64 // hashes of the names, each once
-	room    []int    // endpoints that each router may still take
+	routers  []uint64 // hashes of the names, each once
+	capacity []int    // by router, number of endpoints it may still get
 }
 
 func newMatcher(routers []string) *matcher {
@@ -65,11 +63,12 @@
 	}
 	slices.Sort(m.routers)
 	m.routers = slices.Compact(m.routers)
-	m.room = make([]int, len(m.routers))
+	m.capacity = make([]int, len(m.routers))
 	return m
 }
 
-// matchAll calls take for each pair of a router, by its hash, and an endpoint.
+// matchAll calls take for each assigned pair of a router, by the hash of its name, and an
+// endpoint.
 func (m *matcher) matchAll(endpoints []*bundle.Endpoint, size int, take func(router uint64, e *bundle.Endpoint)) {
 	degree := ceil(len(m.routers)*size, len(endpoints))
 	for _, domain := range byDomain(endpoints) {
@@ -80,41 +79,41 @@
 	}
 }
 
-// pair is a router and an endpoint, by their places, with their rank.
+// pair is a router and an endpoint, by index, with their rank.
 type pair struct {
 	rank     uint64
 	router   int
 	endpoint int
 }
 
-// match pairs each endpoint with degree routers and each router with room
-// endpoints, as far as the other side allows.
+// match assigns each endpoint to degree routers and each router to room endpoints, as far as the
+// capacity of the other side allows.
 func (m *matcher) match(endpoints []*bundle.Endpoint, degree, room int) []pair {
 	hashes := make([]uint64, len(endpoints))
-	open := make([]int, len(endpoints)) // routers that each endpoint still lacks
+	open := make([]int, len(endpoints)) // by endpoint, number of routers still to be assigned
 	for i, e := range endpoints {
 		hashes[i] = xxhash.Sum64String(e.Name)
 		open[i] = degree
 	}
-	for i := range m.room {
-		m.room[i] = room
+	for i := range m.capacity {
+		m.capacity[i] = room
 	}
 	var taken []pair
 	for band := bands - 1; band >= 0; band-- {
 		for _, p := range m.openPairs(hashes, open, uint64(band)) {
-			if open[p.endpoint] == 0 || m.room[p.router] == 0 {
+			if open[p.endpoint] == 0 || m.capacity[p.router] == 0 {
 				continue
 			}
 			open[p.endpoint]--
-			m.room[p.router]--
+			m.capacity[p.router]--
 			taken = append(taken, p)
 		}
 	}
 	return taken
 }
 
-// openPairs lists the pairs of one band that both sides have room for, those
-// of the highest rank first.
+// openPairs returns the pairs of a band whose router and endpoint both have capacity left, in
+// descending order of rank.
 func (m *matcher) openPairs(endpoints []uint64, open []int, band uint64) []pair {
 	var pairs []pair
 	for e, hash := range endpoints {
@@ -123,7 +122,7 @@
 		}
 		for r, router := range m.routers {
 			rank := mix(hash ^ router)
-			if rank>>(64-bandBits) == band && m.room[r] > 0 {
+			if rank>>(64-bandBits) == band && m.capacity[r] > 0 {
 				pairs = append(pairs, pair{rank: rank, router: r, endpoint: e})
 			}
 		}
@@ -132,7 +131,7 @@
 	return pairs
 }
 
-// bandBits is the number of leading bits of a rank that tell its band.
+// bandBits is the number of leading bits of a rank that determine its band.
 const bandBits = 4
 
 // mix is the finalizer of SplitMix64.
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -38,11 +38,11 @@
 	return list
 }
 
-// assigner is a way to pick the subsets of all routers.
-type assigner func(routers []string, endpoints []*bundle.Endpoint) map[string][]*bundle.Endpoint
+// assignFunc is a way to pick the subsets of all routers.
+type assignFunc func(routers []string, endpoints []*bundle.Endpoint) map[string][]*bundle.Endpoint
 
-// stable is what Assign returns for each router, worked out together.
-func stable(routers []string, endpoints []*bundle.Endpoint) map[string][]*bundle.Endpoint {
+// stableMatching is what Assign returns for each router, worked out together.
+func stableMatching(routers []string, endpoints []*bundle.Endpoint) map[string][]*bundle.Endpoint {
 	names := make(map[uint64]string)
 	for _, r := range routers {
 		names[xxhash.Sum64String(r)] = r
@@ -54,8 +54,8 @@
 	return subsets
 }
 
-// rendezvous lets each router take its highest-ranked endpoints by itself.
-func rendezvous(routers []string, endpoints []*bundle.Endpoint) map[string][]*bundle.Endpoint {
+// independentRendezvous lets each router take its highest-ranked endpoints by itself.
+func independentRendezvous(routers []string, endpoints []*bundle.Endpoint) map[string][]*bundle.Endpoint {
 	subsets := make(map[string][]*bundle.Endpoint)
 	for _, r := range routers {
 		subsets[r] = Assign(r, nil, endpoints, subsetSize)
@@ -63,9 +63,9 @@
 	return subsets
 }
 
-// google is the deterministic subsetting of the SRE book: in each round, as
+// sreSubsetting is the deterministic subsetting of the SRE book: in each round, as
 // many routers as there are subsets share out one shuffle of the endpoints.
-func google(routers []string, endpoints []*bundle.Endpoint) map[string][]*bundle.Endpoint {
+func sreSubsetting(routers []string, endpoints []*bundle.Endpoint) map[string][]*bundle.Endpoint {
 	subsets := make(map[string][]*bundle.Endpoint)
 	count := len(endpoints) / subsetSize
 	for i, r := range routers {
@@ -78,8 +78,8 @@
 	return subsets
 }
 
-// spread describes how even an assignment is.
-type spread struct {
+// balanceStats describes how even an assignment is.
+type balanceStats struct {
 	minRouters, maxRouters     int     // of an endpoint
 	meanRouters                float64 // of an endpoint
 	minEndpoints, maxEndpoints int     // of a router
@@ -87,10 +87,10 @@
 	maxLoad                    float64 // of an endpoint, 1 being even
 }
 
-func measure(subsets map[string][]*bundle.Endpoint, endpoints []*bundle.Endpoint) spread {
+func measure(subsets map[string][]*bundle.Endpoint, endpoints []*bundle.Endpoint) balanceStats {
 	routers := make(map[string]int)
 	load := make(map[string]float64)
-	s := spread{minRouters: manyRouters, minEndpoints: manyEndpoints, minDomains: manyDomains}
+	s := balanceStats{minRouters: manyRouters, minEndpoints: manyEndpoints, minDomains: manyDomains}
 	for _, subset := range subsets {
 		s.minEndpoints, s.maxEndpoints = min(s.minEndpoints, len(subset)), max(s.maxEndpoints, len(subset))
 		domains := make(map[string]bool)
@@ -110,8 +110,8 @@
 	return s
 }
 
-// added counts the pairs that are in b and weren't in a.
-func added(a, b map[string][]*bundle.Endpoint) int {
+// addedPairs counts the pairs that are in b and weren't in a.
+func addedPairs(a, b map[string][]*bundle.Endpoint) int {
 	count := 0
 	for r, subset := range b {
 		before := make(map[*bundle.Endpoint]bool)
@@ -134,38 +134,38 @@
 	routers, endpoints := routerNames(manyRouters), fleet(manyEndpoints, manyDomains)
 	for _, w := range []struct {
 		name string
-		way  assigner
-	}{{"rendezvous of each router", rendezvous}, {"Google's", google}, {"stable matching", stable}} {
+		way  assignFunc
+	}{{"rendezvous of each router", independentRendezvous}, {"Google's", sreSubsetting}, {"stable matching", stableMatching}} {
 		whole := w.way(routers, endpoints)
 		fewerE := w.way(routers, slices.Delete(slices.Clone(endpoints), 1000, 1001))
 		fewerR := w.way(slices.Delete(slices.Clone(routers), 500, 501), endpoints)
 		fmt.Printf("%s: %+v\nendpoint leaves %d joins %d; router leaves %d, joins %d\n", w.name, measure(whole, endpoints),
-			added(whole, fewerE), added(fewerE, whole), added(whole, fewerR), added(fewerR, whole))
+			addedPairs(whole, fewerE), addedPairs(fewerE, whole), addedPairs(whole, fewerR), addedPairs(fewerR, whole))
 	}
 }
 
 func TestSpreadAtTheSizeToDesignFor(t *testing.T) {
 	g := gomega.NewWithT(t)
 	routers, endpoints := routerNames(manyRouters), fleet(manyEndpoints, manyDomains)
-	whole := stable(routers, endpoints)
+	whole := stableMatching(routers, endpoints)
 	s := measure(whole, endpoints)
 	g.Expect([]int{s.minRouters, s.maxRouters}).To(gomega.Equal([]int{5, 5}))
 	g.Expect(s.maxEndpoints).To(gomega.BeNumerically("<=", subsetSize+manyDomains))
 	g.Expect(s.minDomains).To(gomega.BeNumerically(">=", subsetSize/2))
 	g.Expect(s.maxLoad).To(gomega.BeNumerically("<", 1.25))
 
-	fewerEndpoints := stable(routers, slices.Delete(slices.Clone(endpoints), 1000, 1001))
-	g.Expect(added(whole, fewerEndpoints)).To(gomega.BeNumerically("<=", 20))
-	g.Expect(added(fewerEndpoints, whole)).To(gomega.BeNumerically("<=", 20))
-	fewerRouters := stable(slices.Delete(slices.Clone(routers), 500, 501), endpoints)
-	g.Expect(added(whole, fewerRouters)).To(gomega.BeNumerically("<=", 60))
-	g.Expect(added(fewerRouters, whole)).To(gomega.BeNumerically("<=", 60))
+	fewerEndpoints := stableMatching(routers, slices.Delete(slices.Clone(endpoints), 1000, 1001))
+	g.Expect(addedPairs(whole, fewerEndpoints)).To(gomega.BeNumerically("<=", 20))
+	g.Expect(addedPairs(fewerEndpoints, whole)).To(gomega.BeNumerically("<=", 20))
+	fewerRouters := stableMatching(slices.Delete(slices.Clone(routers), 500, 501), endpoints)
+	g.Expect(addedPairs(whole, fewerRouters)).To(gomega.BeNumerically("<=", 60))
+	g.Expect(addedPairs(fewerRouters, whole)).To(gomega.BeNumerically("<=", 60))
 }
 
 func TestAssignIsWhatTheRoutersWorkOutTogether(t *testing.T) {
 	g := gomega.NewWithT(t)
 	routers, endpoints := routerNames(40), fleet(200, 3)
-	together := stable(routers, endpoints)
+	together := stableMatching(routers, endpoints)
 	for _, r := range routers {
 		g.Expect(Assign(r, routers, endpoints, subsetSize)).To(gomega.ConsistOf(together[r]))
 	}
