--- a/internal/balance/lab/storm_test.go
+++ b/internal/balance/lab/storm_test.go
@@ -19,7 +19,7 @@
 	return sum / float64(len(bins))
 }
 
-func TestGoodputReturnsAfterABurst(t *testing.T) {
+func TestGoodputRecoversAfterABurst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for seed := range uint64(3) {
 		guarded := SimulateRetryStorm(Protection{Budget: true, Throttle: true}, seed)
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestNaiveRetriesNeverRecover(t *testing.T) {
+func TestUnlimitedRetriesNeverRecover(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for seed := range uint64(3) {
 		naive := SimulateRetryStorm(Protection{}, seed)
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestStormTable(t *testing.T) {
+func TestRetryStormTable(t *testing.T) {
 	if !*printTable {
 		t.Skip("prints figures only; run with -table")
 	}
--- a/internal/balance/lab/table_test.go
+++ b/internal/balance/lab/table_test.go
@@ -62,7 +62,7 @@
 	panic("no variant " + name)
 }
 
-func TestProductBeatsTheOthersAtEachLag(t *testing.T) {
+func TestDefaultPolicyIsBestAtEachReportLag(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, lag := range lags {
 		product := Simulate(variantByName("load-aware with late binding"), lag, quickSize, labSeed)
@@ -74,14 +74,14 @@
 	}
 }
 
-func TestEachMechanismOfTheProductPays(t *testing.T) {
+func TestOutlierDetectionAndPrefixAffinityHelp(t *testing.T) {
 	g := gomega.NewWithT(t)
 	whole := Simulate(variantByName("load-aware"), 0, quickSize, labSeed)
 	g.Expect(whole.SlowShare).To(gomega.BeNumerically("<", Simulate(variantByName("load-aware, no shedding"), 0, quickSize, labSeed).SlowShare))
 	g.Expect(whole.Mean).To(gomega.BeNumerically("<", Simulate(variantByName("load-aware, no prefix"), 0, quickSize, labSeed).Mean))
 }
 
-func TestSameSeedSameOutcome(t *testing.T) {
+func TestSameSeedGivesSameOutcome(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := Variant{Policy: func() balance.Policy { return balance.LoadAware{} }, OutlierDetection: true, LateBinding: true}
 	g.Expect(Simulate(v, 0, 2000, 7)).To(gomega.Equal(Simulate(v, 0, 2000, 7)))
--- a/internal/endpointrate/limit_test.go
+++ b/internal/endpointrate/limit_test.go
@@ -1,7 +1,7 @@
 package endpointrate
 
-// Limits that endpoints name for themselves, at fleets of one router and of 880: what all
-// routers send together, and how much of a limit is used while there is demand.
+// Tests of announced rate limits in fleets of one to 880 routers: how much all routers send
+// together, and how much of a limit is used while there is demand.
 
 import (
 	"fmt"
@@ -16,8 +16,8 @@
 
 const limitWindow = 4 * time.Second
 
-// maxAllowed is what an endpoint that names a limit bears in a window: half more than the limit
-// allows, and five.
+// maxAllowed returns how many requests an endpoint that announces a limit tolerates in
+// limitWindow: one and a half times the limit, plus five.
 func maxAllowed(perSecond float64) float64 { return 1.5*perSecond*limitWindow.Seconds() + 5 }
 
 // fleetShape is a fleet of routers in failure domains.
@@ -27,24 +27,24 @@
 
 func limitOf(perSecond float64) Bound { return Limited("e", "domain0", perSecond) }
 
-// simResult is what an endpoint got in a play.
+// simResult is what an endpoint received in a simulation.
 type simResult struct {
-	maxInWindow int // in the window that has most
+	maxInWindow int // maximum of all windows
 	meanRate    float64
-	byRouter    map[int]int // requests of each router
+	byRouter    map[int]int // requests by router
 }
 
-// simulate plays callers that all want the endpoint. They come unevenly: a router has from a
-// third of the mean to twice as much.
-func simulate(s fleetShape, perSecond float64, lasts time.Duration, rnd *rand.Rand, may admitFunc) simResult {
+// simulate sends the requests of all callers to one endpoint. Arrival rates differ between
+// routers, from a third of the mean to twice as much.
+func simulate(s fleetShape, perSecond float64, duration time.Duration, rnd *rand.Rand, admit admitFunc) simResult {
 	type arrival struct {
 		at     time.Duration
 		router int
 	}
 	var all []arrival
 	for i := range s.routers {
-		own := perSecond / float64(s.routers) * (1.0/3 + rnd.Float64()*5/3)
-		for t := time.Duration(0); t < lasts; t += time.Duration(rnd.ExpFloat64() / own * float64(time.Second)) {
+		ownRate := perSecond / float64(s.routers) * (1.0/3 + rnd.Float64()*5/3)
+		for t := time.Duration(0); t < duration; t += time.Duration(rnd.ExpFloat64() / ownRate * float64(time.Second)) {
 			all = append(all, arrival{t, i})
 		}
 	}
@@ -52,7 +52,7 @@
 	p := simResult{byRouter: make(map[int]int)}
 	var sent []time.Duration
 	for _, a := range all {
-		if may(a.router, a.at) {
+		if admit(a.router, a.at) {
 			sent = append(sent, a.at)
 			p.byRouter[a.router]++
 		}
@@ -64,84 +64,85 @@
 		}
 		p.maxInWindow = max(p.maxInWindow, i-first+1)
 	}
-	p.meanRate = float64(len(sent)) / lasts.Seconds()
+	p.meanRate = float64(len(sent)) / duration.Seconds()
 	return p
 }
 
-// callersPerRouter is how many requests a second a router has on the whole for a service: 800 at
+// callersPerRouter is the requests a second that a router has for a service on average: 800 at
 // 103 routers.
 const callersPerRouter = 8.0
 
-func TestRoutersTogetherKeepToALimitAndUseIt(t *testing.T) {
+func TestAnnouncedLimitIsKeptAndUsedAcrossRouters(t *testing.T) {
 	g := NewWithT(t)
 	const lasts = 40 * time.Second
 	for _, s := range fleetShapes {
 		for _, perSecond := range []float64{0.1, 0.5, 1, 1.1, 3, 7, 13, 50, 400} {
-			worst, least := 0, math.Inf(1)
+			maximum, minUsed := 0, math.Inf(1)
 			for seed := range uint64(3) {
 				rnd := rand.New(rand.NewPCG(seed, 2))
-				asked := max(5*perSecond, callersPerRouter*float64(s.routers))
-				p := simulate(s, asked, lasts, rnd, byOwners(s.routers, s.domains, limitOf(perSecond), allRouters))
-				worst, least = max(worst, p.maxInWindow), min(least, p.meanRate/perSecond)
+				demandRate := max(5*perSecond, callersPerRouter*float64(s.routers))
+				p := simulate(s, demandRate, lasts, rnd, byOwners(s.routers, s.domains, limitOf(perSecond), allRouters))
+				maximum, minUsed = max(maximum, p.maxInWindow), min(minUsed, p.meanRate/perSecond)
 			}
-			t.Logf("%3d routers, limit %5.4g: most in 4 s %4d of %5.1f, used %.2f", s.routers, perSecond, worst, maxAllowed(perSecond), least)
-			g.Expect(float64(worst)).To(BeNumerically("<=", maxAllowed(perSecond)), "%+v, %g a second", s, perSecond)
-			g.Expect(least).To(BeNumerically(">=", minUtilization), "%+v, %g a second", s, perSecond)
+			t.Logf("%3d routers, limit %5.4g: maximum in 4 s %4d of %5.1f allowed, used %.2f", s.routers, perSecond, maximum, maxAllowed(perSecond), minUsed)
+			g.Expect(float64(maximum)).To(BeNumerically("<=", maxAllowed(perSecond)), "%+v, %g a second", s, perSecond)
+			g.Expect(minUsed).To(BeNumerically(">=", minUtilization), "%+v, %g a second", s, perSecond)
 		}
 	}
 }
 
-// The two other ways that were weighed: each router its part by how many there are, from a
-// moment that is drawn, and each the whole limit for itself.
-func TestWaysToShareALimit(t *testing.T) {
+// Compares ownership with two alternatives: equal shares for all routers with random phase, and
+// the whole limit for each router.
+func TestOwnersKeepALimitThatIndependentRoutersExceed(t *testing.T) {
 	g := NewWithT(t)
 	const lasts = 40 * time.Second
 	for _, s := range fleetShapes[2:] {
 		for _, perSecond := range []float64{1, 13} {
-			asked := max(5*perSecond, callersPerRouter*float64(s.routers))
-			play := func(may admitFunc) simResult { return simulate(s, asked, lasts, rand.New(rand.NewPCG(3, 2)), may) }
-			parts := play(byEqualShares(s.routers, perSecond, rand.New(rand.NewPCG(3, 1))))
-			wholes := make([]Pace, s.routers)
-			alone := play(func(router int, at time.Duration) bool { return wholes[router].Take(epoch.Add(at), perSecond, 0) })
-			owners := play(byOwners(s.routers, s.domains, limitOf(perSecond), allRouters))
-			t.Logf("%3d routers, limit %2g: most in 4 s %d of %.0f, used %.2f with owners; %d, %.2f with a part each; %d with the whole each",
-				s.routers, perSecond, owners.maxInWindow, maxAllowed(perSecond), owners.meanRate/perSecond, parts.maxInWindow, parts.meanRate/perSecond, alone.maxInWindow)
-			g.Expect(float64(alone.maxInWindow)).To(BeNumerically(">", maxAllowed(perSecond)))
+			demandRate := max(5*perSecond, callersPerRouter*float64(s.routers))
+			run := func(may admitFunc) simResult { return simulate(s, demandRate, lasts, rand.New(rand.NewPCG(3, 2)), may) }
+			equalShares := run(byEqualShares(s.routers, perSecond, rand.New(rand.NewPCG(3, 1))))
+			pacers := make([]Pace, s.routers)
+			wholeLimits := run(func(router int, at time.Duration) bool { return pacers[router].Take(epoch.Add(at), perSecond, 0) })
+			owners := run(byOwners(s.routers, s.domains, limitOf(perSecond), allRouters))
+			t.Logf("%3d routers, limit %2g: maximum in 4 s %d of %.0f allowed, used %.2f with owners; %d, %.2f with equal shares; %d with the whole limit each",
+				s.routers, perSecond, owners.maxInWindow, maxAllowed(perSecond), owners.meanRate/perSecond, equalShares.maxInWindow, equalShares.meanRate/perSecond, wholeLimits.maxInWindow)
+			g.Expect(float64(wholeLimits.maxInWindow)).To(BeNumerically(">", maxAllowed(perSecond)))
 			g.Expect(float64(owners.maxInWindow)).To(BeNumerically("<=", maxAllowed(perSecond)))
 		}
 	}
 }
 
-// minUtilization is the part of a limit that is used while five times as much is asked for.
+// minUtilization is the minimum share of a limit that is used while five times as much is
+// requested.
 const minUtilization = 0.75
 
-// The router with the largest part stops, and others count it for a while longer.
-func TestALimitIsUsedWhileOneOfItsOwnersIsLost(t *testing.T) {
+// The router with the largest share stops, and the others still count it for a while.
+func TestLimitIsUsedAfterLossOfAnOwner(t *testing.T) {
 	g := NewWithT(t)
 	const lasts = 40 * time.Second
 	for _, s := range fleetShapes[1:] {
 		for _, perSecond := range []float64{0.5, 1, 13} {
-			play := func(lost int) simResult {
-				may := byOwners(s.routers, s.domains, limitOf(perSecond), allRouters)
+			run := func(lost int) simResult {
+				admit := byOwners(s.routers, s.domains, limitOf(perSecond), allRouters)
 				return simulate(s, max(5*perSecond, callersPerRouter*float64(s.routers)), lasts, rand.New(rand.NewPCG(1, 2)), func(router int, at time.Duration) bool {
-					return router != lost && may(router, at)
+					return router != lost && admit(router, at)
 				})
 			}
 			largest, most := 0, 0
-			for router, n := range play(-1).byRouter {
+			for router, n := range run(-1).byRouter {
 				if n > most {
 					largest, most = router, n
 				}
 			}
-			used := play(largest).meanRate / perSecond
-			t.Logf("%3d routers, limit %3g: used %.2f without the owner that used most", s.routers, perSecond, used)
+			used := run(largest).meanRate / perSecond
+			t.Logf("%3d routers, limit %3g: used %.2f without the busiest owner", s.routers, perSecond, used)
 			g.Expect(used).To(BeNumerically(">=", 0.5), "%+v, %g a second", s, perSecond)
 		}
 	}
 }
 
-// One of a fleet isn't known to the others yet, or they aren't to it.
-func TestALimitHoldsWhileRoutersDisagreeOnWhoIsThere(t *testing.T) {
+// One router isn't known to the others yet, or they aren't known to it.
+func TestLimitHoldsWithInconsistentMembership(t *testing.T) {
 	g := NewWithT(t)
 	for _, perSecond := range []float64{0.1, 1, 3, 13} {
 		for newcomer := range 31 {
@@ -152,8 +153,8 @@
 	}
 }
 
-// All routers are cut off from each other for so long that each may be the last one there.
-func TestRoutersThatHearOfNobodyKeepToALimitTogether(t *testing.T) {
+// All routers are disconnected from each other for so long that each may be the sole survivor.
+func TestDisconnectedRoutersKeepToALimitTogether(t *testing.T) {
 	g := NewWithT(t)
 	for _, routers := range []int{3, 31, 880} {
 		sum := 0.0
@@ -162,14 +163,14 @@
 				return Fleet{Known: true, Domains: []string{"domain0"}, CutOffFrom: routers - 1}
 			}}
 			part := s.Of(epoch, limitOf(1))
-			g.Expect(part).To(BeNumerically(">", 0), "one that is the last goes on")
+			g.Expect(part).To(BeNumerically(">", 0), "a sole survivor keeps a share")
 			sum += part
 		}
 		g.Expect(sum).To(BeNumerically("~", 1, 1e-9))
 	}
 }
 
-func TestALimitWithoutMeasureIsSharedByAllRouters(t *testing.T) {
+func TestVeryHighLimitIsSharedByAllRouters(t *testing.T) {
 	g := NewWithT(t)
 	parts := 0.0
 	for i := range 31 {
@@ -189,55 +190,56 @@
 	g.Expect(Gap(1e-300)).To(Equal(maxInterval))
 }
 
-// Requests of two ranks want five times what four endpoints take; the more urgent ones alone
-// want half of it, and get about as much as they would without the others.
-func TestTheMoreUrgentComeFirstWhereALimitTurnsRequestsAway(t *testing.T) {
+// Two tiers together request five times the limits of four endpoints. The urgent tier alone
+// requests half of the limits, and is served about as well as without the other tier.
+func TestUrgentTierComesFirstAtARateLimit(t *testing.T) {
 	g := NewWithT(t)
 	const urgentPerSecond, otherPerSecond = 8, 72
 	alone, _, _ := simulateTiers(urgentPerSecond, 0)
 	urgent, others, used := simulateTiers(urgentPerSecond, otherPerSecond)
-	t.Logf("served %.2f of the urgent ones (%.2f without others) and %.2f of the others, %.2f of the limits used", urgent, alone, others, used)
+	t.Logf("served %.2f of the urgent tier (%.2f without the other tier) and %.2f of the other, %.2f of the limits used", urgent, alone, others, used)
 	g.Expect(urgent).To(BeNumerically(">=", 0.85*alone))
 	g.Expect(used).To(BeNumerically(">=", minUtilization))
 }
 
-// simulateTiers has requests of two ranks ask four endpoints, each of which takes four a second.
-// It returns the part of each rank that is sent, and of the limits that is used.
-func simulateTiers(urgentPerSecond, otherPerSecond float64) (urgent, others, used float64) {
+// simulateTiers sends requests of two tiers to four endpoints with a limit of four requests a
+// second each. It returns the share of each tier that is sent, and the share of the limits that
+// is used.
+func simulateTiers(urgentPerSecond, otherPerSecond float64) (urgent, other, used float64) {
 	const perSecond, lasts = 4.0, 60 * time.Second
 	rnd := rand.New(rand.NewPCG(1, 1))
-	var paces [4]Pace
-	var asked, sent [2]float64
+	var pacers [4]Pace
+	var requested, sent [2]float64
 	rates := [2]float64{urgentPerSecond, max(otherPerSecond, 1e-9)}
 	var next [2]time.Duration
 	for {
-		rank := 0
+		tier := 0
 		if next[1] < next[0] {
-			rank = 1
+			tier = 1
 		}
-		at := next[rank]
+		at := next[tier]
 		if at > lasts {
 			break
 		}
-		next[rank] += time.Duration(rnd.ExpFloat64() / rates[rank] * float64(time.Second))
-		asked[rank]++
-		if sendToFirst(paces[:], epoch.Add(at), perSecond, rank) {
-			sent[rank]++
+		next[tier] += time.Duration(rnd.ExpFloat64() / rates[tier] * float64(time.Second))
+		requested[tier]++
+		if sendToFirst(pacers[:], epoch.Add(at), perSecond, tier) {
+			sent[tier]++
 		}
 	}
-	return sent[0] / asked[0], sent[1] / asked[1], (sent[0] + sent[1]) / (lasts.Seconds() * perSecond * float64(len(paces)))
+	return sent[0] / requested[0], sent[1] / requested[1], (sent[0] + sent[1]) / (lasts.Seconds() * perSecond * float64(len(pacers)))
 }
 
-// sendToFirst sends a request to the first of several endpoints that takes it.
-func sendToFirst(paces []Pace, now time.Time, perSecond float64, rank int) bool {
-	for i := range paces {
-		if paces[i].Take(now, perSecond, rank) {
+// sendToFirst sends a request to the first endpoint that admits it.
+func sendToFirst(pacers []Pace, now time.Time, perSecond float64, tier int) bool {
+	for i := range pacers {
+		if pacers[i].Take(now, perSecond, tier) {
 			return true
 		}
-		paces[i].TurnAway(now)
+		pacers[i].TurnAway(now)
 	}
-	for i := range paces {
-		paces[i].Refuse(now, rank)
+	for i := range pacers {
+		pacers[i].Refuse(now, tier)
 	}
 	return false
 }
--- a/internal/endpointrate/share_test.go
+++ b/internal/endpointrate/share_test.go
@@ -1,9 +1,9 @@
 package endpointrate
 
-// Endpoints that came back cold got all that routers had for them, fell over under it, and
-// came back cold again: 116 processes of 56 endpoints in half a minute, so that an endpoint
-// that came back was worth no more than one that never did. Evidence: 30 arrivals in a second
-// from 31 routers at an endpoint that tolerates 13, and bears 24.
+// These tests guard against overload of cold endpoints. Endpoints that came back received all the
+// requests that routers had for them, crashed, and came back cold again: 116 processes of 56
+// endpoints in half a minute, so that a returning endpoint added no capacity. In one second 30
+// requests from 31 routers arrived at an endpoint that tolerates 13 and survives 24.
 
 import (
 	"fmt"
@@ -17,18 +17,18 @@
 
 const (
 	coldRate    = 13.0 // requests a second that the endpoint tolerates
-	maxArrivals = 24.5 // arrivals in any second beyond which it falls over
+	maxArrivals = 24.5 // arrivals in any second above which it crashes
 )
 
 var coldEndpoint = Cold("e", "domain0", coldRate)
 
 var epoch = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// admitFunc is one way to share an endpoint: it says whether a router may send at a moment.
+// admitFunc is a way to share a limit: it reports whether a router may send a request at a time.
 type admitFunc func(router int, at time.Duration) bool
 
-// byOwners is the product's way among so many routers, of which each knows those that sees
-// names for it.
+// byOwners shares a limit with Share and Pace. Each router knows those routers for which sees
+// returns true.
 func byOwners(routers, domains int, bound Bound, sees func(router, other int) bool) admitFunc {
 	var names []string
 	for d := range domains {
@@ -53,8 +53,7 @@
 	}
 }
 
-// byEqualShares is the other way that was weighed: each router its part by how many there are, from
-// a moment that is drawn.
+// byEqualShares is the alternative of equal shares for all routers with random phase.
 func byEqualShares(routers int, perSecond float64, rnd *rand.Rand) admitFunc {
 	gap := time.Duration(float64(routers) / perSecond * float64(time.Second))
 	next := make([]time.Duration, routers)
@@ -70,20 +69,20 @@
 	}
 }
 
-// simulateArrivals plays callers of each router for ten seconds, all of whom want the endpoint, and
-// returns the most arrivals in any second and how many there are in one on the whole.
-func simulateArrivals(routers int, perRouter float64, rnd *rand.Rand, may admitFunc) (most int, mean float64) {
-	const lasts = 10 * time.Second
+// simulateArrivals sends the requests of each router's callers to one endpoint for ten seconds
+// and returns the maximum arrivals in any second and the mean.
+func simulateArrivals(routers int, perRouter float64, rnd *rand.Rand, admit admitFunc) (maximum int, mean float64) {
+	const duration = 10 * time.Second
 	var at []time.Duration
 	for i := range routers {
-		for t := time.Duration(0); t < lasts; t += time.Duration(rnd.ExpFloat64() / perRouter * float64(time.Second)) {
-			at = append(at, t*time.Duration(routers)+time.Duration(i)) // the router in the low part
+		for t := time.Duration(0); t < duration; t += time.Duration(rnd.ExpFloat64() / perRouter * float64(time.Second)) {
+			at = append(at, t*time.Duration(routers)+time.Duration(i)) // encodes the router in the low part
 		}
 	}
 	slices.Sort(at)
 	var sent []time.Duration
 	for _, x := range at {
-		if t := x / time.Duration(routers); may(int(x%time.Duration(routers)), t) {
+		if t := x / time.Duration(routers); admit(int(x%time.Duration(routers)), t) {
 			sent = append(sent, t)
 		}
 	}
@@ -92,30 +91,30 @@
 		for t-sent[from] >= time.Second {
 			from++
 		}
-		most = max(most, i-from+1)
+		maximum = max(maximum, i-from+1)
 	}
-	return most, float64(len(sent)) / lasts.Seconds()
+	return maximum, float64(len(sent)) / duration.Seconds()
 }
 
 func allRouters(int, int) bool { return true }
 
-func TestRoutersTogetherKeepToWhatAColdEndpointTakesAndUseIt(t *testing.T) {
+func TestColdLimitIsKeptAndUsedAcrossRouters(t *testing.T) {
 	g := NewWithT(t)
 	for _, fleet := range []struct{ routers, domains int }{{1, 1}, {3, 3}, {31, 3}, {103, 5}, {300, 3}, {880, 27}} {
 		for seed := range uint64(50) {
 			rnd := rand.New(rand.NewPCG(seed, 1))
-			// A single router has the callers of all.
+			// A single router has all callers.
 			perRouter := max(11, 33/float64(fleet.routers))
 			most, mean := simulateArrivals(fleet.routers, perRouter, rnd, byOwners(fleet.routers, fleet.domains, coldEndpoint, allRouters))
-			g.Expect(most).To(BeNumerically("<=", coldRate+5), "%+v: arrivals in a second", fleet)
-			g.Expect(mean).To(BeNumerically(">=", 9), "%+v: of 13 a second", fleet)
+			g.Expect(most).To(BeNumerically("<=", coldRate+5), "%+v: maximum arrivals in a second", fleet)
+			g.Expect(mean).To(BeNumerically(">=", 9), "%+v: mean arrivals a second of 13 allowed", fleet)
 		}
 	}
 }
 
-// Each router its part by their number keeps the mean and not the bound: what many routers
-// send by chance falls together.
-func TestOwnersSendLessAtOnceThanAllRoutersWithAPartEach(t *testing.T) {
+// Equal shares keep the mean but not the maximum: the independent sends of many routers coincide
+// by chance.
+func TestOwnersCauseSmallerBurstsThanEqualShares(t *testing.T) {
 	g := NewWithT(t)
 	for _, routers := range []int{31, 103, 300} {
 		mostEven, mostOwned := 0, 0
@@ -126,14 +125,14 @@
 			most, _ = simulateArrivals(routers, 11, rnd, byOwners(routers, 3, coldEndpoint, allRouters))
 			mostOwned = max(mostOwned, most)
 		}
-		t.Logf("%d routers: %d arrivals in a second with a part each, %d with owners", routers, mostEven, mostOwned)
+		t.Logf("%d routers: maximum arrivals in a second %d with equal shares, %d with owners", routers, mostEven, mostOwned)
 		g.Expect(mostOwned).To(BeNumerically("<", mostEven))
 	}
 }
 
-// While one router of a failure domain isn't known to the others yet, or they to it, an
-// endpoint has one owner too many at the most.
-func TestRoutersThatDisagreeOnWhoIsThereStayBelowTheBound(t *testing.T) {
+// While one router of a failure domain isn't known to the others yet, or they aren't known to it,
+// an endpoint has at most one owner too many.
+func TestColdLimitHoldsWithInconsistentMembership(t *testing.T) {
 	g := NewWithT(t)
 	for newcomer := range 31 {
 		rnd := rand.New(rand.NewPCG(uint64(newcomer), 1))
@@ -143,13 +142,13 @@
 	}
 }
 
-func TestARouterThatDoesNotKnowTheOthersOwnsNothing(t *testing.T) {
+func TestRouterWithUnknownFleetHasNoShare(t *testing.T) {
 	g := NewWithT(t)
 	s := Share{Self: "r", Domain: "d", Fleet: func(time.Time) Fleet { return Fleet{Domains: []string{"d"}} }}
 	g.Expect(s.Of(epoch, coldEndpoint)).To(BeZero())
 }
 
-func TestAnEndpointThatTakesLittleHasFewOwnersOneInItsOwnDomain(t *testing.T) {
+func TestLowColdLimitIsOwnedInTheEndpointsDomain(t *testing.T) {
 	g := NewWithT(t)
 	domains := []string{"a", "b", "c"}
 	alone := func(time.Time) Fleet { return Fleet{Known: true, Domains: domains} }
--- a/internal/subset/selector_test.go
+++ b/internal/subset/selector_test.go
@@ -12,7 +12,7 @@
 
 const size = 4
 
-// snapshot holds endpoints of one model in three failure domains, and routers.
+// snapshot returns endpoints of one model in three failure domains, and routers.
 func snapshot(version uint64, endpoints, routers int) *bundle.Snapshot {
 	b := &bundle.Bundle{Version: version}
 	for i := range endpoints {
@@ -34,7 +34,7 @@
 	return names
 }
 
-func TestSelectorNarrows(t *testing.T) {
+func TestSelectorReturnsTheAssignedSubset(t *testing.T) {
 	g := NewWithT(t)
 	s := subset.NewSelector("r0", size)
 	first := snapshot(1, 30, 10)
@@ -43,16 +43,15 @@
 	g.Expect(len(got)).To(And(BeNumerically(">=", size), BeNumerically("<=", size+3)))
 	g.Expect(names(got)).To(Equal(names(subset.Assign("r0", []string{"r1", "r2", "r3", "r4", "r5", "r6", "r7", "r8", "r9"}, all, size))))
 
-	// A snapshot that changes nothing here gives the same names, as its own
-	// endpoints; one with other routers is worked out anew.
+	// A snapshot without relevant changes gives the same names, as endpoints of the new snapshot.
 	second := snapshot(2, 30, 10)
 	again := s.Of(second, "m", second.EndpointsForModel("m"))
 	g.Expect(names(again)).To(Equal(names(got)))
 	g.Expect(again[0]).NotTo(BeIdenticalTo(got[0]))
 }
 
-// Few routers must not leave endpoints without any.
-func TestSelectorLeavesNoEndpointIdle(t *testing.T) {
+// A small number of routers must not leave endpoints unused.
+func TestSelectorUsesEveryEndpointInSmallFleets(t *testing.T) {
 	g := NewWithT(t)
 	snap := snapshot(1, 30, 5)
 	users := make(map[string]int)
@@ -64,7 +63,7 @@
 	g.Expect(users).To(HaveLen(30), "every endpoint is used")
 }
 
-func TestSelectorLeavesAllWhereItCannotShare(t *testing.T) {
+func TestSelectorReturnsAllEndpointsWithoutSubsetting(t *testing.T) {
 	g := NewWithT(t)
 	few, unlisted := snapshot(1, size, 10), snapshot(1, 30, 0)
 	for _, c := range []struct {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -38,10 +38,10 @@
 	return list
 }
 
-// assignFunc is a way to pick the subsets of all routers.
+// assignFunc assigns the subsets of all routers.
 type assignFunc func(routers []string, endpoints []*bundle.Endpoint) map[string][]*bundle.Endpoint
 
-// stableMatching is what Assign returns for each router, worked out together.
+// stableMatching returns what Assign returns for each router, computed in one pass.
 func stableMatching(routers []string, endpoints []*bundle.Endpoint) map[string][]*bundle.Endpoint {
 	names := make(map[uint64]string)
 	for _, r := range routers {
@@ -54,7 +54,8 @@
 	return subsets
 }
 
-// independentRendezvous lets each router take its highest-ranked endpoints by itself.
+// independentRendezvous gives each router its highest-ranked endpoints, regardless of other
+// routers.
 func independentRendezvous(routers []string, endpoints []*bundle.Endpoint) map[string][]*bundle.Endpoint {
 	subsets := make(map[string][]*bundle.Endpoint)
 	for _, r := range routers {
@@ -63,8 +64,8 @@
 	return subsets
 }
 
-// sreSubsetting is the deterministic subsetting of the SRE book: in each round, as
-// many routers as there are subsets share out one shuffle of the endpoints.
+// sreSubsetting is the deterministic subsetting of the SRE book: in each round as many routers as
+// there are subsets divide one shuffle of the endpoints.
 func sreSubsetting(routers []string, endpoints []*bundle.Endpoint) map[string][]*bundle.Endpoint {
 	subsets := make(map[string][]*bundle.Endpoint)
 	count := len(endpoints) / subsetSize
@@ -84,7 +85,7 @@
 	meanRouters                float64 // of an endpoint
 	minEndpoints, maxEndpoints int     // of a router
 	minDomains                 int     // of a router
-	maxLoad                    float64 // of an endpoint, 1 being even
+	maxLoad                    float64 // of an endpoint, relative to an even load
 }
 
 func measure(subsets map[string][]*bundle.Endpoint, endpoints []*bundle.Endpoint) balanceStats {
@@ -110,7 +111,7 @@
 	return s
 }
 
-// addedPairs counts the pairs that are in b and weren't in a.
+// addedPairs counts the pairs that are in b but not in a.
 func addedPairs(a, b map[string][]*bundle.Endpoint) int {
 	count := 0
 	for r, subset := range b {
@@ -139,12 +140,12 @@
 		whole := w.way(routers, endpoints)
 		fewerE := w.way(routers, slices.Delete(slices.Clone(endpoints), 1000, 1001))
 		fewerR := w.way(slices.Delete(slices.Clone(routers), 500, 501), endpoints)
-		fmt.Printf("%s: %+v\nendpoint leaves %d joins %d; router leaves %d, joins %d\n", w.name, measure(whole, endpoints),
+		fmt.Printf("%s: %+v\nadded pairs: endpoint leaves %d, joins %d; router leaves %d, joins %d\n", w.name, measure(whole, endpoints),
 			addedPairs(whole, fewerE), addedPairs(fewerE, whole), addedPairs(whole, fewerR), addedPairs(fewerR, whole))
 	}
 }
 
-func TestSpreadAtTheSizeToDesignFor(t *testing.T) {
+func TestAssignmentIsEvenAtDesignSize(t *testing.T) {
 	g := gomega.NewWithT(t)
 	routers, endpoints := routerNames(manyRouters), fleet(manyEndpoints, manyDomains)
 	whole := stableMatching(routers, endpoints)
@@ -162,7 +163,7 @@
 	g.Expect(addedPairs(fewerRouters, whole)).To(gomega.BeNumerically("<=", 60))
 }
 
-func TestAssignIsWhatTheRoutersWorkOutTogether(t *testing.T) {
+func TestAssignMatchesTheGlobalMatching(t *testing.T) {
 	g := gomega.NewWithT(t)
 	routers, endpoints := routerNames(40), fleet(200, 3)
 	together := stableMatching(routers, endpoints)
@@ -171,7 +172,7 @@
 	}
 }
 
-func TestAssignAloneAndInSmallFleets(t *testing.T) {
+func TestAssignWithOneRouterAndInSmallFleets(t *testing.T) {
 	g := gomega.NewWithT(t)
 	few := fleet(9, 3)
 	g.Expect(Assign("router-0", nil, few, subsetSize)).To(gomega.Equal(few))
