--- a/internal/balance/fetch_test.go
+++ b/internal/balance/fetch_test.go
@@ -1,11 +1,10 @@
 package balance
 
-// One router of a hundred has sent few of the prompts that share a part. On the first day
-// of high load at 103 routers and 180 endpoints a fifth of all tokens that were read had
-// been read before, 26.5 million, though each prompt that wasn't sent to its home named an
-// endpoint to fetch from: one of those that are kept for other requests and never had the
-// part, or one to which this router itself had sent the beginning that nearly all prompts
-// have. Evidence: with the story of each test the router named such an endpoint before.
+// These tests guard against fetching cached prompt parts from endpoints that don't have them. On
+// the first day of high load with 103 routers and 180 endpoints a fifth of all prefilled tokens,
+// 26.5 million, had been prefilled before, although each prompt that wasn't sent to its preferred
+// endpoint named a source. The source was an endpoint reserved for other kinds of request, or one
+// to which this router itself had sent the common beginning of nearly all prompts.
 
 import (
 	"testing"
@@ -16,13 +15,13 @@
 	"coveferry/internal/bundle"
 )
 
-// busyHome is a pool that has sent the beginning that prompts share to all endpoints but
-// the home, at which so much else is to be read that others are cheaper.
-func busyHome(home string) *Pool {
+// poolWithBusyEndpoint returns a pool that has sent the common beginning of prompts to all
+// endpoints but the given one, which has so much to prefill that others are cheaper.
+func poolWithBusyEndpoint(busy string) *Pool {
 	p := NewPool(Config{Policy: NewPromptAware()})
 	for i, e := range engines(9) {
 		work := Work{Prompt: long(uint64(50 + i)).Prompt}
-		if e.Name == home {
+		if e.Name == busy {
 			work.Prompt = unseen(900).Prompt
 			for range 20 {
 				p.SentWork(epoch, e.Name, work)
@@ -36,32 +35,32 @@
 	return p
 }
 
-// unseen is a long prompt whose beginning no other has.
-func unseen(home uint64) Request {
-	r := long(home)
-	r.Prompt.Parts[0].ID = home + 5000
+// unsharedRequest returns a request with a long prompt whose beginning is unique.
+func unseen(key uint64) Request {
+	r := long(key)
+	r.Prompt.Parts[0].ID = key + 5000
 	return r
 }
 
-// homeAt is the endpoint to which all routers send prompts of a home at first.
-func homeAt(home uint64, all []*bundle.Endpoint) string {
-	name, _ := send(NewPool(Config{Policy: NewPromptAware()}), epoch, long(home), all)
+// preferredFor returns the preferred endpoint of a prompt key.
+func preferredFor(key uint64, all []*bundle.Endpoint) string {
+	name, _ := send(NewPool(Config{Policy: NewPromptAware()}), epoch, long(key), all)
 	return name
 }
 
-func TestThePartsAreFetchedFromTheHomeThatOthersFilled(t *testing.T) {
+func TestCacheIsFetchedFromThePreferredEndpoint(t *testing.T) {
 	for key := uint64(10); key < 30; key++ {
 		g := NewWithT(t)
-		home := homeAt(key, engines(9))
-		c, err := busyHome(home).ChooseExpecting(epoch.Add(time.Millisecond), long(key), engines(9), nil)
+		preferred := preferredFor(key, engines(9))
+		c, err := poolWithBusyEndpoint(preferred).ChooseExpecting(epoch.Add(time.Millisecond), long(key), engines(9), nil)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(c.Endpoint.Name).NotTo(Equal(home))
+		g.Expect(c.Endpoint.Name).NotTo(Equal(preferred))
 		g.Expect(c.Source).NotTo(BeNil())
-		g.Expect(c.Source.Name).To(Equal(home))
+		g.Expect(c.Source.Name).To(Equal(preferred))
 	}
 }
 
-func TestNothingIsFetchedFromEndpointsThatAreKeptForOthers(t *testing.T) {
+func TestCacheIsNotFetchedFromEndpointsReservedForOtherKinds(t *testing.T) {
 	g := NewWithT(t)
 	all := engines(12)
 	p := NewPool(Config{Policy: NewPromptAware()})
--- a/internal/balance/objective_test.go
+++ b/internal/balance/objective_test.go
@@ -1,11 +1,10 @@
 package balance
 
-// The story: in bursts long prompts whose answers may begin after two seconds left their homes
-// for waits of some tenths of one, and what they share with others was read again elsewhere, a
-// fifth of it: that took the engines' time from all.
-// The cause: a wait counted in milliseconds, whatever it was to its caller.
-// The evidence: these tests; on the heaviest day of a deployment with such prompts 4.4 million
-// tokens of shared parts were read again, 6.1 million before.
+// These tests guard against waiting time being weighted without regard to the objective. Long
+// prompts with an objective of two seconds left their preferred endpoints for waits of some
+// tenths of a second, and a fifth of the parts they shared with others was prefilled again
+// elsewhere, which delayed all requests. With the weight, on the heaviest day of a deployment
+// with such prompts, 4.4 million tokens of shared parts were prefilled again, 6.1 million before.
 
 import (
 	"testing"
@@ -14,33 +13,33 @@
 	. "github.com/onsi/gomega"
 )
 
-// leavesHome says whether a long prompt with an objective leaves its home, where so many
-// tokens are unread.
-func leavesHome(unread int, objective time.Duration) bool {
+// leavesPreferred reports whether a long prompt with an objective is sent elsewhere while its
+// preferred endpoint has the given number of tokens to prefill.
+func leavesPreferred(pendingTokens int, objective time.Duration) bool {
 	p := NewPool(Config{Policy: NewPromptAware(), Seed: 1})
 	all := engines(4)
 	req := long(300)
 	req.Objective = objective
 	now := epoch.Add(coldFor)
-	home, a := send(p, now, req, all)
+	preferred, a := send(p, now, req, all)
 	a.Ended()
 	before := long(400)
-	before.Prompt.Tokens = unread
-	p.SentWork(now, home, Work{Prompt: before.Prompt})
+	before.Prompt.Tokens = pendingTokens
+	p.SentWork(now, preferred, Work{Prompt: before.Prompt})
 	to, _ := send(p, now.Add(time.Millisecond), req, all)
-	return to != home
+	return to != preferred
 }
 
-func TestAWaitCountsByTheObjective(t *testing.T) {
+func TestWaitIsWeightedByTheObjective(t *testing.T) {
 	g := NewWithT(t)
-	const tokens = 30_000 // .6 s to read
-	g.Expect(leavesHome(tokens, 400*time.Millisecond)).To(BeTrue())
-	g.Expect(leavesHome(tokens, 2*time.Second)).To(BeFalse(), "it begins in time all the same")
-	g.Expect(leavesHome(8*tokens, 2*time.Second)).To(BeTrue(), "it would begin too late")
-	g.Expect(leavesHome(tokens, 0)).To(BeTrue(), "nothing is known of how long it may wait")
+	const tokens = 30_000 // 0.6 s of prefill
+	g.Expect(leavesPreferred(tokens, 400*time.Millisecond)).To(BeTrue())
+	g.Expect(leavesPreferred(tokens, 2*time.Second)).To(BeFalse(), "starts in time anyway")
+	g.Expect(leavesPreferred(8*tokens, 2*time.Second)).To(BeTrue(), "would start too late")
+	g.Expect(leavesPreferred(tokens, 0)).To(BeTrue(), "without an objective")
 }
 
-func TestWaitsWithinAShortObjectiveCountWhole(t *testing.T) {
+func TestWaitCountsInFullForShortObjectives(t *testing.T) {
 	g := NewWithT(t)
 	for _, objective := range []time.Duration{0, 100 * time.Millisecond, shortObjective} {
 		g.Expect(waitWeight(objective)).To(Equal(1.0), objective.String())
--- a/internal/balance/pool_test.go
+++ b/internal/balance/pool_test.go
@@ -22,7 +22,7 @@
 	return list
 }
 
-func TestChooseLeavesOutSkippedAndLeaving(t *testing.T) {
+func TestChooseExcludesSkippedAndLeaving(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{Seed: 1})
 	list := endpoints("a", "b", "c")
@@ -39,7 +39,7 @@
 	g.Expect(err).To(gomega.Equal(&NoEndpointError{Candidates: 2, Skipped: 1, Leaving: 1}))
 }
 
-func TestOlderReportIsIgnoredUntilTheHoldEnds(t *testing.T) {
+func TestOlderSeqIsIgnoredDuringSeqHold(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{SeqHold: time.Second})
 	list := endpoints("a")
@@ -50,7 +50,7 @@
 	g.Expect(p.Views(epoch, list)[0].Load.DrainPerSecond).To(gomega.Equal(1.0))
 }
 
-func TestOwnSendsCountUntilReported(t *testing.T) {
+func TestOwnRequestsCountUntilReported(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{})
 	list := endpoints("a")
@@ -93,13 +93,13 @@
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{})
 	list := endpoints("a", "b", "c")
-	// The scratch is held here: under the race detector sync.Pool drops some.
+	// Hold the scratch, since sync.Pool drops items under the race detector.
 	s := p.scratch.Get().(*scratch)
 	allocs := testing.AllocsPerRun(1000, func() { _, _ = p.choose(s, epoch, Request{Prefix: 7}, list, nil) })
 	g.Expect(allocs).To(gomega.BeZero())
 }
 
-func TestPoliciesUseNoShedEndpoint(t *testing.T) {
+func TestPoliciesSkipEjectedEndpoints(t *testing.T) {
 	g := gomega.NewWithT(t)
 	views := []View{{Endpoint: "a"}, {Endpoint: "b", Weight: 1}, {Endpoint: "c"}}
 	p := NewPool(Config{})
--- a/internal/balance/prompts_test.go
+++ b/internal/balance/prompts_test.go
@@ -13,7 +13,7 @@
 	"coveferry/internal/prompt"
 )
 
-// engines are n idle endpoints in three failure domains.
+// newEndpoints returns n idle endpoints in three failure domains.
 func engines(n int) []*bundle.Endpoint {
 	all := make([]*bundle.Endpoint, n)
 	for i := range all {
@@ -24,21 +24,21 @@
 	return all
 }
 
-func long(home uint64) Request {
+func long(key uint64) Request {
 	return Request{Prompt: prompt.Prompt{
-		Parts:  []prompt.Part{{ID: 1, Tokens: 2500}, {ID: home, Tokens: 3800}, {ID: home + 1000, Tokens: 2900}},
+		Parts:  []prompt.Part{{ID: 1, Tokens: 2500}, {ID: key, Tokens: 3800}, {ID: key + 1000, Tokens: 2900}},
 		Tokens: 9200, Output: 50,
 	}, MaxGap: time.Second, Stride: 6}
 }
 
-func tight(home uint64) Request {
+func tight(key uint64) Request {
 	return Request{MaxGap: 250 * time.Millisecond, Stride: 6, Prompt: prompt.Prompt{
-		Parts:  []prompt.Part{{ID: 2, Tokens: 100}, {ID: home, Tokens: 70}, {ID: home + 1000, Tokens: 540}},
+		Parts:  []prompt.Part{{ID: 2, Tokens: 100}, {ID: key, Tokens: 70}, {ID: key + 1000, Tokens: 540}},
 		Tokens: 710, Output: 280,
 	}}
 }
 
-// send chooses an endpoint for the request and notes that it was sent.
+// chooseAndSend chooses an endpoint for the request and records it as sent.
 func send(p *Pool, now time.Time, req Request, all []*bundle.Endpoint) (string, *Account) {
 	c, err := p.ChooseExpecting(now, req, all, nil)
 	if err != nil {
@@ -47,21 +47,21 @@
 	return c.Endpoint.Name, p.SentWork(now, c.Endpoint.Name, Work{Tier: req.Tier, Prompt: req.Prompt, Tight: c.Tight, MaxGap: req.MaxGap, Stride: req.Stride})
 }
 
-// traffic plays seconds of mixed requests at a pool and returns the endpoints
-// that each kind used in the last second.
-func traffic(p *Pool, all []*bundle.Endpoint, seconds, longs, tights int) (longAt, tightAt map[string]int) {
+// simulateTraffic sends mixed requests for the given number of seconds and returns the number of
+// requests of each kind by endpoint in the last second.
+func traffic(p *Pool, all []*bundle.Endpoint, seconds, longRate, tightRate int) (longAt, tightAt map[string]int) {
 	now := epoch
 	for s := range seconds {
 		longAt, tightAt = make(map[string]int), make(map[string]int)
 		for i := range 100 {
 			now = now.Add(10 * time.Millisecond)
-			if i%(100/longs) == 0 {
+			if i%(100/longRate) == 0 {
 				name, a := send(p, now, long(uint64(10+(s*100+i)%50)), all)
 				longAt[name]++
 				a.Ended()
 				p.Done(now, name, ResultOK, 0)
 			}
-			if i%(100/tights) == 0 {
+			if i%(100/tightRate) == 0 {
 				name, a := send(p, now, tight(uint64(100+i%10)), all)
 				tightAt[name]++
 				a.Ended()
@@ -72,7 +72,7 @@
 	return longAt, tightAt
 }
 
-func TestLongPromptsAndTightStreamsUseDifferentEndpoints(t *testing.T) {
+func TestLongPromptsAndTightGapStreamsUseDifferentEndpoints(t *testing.T) {
 	for _, c := range []struct{ n, rate int }{{2, 20}, {3, 20}, {9, 20}, {55, 100}} {
 		g := NewWithT(t)
 		n := c.n
@@ -85,14 +85,14 @@
 	}
 }
 
-func TestTheTightPartFollowsDemand(t *testing.T) {
+func TestReservedEndpointsFollowDemand(t *testing.T) {
 	g := NewWithT(t)
 	_, few := traffic(NewPool(Config{Policy: NewPromptAware()}), engines(6), 6, 20, 5)
 	_, many := traffic(NewPool(Config{Policy: NewPromptAware()}), engines(6), 6, 20, 100)
 	g.Expect(len(many)).To(BeNumerically(">", len(few)+1))
 }
 
-func TestTwoRoutersKeepTheSameEndpointsForTightStreams(t *testing.T) {
+func TestRoutersReserveTheSameEndpoints(t *testing.T) {
 	g := NewWithT(t)
 	_, a := traffic(NewPool(Config{Policy: NewPromptAware(), Seed: 1}), engines(9), 6, 20, 20)
 	_, b := traffic(NewPool(Config{Policy: NewPromptAware(), Seed: 2}), engines(9), 6, 20, 20)
@@ -101,38 +101,38 @@
 	}
 }
 
-func TestTheTightPartFollowsWhatOtherRoutersSee(t *testing.T) {
+func TestReservedEndpointsFollowPeerDemand(t *testing.T) {
 	g := NewWithT(t)
-	quiet, busy := NewPromptAware(), NewPromptAware()
-	busy.HearOthers(func() Others {
+	alone, withPeers := NewPromptAware(), NewPromptAware()
+	withPeers.HearOthers(func() Others {
 		return Others{Demand: Demand{{GapMillis: 250, Requests: 600, Recent: 300, Held: 1200, Read: 6}}, Routers: 9}
 	})
-	_, few := traffic(NewPool(Config{Policy: quiet}), engines(12), 4, 20, 5)
-	_, many := traffic(NewPool(Config{Policy: busy}), engines(12), 4, 20, 5)
+	_, few := traffic(NewPool(Config{Policy: alone}), engines(12), 4, 20, 5)
+	_, many := traffic(NewPool(Config{Policy: withPeers}), engines(12), 4, 20, 5)
 	g.Expect(len(few)).To(BeNumerically("<", 4))
-	longs, _ := traffic(NewPool(Config{Policy: busy}), engines(12), 4, 20, 5)
-	g.Expect(len(longs)).To(BeNumerically("<", 4), "%d endpoints are for tight streams", len(many))
+	longs, _ := traffic(NewPool(Config{Policy: withPeers}), engines(12), 4, 20, 5)
+	g.Expect(len(longs)).To(BeNumerically("<", 4), "%d endpoints are reserved for tight-gap streams", len(many))
 }
 
-func TestPromptsThatShareParts(t *testing.T) {
+func TestPromptsWithSharedPartsUseTheSameEndpoint(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
 	all := engines(9)
-	home := make(map[uint64]string)
+	preferred := make(map[uint64]string)
 	for i := range 200 {
 		now := epoch.Add(time.Duration(i) * 50 * time.Millisecond)
 		key := uint64(10 + i%20)
 		name, a := send(p, now, long(key), all)
 		a.Ended()
 		p.Done(now, name, ResultOK, 0)
-		if home[key] != "" && i > 100 {
-			g.Expect(name).To(Equal(home[key]), "request %d", i)
+		if preferred[key] != "" && i > 100 {
+			g.Expect(name).To(Equal(preferred[key]), "request %d", i)
 		}
-		home[key] = name
+		preferred[key] = name
 	}
 }
 
-func TestRoutersThatNeverTalkBringPromptsThatSharePartsTogether(t *testing.T) {
+func TestIndependentRoutersPreferTheSameEndpoint(t *testing.T) {
 	g := NewWithT(t)
 	all := engines(9)
 	a := NewPool(Config{Policy: NewPromptAware(), Seed: 1})
@@ -148,12 +148,12 @@
 	}
 }
 
-func TestABusyHomeIsLeftAndItsCacheNamed(t *testing.T) {
+func TestBusyPreferredEndpointIsUsedAsCacheSource(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
 	all := engines(9)
 	first, _ := send(p, epoch, long(10), all)
-	for range 20 { // prompts that the home has yet to read
+	for range 20 { // prompts that the preferred endpoint still has to prefill
 		p.SentWork(epoch, first, Work{Prompt: long(900).Prompt})
 	}
 	c, err := p.ChooseExpecting(epoch, long(10), all, nil)
@@ -163,7 +163,7 @@
 	g.Expect(c.Source.Name).To(Equal(first))
 }
 
-func TestAPromptThatIsCachedNeedsNoSource(t *testing.T) {
+func TestCachedPromptNeedsNoSource(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
 	all := engines(9)
@@ -193,7 +193,7 @@
 	g.Expect(wait(1)).To(BeNumerically("<", 200*time.Millisecond))
 }
 
-func TestAnAccountCountsOnce(t *testing.T) {
+func TestTrackedRequestIsReleasedOnce(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
 	all := engines(1)
@@ -205,50 +205,50 @@
 	a.Ended()
 	v := p.Views(epoch, all)[0]
 	g.Expect(v.Tight).To(Equal(1))
-	g.Expect(v.Prefill[0]).To(Equal(9200 - 2500)) // the first part was sent before
+	g.Expect(v.Prefill[0]).To(Equal(9200 - 2500)) // the first part is cached from the first request
 	b.Ended()
 	v = p.Views(epoch, all)[0]
 	g.Expect(v.Tight).To(BeZero())
 	g.Expect(v.Prefill[0]).To(BeZero())
 }
 
-func TestSplitLeavesSomethingForWhoeverAsks(t *testing.T) {
+func TestSplitGivesEveryKindWithDemandAnEndpoint(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 400).Draw(t, "n")
 		last := rapid.IntRange(0, 400).Draw(t, "last")
 		tight := rapid.Float64Range(0, 1e6).Draw(t, "tight")
 		bulk := rapid.Float64Range(0, 1e6).Draw(t, "bulk")
-		kept := split(last, n, tight, bulk)
-		if kept < 0 || kept > n {
-			t.Fatalf("%d of %d", kept, n)
+		reserved := split(last, n, tight, bulk)
+		if reserved < 0 || reserved > n {
+			t.Fatalf("%d of %d", reserved, n)
 		}
-		if n > 1 && tight > 0 && kept == 0 || n > 1 && bulk > 0 && kept == n {
-			t.Fatalf("%d of %d leave a kind that asks nothing", kept, n)
+		if n > 1 && tight > 0 && reserved == 0 || n > 1 && bulk > 0 && reserved == n {
+			t.Fatalf("%d of %d leave a kind with demand no endpoint", reserved, n)
 		}
 	})
 }
 
-func TestSplitHoldsStillAtItsBoundary(t *testing.T) {
+func TestSplitDoesNotFlap(t *testing.T) {
 	g := NewWithT(t)
-	kept := split(0, 9, 3, 6)
+	reserved := split(0, 9, 3, 6)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 100 {
 		noise := 0.8 + 0.4*rnd.Float64()
-		kept = split(kept, 9, 3*noise, 6)
-		g.Expect(kept).To(Equal(3))
+		reserved = split(reserved, 9, 3*noise, 6)
+		g.Expect(reserved).To(Equal(3))
 	}
 }
 
-func TestTheCacheOfALeavingHomeIsStillUsed(t *testing.T) {
+func TestCacheOfLeavingEndpointIsUsed(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
 	all := engines(9)
-	home, a := send(p, epoch, long(10), all)
+	preferred, a := send(p, epoch, long(10), all)
 	a.Ended()
-	p.Done(epoch, home, ResultOK, 0)
-	p.SetLeaving(home, true)
+	p.Done(epoch, preferred, ResultOK, 0)
+	p.SetLeaving(preferred, true)
 	c, err := p.ChooseExpecting(epoch.Add(time.Second), long(10), all, nil)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(c.Endpoint.Name).NotTo(Equal(home))
-	g.Expect(c.Source.Name).To(Equal(home))
+	g.Expect(c.Endpoint.Name).NotTo(Equal(preferred))
+	g.Expect(c.Source.Name).To(Equal(preferred))
 }
