--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -162,8 +162,7 @@
 	return shortObjective.Seconds() / objective.Seconds()
 }
 
-// estimatedRequests returns the estimated number of requests that run or are queued at the
-// endpoint.
+// estimatedRequests estimates how many run or are queued at the endpoint.
 func (v *View) requests() float64 {
 	n := float64(v.Load.TotalQueued()+v.Load.TotalRunning()) + max(v.Since, float64(v.SinceReport))
 	return max(n, float64(v.Inflight))
--- a/internal/balance/demand.go
+++ b/internal/balance/demand.go
@@ -172,7 +172,7 @@
 	slotTimes map[kindKey]runningMean
 	// peerDemand returns the demand that other routers see; nil if they don't report it.
 	others func() Others
-	// separations holds the last decision for each service.
+	// separations holds the most recent decision for each service.
 	last map[string]separation
 	// ownShare is this router's share of all requests as last computed; 0 before.
 	ownShare float64
@@ -240,7 +240,7 @@
 	return m
 }
 
-// recordEnded counts a stream that ended after it held its slot for the given time.
+// recordEnded counts a finished stream that held its slot for the given time.
 func (d *demand) ended(now time.Time, key kindKey, slotTime time.Duration, late bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
