--- a/internal/balance/expect.go
+++ b/internal/balance/expect.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Expect implements Expecter.
+// Estimate implements ChoiceEstimator.
 func (p PromptAware) Expect(req Request, views, leaving []View, chosen int) Expectation {
 	separated := p.demand.decided(req.Service)
 	regular, _ := splitReducedCapacity(views, usableViews(views))
--- a/internal/balance/prompts.go
+++ b/internal/balance/prompts.go
@@ -59,7 +59,7 @@
 	return chosen, true
 }
 
-// Ended implements Learner.
+// StreamEnded implements StreamObserver.
 func (p PromptAware) Ended(now time.Time, service string, gap, held time.Duration, late bool) {
 	p.demand.ended(now, kindKey{service, gap.Milliseconds()}, held, late)
 }
--- a/internal/balance/unequal_play_test.go
+++ b/internal/balance/unequal_play_test.go
@@ -36,7 +36,7 @@
 	events                  int
 	gap                     time.Duration
 	objective               time.Duration
-	patience                time.Duration // callers cancel after such a wait for an event
+	patience                time.Duration // callers cancel after waiting this long for an event
 	inTime, late            int
 	rejected, timedOut      int
 }
@@ -109,8 +109,8 @@
 	unequalReportBy      = 100 * time.Millisecond // before it arrives
 )
 
-// simulateUnequal simulates a load relative to the capacity of the engines.
-func simulateUnequal(routers int, load float64) *unequal {
+// simulateUnequal runs the simulation at a load relative to the capacity of the engines.
+func simulateUnequal(routers int, utilization float64) *unequal {
 	u := &unequal{rnd: rand.New(rand.NewPCG(7, uint64(routers))), kinds: unequalKinds()}
 	var demand Demand
 	var first PromptAware
@@ -141,7 +141,7 @@
 	for _, k := range u.kinds {
 		tokensPerRequest += k.share * float64(k.ownTokens)
 	}
-	rate := load * capacity / tokensPerRequest
+	rate := utilization * capacity / tokensPerRequest
 	for at := time.Duration(0); at < unequalDuration; at += time.Duration(u.rnd.ExpFloat64() / rate * float64(time.Second)) {
 		k := u.randomKind()
 		u.runAt(epoch.Add(at), func(now time.Time) { u.sendRequest(now, k, candidates) })
@@ -194,19 +194,19 @@
 	router := u.rnd.IntN(len(u.pools))
 	subject := uint64(1000*(k.tier+1)) + uint64(u.rnd.IntN(k.subjects))
 	common := uint64(10 + k.tier)
-	ask := prompt.Prompt{
+	requestPrompt := prompt.Prompt{
 		Parts:  []prompt.Part{{ID: common, Tokens: k.sharedTokens / 3}, {ID: subject, Tokens: k.sharedTokens - k.sharedTokens/3}, {ID: u.rnd.Uint64(), Tokens: k.ownTokens}},
 		Tokens: k.sharedTokens + k.ownTokens, Output: unequalStride * k.events,
 	}
-	req := Request{Service: "llm", Tier: k.tier, Prompt: ask, MaxGap: k.gap, Stride: unequalStride, Objective: k.objective}
+	req := Request{Service: "llm", Tier: k.tier, Prompt: requestPrompt, MaxGap: k.gap, Stride: unequalStride, Objective: k.objective}
 	choice, err := u.pools[router].ChooseExpecting(now, req, candidates, nil)
 	if err != nil || choice.Wait-choice.Read > u.kinds[0].objective {
 		k.rejected++
 		return
 	}
-	r := &unequalStream{kind: k, prompt: ask, router: router, sent: now}
+	r := &unequalStream{kind: k, prompt: requestPrompt, router: router, sent: now}
 	r.account = u.pools[router].SentWork(now, choice.Endpoint.Name, Work{
-		Service: req.Service, Tier: k.tier, Prompt: ask, Tight: choice.Tight, MaxGap: k.gap, Stride: unequalStride, Objective: k.objective,
+		Service: req.Service, Tier: k.tier, Prompt: requestPrompt, Tight: choice.Tight, MaxGap: k.gap, Stride: unequalStride, Objective: k.objective,
 	})
 	e := u.engines[slices.Index(candidates, choice.Endpoint)]
 	e.queued = append(e.queued, r)
@@ -345,16 +345,16 @@
 		minInTime   = 0.7  // of the most urgent kind, at a quarter of the capacity
 	)
 	for _, routers := range []int{3, 27, 103} {
-		for _, load := range []float64{0.25, 0.5, 0.75, 1} {
-			u := simulateUnequal(routers, load)
+		for _, utilization := range []float64{0.25, 0.5, 0.75, 1} {
+			u := simulateUnequal(routers, utilization)
 			for _, k := range u.kinds {
-				t.Logf("%d routers, load %.2f, tier %d: %.2f in time, %.2f late, %.2f rejected, %.2f timed out",
-					routers, load, k.tier, k.fraction(k.inTime), k.fraction(k.late), k.fraction(k.rejected), k.fraction(k.timedOut))
-				if load <= 0.5 {
-					g.Expect(k.fraction(k.timedOut)).To(BeNumerically("<", maxTimedOut), "%d routers, load %.2f, tier %d", routers, load, k.tier)
+				t.Logf("%d routers, utilization %.2f, tier %d: %.2f in time, %.2f late, %.2f rejected, %.2f timed out",
+					routers, utilization, k.tier, k.fraction(k.inTime), k.fraction(k.late), k.fraction(k.rejected), k.fraction(k.timedOut))
+				if utilization <= 0.5 {
+					g.Expect(k.fraction(k.timedOut)).To(BeNumerically("<", maxTimedOut), "%d routers, utilization %.2f, tier %d", routers, utilization, k.tier)
 				}
-				if load <= 0.25 && k.tier == 0 {
-					g.Expect(k.fraction(k.inTime)).To(BeNumerically(">", minInTime), "%d routers, load %.2f", routers, load)
+				if utilization <= 0.25 && k.tier == 0 {
+					g.Expect(k.fraction(k.inTime)).To(BeNumerically(">", minInTime), "%d routers, utilization %.2f", routers, utilization)
 				}
 			}
 		}
