--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -140,8 +140,8 @@
 	s.pcg.Seed(p.cfg.Seed, p.choiceCount.Add(1))
 	excluded := p.collect(s, now, req, candidates, skip)
 	if excluded.rateLimited > 0 && 2*excluded.suspect > len(candidates) {
-		// This router itself is or was disconnected. Suspect endpoints stay candidates, so that
-		// it notices at once when the network is back.
+		// This router itself is or was disconnected. Suspect endpoints aren't limited to the rate
+		// of cold ones then, so that it notices at once when its network is back.
 		req.mostUnsure = true
 		excluded = p.collect(s, now, req, candidates, skip)
 	}
@@ -170,7 +170,7 @@
 // exclusions counts the candidates that aren't among the views.
 type exclusions struct {
 	skipped, leaving int
-	// rateLimited counts the endpoints at their rate limit. The first of them admits a request in
+	// rateLimited counts the endpoints at their rate limit; one of them admits a request after
 	// freeIn.
 	rateLimited int
 	freeIn      time.Duration
@@ -178,7 +178,7 @@
 	suspect int
 }
 
-// addRateLimited counts an endpoint that admits its next request in freeIn.
+// addRateLimited counts an endpoint that admits its next request after freeIn.
 func (l *exclusions) addRateLimited(freeIn time.Duration) {
 	if l.rateLimited == 0 || freeIn < l.freeIn {
 		l.freeIn = freeIn
--- a/internal/balance/speed.go
+++ b/internal/balance/speed.go
@@ -40,15 +40,15 @@
 }
 
 const (
-	// outputTokenQuantile of the times between output tokens is that of a step without concurrent
-	// prefill, as most steps are.
+	// The outputTokenQuantile of the times between output tokens corresponds to a step without
+	// concurrent prefill, as most steps are.
 	outputTokenQuantile = 0.4
-	// prefillQuantile of the times to first token per prompt token is that of prompts which had
-	// the engine to themselves. It is low, so that queueing in an overload isn't mistaken for
-	// slow prefill.
+	// The prefillQuantile of the time to first token per prompt token corresponds to a prompt
+	// that had the engine to itself. It is low, so that queueing in an overload isn't mistaken
+	// for slow prefill.
 	prefillQuantile = 0.1
-	// minPrefillTokens is the number of prompt tokens from which the time to first token is
-	// dominated by prefill rather than latency.
+	// minPrefillTokens is the prompt length from which prefill, rather than network latency,
+	// dominates the time to first token.
 	minPrefillTokens = 1024
 	// minSamples is the number of samples from which an estimate is used.
 	leastSamples = 20
