--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -76,7 +76,7 @@
 	ReportedAt time.Time
 	// TimeToFirstToken is a moving average.
 	FirstToken time.Duration
-	// ServiceTime is the average time for which a request holds a slot, derived from the running
+	// SlotTime is the average time for which a request holds a slot, derived from the running
 	// requests and the drain rate in load reports; 0 if unknown.
 	Service time.Duration
 	// SecondsPerOutputToken is the time between two output tokens, 0 if unknown, and
@@ -84,16 +84,17 @@
 	Token, PerToken float64
 	// PrefillOverhead is the fixed part of a prompt's prefill time, in seconds.
 	First float64
-	// RateLimited is set if the endpoint has a rate limit over all routers that still admits this
-	// request. Endpoints at their limit aren't among the views.
+	// HasRateLimit is set if the endpoint has a rate limit over all routers that still admits
+	// this request. Endpoints at their limit aren't among the views.
 	Bounded bool
 	// Suspect is set if connections to the endpoint fail or it is unresponsive.
 	Unsure bool
-	// ReducedCapacity is set for a cold or rate-limited endpoint. It is left out when endpoints
-	// are reserved for tight-gap streams, preferred endpoints are assigned and waits are
-	// estimated, and only receives requests that would cost more elsewhere.
+	// ReducedCapacity is set for a cold endpoint, or one with a stated rate limit that turns
+	// requests away. It is left out when endpoints are dedicated to tight-gap streams, preferred
+	// endpoints are assigned and waits are estimated, and only receives requests that would cost
+	// more elsewhere.
 	Aside bool
-	// Full is set if the endpoint recently rejected a request for lack of capacity.
+	// Full is set if the endpoint recently refused a request for lack of capacity.
 	Full bool
 	// Weight is 1 for a healthy endpoint, less for one that ramps up after it was slow, failing
 	// or gone, and 0 for one that is ejected or suspect.
@@ -113,7 +114,8 @@
 // Outcomes of an attempt.
 const (
 	ResultOK Result = iota
-	// ResultRefused: the endpoint rejected the request without running it.
+	// ResultRefused: the endpoint didn't run the request. (Requests are refused by endpoints and
+	// rejected by routers.)
 	ResultRefused
 	// ResultFailed: the connection or the inference engine failed.
 	ResultFailed
--- a/internal/balance/config.go
+++ b/internal/balance/config.go
@@ -27,7 +27,7 @@
 	// SeqHold is how long after a report those with a lower Seq are ignored. Later, a lower Seq
 	// means that the agent restarted.
 	SeqHold time.Duration
-	// RefuseReportMaxAge is the maximum age of a report by which an endpoint counts as full.
+	// FullReportMaxAge is the maximum age of a report that can show an endpoint to be full.
 	RefuseAge time.Duration
 	// LateBindingThreshold is the slot utilization from which ChoosePair returns a second
 	// endpoint; negative means always.
@@ -35,10 +35,10 @@
 	// RateShare returns this router's share, in requests a second, of an endpoint's rate limit
 	// over all routers. If nil, the router uses the whole limit.
 	Part func(now time.Time, b endpointrate.Bound) float64
-	// OnLimit is called for each change of the rate limit that an endpoint announces. It must not
+	// OnLimit is called for each change of the rate limit that an endpoint states. It must not
 	// block. It may be nil.
 	OnLimit func(LimitEvent)
-	// OnSilentDomain is called when a failure domain becomes unresponsive or responsive again. It
+	// OnDomainEvent is called when a failure domain becomes unresponsive or responsive again. It
 	// must not block. It may be nil.
 	OnSilentDomain func(SilentDomain)
 	// Outlier configures outlier detection.
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -9,15 +9,15 @@
 // Cost weights in milliseconds. Only their ratios matter; design note 0013 has the measurements.
 const (
 	// perStreamCost is the delay that one more stream in a batch causes the others. A value of 4
-	// was no better.
+	// does no better.
 	perStreamCost = 2.0
 	// noFreeSlotCost is added if all slots are in use, scaled by the ratio of requests to slots:
 	// the request waits for another one to end, which takes part of a stream's two to three
 	// seconds, or preempts one.
 	noFreeSlotCost = 500.0
 	// recomputeFactor weights the prefill time of tokens that are cached elsewhere and have to be
-	// recomputed or fetched, because that delays concurrent streams as well. 0.4 and 1 were
-	// worse, 4 and 6 no better.
+	// recomputed or fetched, because that delays concurrent streams as well. 0.4 and 1 do worse,
+	// 4 and 6 no better.
 	recomputeFactor = 2.5
 	// pausePenalty is the cost of a long prompt for each tight-gap stream on the endpoint, which
 	// will probably exceed its gap limit.
@@ -94,9 +94,9 @@
 // estimateUnreported estimates how many requests all routers sent to an endpoint since its last
 // report. This router has the given share of all requests, and sent own to this endpoint and mean
 // to an average one. Requests of routers that sample independently are random, and a single own
-// request says little about them: one router of a hundred counted it as a hundred requests and
-// left preferred endpoints that had capacity, which sent a fifth to two fifths of the prompts
-// elsewhere.
+// request says little about them: counted in full, it would stand for a hundred requests at one
+// router of a hundred, which would leave preferred endpoints that have capacity; a fifth to two
+// fifths of the prompts would go elsewhere.
 func sentSince(own, mean, share, correlation float64) float64 {
 	estimate := own / share
 	if independence := 1 - correlation; independence > 0 && mean > 0 {
@@ -162,7 +162,8 @@
 	return shortObjective.Seconds() / objective.Seconds()
 }
 
-// estimatedRequests estimates how many run or are queued at the endpoint.
+// estimatedRequests estimates how many of all routers run or are queued there, based on its last
+// report. EstimatedInflight is the value for endpoints without a report.
 func (v *View) requests() float64 {
 	n := float64(v.Load.TotalQueued()+v.Load.TotalRunning()) + max(v.Since, float64(v.SinceReport))
 	return max(n, float64(v.Inflight))
--- a/internal/balance/demand.go
+++ b/internal/balance/demand.go
@@ -160,7 +160,7 @@
 	Routers int
 }
 
-// demand tracks the demand by kind and decides which endpoints are reserved for tight-gap
+// demand tracks the demand by kind and decides which endpoints are dedicated to tight-gap
 // streams. It is safe for concurrent use.
 type demand struct {
 	mu        sync.Mutex
@@ -168,7 +168,7 @@
 	// observedFor is the time since the first request, 0 before it.
 	observedFor time.Duration
 	seen        Demand
-	// slotTimes is how long streams of each kind held their slots, in seconds.
+	// slotTimes is the average slot time of each kind's streams, in seconds.
 	slotTimes map[kindKey]runningMean
 	// peerDemand returns the demand that other routers see; nil if they don't report it.
 	others func() Others
@@ -196,7 +196,7 @@
 }
 
 const (
-	// defaultSlotSeconds is the assumed slot time until some streams have ended: what several
+	// defaultSlotSeconds is assumed by PromptAware until some streams have ended: what several
 	// seconds of response text take.
 	defaultSlotSeconds = 2.0
 	// slotTimeSmoothing is the weight of a new sample in the moving average once there are many.
@@ -259,7 +259,7 @@
 	d.slotTimes[key] = d.slotTimes[key].add(slotTime.Seconds())
 }
 
-// separate decides which endpoints of a service are reserved now, and for which kinds.
+// decideIsolation decides how many endpoints of a service are dedicated now, and to which kinds.
 func (d *demand) separate(now time.Time, service string, f fleet) separation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -291,8 +291,8 @@
 
 // coldStartPeriod is how long after a router's first requests shared prompt parts count as not
 // cached at their preferred endpoints, unless this router sent them there. In a fleet that has
-// just started they aren't, and prefill takes three times as long; a router that joins others is
-// one of many that report demand.
+// just started they aren't, and prefill takes three times as long. A router that joins a running
+// fleet assumes so wrongly, but its demand is a small part of the total.
 const coldFor = 3 * time.Second
 
 // cold reports whether preferred endpoints may not have cached the shared prompt parts yet.
@@ -303,9 +303,9 @@
 }
 
 // extrapolated returns the sums as they would be after an unlimited observation time. A sum that
-// covers half a second holds a sixth of its final value: routers that had just started took a
-// full load for one that needs no reserved endpoints, and a third of the tight-gap streams were
-// late for six seconds. d.mu is held.
+// covers half a second holds a sixth of its final value: without the extrapolation, routers that
+// have just started treat a full load as too small for dedicated endpoints, and a third of the
+// tight-gap streams are late for six seconds. d.mu is held.
 func (d *demand) whole() Demand {
 	observedFor := max(d.observedFor, minObservation)
 	fraction := func(halfLife time.Duration) float64 { return 1 - math.Exp2(-observedFor.Seconds()/halfLife.Seconds()) }
@@ -317,8 +317,8 @@
 }
 
 // estimateShare returns a router's share of all requests. Its own count is small at first, and
-// routers are then assumed to be equal: a router that joined under load counted its first request
-// for a thousand of all routers, and all endpoints as full.
+// routers are then assumed to be equal: without this, a router that joins under load would count
+// its first request as a thousand requests of all routers, and all endpoints as full.
 func estimateShare(own, all float64, routers int) float64 {
 	return (own + priorRequests/float64(routers)) / (all + priorRequests)
 }
--- a/internal/balance/expect.go
+++ b/internal/balance/expect.go
@@ -4,15 +4,15 @@
 
 // Estimate implements ChoiceEstimator.
 func (p PromptAware) Expect(req Request, views, leaving []View, chosen int) Expectation {
-	separated := p.demand.decided(req.Service)
+	isolation := p.demand.decided(req.Service)
 	regular, _ := splitReducedCapacity(views, usableViews(views))
 	ranked := rankForTightGap(views, regular)
-	e := Expectation{Tight: separated.tightFor(req.MaxGap), Kept: separated.kept}
-	group := separated.rankedGroup(e.Tight, ranked)
+	e := Expectation{Tight: isolation.tightFor(req.MaxGap), Kept: isolation.kept}
+	group := isolation.rankedGroup(e.Tight, ranked)
 	e.Read = prefillTime(req, &views[chosen])
 	reach := group
 	if e.Tight {
-		reach = ranked // tight-gap streams overflow to other endpoints if the reserved ones are full
+		reach = ranked // tight-gap streams overflow to other endpoints if the dedicated ones are full
 	}
 	e.Wait = max(prefillWait(req, views, group, chosen), p.slotWait(req, views, reach, chosen)) + e.Read
 	e.Source = fetchSource(req, views, leaving, group, chosen)
@@ -20,7 +20,7 @@
 	return e
 }
 
-// rankedGroup returns the endpoints reserved for tight-gap streams or the other ones, from all in
+// rankedGroup returns the endpoints dedicated to tight-gap streams or the other ones, from all in
 // rank order. Each group has at least one.
 func (s separation) rankedGroup(tight bool, ranked []int) []int {
 	if tight {
@@ -32,8 +32,9 @@
 // prefillWait returns how long a request waits until the prefill of its own prompt starts.
 // Prompts of higher tiers are prefilled first, so only those of its own tier and above count.
 // What other routers sent to the endpoint isn't known; on average it is what this router sent to
-// the endpoints of the request's group. Other endpoints have more or less to prefill: while long
-// prompts queued there, streams on reserved endpoints were rejected, 30 in half a second.
+// the endpoints of the request's group. Endpoints outside the group don't count: if they did,
+// long prompts queued there would get streams on the dedicated endpoints rejected, 30 in half a
+// second.
 func prefillWait(req Request, views []View, group []int, chosen int) time.Duration {
 	if req.Prompt.Tokens == 0 {
 		return 0
--- a/internal/balance/fetch.go
+++ b/internal/balance/fetch.go
@@ -11,11 +11,11 @@
 // preferred one.
 //
 // An endpoint with some of the parts is no better: one router of a hundred knows mostly of parts
-// that nearly all prompts have in common, and fetched those although the preferred endpoint had
-// all parts. The source belongs to the group of the request's kind, because endpoints reserved
-// for other kinds never received such prompts, whatever their rank: with a third of the endpoints
-// reserved, a third of the fetches asked for parts that weren't cached, and the prompts were
-// recomputed.
+// that nearly all prompts have in common, and would fetch those although the preferred endpoint
+// has all parts. The source belongs to the group of the request's kind, because endpoints
+// dedicated to other kinds never received such prompts, whatever their rank: with a third of the
+// endpoints dedicated, a third of the fetches would ask for parts that aren't cached, and the
+// prompts would be recomputed.
 func fetchSource(req Request, views, leaving []View, group []int, chosen int) int {
 	key := req.Prompt.Home()
 	shared := req.Prompt.Shared()
--- a/internal/balance/fetch_test.go
+++ b/internal/balance/fetch_test.go
@@ -3,7 +3,7 @@
 // These tests guard against fetching cached prompt parts from endpoints that don't have them. On
 // the first day of high load with 103 routers and 180 endpoints a fifth of all prefilled tokens,
 // 26.5 million, had been prefilled before, although each prompt that wasn't sent to its preferred
-// endpoint named a source. The source was an endpoint reserved for other kinds of request, or one
+// endpoint named a source. The source was an endpoint dedicated to other kinds of request, or one
 // to which this router itself had sent the common beginning of nearly all prompts.
 
 import (
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestCacheIsNotFetchedFromEndpointsReservedForOtherKinds(t *testing.T) {
+func TestCacheIsNotFetchedFromEndpointsDedicatedToOtherKinds(t *testing.T) {
 	g := NewWithT(t)
 	all := engines(12)
 	p := NewPool(Config{Policy: NewPromptAware()})
--- a/internal/balance/hotcold.go
+++ b/internal/balance/hotcold.go
@@ -7,9 +7,9 @@
 )
 
 // HotCold implements the hot-cold lexicographic rule of Prequal on piggybacked load reports: of
-// the sampled endpoints, those with more requests in flight than the HotQuantile of all are hot.
+// the sampled endpoints, those with more requests per slot than the HotQuantile of all are hot.
 // The cold one with the lowest time to first token is chosen, or if all are hot the one with the
-// fewest requests.
+// fewest requests per slot.
 type HotCold struct {
 	// Draws is the number of endpoints that are sampled.
 	Draws int
--- a/internal/balance/lab/sim.go
+++ b/internal/balance/lab/sim.go
@@ -83,10 +83,10 @@
 type Variant struct {
 	Name string
 	// Policy creates the policy of a router.
-	Policy func() balance.Policy
+	Policy           func() balance.Policy
+	OutlierDetection bool
 	// With LateBinding requests are queued at up to two endpoints, depending on the
 	// LateBindingThreshold of the pool's configuration.
-	OutlierDetection     bool
 	LateBinding          bool
 	LateBindingThreshold float64
 }
--- a/internal/balance/lab/storm.go
+++ b/internal/balance/lab/storm.go
@@ -50,14 +50,14 @@
 
 // SimulateRetryStorm simulates the burst and returns the requests a second that were answered
 // within the timeout of their last attempt, for each StormBin.
-func SimulateRetryStorm(d Protection, seed uint64) []float64 {
+func SimulateRetryStorm(p Protection, seed uint64) []float64 {
 	s := &storm{now: start, freeAt: start, rnd: rand.New(rand.NewPCG(seed, 2))}
 	s.budget = retry.NewBudget(retry.BudgetConfig{})
 	s.policy = retry.Policy{MaxAttempts: stormAttempts}
-	if d.Budget {
+	if p.Budget {
 		s.policy.Budget = s.budget
 	}
-	s.throttle = throttle.New(throttle.Config{Off: !d.Throttle})
+	s.throttle = throttle.New(throttle.Config{Off: !p.Throttle})
 	s.goodput = make([]float64, StormLength/StormBin)
 	s.arrive()
 	for len(s.events) > 0 {
--- a/internal/balance/lab/storm_test.go
+++ b/internal/balance/lab/storm_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestUnlimitedRetriesNeverRecover(t *testing.T) {
+func TestRetriesWithoutProtectionNeverRecover(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for seed := range uint64(3) {
 		naive := SimulateRetryStorm(Protection{}, seed)
@@ -44,9 +44,9 @@
 	if !*printTable {
 		t.Skip("prints figures only; run with -table")
 	}
-	for _, d := range []Protection{{}, {Budget: true}, {Throttle: true}, {Budget: true, Throttle: true}} {
-		fmt.Printf("| budget %v, throttle %v |", d.Budget, d.Throttle)
-		for _, x := range SimulateRetryStorm(d, 0) {
+	for _, p := range []Protection{{}, {Budget: true}, {Throttle: true}, {Budget: true, Throttle: true}} {
+		fmt.Printf("| budget %v, throttle %v |", p.Budget, p.Throttle)
+		for _, x := range SimulateRetryStorm(p, 0) {
 			fmt.Printf(" %.0f", x)
 		}
 		fmt.Println(" |")
--- a/internal/balance/loadaware.go
+++ b/internal/balance/loadaware.go
@@ -11,15 +11,15 @@
 	defaultDraws        = 5
 	defaultHalfLife     = 2 * time.Second
 	defaultPrefixSaving = 150 * time.Millisecond
-	// firstTokenFraction is the fraction of a request's service time that passes before its first
+	// firstTokenFraction is the fraction of a request's slot time that passes before its first
 	// token, and by which each request in a batch slows the others.
 	firstTokenFraction = 0.1
-	// slowRatio is the ratio to the mean above which an endpoint's service time is taken into
+	// slowRatio is the ratio to the mean above which an endpoint's slot time is taken into
 	// account. Below it the difference is mostly chance, since response lengths have a long tail,
 	// and following it causes herding.
 	slowRatio = 1.5
-	// defaultServiceTime is assumed until an endpoint reports its drain rate.
-	defaultServiceTime = time.Second
+	// defaultSlotTime is assumed by LoadAware until an endpoint reports its drain rate.
+	defaultSlotTime = time.Second
 )
 
 // LoadAware samples a few endpoints and chooses the one with the lowest expected time to first
@@ -51,7 +51,7 @@
 	}
 	cost := e.cost(&views[best])
 	for range l.Draws - 1 {
-		i := drawOtherDomain(views, best, rnd)
+		i := drawAvoidingDomain(views, best, rnd)
 		c := e.cost(&views[i])
 		if c < cost {
 			best, cost = i, c
@@ -77,9 +77,10 @@
 	return l
 }
 
-// drawOtherDomain samples a view, and once more if the first one is in the failure domain of the
-// view at index other, so that a single slow failure domain doesn't fill the sample.
-func drawOtherDomain(views []View, other int, rnd *rand.Rand) int {
+// drawAvoidingDomain samples a view, and once more if the first one is in the failure domain of
+// the view at index other, so that a single slow failure domain is less likely to fill the
+// sample.
+func drawAvoidingDomain(views []View, other int, rnd *rand.Rand) int {
 	i, _ := draw(views, rnd)
 	if views[i].FailureDomain == views[other].FailureDomain {
 		i, _ = draw(views, rnd)
@@ -93,11 +94,11 @@
 	tier             int
 	halfLife         time.Duration
 	meanAheadPerSlot float64 // requests ahead per slot, mean of all endpoints
-	meanServiceTime  float64 // harmonic mean in seconds, which a few slow endpoints hardly affect
+	meanSlotTime     float64 // harmonic mean in seconds, which a few slow endpoints hardly affect
 }
 
 func (l LoadAware) newEstimator(now time.Time, req Request, views []View) estimator {
-	e := estimator{now: now, tier: req.Tier, halfLife: l.HalfLife, meanServiceTime: defaultServiceTime.Seconds()}
+	e := estimator{now: now, tier: req.Tier, halfLife: l.HalfLife, meanSlotTime: defaultSlotTime.Seconds()}
 	reported, measured := 0, 0
 	var busy, rate float64
 	for i := range views {
@@ -115,7 +116,7 @@
 		e.meanAheadPerSlot = busy / float64(reported)
 	}
 	if measured > 0 {
-		e.meanServiceTime = float64(measured) / rate
+		e.meanSlotTime = float64(measured) / rate
 	}
 	return e
 }
@@ -127,11 +128,11 @@
 	ahead := weight*v.requestsAhead(e.tier) + (1-weight)*e.meanAheadPerSlot*slots + float64(v.SinceReport)
 	ahead = max(ahead, float64(v.Inflight)*weight)
 	waiting := max(0, ahead+1-slots)
-	serviceTime := e.meanServiceTime
-	if v.Service.Seconds() > slowRatio*serviceTime {
-		serviceTime = v.Service.Seconds()
+	slotTime := e.meanSlotTime
+	if v.Service.Seconds() > slowRatio*slotTime {
+		slotTime = v.Service.Seconds()
 	}
-	return serviceTime * (waiting + firstTokenFraction*(ahead+1)) / slots
+	return slotTime * (waiting + firstTokenFraction*(ahead+1)) / slots
 }
 
 // reportWeight returns 1 for a new report and halves with every half-life.
--- a/internal/balance/loadaware_test.go
+++ b/internal/balance/loadaware_test.go
@@ -85,7 +85,7 @@
 	rnd := rand.New(rand.NewPCG(3, 4))
 	otherDomain := 0
 	for range 3000 {
-		if drawOtherDomain(views, 0, rnd) == 2 {
+		if drawAvoidingDomain(views, 0, rnd) == 2 {
 			otherDomain++
 		}
 	}
--- a/internal/balance/pair.go
+++ b/internal/balance/pair.go
@@ -7,7 +7,7 @@
 )
 
 // Pair holds the endpoints at which a request is queued. With late binding it is queued at both
-// and runs where a slot is free first; the other reservation is then cancelled.
+// and runs where a slot is free first; it is then cancelled at the other.
 type Pair struct {
 	First *bundle.Endpoint
 	// Second is nil if First is known to have free slots or no other endpoint is usable.
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -18,7 +18,7 @@
 	// choiceCount numbers the choices; each has its own random sequence.
 	choiceCount atomic.Uint64
 	scratch     sync.Pool
-	// speedsByGroup maps the name of a peer group to its *engineSpeeds.
+	// speedsByGroup maps the name of an endpoint group to its *engineSpeeds.
 	speedsByGroup sync.Map
 	// nextDetectAt is when outlier detection runs next, in Unix nanoseconds.
 	detectAt  atomic.Int64
@@ -78,7 +78,7 @@
 	Source *bundle.Endpoint
 	// TightGap is set if the stream would exceed its gap limit beside long prompts.
 	Tight bool
-	// TightGapEndpoints is the number of endpoints reserved for such streams.
+	// DedicatedEndpoints is the number of endpoints dedicated to such streams.
 	Kept int
 	// CopyTo is the endpoint to which the stream's KV cache is copied as it grows, so that the
 	// stream can resume there after a crash; nil if that isn't worth its cost.
@@ -95,7 +95,7 @@
 // Expectation holds a policy's estimates for a choice. Indexes are those of the views, followed
 // by those of leaving endpoints; -1 means none.
 type Expectation struct {
-	// Wait, PrefillTime, TightGap and TightGapEndpoints are as in Choice.
+	// Wait, PrefillTime, TightGap and DedicatedEndpoints are as in Choice.
 	Wait, Read time.Duration
 	Tight      bool
 	Kept       int
@@ -154,7 +154,7 @@
 			}
 			return 0, &NoEndpointError{
 				Candidates: len(candidates), Skipped: excluded.skipped, Leaving: excluded.leaving,
-				Bounded: excluded.rateLimited, FreeIn: excluded.freeIn,
+				Bounded: excluded.rateLimited, FreeIn: excluded.availableIn,
 			}
 		}
 		if !s.views[i].Bounded || p.Take(now, candidates[s.candidateIndexes[i]], req) {
@@ -171,19 +171,19 @@
 type exclusions struct {
 	skipped, leaving int
 	// rateLimited counts the endpoints at their rate limit; one of them admits a request after
-	// freeIn.
+	// availableIn.
 	rateLimited int
-	freeIn      time.Duration
-	// suspect counts all candidates to which connections fail, rate-limited or not.
+	availableIn time.Duration
+	// suspect counts all suspect candidates, at their rate limit or not.
 	suspect int
 }
 
-// addRateLimited counts an endpoint that admits its next request after freeIn.
-func (l *exclusions) addRateLimited(freeIn time.Duration) {
-	if l.rateLimited == 0 || freeIn < l.freeIn {
-		l.freeIn = freeIn
+// addRateLimited counts an endpoint that admits its next request after availableIn.
+func (e *exclusions) addRateLimited(availableIn time.Duration) {
+	if e.rateLimited == 0 || availableIn < e.availableIn {
+		e.availableIn = availableIn
 	}
-	l.rateLimited++
+	e.rateLimited++
 }
 
 // collect fills the scratch with the views of the usable candidates.
--- a/internal/balance/prompts.go
+++ b/internal/balance/prompts.go
@@ -6,15 +6,14 @@
 	"time"
 )
 
-// spillThreshold is the slot utilization from which the endpoints reserved for tight-gap streams
-// count as full, so that the next endpoint in the order receives some as well. At .85 some
-// endpoints were filled beyond their slots before routers noticed, and preempted running
-// requests.
+// spillThreshold is the slot utilization from which the endpoints dedicated to tight-gap streams
+// count as full, so that the next endpoint in the order receives some as well. At 0.85 some
+// endpoints are filled beyond their slots before routers notice, and preempt running requests.
 const spillThreshold = 0.7
 
 // PromptAware chooses by what a prompt costs concurrent streams. Prompts are prefilled in chunks
 // between the output tokens of all running streams, so that a long prompt makes each of them
-// pause. PromptAware therefore reserves some endpoints for streams with a tight gap limit, in
+// pause. PromptAware therefore dedicates some endpoints to streams with a tight gap limit, in
 // proportion to their demand and the same ones at all routers, and sends prompts that share parts
 // to the same endpoint.
 type PromptAware struct{ demand *demand }
@@ -45,10 +44,10 @@
 		return leastLoadedOf(views, usable, rnd), true
 	}
 	regular, reduced := splitReducedCapacity(views, usable)
-	separated := p.demand.separate(now, req.Service, summarizeFleet(req, views, regular))
-	tightGap := separated.tightFor(req.MaxGap)
+	isolation := p.demand.separate(now, req.Service, summarizeEndpoints(req, views, regular))
+	tightGap := isolation.tightFor(req.MaxGap)
 	share := p.demand.share()
-	group := groupFor(now, tightGap, separated, share, views, regular)
+	group := groupFor(now, tightGap, isolation, share, views, regular)
 	preferred := preferredEndpoint(req, views, group)
 	sampled := looks(len(group), share)
 	countOthers(views, share, float64(sampled)/float64(len(group)))
@@ -64,8 +63,8 @@
 	p.demand.ended(now, kindKey{service, gap.Milliseconds()}, held, late)
 }
 
-// summarizeFleet returns the averages of the usable endpoints.
-func summarizeFleet(req Request, views []View, usable []int) fleet {
+// summarizeEndpoints returns the averages of the usable endpoints.
+func summarizeEndpoints(req Request, views []View, usable []int) fleet {
 	f := fleet{endpoints: len(usable)}
 	token := 0.0
 	for _, i := range usable {
@@ -78,9 +77,9 @@
 
 // endpointsFor returns the endpoints that a kind of request uses. share is this router's share of
 // all requests.
-func groupFor(now time.Time, tight bool, separated separation, share float64, views []View, usable []int) []int {
+func groupFor(now time.Time, tight bool, isolation separation, share float64, views []View, usable []int) []int {
 	ranked := rankForTightGap(views, usable)
-	group := separated.rankedGroup(tight, ranked)
+	group := isolation.rankedGroup(tight, ranked)
 	if !tight {
 		return group
 	}
@@ -133,9 +132,9 @@
 	return usable
 }
 
-// splitReducedCapacity separates the endpoints by which endpoints are reserved and preferred
-// endpoints are assigned from those with reduced capacity that admit this request. If all have
-// reduced capacity they are used as regular ones.
+// splitReducedCapacity separates regular endpoints, among which dedicated and preferred endpoints
+// are selected, from those with reduced capacity that admit this request. If all have reduced
+// capacity they are used as regular ones.
 func splitReducedCapacity(views []View, usable []int) (regular, reduced []int) {
 	for _, i := range usable {
 		if views[i].Aside {
--- a/internal/balance/prompts_test.go
+++ b/internal/balance/prompts_test.go
@@ -85,14 +85,14 @@
 	}
 }
 
-func TestReservedEndpointsFollowDemand(t *testing.T) {
+func TestDedicatedEndpointsFollowDemand(t *testing.T) {
 	g := NewWithT(t)
 	_, few := traffic(NewPool(Config{Policy: NewPromptAware()}), engines(6), 6, 20, 5)
 	_, many := traffic(NewPool(Config{Policy: NewPromptAware()}), engines(6), 6, 20, 100)
 	g.Expect(len(many)).To(BeNumerically(">", len(few)+1))
 }
 
-func TestRoutersReserveTheSameEndpoints(t *testing.T) {
+func TestRoutersDedicateTheSameEndpoints(t *testing.T) {
 	g := NewWithT(t)
 	_, a := traffic(NewPool(Config{Policy: NewPromptAware(), Seed: 1}), engines(9), 6, 20, 20)
 	_, b := traffic(NewPool(Config{Policy: NewPromptAware(), Seed: 2}), engines(9), 6, 20, 20)
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestReservedEndpointsFollowPeerDemand(t *testing.T) {
+func TestDedicatedEndpointsFollowPeerDemand(t *testing.T) {
 	g := NewWithT(t)
 	alone, withPeers := NewPromptAware(), NewPromptAware()
 	withPeers.HearOthers(func() Others {
@@ -111,7 +111,7 @@
 	_, many := traffic(NewPool(Config{Policy: withPeers}), engines(12), 4, 20, 5)
 	g.Expect(len(few)).To(BeNumerically("<", 4))
 	longs, _ := traffic(NewPool(Config{Policy: withPeers}), engines(12), 4, 20, 5)
-	g.Expect(len(longs)).To(BeNumerically("<", 4), "%d endpoints are reserved for tight-gap streams", len(many))
+	g.Expect(len(longs)).To(BeNumerically("<", 4), "%d endpoints are dedicated to tight-gap streams", len(many))
 }
 
 func TestPromptsWithSharedPartsUseTheSameEndpoint(t *testing.T) {
@@ -218,24 +218,24 @@
 		last := rapid.IntRange(0, 400).Draw(t, "last")
 		tight := rapid.Float64Range(0, 1e6).Draw(t, "tight")
 		bulk := rapid.Float64Range(0, 1e6).Draw(t, "bulk")
-		reserved := split(last, n, tight, bulk)
-		if reserved < 0 || reserved > n {
-			t.Fatalf("%d of %d", reserved, n)
+		dedicated := split(last, n, tight, bulk)
+		if dedicated < 0 || dedicated > n {
+			t.Fatalf("%d of %d", dedicated, n)
 		}
-		if n > 1 && tight > 0 && reserved == 0 || n > 1 && bulk > 0 && reserved == n {
-			t.Fatalf("%d of %d leave a kind with demand no endpoint", reserved, n)
+		if n > 1 && tight > 0 && dedicated == 0 || n > 1 && bulk > 0 && dedicated == n {
+			t.Fatalf("%d of %d leave a kind with demand no endpoint", dedicated, n)
 		}
 	})
 }
 
 func TestSplitDoesNotFlap(t *testing.T) {
 	g := NewWithT(t)
-	reserved := split(0, 9, 3, 6)
+	dedicated := split(0, 9, 3, 6)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 100 {
 		noise := 0.8 + 0.4*rnd.Float64()
-		reserved = split(reserved, 9, 3*noise, 6)
-		g.Expect(reserved).To(Equal(3))
+		dedicated = split(dedicated, 9, 3*noise, 6)
+		g.Expect(dedicated).To(Equal(3))
 	}
 }
 
--- a/internal/balance/rank.go
+++ b/internal/balance/rank.go
@@ -12,7 +12,7 @@
 	return mix(key ^ xxhash.Sum64String(endpoint))
 }
 
-// tightGapKey is the rendezvous key for the order in which endpoints are reserved for tight-gap
+// tightGapKey is the rendezvous key for the order in which endpoints are dedicated to tight-gap
 // streams. Any constant works that is the same at all routers.
 const tightGapKey = 0x7469676874
 
--- a/internal/balance/speed.go
+++ b/internal/balance/speed.go
@@ -52,15 +52,14 @@
 	minPrefillTokens = 1024
 	// minSamples is the number of samples from which an estimate is used.
 	leastSamples = 20
-	// maxSpeedRatio limits the estimated speed ratio of an endpoint to its peers.
+	// maxSpeedRatio limits the estimated speed ratio of an endpoint to its group.
 	maxSpeedRatio = 4.0
 	// defaultSecondsPerPromptToken is assumed until there are enough samples, which takes a
 	// second or two.
 	defaultSecondsPerPromptToken = 20e-6
 )
 
-// engineSpeeds holds the speed estimates of a peer group of endpoints. It is safe for concurrent
-// use.
+// engineSpeeds holds the speed estimates of an endpoint group. It is safe for concurrent use.
 type engineSpeeds struct {
 	mu          sync.Mutex
 	outputToken quantile // seconds per output token
--- a/internal/balance/speed_test.go
+++ b/internal/balance/speed_test.go
@@ -45,7 +45,7 @@
 	for _, s := range shapes {
 		g := NewWithT(t)
 		p := NewPool(Config{Policy: NewPromptAware()})
-		all := registerPeers(p, engines(3))
+		all := registerGroup(p, engines(3))
 		now := epoch
 		for i := range 400 {
 			name := all[i%3].Name
@@ -69,7 +69,7 @@
 func TestPrefillOverheadIsEstimated(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	all := registerPeers(p, engines(3))
+	all := registerGroup(p, engines(3))
 	now := epoch
 	fixed := 30 * time.Millisecond
 	for i := range 300 {
@@ -88,7 +88,7 @@
 func TestQueueingIsNotCountedAsPrefill(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	all := registerPeers(p, engines(3))
+	all := registerGroup(p, engines(3))
 	now := epoch
 	run := func(n int, queueDelay time.Duration) {
 		for range n {
@@ -105,15 +105,15 @@
 func TestFewSamplesGiveNoEstimate(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	all := registerPeers(p, engines(3))
+	all := registerGroup(p, engines(3))
 	engine{shape: shapes[4]}.simulateStream(p, epoch, "e0", prompt.Prompt{Tokens: 4000})
 	v := p.Views(epoch, all)[0]
 	g.Expect(v.Token).To(BeZero())
 	g.Expect(v.PerToken).To(Equal(defaultSecondsPerPromptToken))
 }
 
-// registerPeers makes endpoints known to a pool as peers of each other.
-func registerPeers(p *Pool, all []*bundle.Endpoint) []*bundle.Endpoint {
+// registerGroup registers endpoints of one group with a pool.
+func registerGroup(p *Pool, all []*bundle.Endpoint) []*bundle.Endpoint {
 	p.Views(epoch, all)
 	return all
 }
--- a/internal/balance/state.go
+++ b/internal/balance/state.go
@@ -58,18 +58,18 @@
 	running         float64 // moving average of running requests
 	drain           float64 // moving average in requests a second
 	leaving         bool
-	group           string // peer group for outlier detection and speed estimates
+	group           string // endpoint group for outlier detection and speed estimates
 	domain          string
 	health          health
 	// attempts holds this router's recent attempts, nil before the first. The endpoint is avoided
 	// until avoidUntil because it fails for several routers.
 	attempts *window.Ring
 	// outputToken estimates the seconds per output token at this endpoint, and speeds holds the
-	// estimates of its peer group.
+	// estimates of its group.
 	outputToken quantile
 	engines     *engineSpeeds
 	avoidUntil  time.Time
-	// refusedAt is when the endpoint last rejected a request of this router for lack of capacity,
+	// refusedAt is when the endpoint last refused a request of this router for lack of capacity,
 	// and requestsAtRefusal the number of requests it had then.
 	refusedAt         time.Time
 	requestsAtRefusal int
@@ -154,11 +154,11 @@
 	return time.Duration(st.running / st.drain * float64(time.Second))
 }
 
-// fullRetention is how long an endpoint counts as full after it rejected a request, unless a
+// fullRetention is how long an endpoint counts as full after it refused a request, unless a
 // report shows fewer requests. After that time other routers have reported its load.
 const fullFor = 250 * time.Millisecond
 
-// full reports whether the endpoint recently rejected a request and has no fewer requests since.
+// full reports whether the endpoint recently refused a request and has no fewer requests since.
 func (st *state) full(now time.Time) bool {
 	if st.refusedAt.IsZero() || now.Sub(st.refusedAt) > fullFor {
 		return false
--- a/internal/balance/unequal_play_test.go
+++ b/internal/balance/unequal_play_test.go
@@ -4,13 +4,13 @@
 // three 2.4 times as slow as the others, callers timed out at a load that all endpoints together
 // can serve: 948 requests of a day ended at their callers' deadlines, and the most urgent kind
 // met its objective less often than the next. The cause was that all endpoints are preferred for
-// equally many prompts and are equally likely to be reserved for the most urgent streams: slow
+// equally many prompts and are equally likely to be dedicated to the most urgent streams: slow
 // ones have more to prefill than they can, and a prefill beside a stream exceeds its maximum gap
 // there.
 //
 // The load is 0.25 to 1 times the capacity of the endpoints. The assertions cover what holds at
-// present; docs/experience/tavola.md has the figures that miss their targets, and the approaches
-// that were tried.
+// present; docs/experience/tavola.md has the figures that miss their targets and the
+// alternatives.
 
 import (
 	"container/heap"
@@ -317,7 +317,8 @@
 	}
 }
 
-// firstToken delivers the load report in the response head to the router.
+// firstToken delivers the load report in the response head to the router, and marks a stream as
+// late that starts after its objective.
 func (u *unequal) firstToken(now time.Time, e *unequalEngine, r *unequalStream) {
 	report := load.Report{Slots: unequalSlots}
 	report.Running[0], report.Queued[0] = len(e.prefilling)+len(e.running), len(e.queued)
--- a/internal/balance/work.go
+++ b/internal/balance/work.go
@@ -41,18 +41,18 @@
 	measuresPrefill bool
 	pace            eventPace
 	firstEventAt    time.Time
-	// speeds are the estimates of the peer group; nil if the endpoint wasn't chosen by the pool,
-	// is cold or announces a rate limit.
+	// speeds are the estimates of the endpoint group; nil if the endpoint wasn't chosen by the
+	// pool, is cold or states a rate limit.
 	speeds *engineSpeeds
-	// rateLimited is set if the endpoint announced a rate limit when the request was sent. Such an
+	// statedLimit is set if the endpoint stated a rate limit when the request was sent. Such an
 	// endpoint is overloaded: that it is slow and fails requests says nothing about its speed and
 	// health within the limit.
-	rateLimited bool
+	statedLimit bool
 	prefillOnce sync.Once
 	releaseOnce sync.Once
 }
 
-// Track is Sent for a request with known work, and returns its handle.
+// Track is Sent for a request with known work, and returns the TrackedRequest.
 func (p *Pool) SentWork(now time.Time, endpoint string, w Work) *Account {
 	a := &Account{
 		pool: p, endpoint: endpoint, tier: min(w.Tier, maxTiers-1), tightGap: w.Tight,
@@ -68,9 +68,9 @@
 // register adds the request to the state of its endpoint, whose shard is locked.
 func (a *Account) register(st *state, w Work) {
 	a.state = st
-	a.rateLimited = st.bound.limit.named
-	if !a.rateLimited && !a.sent.Before(st.bound.coldUntil) {
-		a.speeds = st.engines // the speed of a cold or rate-limited endpoint isn't typical of its peers
+	a.statedLimit = st.bound.limit.named
+	if !a.statedLimit && !a.sent.Before(st.bound.coldUntil) {
+		a.speeds = st.engines // a cold endpoint or one with a stated rate limit isn't typical of its group
 	}
 	st.recordSent(a.sent)
 	st.inflightByTier[a.tier]++
@@ -104,7 +104,7 @@
 	return tokens
 }
 
-// ResponseReceived records that any part of a response arrived from the endpoint.
+// DataReceived records that any part of a response arrived from the endpoint.
 func (a *Account) Heard(now time.Time) {
 	a.update(func(st *state) {
 		if a.speeds != nil {
@@ -150,7 +150,7 @@
 				st.tightGapStreams = max(0, st.tightGapStreams-1)
 			}
 		})
-		if learner, ok := a.pool.cfg.Policy.(Learner); ok && !a.firstEventAt.IsZero() && !a.rateLimited {
+		if learner, ok := a.pool.cfg.Policy.(Learner); ok && !a.firstEventAt.IsZero() && !a.statedLimit {
 			learner.Ended(a.pace.last, a.service, a.maxGap, a.pace.last.Sub(a.sent), a.late())
 		}
 	})
@@ -158,12 +158,12 @@
 
 // late reports whether the response exceeded its objective or maximum gap.
 func (a *Account) late() bool {
-	began := a.objective > 0 && a.firstEventAt.Sub(a.sent) > a.objective
-	paused := a.maxGap > 0 && a.pace.longestGap > a.maxGap
-	return began || paused
+	firstEventLate := a.objective > 0 && a.firstEventAt.Sub(a.sent) > a.objective
+	gapExceeded := a.maxGap > 0 && a.pace.longestGap > a.maxGap
+	return firstEventLate || gapExceeded
 }
 
-// Refused records that the endpoint rejected the request for lack of capacity.
+// Refused records that the endpoint refused the request for lack of capacity.
 func (a *Account) Refused(now time.Time) {
 	a.update(func(st *state) {
 		st.refusedAt, st.requestsAtRefusal = now, st.load.TotalRunning()+st.load.TotalQueued()
@@ -173,7 +173,7 @@
 // Done records the outcome of the request. Times to first token depend on the prompts rather than
 // the endpoints, so that they aren't compared between endpoints.
 func (a *Account) Done(now time.Time, res Result) {
-	if a.rateLimited {
+	if a.statedLimit {
 		res = ResultCancelled // doesn't affect the endpoint's health
 	}
 	failing := false
--- a/internal/endpointrate/limit_test.go
+++ b/internal/endpointrate/limit_test.go
@@ -1,6 +1,6 @@
 package endpointrate
 
-// Tests of announced rate limits in fleets of one to 880 routers: how much all routers send
+// Tests of stated rate limits in fleets of one to 880 routers: how much all routers send
 // together, and how much of a limit is used while there is demand.
 
 import (
@@ -16,8 +16,8 @@
 
 const limitWindow = 4 * time.Second
 
-// maxAllowed returns how many requests an endpoint that announces a limit tolerates in
-// limitWindow: one and a half times the limit, plus five.
+// maxAllowed returns how many requests an endpoint that states a limit tolerates in limitWindow:
+// one and a half times the limit, plus five.
 func maxAllowed(perSecond float64) float64 { return 1.5*perSecond*limitWindow.Seconds() + 5 }
 
 // fleetShape is a fleet of routers in failure domains.
@@ -72,7 +72,7 @@
 // 103 routers.
 const callersPerRouter = 8.0
 
-func TestAnnouncedLimitIsKeptAndUsedAcrossRouters(t *testing.T) {
+func TestStatedLimitIsKeptAndUsedAcrossRouters(t *testing.T) {
 	g := NewWithT(t)
 	const lasts = 40 * time.Second
 	for _, s := range fleetShapes {
--- a/internal/endpointrate/pace.go
+++ b/internal/endpointrate/pace.go
@@ -7,8 +7,8 @@
 
 const (
 	// earlyFraction is how much earlier than due a request may be sent, as a fraction of the
-	// interval, to make up for pauses. Without it owners with 11 callers a second use 8 of 13
-	// requests.
+	// interval, to make up for pauses. Without it, owners with 11 callers a second use 8 of 13
+	// allowed requests a second.
 	earlyFraction = 0.5
 	// limitingPeriod is how long a rate counts as limiting after a request was rejected.
 	limitingPeriod = time.Second
@@ -84,7 +84,7 @@
 	return true
 }
 
-// SetRate sets a new rate. A request that was due late at a lower rate comes due sooner.
+// RateChanged adapts to a new rate: a request that was due late at a lower rate comes due sooner.
 func (p *Pace) Change(now time.Time, perSecond float64) {
 	if latest := now.Add(scale(Gap(perSecond), 1+earlyFraction)); p.due.After(latest) {
 		p.due = latest
@@ -103,7 +103,7 @@
 // Limiting reports whether a request was rejected recently.
 func (p *Pace) Binds(now time.Time) bool { return now.Sub(p.rejectedAt) < limitingPeriod }
 
-// Rate returns the requests a second that were admitted recently.
+// Admitted returns the requests a second that were admitted recently.
 func (p *Pace) Used(now time.Time) float64 { return math.Ln2 * p.decayed(now) / halfLife.Seconds() }
 
 func (p *Pace) decayed(now time.Time) float64 {
--- a/internal/endpointrate/share.go
+++ b/internal/endpointrate/share.go
@@ -1,15 +1,15 @@
 // Package endpointrate divides an endpoint's rate limit over all routers among them. A cold
 // endpoint has such a limit: it has just started or its failure domain was taken back into use,
-// so that its caches are empty and overload crashes it. An endpoint that announces a rate limit
-// in its responses has one too. The limit has to hold while routers hear nothing of each other.
+// so that its caches are empty and overload crashes it. An endpoint that states a rate limit in
+// its responses has one too. The limit has to hold while routers hear nothing of each other.
 //
 // A few routers own a share of the rate: in each of a few failure domains those that rank first
-// for the endpoint by rendezvous hashing. The others send it nothing. With few owners no share
-// is so small that requests have to be admitted at random, and routers that disagree on the
-// members of the fleet differ only within their failure domain. This differs from retry budgets,
-// which depend on each router's own requests, and from team limits, whose credits are leased
-// from a home router: an endpoint's rate may be below one a second, and the limit holds while
-// routers are lost.
+// for the endpoint by rendezvous hashing. The others send it nothing. With few owners no share is
+// so small that requests have to be admitted at random, and routers that disagree on the members
+// of the fleet differ only within their failure domain. This differs from retry budgets, which
+// depend on each router's own requests, and from team limits, whose credits are leased from a
+// home router: an endpoint's rate may be below one a second, and the limit holds while routers
+// are lost.
 package endpointrate
 
 import (
@@ -29,9 +29,9 @@
 	// limit has to hold within each second, in which small shares of many routers would add up to
 	// bursts.
 	minColdShare = 2.0
-	// spareOwners is how many more routers share an announced limit than it has requests a
-	// second. Such a limit lasts: with a single owner that is lost or has few callers it would
-	// stay unused. It has to hold over some seconds only, in which each owner may send a request
+	// spareOwners is how many more routers share a stated limit than it has requests a second.
+	// Such a limit lasts: with a single owner that is lost or has few callers it would stay
+	// unused. It has to hold over some seconds only, in which each owner may send a request
 	// early.
 	spareOwners = 2
 	// maxOwners is more than the largest number of routers.
@@ -47,13 +47,13 @@
 	Owners int
 }
 
-// Cold returns the limit of a cold endpoint.
+// ColdBound returns the limit of a cold endpoint.
 func Cold(endpoint, domain string, perSecond float64) Bound {
 	owners := int(min(perSecond/minColdShare, coldOwners))
 	return Bound{Endpoint: endpoint, FailureDomain: domain, PerSecond: perSecond, Owners: max(owners, 1)}
 }
 
-// Limited returns the limit of an endpoint that announces one.
+// StatedBound returns the limit of an endpoint that states one.
 func Limited(endpoint, domain string, perSecond float64) Bound {
 	owners := int(min(perSecond, maxOwners)) + spareOwners
 	return Bound{Endpoint: endpoint, FailureDomain: domain, PerSecond: perSecond, Owners: owners}
@@ -63,8 +63,8 @@
 type Fleet struct {
 	// Known is false until the router has learned of the others; it then owns no share.
 	Known bool
-	// DomainRouters are the routers of its failure domain, with or without itself, and
-	// RouterDomains all failure domains that have routers.
+	// OwnDomainRouters are the routers of its failure domain, with or without itself, and Domains
+	// all failure domains that have routers.
 	Near, Domains []string
 	// LostRouters is the number of other routers last known if none has been heard from for long,
 	// else 0. They may still be running and hear as little.
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -19,8 +19,8 @@
 const bands = 1 << bandBits
 
 // Assign returns the endpoints that the router self uses, in the order of the list. routers are
-// all routers, with or without self. Each router gets about size endpoints: at most size plus one
-// for each failure domain, and all of them if there are no more than size.
+// all routers, with or without self. Each router gets at most size endpoints, plus one for each
+// failure domain, and all of them if there are no more than size.
 //
 // Within each failure domain every pair of router and endpoint has a rank, the rendezvous hash of
 // both names. Pairs are taken from the highest rank down while both sides have capacity. That is
@@ -70,10 +70,10 @@
 // matchAll calls take for each assigned pair of a router, by the hash of its name, and an
 // endpoint.
 func (m *matcher) matchAll(endpoints []*bundle.Endpoint, size int, take func(router uint64, e *bundle.Endpoint)) {
-	degree := ceil(len(m.routers)*size, len(endpoints))
+	routersPerEndpoint := ceil(len(m.routers)*size, len(endpoints))
 	for _, domain := range byDomain(endpoints) {
-		room := ceil(size*len(domain), len(endpoints))
-		for _, p := range m.match(domain, degree, room) {
+		endpointsPerRouter := ceil(size*len(domain), len(endpoints))
+		for _, p := range m.match(domain, routersPerEndpoint, endpointsPerRouter) {
 			take(m.routers[p.router], domain[p.endpoint])
 		}
 	}
@@ -86,17 +86,17 @@
 	endpoint int
 }
 
-// match assigns each endpoint to degree routers and each router to room endpoints, as far as the
-// capacity of the other side allows.
-func (m *matcher) match(endpoints []*bundle.Endpoint, degree, room int) []pair {
+// match assigns each endpoint to routersPerEndpoint routers and each router to endpointsPerRouter
+// endpoints, as far as the capacity of the other side allows.
+func (m *matcher) match(endpoints []*bundle.Endpoint, routersPerEndpoint, endpointsPerRouter int) []pair {
 	hashes := make([]uint64, len(endpoints))
 	open := make([]int, len(endpoints)) // by endpoint, number of routers still to be assigned
 	for i, e := range endpoints {
 		hashes[i] = xxhash.Sum64String(e.Name)
-		open[i] = degree
+		open[i] = routersPerEndpoint
 	}
 	for i := range m.capacity {
-		m.capacity[i] = room
+		m.capacity[i] = endpointsPerRouter
 	}
 	var taken []pair
 	for band := bands - 1; band >= 0; band-- {
