--- a/internal/endpointrate/pace.go
+++ b/internal/endpointrate/pace.go
@@ -79,7 +79,7 @@
 	}
 	p.due = p.due.Add(Gap(perSecond))
 	p.recentPeriod = max(minYieldPeriod, yieldIntervals*Gap(perSecond))
-	p.recentRequests = p.decayed(now) + 1
+	p.recentRequests = p.count(now) + 1
 	p.recentRequestsAt = now
 	return true
 }
@@ -104,9 +104,10 @@
 func (p *Pace) Binds(now time.Time) bool { return now.Sub(p.rejectedAt) < limitingPeriod }
 
 // Admitted returns the requests a second that were admitted recently.
-func (p *Pace) Used(now time.Time) float64 { return math.Ln2 * p.decayed(now) / halfLife.Seconds() }
+func (p *Pace) Used(now time.Time) float64 { return math.Ln2 * p.count(now) / halfLife.Seconds() }
 
-func (p *Pace) decayed(now time.Time) float64 {
+// count returns recentRequests, decayed until now.
+func (p *Pace) count(now time.Time) float64 {
 	return p.recentRequests * math.Exp2(-now.Sub(p.recentRequestsAt).Seconds()/halfLife.Seconds())
 }
 
