--- a/internal/directory/compare.go
+++ b/internal/directory/compare.go
@@ -26,7 +26,7 @@
 	d := xxhash.New()
 	for _, name := range sortedNames(entries) {
 		e := entries[name]
-		// A hash never fails.
+		// Writing to a hash never returns an error.
 		_, _ = fmt.Fprintln(d, name, e.Draining, e.Incarnation, e.Endpoint.Address, e.Endpoint.FailureDomain, e.Endpoint.Slots, e.Endpoint.Services, e.Cold)
 	}
 	for _, domain := range slices.Sorted(maps.Keys(evacuated)) {
@@ -35,9 +35,9 @@
 	return d.Sum64()
 }
 
-// ChangesTo is what a later directory has otherwise: its entries that differ or
-// are new, and the names of those that it lacks.
-func (d *Directory) ChangesTo(later *Directory) (changed []Entry, gone []string) {
+// ChangesTo returns what differs in a later directory: its new or changed entries, and the names
+// of the removed ones.
+func (d *Directory) ChangesTo(later *Directory) (changed []Entry, removed []string) {
 	for name, e := range later.entries {
 		if old, ok := d.entries[name]; !ok || !sameEntry(old, e) {
 			changed = append(changed, e)
@@ -45,8 +45,8 @@
 	}
 	for name := range d.entries {
 		if _, ok := later.entries[name]; !ok {
-			gone = append(gone, name)
+			removed = append(removed, name)
 		}
 	}
-	return changed, gone
+	return changed, removed
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory holds which endpoints exist, as an outside list tells it. A
-// list may be read stale, in part, or right after it lost entries that will
-// return; Merge decides what to believe of it.
+// Package directory holds the known endpoints, as read from an external list. A reading of the
+// list may be outdated, partial, or lack entries that will be back after an outage; Merge
+// handles these cases.
 package directory
 
 import (
@@ -11,44 +11,43 @@
 	"coveferry/internal/bundle"
 )
 
-// Entry is an endpoint as the list shows it.
+// Entry is an endpoint's entry in the list.
 type Entry struct {
 	Endpoint bundle.Endpoint
-	// Draining says that the endpoint takes no new work.
+	// Draining reports that the endpoint takes no new work.
 	Draining bool
-	// Incarnation names the process behind the entry: one that starts again under the
-	// same name has another. Incarnations have no order, as clocks may be set back.
-	// Empty if the list doesn't tell.
+	// Incarnation identifies the endpoint's process: it changes when the endpoint restarts under
+	// the same name. Incarnations have no order, as clocks may be set back. Empty if the list
+	// doesn't have it.
 	Incarnation string `json:",omitempty"`
-	// Cold is for how much longer the endpoint takes little work, as of the writing of the
-	// entry: its caches are empty, and more than it tolerates ends it.
+	// Cold is for how much longer, as of the writing of the entry, the endpoint can take little
+	// work: its caches are empty, and too much work crashes it.
 	Cold time.Duration `json:",omitempty"`
-	// kept says that the list lacks the endpoint, which may be back: it counts
-	// for this router only.
+	// kept marks an endpoint that the list lacks but that may be back. It is local to this
+	// router.
 	kept bool
 }
 
-// Reading is what a source says of the list: the whole of it, or what changed
-// since an earlier reading.
+// Reading is a reading of the list: all of it, or the changes since an earlier reading.
 type Reading struct {
-	// Whole says that Entries is the whole list; else Entries are those that
-	// changed since the directory was read, and Gone the names of those that left.
+	// Full reports that Entries is the whole list; otherwise Entries are those that changed
+	// since the earlier reading, and Removed the names of those that were removed.
 	Whole   bool
 	Entries []Entry
 	Gone    []string
-	// Unreadable are entries of which nothing can be used. They hide no other, and an
-	// endpoint that was listed under such a name is gone.
+	// Unreadable lists the entries that can't be used. They don't affect other entries; an
+	// endpoint that was listed under such a name counts as removed.
 	Unreadable []Unreadable
-	// Evacuations is what the reading says of failure domains that are to get nothing.
+	// Evacuations are the evacuations of failure domains, or their changes.
 	Evacuations Evacuations
-	// Revision is the list's own counter of changes at the time of reading.
+	// Revision is the list's own change counter at the time of reading.
 	Revision uint64
 }
 
-// Evacuations are the orders to evacuate failure domains: all that stand, or what changed.
+// Evacuations lists the failure domains under evacuation, or the changes to them.
 type Evacuations struct {
-	// Whole says that Ordered are all that stand; else they are those that were given since,
-	// and Lifted those that were removed.
+	// Full reports that Active lists all evacuated domains; otherwise it lists those whose
+	// evacuation began, and Ended those whose evacuation ended.
 	Whole   bool
 	Ordered []string
 	Lifted  []string
@@ -64,15 +63,14 @@
 type Directory struct {
 	entries   map[string]Entry
 	byService map[string][]*bundle.Endpoint
-	// evacuated are the failure domains that are to get nothing, whether they have
-	// endpoints or not.
+	// evacuated holds the evacuated failure domains, with or without endpoints.
 	evacuated map[string]bool
 	revision  uint64
 	digest    uint64
-	kept      int // entries that the list lacks
+	kept      int // number of entries that the list lacks
 }
 
-// Empty is a directory without endpoints.
+// Empty returns a directory without endpoints.
 func Empty() *Directory { return build(nil, nil, 0) }
 
 func build(entries map[string]Entry, evacuated map[string]bool, revision uint64) *Directory {
@@ -92,16 +90,16 @@
 	return d
 }
 
-// For lists the endpoints of a service by their names, draining ones included.
+// For returns the endpoints of a service sorted by name, including draining ones.
 func (d *Directory) For(service string) []*bundle.Endpoint { return d.byService[service] }
 
-// Entry returns what the list says of an endpoint; false if it has none.
+// Entry returns the entry of an endpoint; false if there is none.
 func (d *Directory) Entry(endpoint string) (Entry, bool) {
 	e, ok := d.entries[endpoint]
 	return e, ok
 }
 
-// Entries lists all endpoints by their names.
+// Entries returns all entries sorted by name.
 func (d *Directory) Entries() []Entry {
 	entries := make([]Entry, 0, len(d.entries))
 	for _, name := range sortedNames(d.entries) {
@@ -110,24 +108,24 @@
 	return entries
 }
 
-// Page lists at most so many of the endpoints whose names follow another, by
-// their names, and says whether more follow.
-func (d *Directory) Page(behind string, most int) (entries []Entry, more bool) {
+// Page returns up to limit entries whose names follow the given one, sorted by name, and reports
+// whether more follow.
+func (d *Directory) Page(after string, limit int) (entries []Entry, more bool) {
 	names := sortedNames(d.entries)
-	start, found := slices.BinarySearch(names, behind)
+	start, found := slices.BinarySearch(names, after)
 	if found {
 		start++
 	}
-	end := min(start+most, len(names))
+	end := min(start+limit, len(names))
 	for _, name := range names[start:end] {
 		entries = append(entries, d.entries[name])
 	}
 	return entries, end < len(names)
 }
 
-// Listed is the directory without the endpoints that the list lacks and that are
-// only kept for a while. What a router keeps after an outage of its own may be
-// gone for long, as others know.
+// Listed returns the directory without the endpoints that the list lacks and that are only kept
+// for a while. Other routers may know that an endpoint kept after this router's own outage has
+// long left.
 func (d *Directory) Listed() *Directory {
 	if d.kept == 0 {
 		return d
@@ -141,43 +139,42 @@
 	return build(listed, d.evacuated, d.revision)
 }
 
-// Evacuated lists the failure domains that are to get nothing, by their names.
+// Evacuated returns the evacuated failure domains, sorted.
 func (d *Directory) Evacuated() []string { return slices.Sorted(maps.Keys(d.evacuated)) }
 
-// IsEvacuated says whether a failure domain is to get nothing.
+// IsEvacuated reports whether a failure domain is evacuated.
 func (d *Directory) IsEvacuated(domain string) bool { return d.evacuated[domain] }
 
-// TakesWork says whether an endpoint is listed and may be sent new work.
+// TakesWork reports whether an endpoint is listed and may get new work.
 func (d *Directory) TakesWork(endpoint string) bool {
 	e, listed := d.entries[endpoint]
 	return listed && !e.Draining && !d.evacuated[e.Endpoint.FailureDomain]
 }
 
-// Kept is how many of the endpoints the list lacks.
+// Kept returns the number of endpoints that the list lacks.
 func (d *Directory) Kept() int { return d.kept }
 
-// Len is the number of endpoints.
+// Len returns the number of endpoints.
 func (d *Directory) Len() int { return len(d.entries) }
 
-// Digest tells two directories apart that differ in anything but the revision.
+// Digest returns a hash of everything but the revision.
 func (d *Directory) Digest() uint64 { return d.digest }
 
-// Revision is that of the newest reading.
+// Revision returns the revision of the newest reading.
 func (d *Directory) Revision() uint64 { return d.revision }
 
-// Merge returns the directory that follows from a reading, and whether it
-// differs. A reading older than the last one changes nothing. Before
-// keepAbsentUntil an endpoint that the reading lacks stays: after an outage the
-// list has lost entries of endpoints that live and will be back.
+// Merge returns the directory that results from a reading, and whether it differs. A reading older
+// than the last one is ignored. Before keepAbsentUntil an endpoint that the reading lacks is kept:
+// after an outage the list lacks entries of live endpoints that will be back.
 func (d *Directory) Merge(r Reading, now, keepAbsentUntil time.Time) (*Directory, bool) {
 	if r.Revision < d.revision {
 		return d, false
 	}
 	evacuated := d.evacuatedAfter(r.Evacuations)
 	if d.kept == 0 && r.changesNoEntry() && maps.Equal(d.evacuated, evacuated) {
-		return d.at(r.Revision), false
+		return d.withRevision(r.Revision), false
 	}
-	next := d.listedAfter(r)
+	next := d.entriesAfter(r)
 	if now.Before(keepAbsentUntil) {
 		d.keepAbsent(next)
 	}
@@ -185,7 +182,7 @@
 		delete(next, u.Name)
 	}
 	if sameEntries(d.entries, next) && maps.Equal(d.evacuated, evacuated) {
-		return d.at(r.Revision), false
+		return d.withRevision(r.Revision), false
 	}
 	return build(next, evacuated, r.Revision), true
 }
@@ -194,8 +191,8 @@
 	return !r.Whole && len(r.Entries) == 0 && len(r.Gone) == 0 && len(r.Unreadable) == 0
 }
 
-// evacuatedAfter are the failure domains that are to get nothing after a reading. An order
-// stands until a reading says that it was removed.
+// evacuatedAfter returns the failure domains that are evacuated after a reading. An evacuation
+// lasts until a reading reports its end.
 func (d *Directory) evacuatedAfter(e Evacuations) map[string]bool {
 	if !e.Whole && len(e.Ordered) == 0 && len(e.Lifted) == 0 {
 		return d.evacuated
@@ -213,15 +210,15 @@
 	return next
 }
 
-// at is the same directory as of a later revision.
-func (d *Directory) at(revision uint64) *Directory {
+// withRevision returns the same directory with a later revision.
+func (d *Directory) withRevision(revision uint64) *Directory {
 	same := *d
 	same.revision = revision
 	return &same
 }
 
-// listedAfter is what the list holds after a reading.
-func (d *Directory) listedAfter(r Reading) map[string]Entry {
+// entriesAfter returns the entries of the list after a reading.
+func (d *Directory) entriesAfter(r Reading) map[string]Entry {
 	next := make(map[string]Entry, max(len(r.Entries), len(d.entries)))
 	if !r.Whole {
 		for name, e := range d.entries {
@@ -240,8 +237,8 @@
 	return next
 }
 
-// keepAbsent adds the endpoints that the next directory lacks, but for those
-// whose address another one has taken over.
+// keepAbsent adds the endpoints that the next directory lacks, except those whose address
+// another endpoint has taken over.
 func (d *Directory) keepAbsent(next map[string]Entry) {
 	taken := make(map[string]bool, len(next))
 	for _, e := range next {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -15,71 +15,71 @@
 	"coveferry/internal/route"
 )
 
-// Timing is how often a source is asked and when a call is given up.
+// Timing holds the intervals and timeouts of the calls to a source.
 type Timing struct {
-	// Wait is how long a call waits for a change. With Slack it bounds how old
-	// the knowledge of a calm source gets.
+	// Wait is how long a call waits for a change. Together with Slack it bounds the age of the
+	// state while nothing changes.
 	Wait time.Duration
-	// Slack is how much longer than it should a call may take before something
-	// comes, and may then be silent, before it is given up.
+	// Slack is how much longer than Wait a call may take until the first byte, and how long it
+	// may pause after that, before it is aborted.
 	Slack time.Duration
-	// Pace is the least time between two calls that succeed, so that a source
-	// in which something changes all the time isn't asked without a pause.
+	// MinInterval is the least time between two successful calls, which limits the rate of
+	// calls to a source that changes all the time.
 	Pace time.Duration
-	// Outage is the time between two moments of which the source told, beyond
-	// which it counts as having been away, and Return how long entries may take
-	// to be back in the list then.
+	// OutageThreshold is the time between two confirmations of the state above which the
+	// source counts as having had an outage, and EntryReturnTime how long the endpoints' entries
+	// may take to be back in the list after it.
 	Outage, Return time.Duration
 }
 
-// Bounds of the pause after a call that failed.
+// Bounds of the backoff after a failed call.
 const (
 	firstPause = 50 * time.Millisecond
 	maxPause   = 400 * time.Millisecond
 )
 
-// AtOnce is the wait of a call behind one that failed: what matters then is to
-// know again soon, and an answer tells of the moment at which it was asked for.
+// MinWait is the wait of a call after a failed one. The state has to be confirmed soon, and an
+// answer only confirms it as of the time of the request.
 const AtOnce = time.Millisecond
 
-// Config is what a Follower needs.
+// Config configures a Follower.
 type Config struct {
 	Source Source
 	Timing Timing
-	// OnDirectory takes a list that has changed. It must not wait.
+	// OnDirectory is called with each changed list. It must not block.
 	OnDirectory func(*directory.Directory)
-	// OnConfig takes a configuration that is in force; nil for nobody. It must not wait.
+	// OnConfig is called with each configuration put in force; may be nil. It must not block.
 	OnConfig func(*route.Config)
-	// Clock tells ages; nil is clock.Boot, which also counts the time for which
-	// the VM was suspended.
+	// Clock measures ages; nil means clock.Boot, which includes the time for which the VM was
+	// suspended.
 	Clock clock.Clock
 	Log   zerolog.Logger
-	// Metrics takes the follower's counters; nil for none.
+	// Metrics registers the follower's metrics; nil for none.
 	Metrics prometheus.Registerer
 }
 
-// Follower holds what was read last. It is safe for concurrent use.
+// Follower holds the latest state of a source. It is safe for concurrent use.
 type Follower struct {
 	cfg       Config
 	table     atomic.Pointer[route.Table]
 	config    atomic.Pointer[route.Config]
 	directory atomic.Pointer[directory.Directory]
-	// confirmed is when the call was sent that last confirmed what is known, by
-	// the clock; nil before the first.
-	confirmed atomic.Pointer[time.Time]
-	source    link
-	// keepAbsentUntil is until when endpoints stay that the list lacks after an
-	// outage. Only Run uses it.
+	// confirmed is the time, by Clock, at which the latest call was sent that confirmed the
+	// state; nil before the first.
+	confirmed    atomic.Pointer[time.Time]
+	availability availabilityLog
+	// keepAbsentUntil is when the endpoints are dropped that the list lacks after an outage.
+	// Only Run uses it.
 	keepAbsentUntil time.Time
-	// gap is that for which they are kept. Only Run uses it.
+	// gap is the outage that keepAbsentUntil refers to. Only Run uses it.
 	gap Span
-	// arrival is how long the last configuration took to arrive. Only Run uses it.
-	arrival time.Duration
-	// unreadable are the entries of the list that can't be used. Only Run uses it.
+	// configTransferTime is that of the last configuration. Only Run uses it.
+	configTransferTime time.Duration
+	// unreadable tracks the invalid entries of the list. Only Run uses it.
 	unreadable *unreadable
 }
 
-// New returns a follower that knows nothing until Run.
+// New returns a follower that has no state until Run.
 func New(cfg Config) *Follower {
 	if cfg.Clock == nil {
 		cfg.Clock = clock.Boot
@@ -93,49 +93,49 @@
 			Help: "Endpoints that are used though the list lacks them, since it may have lost their entries in an outage.",
 		}, func() float64 { return float64(f.Directory().Kept()) }))
 	}
-	f.source = link{name: "configuration and list of endpoints", log: cfg.Log}
+	f.availability = availabilityLog{name: "configuration and list of endpoints", log: cfg.Log}
 	return f
 }
 
-// Table is the newest route table, nil before the first was read.
+// Table returns the newest route table, nil before the first.
 func (f *Follower) Table() *route.Table { return f.table.Load() }
 
-// Directory is the newest list of endpoints; it is empty before the first.
+// Directory returns the newest list of endpoints, empty before the first.
 func (f *Follower) Directory() *directory.Directory { return f.directory.Load() }
 
-// Config is what the table was built from, nil before the first was read.
+// Config returns the configuration that the table was built from, nil before the first.
 func (f *Follower) Config() *route.Config { return f.config.Load() }
 
-// never is the age of knowledge that there is none of.
-const never = time.Duration(1<<63 - 1)
+// unknownAge is the age before the first successful call.
+const unknownAge = time.Duration(1<<63 - 1)
 
-// Age is how long ago the table and the list were certainly the newest.
+// Age returns how long ago the table and the list were last confirmed to be the newest.
 func (f *Follower) Age() time.Duration {
 	at := f.confirmed.Load()
 	if at == nil {
-		return never
+		return unknownAge
 	}
 	return f.cfg.Clock().Sub(*at)
 }
 
-// want is what to ask of the source next.
-type want struct {
-	// whole asks for everything rather than for what changed, and fresh for no
-	// cheaper reading.
-	whole, fresh bool
-	wait         time.Duration
+// sourceCall describes the next call to the source.
+type sourceCall struct {
+	// full requests everything rather than the changes, and fresh rules out a cheaper read that
+	// may be outdated.
+	full, fresh bool
+	wait        time.Duration
 }
 
 // Run follows the source until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	next := want{whole: true}
+	next := sourceCall{full: true}
 	pause := firstPause
 	for ctx.Err() == nil {
 		sent := time.Now()
-		err := f.step(ctx, next)
+		err := f.poll(ctx, next)
 		if err == nil {
-			f.source.worked()
-			next = want{wait: f.nextWait(time.Now())}
+			f.availability.succeeded()
+			next = sourceCall{wait: f.nextWait(time.Now())}
 			pause = firstPause
 			clock.Sleep(ctx, f.cfg.Timing.Pace-time.Since(sent))
 			continue
@@ -143,58 +143,58 @@
 		if ctx.Err() != nil {
 			return
 		}
-		next = f.afterFailure(next, err)
+		next = f.callAfterFailure(next, err)
 		clock.Sleep(ctx, pause)
 		pause = min(2*pause, maxPause)
 	}
 }
 
-// nextWait is how long the next call waits: as short as may be while endpoints are only
-// kept for a while, since others may tell that they have left, and shorter by what a
-// configuration takes to arrive. Until the next one has arrived nothing confirms what is
-// known: with 1.1 s, of a megabyte over 10 Mbit/s, it was 4.0 s old where calls waited for a
-// second besides, too old for peers (2.4 s) and to stay ready (2.8 s).
+// nextWait returns how long the next call waits. It is as short as possible while absent endpoints
+// are kept, since a peer may report that they have left, and is reduced by the transfer time of a
+// configuration. Until the next one has arrived nothing confirms the state: with a transfer time
+// of 1.1 s, for a megabyte over 10 Mbit/s, and calls that waited for a second in addition, the state
+// was 4.0 s old, too old for peers (2.4 s) and to stay ready (2.8 s).
 func (f *Follower) nextWait(now time.Time) time.Duration {
-	wait := max(f.cfg.Timing.Wait-f.arrival, min(f.cfg.Timing.Wait, f.cfg.Timing.Pace))
+	wait := max(f.cfg.Timing.Wait-f.configTransferTime, min(f.cfg.Timing.Wait, f.cfg.Timing.Pace))
 	if left := f.keepAbsentUntil.Sub(now); left > 0 {
 		wait = min(wait, f.cfg.Timing.Pace, left+time.Millisecond)
 	}
 	return wait
 }
 
-// afterFailure is what to ask for after a call that failed. What changed while
-// the source was away it still knows, unless it says otherwise.
-func (f *Follower) afterFailure(last want, err error) want {
+// callAfterFailure returns the call after a failed one. The source still has the changes that were
+// missed, unless the error is ErrHistoryLost.
+func (f *Follower) callAfterFailure(last sourceCall, err error) sourceCall {
 	var unusable *UnusableError
 	switch {
 	case errors.Is(err, ErrHistoryLost):
-		// A cheap reading may be older than what was known before.
-		return want{whole: true, fresh: true}
+		// A cheap read may be older than the present state.
+		return sourceCall{full: true, fresh: true}
 	case errors.As(err, &unusable):
-		return want{whole: true}
+		return sourceCall{full: true}
 	}
-	f.source.failed(err)
+	f.availability.failed(err)
 	last.wait = AtOnce
 	return last
 }
 
-// step asks the source once and takes in what it says.
-func (f *Follower) step(ctx context.Context, w want) error {
+// poll makes one call to the source and applies the result.
+func (f *Follower) poll(ctx context.Context, call sourceCall) error {
 	sent := f.cfg.Clock()
-	r, err := f.ask(ctx, w)
+	r, err := f.callSource(ctx, call)
 	if err != nil {
 		return err
 	}
 	at := sent.Add(-r.Age)
-	f.unreadable.take(r.List)
+	f.unreadable.record(r.List)
 	f.merge(r, at)
 	if r.Unreadable != nil {
-		f.cfg.Log.Error().Err(r.Unreadable).Msg("a configuration can't be read; the last one stays")
+		f.cfg.Log.Error().Err(r.Unreadable).Msg("can't decode the configuration; the last one stays in force")
 		return &UnusableError{Cause: r.Unreadable}
 	}
 	if r.Config != nil {
-		f.arrival = r.Arrival
-		if err := f.take(r.Config); err != nil {
+		f.configTransferTime = r.Arrival
+		if err := f.applyConfig(r.Config); err != nil {
 			return err
 		}
 	}
@@ -202,19 +202,19 @@
 	return nil
 }
 
-func (f *Follower) ask(ctx context.Context, w want) (Reading, error) {
-	if w.whole {
-		return f.cfg.Source.Read(ctx, w.fresh)
+func (f *Follower) callSource(ctx context.Context, call sourceCall) (Reading, error) {
+	if call.full {
+		return f.cfg.Source.Read(ctx, call.fresh)
 	}
-	// Not a fixed time: a configuration of a megabyte takes 1.1 s over a link of
-	// 10 Mbit/s. Calls of .4 s and their wait failed on it again and again, and with
-	// them all news of endpoints.
-	ctx, cancel := idle.WithTimeout(ctx, w.wait+f.cfg.Timing.Slack, f.cfg.Timing.Slack)
+	// The timeout starts anew with each part received: a configuration of a megabyte takes 1.1 s
+	// over a link of 10 Mbit/s. Calls with a fixed timeout of 0.4 s plus the wait failed on it
+	// repeatedly, and no update of endpoints came through.
+	ctx, cancel := idle.WithTimeout(ctx, call.wait+f.cfg.Timing.Slack, f.cfg.Timing.Slack)
 	defer cancel()
-	return f.cfg.Source.Await(ctx, f.Directory().Revision(), w.wait)
+	return f.cfg.Source.Await(ctx, f.Directory().Revision(), call.wait)
 }
 
-// UnusableError is a configuration that can't be put in force.
+// UnusableError reports a configuration that can't be put in force.
 type UnusableError struct {
 	Version uint64
 	Cause   error
@@ -226,16 +226,16 @@
 // Unwrap returns the cause.
 func (e *UnusableError) Unwrap() error { return e.Cause }
 
-// take puts a configuration in force unless a newer one is. One that can't be
-// used leaves the last in force. Its error is an *UnusableError.
-func (f *Follower) take(c *route.Config) error {
+// applyConfig puts a configuration in force if it is newer than the current one. If it is invalid,
+// the current one stays in force and the error is an *UnusableError.
+func (f *Follower) applyConfig(c *route.Config) error {
 	old := f.table.Load()
 	if old != nil && c.Version <= old.Version() {
 		return nil
 	}
 	table, err := route.NewTable(*c)
 	if err != nil {
-		f.cfg.Log.Error().Err(err).Uint64("version", c.Version).Msg("a configuration was refused; the last one stays")
+		f.cfg.Log.Error().Err(err).Uint64("version", c.Version).Msg("configuration rejected; the last one stays in force")
 		return &UnusableError{Version: c.Version, Cause: err}
 	}
 	f.table.Store(table)
@@ -247,45 +247,44 @@
 	return nil
 }
 
-// merge takes in what a reading says of the list as of a moment. The first
-// reading after an outage lacks entries of endpoints that live and will be back.
+// merge applies a reading of the list as of the given time. The first reading after an outage lacks
+// entries of live endpoints that will be back.
 func (f *Follower) merge(r Reading, at time.Time) {
 	now := time.Now()
-	f.noteOutage(r, at, now)
+	f.detectOutage(r, at, now)
 	next, changed := f.Directory().Merge(r.List, now, f.keepAbsentUntil)
 	if changed {
-		// Before the list holds for requests: what it says of an endpoint is known by then.
+		// Called before requests use the list, so that its consumer already knows the endpoints.
 		f.cfg.OnDirectory(next)
 	}
 	f.directory.Store(next)
 }
 
-// noteOutage has what the list lacks kept for a while behind a gap in what this router
-// knows in which the service may have been away for longer than entries last. It wasn't
-// where somebody read it all the while, as this reading may tell or a later one: what the
-// list then lacks has left. Without this, routers to which others told news 2 s late sent
+// detectOutage has absent endpoints kept for a while after a gap in the confirmed state, since the
+// source may have had an outage in it that is longer than the lifetime of entries. It had none if
+// other routers read it throughout, as this reading or a later one may report; endpoints absent
+// from the list have then left. Without this, routers that peers updated 2 s late sent
 // requests to endpoints 4.3 s after these had left.
-func (f *Follower) noteOutage(r Reading, at, now time.Time) {
-	most := f.cfg.Timing.Outage
-	if last := f.confirmed.Load(); last != nil && at.Sub(*last) > most {
+func (f *Follower) detectOutage(r Reading, at, now time.Time) {
+	threshold := f.cfg.Timing.Outage
+	if last := f.confirmed.Load(); last != nil && at.Sub(*last) > threshold {
 		f.gap = Span{From: *last, To: at}
 		f.keepAbsentUntil = now.Add(f.cfg.Timing.Return)
 	}
 	if !now.Before(f.keepAbsentUntil) {
 		return
 	}
-	if r.Steady.bridges(f.gap.From, f.gap.To, most) {
+	if r.Steady.covers(f.gap.From, f.gap.To, threshold) {
 		f.keepAbsentUntil = now
 		return
 	}
 	if f.gap.To.Equal(at) {
 		f.cfg.Log.Warn().Dur("gap", at.Sub(f.gap.From)).Dur("age", f.cfg.Clock().Sub(at)).Uint64("revision", r.List.Revision).
-			Msg("nothing was known for longer than entries last; endpoints that the list lacks are kept for a while")
+			Msg("state not confirmed for longer than entries live; keeping endpoints that the list lacks for a while")
 	}
 }
 
-// confirm notes that what is known was the newest at a moment. One that is
-// earlier than another says nothing new.
+// confirm records that the state was the newest at the given time, unless a later time is recorded.
 func (f *Follower) confirm(at time.Time) {
 	if old := f.confirmed.Load(); old != nil && !at.After(*old) {
 		return
--- a/internal/follow/link.go
+++ b/internal/follow/link.go
@@ -6,30 +6,30 @@
 	"github.com/rs/zerolog"
 )
 
-// link logs when a dependency is lost and when it is regained, once each.
-type link struct {
-	name string
-	log  zerolog.Logger
-	mu   sync.Mutex
-	lost bool
+// availabilityLog logs once each when a dependency is lost and when it is regained.
+type availabilityLog struct {
+	name        string
+	log         zerolog.Logger
+	mu          sync.Mutex
+	unavailable bool
 }
 
-func (l *link) failed(err error) {
+func (l *availabilityLog) failed(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lost {
+	if l.unavailable {
 		return
 	}
-	l.lost = true
+	l.unavailable = true
 	l.log.Warn().Err(err).Str("dependency", l.name).Msg("dependency lost")
 }
 
-func (l *link) worked() {
+func (l *availabilityLog) succeeded() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.lost {
+	if !l.unavailable {
 		return
 	}
-	l.lost = false
+	l.unavailable = false
 	l.log.Info().Str("dependency", l.name).Msg("dependency regained")
 }
--- a/internal/follow/unreadable.go
+++ b/internal/follow/unreadable.go
@@ -7,16 +7,16 @@
 	"coveferry/internal/directory"
 )
 
-// maxUnreadable bounds the entries that are remembered as unreadable. Who writes entries
-// under ever new names has the later ones counted and logged anew.
+// maxUnreadable bounds the remembered unreadable entries. Beyond it they are forgotten, and later
+// readings of them are logged again.
 const maxUnreadable = 1024
 
-// unreadable counts the entries of the list that can't be used and logs each once, though
-// it be written again every second.
+// unreadable counts the unusable entries of the list and logs each once, even if it is written
+// again every second.
 type unreadable struct {
 	log   zerolog.Logger
 	count prometheus.Counter
-	// causes has why each entry that is known can't be used.
+	// causes maps the name of an unreadable entry to the error.
 	causes map[string]string
 }
 
@@ -31,10 +31,10 @@
 	return u
 }
 
-// take notes what a reading says.
-func (u *unreadable) take(r directory.Reading) {
+// record updates the unreadable entries from a reading.
+func (u *unreadable) record(r directory.Reading) {
 	if r.Whole {
-		u.forgetBut(r.Unreadable)
+		u.retain(r.Unreadable)
 	}
 	for _, e := range r.Entries {
 		delete(u.causes, e.Endpoint.Name)
@@ -43,11 +43,11 @@
 		delete(u.causes, name)
 	}
 	for _, e := range r.Unreadable {
-		u.note(e)
+		u.recordEntry(e)
 	}
 }
 
-func (u *unreadable) note(e directory.Unreadable) {
+func (u *unreadable) recordEntry(e directory.Unreadable) {
 	u.count.Inc()
 	cause := e.Cause.Error()
 	if u.causes[e.Name] == cause {
@@ -60,10 +60,10 @@
 	u.log.Warn().Str("endpoint", e.Name).Err(e.Cause).Msg("an entry of the list can't be used; the others hold")
 }
 
-// forgetBut forgets all entries but these.
-func (u *unreadable) forgetBut(still []directory.Unreadable) {
-	kept := make(map[string]string, len(still))
-	for _, e := range still {
+// retain drops all entries except the given ones.
+func (u *unreadable) retain(keep []directory.Unreadable) {
+	kept := make(map[string]string, len(keep))
+	for _, e := range keep {
 		if cause, known := u.causes[e.Name]; known {
 			kept[e.Name] = cause
 		}
--- a/internal/peers/ask.go
+++ b/internal/peers/ask.go
@@ -14,106 +14,106 @@
 	"coveferry/internal/route"
 )
 
-// errAlone is that there is nobody to ask.
-var errAlone = errors.New("peers: no other router is known")
+// errNoPeers is returned when no other router is known.
+var errNoPeers = errors.New("peers: no other router is known")
 
-// peerWord is what a peer said.
-type peerWord struct {
+// peerReading is a peer's answer to a query.
+type peerReading struct {
 	follow.Reading
-	// sourceLost says that the peer doesn't read the source itself at present.
-	sourceLost bool
+	// sourceUnavailable reports that the peer's own calls to the source fail at present.
+	sourceUnavailable bool
 }
 
-// ask has the nearest readers asked in turn, until one answers that reads the source. The
-// word of others counts where there is none.
-func (s *Source) ask(ctx context.Context, one func(context.Context, Member) (peerWord, error)) (peerWord, error) {
-	err := errAlone
-	var second *peerWord
-	for _, peer := range s.sources(time.Now()) {
-		var r peerWord
-		r, err = one(ctx, peer)
+// queryPeers queries the nearest peers in turn until one answers whose own calls to the source
+// succeed. If there is none, it returns the freshest answer of the others.
+func (s *Source) queryPeers(ctx context.Context, query func(context.Context, Member) (peerReading, error)) (peerReading, error) {
+	err := errNoPeers
+	var fallback *peerReading
+	for _, peer := range s.peersToQuery(time.Now()) {
+		var r peerReading
+		r, err = query(ctx, peer)
 		switch {
-		case errors.Is(err, follow.ErrHistoryLost), err == nil && !r.sourceLost:
+		case errors.Is(err, follow.ErrHistoryLost), err == nil && !r.sourceUnavailable:
 			return r, err
-		case err == nil && (second == nil || r.Age < second.Age):
-			second = &r
+		case err == nil && (fallback == nil || r.Age < fallback.Age):
+			fallback = &r
 		}
 	}
-	if second != nil {
-		return *second, nil
+	if fallback != nil {
+		return *fallback, nil
 	}
-	return peerWord{}, err
+	return peerReading{}, err
 }
 
-// sources are the routers to ask, the nearest first. One that knows few of its failure domain
-// asks seeds first, which ask the source meanwhile.
-func (s *Source) sources(now time.Time) []Member {
-	sources := s.members.sources(now)
-	if !s.members.isReader(now) || !s.knowsFew(now) {
+// peersToQuery lists the routers to query, the nearest first. A router with a partial view of its
+// failure domain queries the seeds first, which call the source in that phase.
+func (s *Source) peersToQuery(now time.Time) []Member {
+	sources := s.members.peersToQuery(now)
+	if !s.members.isReader(now) || !s.hasPartialMembership(now) {
 		return sources
 	}
-	seeds := s.members.inTurn(s.members.at(now, s.cfg.Seeds))
+	seeds := s.members.rotated(s.members.atAddresses(now, s.cfg.Seeds))
 	others := slices.DeleteFunc(sources, func(m Member) bool { return slices.Contains(seeds, m) })
 	return slices.Concat(seeds, others)
 }
 
-// newsFor is how long news are told with questions and answers: two of them and some slack,
-// so that one may be late.
-func (s *Source) newsFor() time.Duration { return 2*s.cfg.Every + callTimeout }
-
-// askNews asks a peer what changed since what this router knows.
-func (s *Source) askNews(ctx context.Context, peer Member) (peerWord, error) {
-	own := s.own()
-	if own == nil {
-		return peerWord{}, errNothing
-	}
-	have := own.Directory().Listed()
-	req := newsRequest{From: s.cfg.Self, Revision: have.Revision(), Digest: have.Digest(), Demand: s.demands.ask()}
-	// A question may be late; a report that is told twice does no harm.
-	req.Loads = s.loads.own(time.Now(), 2*s.cfg.Every)
-	req.Failures = s.failures.own(time.Now())
-	req.Poison = s.poison.ask(s.newsFor())
-	req.Limits = s.limits.ask(s.newsFor())
-	req.Steady = s.steady.word(s.cfg.Clock())
-	base := own.Config()
+// pollUpdateWindow is how far back the updates reach that polls and their replies carry: two
+// polls and a call timeout, so that one delayed poll loses nothing.
+func (s *Source) pollUpdateWindow() time.Duration { return 2*s.cfg.Every + callTimeout }
+
+// pollUpdates asks a peer for all changes since the state of this router.
+func (s *Source) pollUpdates(ctx context.Context, peer Member) (peerReading, error) {
+	state := s.localState()
+	if state == nil {
+		return peerReading{}, errNothing
+	}
+	list := state.Directory().Listed()
+	req := updateRequest{From: s.cfg.Self, Revision: list.Revision(), Digest: list.Digest(), Demand: s.demand.local()}
+	// A poll may be late, so the window covers two; applying a report twice is harmless.
+	req.Loads = s.loads.local(time.Now(), 2*s.cfg.Every)
+	req.Failures = s.failures.local(time.Now())
+	req.Poison = s.poison.request(s.pollUpdateWindow())
+	req.Limits = s.limits.request(s.pollUpdateWindow())
+	req.SourceUptime = s.uptime.report(s.cfg.Clock())
+	base := state.Config()
 	req.Version = versionOf(base)
 	sent, sentClock := time.Now(), s.cfg.Clock()
-	reply, err := control.Call(ctx, s.client(peer.Address), methodNews, req)
-	if err := s.note(peer, sent, err); err != nil {
-		return peerWord{}, err
-	}
-	s.demands.tell(reply.Demand, reply.DemandOf, sent)
-	s.loads.hear(sent, reply.Loads)
-	s.takeFailures(time.Now(), reply.Failures)
-	s.notePending(sent, reply.Pending)
-	s.poison.answered(sentClock, reply.Poison)
-	s.limits.answered(sentClock, reply.Limits)
-	s.steady.hear(sentClock, reply.Steady)
+	reply, err := control.Call(ctx, s.client(peer.Address), methodUpdate, req)
+	if err := s.recordCall(peer, sent, err); err != nil {
+		return peerReading{}, err
+	}
+	s.demand.recordTotal(reply.Demand, reply.DemandRouters, sent)
+	s.loads.apply(sent, reply.Loads)
+	s.applyFailures(time.Now(), reply.Failures)
+	s.recordPending(sent, reply.ConfigPending)
+	s.poison.applyReply(sentClock, reply.Poison)
+	s.limits.applyReply(sentClock, reply.Limits)
+	s.uptime.apply(sentClock, reply.SourceUptime)
 	age, err := s.checkAge(peer, reply.AgeMillis)
 	if err != nil {
-		return peerWord{}, err
+		return peerReading{}, err
 	}
-	if reply.Lost {
-		return peerWord{}, errors.Wrapf(follow.ErrHistoryLost, "peers: %s", peer.VM)
+	if reply.HistoryLost {
+		return peerReading{}, errors.Wrapf(follow.ErrHistoryLost, "peers: %s", peer.VM)
 	}
 	config, err := unpack(reply.Config, base)
 	if err != nil {
-		return peerWord{}, err
+		return peerReading{}, err
 	}
-	list := directory.Reading{
-		Entries: reply.Entries, Gone: reply.Gone, Revision: reply.Revision,
+	reading := directory.Reading{
+		Entries: reply.Entries, Gone: reply.Removed, Revision: reply.Revision,
 		Evacuations: directory.Evacuations{Whole: true, Ordered: reply.Evacuated},
 	}
-	return peerWord{Reading: follow.Reading{Config: config, List: list, Age: age}, sourceLost: reply.SourceLost}, nil
+	return peerReading{Reading: follow.Reading{Config: config, List: reading, Age: age}, sourceUnavailable: reply.SourceUnavailable}, nil
 }
 
-// config is this router's own configuration; nil if it has none.
+// config returns this router's own configuration; nil if it has none.
 func (s *Source) config() *route.Config {
-	own := s.own()
-	if own == nil {
+	state := s.localState()
+	if state == nil {
 		return nil
 	}
-	return own.Config()
+	return state.Config()
 }
 
 func versionOf(c *route.Config) uint64 {
@@ -123,73 +123,72 @@
 	return c.Version
 }
 
-// unpack returns the configuration that a peer told, nil if it told none. One that
-// changes another version than this router's has to be read whole.
-func unpack(told packedChange, base *route.Config) (*route.Config, error) {
-	if told == nil {
+// unpack returns the configuration that a peer sent, nil if it sent none. A change that is
+// based on another version than base requires a full read.
+func unpack(packed packedChange, base *route.Config) (*route.Config, error) {
+	if packed == nil {
 		return nil, nil
 	}
-	config, err := told.apply(base)
+	config, err := packed.apply(base)
 	if errors.Is(err, route.ErrOtherVersion) {
 		return nil, errors.CombineErrors(follow.ErrHistoryLost, err)
 	}
 	return config, err
 }
 
-// checkAge turns the age of what a peer knows; its error says that it is too old.
+// checkAge converts the age of a peer's state and returns an error if it exceeds MaxAge.
 func (s *Source) checkAge(peer Member, millis int64) (time.Duration, error) {
 	age := time.Duration(millis) * time.Millisecond
 	if age > s.cfg.MaxAge {
-		return 0, errors.Newf("peers: what %s knows is %s old", peer.VM, age)
+		return 0, errors.Newf("peers: the state of %s is %s old", peer.VM, age)
 	}
 	return age, nil
 }
 
-// readPages reads the whole list from a peer, and what changed in the configuration.
-// What changes between its parts is told as news afterwards, since the oldest revision
-// counts.
-func (s *Source) readPages(ctx context.Context, peer Member) (peerWord, error) {
+// readPages reads the whole list from a peer, and the change of the configuration. The result
+// has the lowest revision of all pages, so the next poll returns what changed between them.
+func (s *Source) readPages(ctx context.Context, peer Member) (peerReading, error) {
 	base := s.config()
-	var whole follow.Reading
-	for behind, more := "", true; more; {
+	var full follow.Reading
+	for after, more := "", true; more; {
 		sent := time.Now()
-		reply, err := control.Call(ctx, s.client(peer.Address), methodPage, pageRequest{From: s.cfg.Self, Behind: behind, Version: versionOf(base)})
-		if err := s.note(peer, sent, err); err != nil {
-			return peerWord{}, err
+		reply, err := control.Call(ctx, s.client(peer.Address), methodPage, pageRequest{From: s.cfg.Self, After: after, Version: versionOf(base)})
+		if err := s.recordCall(peer, sent, err); err != nil {
+			return peerReading{}, err
 		}
-		if behind == "" {
+		if after == "" {
 			age, err := s.checkAge(peer, reply.AgeMillis)
 			if err != nil {
-				return peerWord{}, err
+				return peerReading{}, err
 			}
 			config, err := unpack(reply.Config, base)
 			if err != nil {
-				return peerWord{}, err
+				return peerReading{}, err
 			}
-			whole = follow.Reading{Config: config, Age: age, List: directory.Reading{
+			full = follow.Reading{Config: config, Age: age, List: directory.Reading{
 				Whole: true, Revision: reply.Revision,
 				Evacuations: directory.Evacuations{Whole: true, Ordered: reply.Evacuated},
 			}}
 		}
-		whole.List.Revision = min(whole.List.Revision, reply.Revision)
-		whole.List.Entries = append(whole.List.Entries, reply.Entries...)
+		full.List.Revision = min(full.List.Revision, reply.Revision)
+		full.List.Entries = append(full.List.Entries, reply.Entries...)
 		more = reply.More && len(reply.Entries) > 0
 		if more {
-			behind = reply.Entries[len(reply.Entries)-1].Endpoint.Name
+			after = reply.Entries[len(reply.Entries)-1].Endpoint.Name
 		}
 	}
-	return peerWord{Reading: whole}, nil
+	return peerReading{Reading: full}, nil
 }
 
-// note takes what a call shows of a peer: one that doesn't answer is asked no
-// more until it is heard of again.
-func (s *Source) note(peer Member, sent time.Time, err error) error {
+// recordCall updates the membership after a call: a peer that doesn't answer is not queried
+// until another message shows it alive.
+func (s *Source) recordCall(peer Member, sent time.Time, err error) error {
 	var refused *control.Error
 	switch {
 	case err == nil:
-		s.members.hear(peer, sent)
+		s.members.recordSeen(peer, sent)
 	case !errors.As(err, &refused):
-		s.members.forget(peer.VM)
+		s.members.remove(peer.VM)
 	}
 	return err
 }
--- a/internal/peers/changelog.go
+++ b/internal/peers/changelog.go
@@ -6,78 +6,77 @@
 	"coveferry/internal/directory"
 )
 
-// maxGone bounds the endpoints that have left and are still told of one by one:
-// some times what is replaced in the minutes for which a router may have slept.
-const maxGone = 1024
+// maxRemoved bounds the removed endpoints that are reported one by one. It is several times
+// the number that is replaced in the minutes for which a router's VM may be suspended.
+const maxRemoved = 1024
 
-// changelog tells what changed in a list since a revision, so that a long list
-// isn't told again and again. It knows the changes between the lists that it was
-// shown. It is safe for concurrent use.
-type changelog struct {
+// changeLog computes what changed in a list since a revision, so that a long list isn't sent
+// again on each poll. It covers the changes between the lists passed to it. It is safe for
+// concurrent use.
+type changeLog struct {
 	mu sync.Mutex
-	// seen is the list that it was shown last, and last the revision of the last
-	// change in it. Changes up to the revision floor aren't known one by one.
-	seen        *directory.Directory
-	last, floor uint64
-	// changed and gone have the revision by which a change of an endpoint had
-	// been seen.
-	changed, gone map[string]uint64
+	// list is the latest list, and lastChange the revision of its last change. Changes up to
+	// the revision floor are not recorded individually.
+	list              *directory.Directory
+	lastChange, floor uint64
+	// changed and removed map an endpoint to the revision at which its change was detected.
+	changed, removed map[string]uint64
 }
 
-// since returns what an asker lacks that has the list as of a revision, with this
-// digest. ok is false if that isn't known.
-func (c *changelog) since(d *directory.Directory, revision, digest uint64) (news directory.Reading, ok bool) {
+// since returns the changes that a peer lacks whose list has this revision and digest. ok is
+// false if the changes since then aren't recorded.
+func (c *changeLog) since(d *directory.Directory, revision, digest uint64) (changes directory.Reading, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.look(d)
-	news.Revision = d.Revision()
+	c.update(d)
+	changes.Revision = d.Revision()
 	switch {
 	case digest == d.Digest(), revision > d.Revision():
-		return news, true
-	case revision < c.floor, revision >= c.last:
-		// The lists differ though nothing is known to have changed since.
-		return news, false
+		return changes, true
+	case revision < c.floor, revision >= c.lastChange:
+		// The lists differ, but no recorded change explains it.
+		return changes, false
 	}
 	for name, at := range c.changed {
 		if e, listed := d.Entry(name); listed && at > revision {
-			news.Entries = append(news.Entries, e)
+			changes.Entries = append(changes.Entries, e)
 		}
 	}
-	for name, at := range c.gone {
+	for name, at := range c.removed {
 		if at > revision {
-			news.Gone = append(news.Gone, name)
+			changes.Gone = append(changes.Gone, name)
 		}
 	}
-	return news, true
+	return changes, true
 }
 
-// look notes what changed since the last list. c.mu is held.
-func (c *changelog) look(d *directory.Directory) {
-	if c.seen != nil && c.seen.Digest() == d.Digest() {
+// update records the changes from the last list to d. c.mu is held.
+func (c *changeLog) update(d *directory.Directory) {
+	if c.list != nil && c.list.Digest() == d.Digest() {
 		return
 	}
-	if c.seen == nil {
-		c.restart(d)
+	if c.list == nil {
+		c.reset(d)
 		return
 	}
-	changed, gone := c.seen.ChangesTo(d)
-	c.seen, c.last = d, d.Revision()
+	changed, removed := c.list.ChangesTo(d)
+	c.list, c.lastChange = d, d.Revision()
 	for _, e := range changed {
-		c.changed[e.Endpoint.Name] = c.last
-		delete(c.gone, e.Endpoint.Name)
+		c.changed[e.Endpoint.Name] = c.lastChange
+		delete(c.removed, e.Endpoint.Name)
 	}
-	for _, name := range gone {
-		c.gone[name] = c.last
+	for _, name := range removed {
+		c.removed[name] = c.lastChange
 		delete(c.changed, name)
 	}
-	if len(c.gone) > maxGone {
-		c.restart(d)
+	if len(c.removed) > maxRemoved {
+		c.reset(d)
 	}
 }
 
-// restart forgets all changes. c.mu is held.
-func (c *changelog) restart(d *directory.Directory) {
-	c.seen, c.last, c.floor = d, d.Revision(), d.Revision()
+// reset drops all recorded changes. c.mu is held.
+func (c *changeLog) reset(d *directory.Directory) {
+	c.list, c.lastChange, c.floor = d, d.Revision(), d.Revision()
 	c.changed = make(map[string]uint64)
-	c.gone = make(map[string]uint64)
+	c.removed = make(map[string]uint64)
 }
--- a/internal/peers/configlog.go
+++ b/internal/peers/configlog.go
@@ -12,17 +12,16 @@
 	"coveferry/internal/route"
 )
 
-// maxPacked bounds the changes that are kept ready to be told: routers that fell
-// behind do so by a few versions.
+// maxPacked bounds the cached packed changes. Routers that have fallen behind usually lag by a
+// few versions.
 const maxPacked = 8
 
-// maxConfigBytes bounds a configuration as one router tells it to another, after
-// it is unpacked: 60,000 routes.
+// maxConfigBytes bounds the unpacked size of a configuration from a peer: 60,000 routes.
 const maxConfigBytes = 32 << 20
 
-// packedChange is a change of the configuration, as compressed JSON. Routes are
-// much alike: 1,500 of them take a tenth of the bytes or less, and links of
-// 10 Mbit/s take a third of a second for them as they are.
+// packedChange is a change of the configuration as compressed JSON. Routes resemble each other:
+// 1,500 of them compress to a tenth of their size or less. Uncompressed they take a third of a
+// second on a link of 10 Mbit/s.
 type packedChange []byte
 
 func pack(ch route.Change) (packedChange, error) {
@@ -36,7 +35,7 @@
 	return to.Bytes(), errors.Wrap(err, "peers: pack a configuration")
 }
 
-// apply returns the configuration that the change turns base into.
+// apply returns the configuration that results from applying the change to base.
 func (p packedChange) apply(base *route.Config) (*route.Config, error) {
 	r := flate.NewReader(bytes.NewReader(p))
 	var ch route.Change
@@ -47,18 +46,17 @@
 	return ch.Apply(base)
 }
 
-// configlog tells what changed in the configuration since a version. What it tells
-// is packed once for all who ask. It is safe for concurrent use.
-type configlog struct {
+// configLog computes what changed in the configuration since a version. Each change is packed
+// once and shared by all requests. It is safe for concurrent use.
+type configLog struct {
 	mu      sync.Mutex
 	history route.History
-	version uint64 // for which packed holds
+	version uint64 // that the changes in packed lead to
 	packed  map[uint64]packedChange
 }
 
-// since returns what turns the configuration of a version into this one; nil if it
-// is no older.
-func (l *configlog) since(c *route.Config, version uint64) (packedChange, error) {
+// since returns the change from a version to c; nil if that version is not older.
+func (l *configLog) since(c *route.Config, version uint64) (packedChange, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.history.Show(c)
--- a/internal/peers/demand.go
+++ b/internal/peers/demand.go
@@ -8,56 +8,55 @@
 	"coveferry/internal/balance"
 )
 
-// demandFor is how long a router's word on its demand counts: a little longer than
-// the time between two words of a router. The demand of those that say theirs less
-// often, to one of the seeds in turn, is taken to be like that of the others.
-const demandFor = 1500 * time.Millisecond
-
-// demands are what other routers said of their demand. It is safe for concurrent
-// use.
-type demands struct {
-	mu  sync.Mutex
-	own func() balance.Demand // nil where nobody asks
-	by  map[string]saidDemand
-	// domains is what readers of other failure domains said, by the reader: where links
-	// are narrow several share a domain, and each hears some of its routers.
-	domains map[string]saidDemand
-	// told is what a reader said of all others.
-	told saidDemand
+// demandTTL is how long a router's demand report counts: a little longer than the interval
+// between two reports. Routers that report less often, to one of the seeds in turn, are assumed
+// to have the same demand as the others.
+const demandTTL = 1500 * time.Millisecond
+
+// demandTable holds the demand that other routers reported. It is safe for concurrent use.
+type demandTable struct {
+	mu       sync.Mutex
+	own      func() balance.Demand // nil until ShareDemand is called
+	byRouter map[string]receivedDemand
+	// byDomain holds the demand of other failure domains by the reader that reported it. With
+	// narrow links a domain has several readers, each of which receives the reports of some
+	// of its routers.
+	byDomain map[string]receivedDemand
+	// total is the demand of all other routers as a reader last reported it.
+	total receivedDemand
 }
 
-type saidDemand struct {
-	domain string // of the router that said it
+type receivedDemand struct {
+	domain string // of the reporting router
 	demand balance.Demand
-	// routers is at how many routers that is.
+	// routers is the number of routers included in demand.
 	routers int
 	at      time.Time
 }
 
-// ShareDemand has this router tell others of its demand.
+// ShareDemand sets the function whose result this router reports as its demand.
 func (s *Source) ShareDemand(own func() balance.Demand) {
-	s.demands.mu.Lock()
-	defer s.demands.mu.Unlock()
-	s.demands.own = own
+	s.demand.mu.Lock()
+	defer s.demand.mu.Unlock()
+	s.demand.own = own
 }
 
-// OthersDemand is what the requests at other routers ask for, as far as they
-// said lately.
+// OthersDemand returns the demand at all other routers, based on their recent reports.
 func (s *Source) OthersDemand() balance.Others {
 	now := time.Now()
-	demand, routers, ok := s.demands.fromReader(now)
+	demand, routers, ok := s.demand.readerTotal(now)
 	if !ok {
-		demand, routers = s.demands.sum(now, "")
+		demand, routers = s.demand.sum(now, "")
 	}
 	known := s.members.count(now)
 	if 0 < routers && 0 < known && routers != known {
-		// Some weren't heard, or two readers heard the same.
+		// Some routers were not counted, or two readers counted the same one.
 		demand = demand.Times(float64(known) / float64(routers))
 	}
 	return balance.Others{Demand: demand, Routers: known}
 }
 
-func (d *demands) ask() balance.Demand {
+func (d *demandTable) local() balance.Demand {
 	d.mu.Lock()
 	own := d.own
 	d.mu.Unlock()
@@ -67,96 +66,96 @@
 	return own()
 }
 
-func (d *demands) hear(from Member, said balance.Demand, at time.Time) {
+func (d *demandTable) record(from Member, demand balance.Demand, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.by == nil {
-		d.by = make(map[string]saidDemand)
+	if d.byRouter == nil {
+		d.byRouter = make(map[string]receivedDemand)
 	}
-	d.by[from.VM] = saidDemand{domain: from.FailureDomain, demand: said, routers: 1, at: at}
+	d.byRouter[from.VM] = receivedDemand{domain: from.FailureDomain, demand: demand, routers: 1, at: at}
 }
 
-// hearDomain notes what a reader said of its failure domain. Of this router's own the
-// routers speak for themselves.
-func (s *Source) hearDomain(from Member, said domainDemand, at time.Time) {
-	if said.Routers == 0 || from.FailureDomain == s.cfg.Self.FailureDomain {
+// recordDomainDemand records the demand that a reader reported for its failure domain. Reports
+// on this router's own domain are ignored, since its routers report individually.
+func (s *Source) recordDomainDemand(from Member, report domainDemand, at time.Time) {
+	if report.Routers == 0 || from.FailureDomain == s.cfg.Self.FailureDomain {
 		return
 	}
-	d := &s.demands
+	d := &s.demand
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.domains == nil {
-		d.domains = make(map[string]saidDemand)
+	if d.byDomain == nil {
+		d.byDomain = make(map[string]receivedDemand)
 	}
-	d.domains[from.VM] = saidDemand{domain: from.FailureDomain, demand: said.Demand, routers: said.Routers, at: at}
+	d.byDomain[from.VM] = receivedDemand{domain: from.FailureDomain, demand: report.Demand, routers: report.Routers, at: at}
 }
 
-// domainDemand is what this router heard in its own failure domain, itself included;
-// nothing if it isn't a reader, to whom others tell theirs.
+// domainDemand returns the demand of this router's failure domain as far as it is known,
+// including its own. It is empty if this router isn't a reader, since only readers get reports.
 func (s *Source) domainDemand(now time.Time) domainDemand {
 	if !s.members.isReader(now) {
 		return domainDemand{}
 	}
-	all, routers := s.demands.sumOf(now, s.cfg.Self.FailureDomain)
-	return domainDemand{Demand: all.Plus(s.demands.ask()), Routers: routers + 1}
+	total, routers := s.demand.sumDomain(now, s.cfg.Self.FailureDomain)
+	return domainDemand{Demand: total.Plus(s.demand.local()), Routers: routers + 1}
 }
 
-// tell notes what a reader said of all others.
-func (d *demands) tell(said balance.Demand, routers int, at time.Time) {
+// recordTotal records the demand of all other routers as a reader reported it.
+func (d *demandTable) recordTotal(demand balance.Demand, routers int, at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.told = saidDemand{demand: said, routers: routers, at: at}
+	d.total = receivedDemand{demand: demand, routers: routers, at: at}
 }
 
-func (d *demands) fromReader(now time.Time) (said balance.Demand, routers int, ok bool) {
+func (d *demandTable) readerTotal(now time.Time) (demand balance.Demand, routers int, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.told.demand, d.told.routers, now.Sub(d.told.at) < time.Second
+	return d.total.demand, d.total.routers, now.Sub(d.total.at) < time.Second
 }
 
-// sum adds up what routers said lately, but for one of them, and says how many did. Of a
-// failure domain whose reader spoke for it that word counts alone.
-func (d *demands) sum(now time.Time, but string) (all balance.Demand, routers int) {
+// sum adds up the recent reports except those of one router, and returns how many routers they
+// cover. Where a domain's reader has reported for its domain, only that report counts.
+func (d *demandTable) sum(now time.Time, except string) (total balance.Demand, routers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.forgetOld(now)
-	spoken := make(map[string]bool)
-	for _, said := range d.domains {
-		all = all.Plus(said.demand)
-		routers += said.routers
-		spoken[said.domain] = true
+	d.expire(now)
+	reported := make(map[string]bool)
+	for _, report := range d.byDomain {
+		total = total.Plus(report.demand)
+		routers += report.routers
+		reported[report.domain] = true
 	}
-	for vm, said := range d.by {
-		if vm != but && !spoken[said.domain] {
-			all = all.Plus(said.demand)
+	for vm, said := range d.byRouter {
+		if vm != except && !reported[said.domain] {
+			total = total.Plus(said.demand)
 			routers++
 		}
 	}
-	return all, routers
+	return total, routers
 }
 
-// sumOf adds up what the other routers of a failure domain said lately themselves.
-func (d *demands) sumOf(now time.Time, domain string) (all balance.Demand, routers int) {
+// sumDomain adds up the recent reports of the other routers of a failure domain.
+func (d *demandTable) sumDomain(now time.Time, domain string) (total balance.Demand, routers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.forgetOld(now)
-	for _, said := range d.by {
-		if said.domain == domain {
-			all = all.Plus(said.demand)
+	d.expire(now)
+	for _, report := range d.byRouter {
+		if report.domain == domain {
+			total = total.Plus(report.demand)
 			routers++
 		}
 	}
-	return all, routers
+	return total, routers
 }
 
-// domainWords is how many words of a failure domain's reader may be missed before what it
-// said last no longer counts, where that is longer than demandFor: while some domains are
-// lost, each round of words waits for them.
-const domainWords = 3
+// maxMissedDomainReports is how many reports of a domain's reader may be missed before its last
+// one expires, where that takes longer than demandTTL: while some domains are unreachable, each
+// round of reports waits for their timeouts.
+const maxMissedDomainReports = 3
 
-// forgetOld forgets what was said long ago. d.mu is held.
-func (d *demands) forgetOld(now time.Time) {
-	maps.DeleteFunc(d.by, func(_ string, said saidDemand) bool { return now.Sub(said.at) > demandFor })
-	limit := max(demandFor, domainWords*domainsGap(len(d.domains)))
-	maps.DeleteFunc(d.domains, func(_ string, said saidDemand) bool { return now.Sub(said.at) > limit })
+// expire drops old reports. d.mu is held.
+func (d *demandTable) expire(now time.Time) {
+	maps.DeleteFunc(d.byRouter, func(_ string, report receivedDemand) bool { return now.Sub(report.at) > demandTTL })
+	limit := max(demandTTL, maxMissedDomainReports*domainHelloInterval(len(d.byDomain)))
+	maps.DeleteFunc(d.byDomain, func(_ string, report receivedDemand) bool { return now.Sub(report.at) > limit })
 }
--- a/internal/peers/direct.go
+++ b/internal/peers/direct.go
@@ -12,23 +12,23 @@
 	"coveferry/internal/idle"
 )
 
-// silentFor is how long after a failed call nothing is said of the source any more:
-// a router that others tell the news may never call it again. Those that go on
-// calling do so more often, also where each call takes until its timeout.
-const silentFor = 3 * directEvery
+// failureTTL is how long after a failed call the source counts as unavailable. A router that gets
+// its updates from peers may never call it again. Routers that do keep calling call more often
+// than this, even if each call runs into its timeout.
+const failureTTL = 3 * originCallInterval
 
-// longAnswer is an answer, in bytes, that brings a configuration rather than news of endpoints.
-const longAnswer = 64 << 10
+// configResponseBytes is the size from which a response is taken to contain a configuration
+// rather than changes of endpoints.
+const configResponseBytes = 64 << 10
 
-// What calls to the source ask for. One for everything takes several calls at the source.
+// Values of the label "for". A full read takes several requests to the source.
 const (
-	callForAll    = "everything"
-	callForNews   = "news"
-	callForNewest = "newest"
+	callFull    = "everything"
+	callUpdates = "news"
+	callLatest  = "newest"
 )
 
-// newCalls counts calls to the source.
-func newCalls(metrics prometheus.Registerer) *prometheus.CounterVec {
+func newCallCounter(metrics prometheus.Registerer) *prometheus.CounterVec {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "coveferry_source_calls_total",
 		Help: "Calls of this router to the source of the configuration and the list of endpoints, by what they ask for.",
@@ -39,101 +39,101 @@
 	return calls
 }
 
-// watched is a source that knows for how long its calls have failed.
-type watched struct {
+// monitoredSource tracks for how long the calls to a source have been failing.
+type monitoredSource struct {
 	Origin
-	// answered is called for each answer.
-	answered func()
-	// calls counts the calls by what they ask for.
-	calls *prometheus.CounterVec
-	mu    sync.Mutex
-	// failing is when the first call failed that no success has followed; zero
-	// while calls succeed or none was made. failed is when the last one did.
-	failing, failed time.Time
-	// came is how many bytes of the last call's answer did, and pending says that a long
-	// answer has begun to come and that no call has succeeded since.
-	came    int
-	pending bool
+	// onAnswer is called after each answer.
+	onAnswer func()
+	calls    *prometheus.CounterVec
+	mu       sync.Mutex
+	// failingSince is when the first of the current series of failed calls was sent; zero
+	// while calls succeed or before the first. lastFailure is when the last call failed.
+	failingSince, lastFailure time.Time
+	// received counts the bytes of the last call's response. configPending is set once a
+	// response grows long enough to contain a configuration, and cleared by a successful call.
+	received      int
+	configPending bool
 }
 
-// begin returns the context of a call that begins.
-func (w *watched) begin(ctx context.Context) context.Context {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.came = 0
-	return idle.WithCounter(ctx, w.take)
+// startCall resets the byte count and returns the context for a call.
+func (m *monitoredSource) startCall(ctx context.Context) context.Context {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.received = 0
+	return idle.WithCounter(ctx, m.countBytes)
 }
 
-// take counts bytes of an answer.
-func (w *watched) take(bytes int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.came += bytes
-	w.pending = w.pending || w.came >= longAnswer
+// countBytes counts received bytes of a response.
+func (m *monitoredSource) countBytes(bytes int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.received += bytes
+	m.configPending = m.configPending || m.received >= configResponseBytes
 }
 
-// isPending says whether the source holds what this router knows it to but hasn't read whole:
-// mostly a configuration.
-func (w *watched) isPending() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.pending
+// isConfigPending reports whether the source has begun a long response, mostly a configuration,
+// that this router hasn't received completely.
+func (m *monitoredSource) isConfigPending() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.configPending
 }
 
-// lost is for how long calls have failed; 0 while they succeed, or if none was
-// made lately.
-func (w *watched) lost() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.failing.IsZero() || time.Since(w.failed) > silentFor {
+// unavailableFor returns for how long calls have been failing; 0 while they succeed, or if no
+// call failed recently.
+func (m *monitoredSource) unavailableFor() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.failingSince.IsZero() || time.Since(m.lastFailure) > failureTTL {
 		return 0
 	}
-	return time.Since(w.failing)
+	return time.Since(m.failingSince)
 }
 
-// note takes how a call that was sent at a moment ended.
-func (w *watched) note(sent time.Time, err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// recordResult records the result of a call and when the call was sent.
+func (m *monitoredSource) recordResult(sent time.Time, err error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	now := time.Now()
 	if err == nil || errors.Is(err, follow.ErrHistoryLost) {
-		w.failing, w.pending = time.Time{}, false
-		w.answered()
+		m.failingSince, m.configPending = time.Time{}, false
+		m.onAnswer()
 		return
 	}
-	if w.failing.IsZero() || now.Sub(w.failed) > silentFor {
-		w.failing = sent
+	if m.failingSince.IsZero() || now.Sub(m.lastFailure) > failureTTL {
+		m.failingSince = sent
 	}
-	w.failed = now
+	m.lastFailure = now
 }
 
 // Read implements follow.Source.
-func (w *watched) Read(ctx context.Context, fresh bool) (follow.Reading, error) {
-	w.calls.WithLabelValues(callForAll).Inc()
+func (m *monitoredSource) Read(ctx context.Context, fresh bool) (follow.Reading, error) {
+	m.calls.WithLabelValues(callFull).Inc()
 	sent := time.Now()
-	r, err := w.Origin.Read(w.begin(ctx), fresh)
-	w.note(sent, err)
+	r, err := m.Origin.Read(m.startCall(ctx), fresh)
+	m.recordResult(sent, err)
 	return r, err
 }
 
-// Await implements follow.Source. A source that lost its history answers.
-func (w *watched) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
-	w.calls.WithLabelValues(callForNews).Inc()
+// Await implements follow.Source. ErrHistoryLost counts as an answer.
+func (m *monitoredSource) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
+	m.calls.WithLabelValues(callUpdates).Inc()
 	sent := time.Now()
-	r, err := w.Origin.Await(w.begin(ctx), after, wait)
-	w.note(sent, err)
+	r, err := m.Origin.Await(m.startCall(ctx), after, wait)
+	m.recordResult(sent, err)
 	return r, err
 }
 
 // CatchUp implements Origin.
-func (w *watched) CatchUp(ctx context.Context, after uint64) (follow.Reading, error) {
-	w.calls.WithLabelValues(callForNewest).Inc()
+func (m *monitoredSource) CatchUp(ctx context.Context, after uint64) (follow.Reading, error) {
+	m.calls.WithLabelValues(callLatest).Inc()
 	sent := time.Now()
-	r, err := w.Origin.CatchUp(w.begin(ctx), after)
-	w.note(sent, err)
+	r, err := m.Origin.CatchUp(m.startCall(ctx), after)
+	m.recordResult(sent, err)
 	return r, err
 }
 
-// SourceLost is for how long this router's own calls to the source have failed, 0
-// while they succeed or it made none lately. What it knows may be fresh all the same.
-func (s *Source) SourceLost() time.Duration { return s.direct.lost() }
+// SourceUnavailableFor returns for how long this router's own calls to the source have been
+// failing; 0 while they succeed or if it made none recently. Its state may still be fresh, by
+// updates from peers.
+func (s *Source) SourceLost() time.Duration { return s.origin.unavailableFor() }
--- a/internal/peers/evacuation_test.go
+++ b/internal/peers/evacuation_test.go
@@ -84,14 +84,14 @@
 		}
 		// One that falls silent may go on while it is cut off, and counts for a while.
 		f.nodes[11].end()
-		time.Sleep(nearFor / 2)
+		time.Sleep(sharingTTL / 2)
 		g.Expect(f.nodes[1].source.Fleet(time.Now()).Near).To(HaveLen(5))
-		time.Sleep(nearFor)
+		time.Sleep(sharingTTL)
 		g.Expect(f.nodes[1].source.Fleet(time.Now()).Near).To(HaveLen(4))
 		f.start(g, 12)
-		time.Sleep(settleFor / 2)
+		time.Sleep(settleTime / 2)
 		g.Expect(f.nodes[12].source.Fleet(time.Now()).Known).To(BeFalse(), "a router that has just started")
-		time.Sleep(settleFor)
+		time.Sleep(settleTime)
 		fleet := f.nodes[12].source.Fleet(time.Now())
 		g.Expect(fleet.Known).To(BeTrue())
 		g.Expect(fleet.Near).To(HaveLen(6))
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -9,89 +9,87 @@
 	"coveferry/internal/poison"
 )
 
-// words are what a router tells another one of a matter.
-type words interface {
-	// Digest is over all that holds of it: where two routers differ in it they tell each
-	// other everything, else only what is news.
+// update is one router's message to another about a kind of shared state.
+type update interface {
+	// Digest is a hash of the sender's whole state. Where two routers' digests differ they send
+	// each other everything, otherwise only recent changes.
 	Digest() uint64
 }
 
-// matter is what routers tell each other of.
-type matter[W words] interface {
-	// Tell is what is to be told to a router that said this digest: what was news here
-	// within a while, and everything if that knows something else.
-	Tell(theirs uint64, within time.Duration) W
-	Hear(said time.Time, w W)
+// sharedState is state that all routers exchange.
+type sharedState[U update] interface {
+	// Tell returns the update for a router with the digest theirs: the changes of the given
+	// period, or everything if the digests differ.
+	Tell(theirs uint64, window time.Duration) U
+	Hear(sentAt time.Time, u U)
 }
 
-// exchange is how routers tell each other of a matter: with each question to a reader, each
-// greeting, and the answers, so that all know within two seconds. It is safe for concurrent
-// use.
-type exchange[W words] struct {
-	known atomic.Pointer[matter[W]]
-	// theirs is the digest that a reader said last.
-	theirs atomic.Uint64
+// exchange synchronizes one kind of state between routers. Updates travel with each poll of a
+// reader, each hello, and the replies to both, so that they reach all routers within two seconds.
+// It is safe for concurrent use.
+type exchange[U update] struct {
+	state atomic.Pointer[sharedState[U]]
+	// digest is that of the peer that replied last.
+	digest atomic.Uint64
 }
 
-// share sets what this router knows; before it tells nothing.
-func (t *exchange[W]) share(known matter[W]) { t.known.Store(&known) }
+// setState sets the state to exchange; until then all updates are empty.
+func (t *exchange[U]) setState(state sharedState[U]) { t.state.Store(&state) }
 
-// ask is what is told with a question, of the news within a while.
-func (t *exchange[W]) ask(within time.Duration) W { return t.tell(t.theirs.Load(), within) }
+// request returns the update to send with a request.
+func (t *exchange[U]) request(window time.Duration) U { return t.updateFor(t.digest.Load(), window) }
 
-// tell is what is told to a router that said this digest.
-func (t *exchange[W]) tell(theirs uint64, within time.Duration) (w W) {
-	if known := t.known.Load(); known != nil {
-		w = (*known).Tell(theirs, within)
+// updateFor returns the update for a router with the given digest.
+func (t *exchange[U]) updateFor(peerDigest uint64, window time.Duration) (u U) {
+	if state := t.state.Load(); state != nil {
+		u = (*state).Tell(peerDigest, window)
 	}
-	return w
+	return u
 }
 
-// hear takes in what a router said at a moment.
-func (t *exchange[W]) hear(said time.Time, w W) {
-	if known := t.known.Load(); known != nil {
-		(*known).Hear(said, w)
+// apply merges an update that was sent at the given time.
+func (t *exchange[U]) apply(sentAt time.Time, u U) {
+	if state := t.state.Load(); state != nil {
+		(*state).Hear(sentAt, u)
 	}
 }
 
-// answered takes in the answer to a question that was sent at a moment.
-func (t *exchange[W]) answered(sent time.Time, w W) {
-	t.theirs.Store(w.Digest())
-	t.hear(sent, w)
+// applyReply merges the update in the reply to a request that was sent at the given time.
+func (t *exchange[U]) applyReply(sent time.Time, u U) {
+	t.digest.Store(u.Digest())
+	t.apply(sent, u)
 }
 
-// heard takes in a question of this moment, and returns what is to be told in turn.
-func (t *exchange[W]) heard(now time.Time, w W, within time.Duration) W {
-	t.hear(now, w)
-	return t.tell(w.Digest(), within)
+// serve merges the update of a request and returns the update for the reply.
+func (t *exchange[U]) serve(now time.Time, u U, window time.Duration) U {
+	t.apply(now, u)
+	return t.updateFor(u.Digest(), window)
 }
 
-// SharePoison has this router tell others under which requests endpoints ended, and hear
-// of what they saw.
-func (s *Source) SharePoison(known *poison.Table) { s.poison.share(known) }
+// SharePoison has this router exchange with others which requests have crashed endpoints.
+func (s *Source) SharePoison(table *poison.Table) { s.poison.setState(table) }
 
-// Limits is what a router knows of limits that endpoints name. See balance.Pool.
+// Limits holds the rate limits that endpoints have named. See balance.Pool.
 type Limits interface {
-	TellLimits(now time.Time, theirs uint64, within time.Duration) balance.LimitWords
-	HearLimits(now, said time.Time, words []balance.LimitWord)
+	TellLimits(now time.Time, theirs uint64, window time.Duration) balance.LimitWords
+	HearLimits(now, sentAt time.Time, words []balance.LimitWord)
 }
 
-// ShareLimits has this router tell others which limits endpoints named, and hear of those
-// that others were told.
-func (s *Source) ShareLimits(known Limits) { s.limits.share(limitMatter{known, s.cfg.Clock}) }
+// ShareLimits has this router exchange with others the rate limits that endpoints have named.
+func (s *Source) ShareLimits(limits Limits) { s.limits.setState(limitState{limits, s.cfg.Clock}) }
 
-// limitMatter are limits as a matter. Their times are those of requests, by which pauses of
-// the VM don't count.
-type limitMatter struct {
-	known Limits
-	clock clock.Clock
+// limitState adapts Limits to sharedState. It converts to the request clock, which doesn't count
+// the time for which the VM was suspended.
+type limitState struct {
+	limits Limits
+	clock  clock.Clock
 }
 
-func (l limitMatter) Tell(theirs uint64, within time.Duration) balance.LimitWords {
-	return l.known.TellLimits(time.Now(), theirs, within)
+func (l limitState) Tell(theirs uint64, window time.Duration) balance.LimitWords {
+	return l.limits.TellLimits(time.Now(), theirs, window)
 }
 
-func (l limitMatter) Hear(said time.Time, w balance.LimitWords) {
+func (l limitState) Hear(sentAt time.Time, u balance.LimitWords) {
 	now := time.Now()
-	l.known.HearLimits(now, now.Add(-l.clock().Sub(said)), w.Words)
+	l.limits.HearLimits(now, now.Add(-l.clock().Sub(sentAt)), u.Words)
 }
--- a/internal/peers/failures.go
+++ b/internal/peers/failures.go
@@ -11,100 +11,99 @@
 )
 
 const (
-	// maxFailures bounds the endpoints in one word on failures.
+	// maxFailures bounds the endpoints in one failure report.
 	maxFailures = 32
-	// failuresFor is how long a router's word on failures counts: it tells them
-	// with each question to its reader.
-	failuresFor = time.Second
+	// failuresTTL is how long a router's failure report counts. Routers send one with each
+	// poll of their reader.
+	failuresTTL = time.Second
 )
 
-// Failures is what a router knows of failing endpoints. See balance.Pool.
+// Failures holds the failing endpoints that a router knows of. See balance.Pool.
 type Failures interface {
-	FailureWords(now time.Time, most int) []balance.FailureWord
+	FailureWords(now time.Time, limit int) []balance.FailureWord
 	HearFailures(now time.Time, words []balance.FailureWord) []balance.FailureWord
 }
 
-// failures are what routers tell each other of attempts that failed. It is safe
-// for concurrent use.
-type failures struct {
-	known atomic.Pointer[Failures]
-	// mine is what this router saw itself.
-	mine lately[[]balance.FailureWord]
-	mu   sync.Mutex
-	by   map[string]saidFailures // by the router that said it
+// failureReports holds the failed attempts that routers report to each other. It is safe for
+// concurrent use.
+type failureReports struct {
+	pool atomic.Pointer[Failures]
+	// localCache holds the failures that this router observed itself.
+	localCache cached[[]balance.FailureWord]
+	mu         sync.Mutex
+	byRouter   map[string]receivedFailures // by the reporting router
 }
 
-type saidFailures struct {
-	words []balance.FailureWord
-	at    time.Time
+type receivedFailures struct {
+	reports []balance.FailureWord
+	at      time.Time
 }
 
-// ShareFailures has this router tell others where its attempts fail, and hear where
-// theirs do.
-func (s *Source) ShareFailures(known Failures) { s.failures.known.Store(&known) }
+// ShareFailures has this router exchange its failed attempts with others.
+func (s *Source) ShareFailures(pool Failures) { s.failures.pool.Store(&pool) }
 
-// own lists what this router saw itself.
-func (f *failures) own(now time.Time) []balance.FailureWord {
-	known := f.known.Load()
-	if known == nil {
+// local returns the failures that this router observed itself.
+func (f *failureReports) local(now time.Time) []balance.FailureWord {
+	pool := f.pool.Load()
+	if pool == nil {
 		return nil
 	}
-	words, _ := f.mine.get(now, func() []balance.FailureWord { return (*known).FailureWords(now, maxFailures) })
-	return words
+	reports, _ := f.localCache.get(now, func() []balance.FailureWord { return (*pool).FailureWords(now, maxFailures) })
+	return reports
 }
 
-// said notes what a router said.
-func (f *failures) said(vm string, words []balance.FailureWord, at time.Time) {
+// record stores the report of a router.
+func (f *failureReports) record(vm string, reports []balance.FailureWord, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.by == nil {
-		f.by = make(map[string]saidFailures)
+	if f.byRouter == nil {
+		f.byRouter = make(map[string]receivedFailures)
 	}
-	f.by[vm] = saidFailures{words: words, at: at}
+	f.byRouter[vm] = receivedFailures{reports: reports, at: at}
 }
 
-// of adds up what this router and others saw lately, but for one of them.
-func (f *failures) of(now time.Time, but string) []balance.FailureWord {
-	return f.addUp(f.own(now), now, but)
+// total adds up the failures of this router and the recent reports of all others except one.
+func (f *failureReports) total(now time.Time, except string) []balance.FailureWord {
+	return f.sum(f.local(now), now, except)
 }
 
-// addUp adds these words and those that routers said lately, but for one of them.
-func (f *failures) addUp(own []balance.FailureWord, now time.Time, but string) []balance.FailureWord {
-	sum := make(map[string]balance.FailureWord)
-	add := func(words []balance.FailureWord) {
-		for _, w := range words {
-			so := sum[w.Endpoint].Plus(w)
-			so.Endpoint = w.Endpoint
-			sum[w.Endpoint] = so
+// sum adds up the given reports and the recent reports of all routers except one.
+func (f *failureReports) sum(own []balance.FailureWord, now time.Time, except string) []balance.FailureWord {
+	totals := make(map[string]balance.FailureWord)
+	add := func(reports []balance.FailureWord) {
+		for _, w := range reports {
+			total := totals[w.Endpoint].Plus(w)
+			total.Endpoint = w.Endpoint
+			totals[w.Endpoint] = total
 		}
 	}
 	add(own)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for vm, said := range f.by {
+	for vm, received := range f.byRouter {
 		switch {
-		case now.Sub(said.at) > failuresFor:
-			delete(f.by, vm)
-		case vm != but:
-			add(said.words)
+		case now.Sub(received.at) > failuresTTL:
+			delete(f.byRouter, vm)
+		case vm != except:
+			add(received.reports)
 		}
 	}
 	var words []balance.FailureWord
-	for _, w := range sum {
+	for _, w := range totals {
 		words = append(words, w)
 	}
 	slices.SortFunc(words, func(a, b balance.FailureWord) int { return strings.Compare(a.Endpoint, b.Endpoint) })
 	return words
 }
 
-// takeFailures has this router's pool judge by what others saw. Where they saw
-// nothing it can't find anything either: one witness doesn't suffice.
-func (s *Source) takeFailures(now time.Time, words []balance.FailureWord) {
-	known := s.failures.known.Load()
-	if known == nil || len(words) == 0 {
+// applyFailures passes the failures that others observed to this router's pool. Without any it
+// does nothing: the observations of a single router aren't enough to avoid an endpoint.
+func (s *Source) applyFailures(now time.Time, reports []balance.FailureWord) {
+	pool := s.failures.pool.Load()
+	if pool == nil || len(reports) == 0 {
 		return
 	}
-	for _, w := range (*known).HearFailures(now, words) {
+	for _, w := range (*pool).HearFailures(now, reports) {
 		s.cfg.Log.Info().Str("endpoint", w.Endpoint).Int("attempts", w.Attempts).Int("failed", w.Failed).
 			Int("witnesses", w.Witnesses).Msg("endpoint is avoided: it fails for several routers")
 	}
--- a/internal/peers/hello_test.go
+++ b/internal/peers/hello_test.go
@@ -21,25 +21,25 @@
 	}
 	seed := newMembers(of(0))
 	for i := range routers {
-		seed.hear(of(i), now)
+		seed.recordSeen(of(i), now)
 	}
 	asker := of(500)
-	told := seed.neededBy(asker, now)
+	told := seed.membersFor(asker, now)
 	text, err := json.Marshal(told)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(text)).To(BeNumerically("<", 16<<10))
 
 	// It suffices to know whom to ask and how many there are.
 	m := newMembers(asker)
-	m.hear(of(0), now)
-	m.toldOf("seed", seed.byName(now), now)
+	m.recordSeen(of(0), now)
+	m.recordCount("seed", seed.countSeen(now), now)
 	for _, h := range told {
-		m.hear(h.Member, now)
+		m.recordSeen(h.Member, now)
 	}
 	g.Expect(m.count(now)).To(Equal(routers - 1))
 	for d := range routers / inDomain {
 		domain := fmt.Sprint("domain-", d)
 		g.Expect(m.readers(now, domain)).To(Equal(seed.readers(now, domain)), domain)
 	}
-	g.Expect(m.count(now.Add(heardFor + time.Second))).To(BeZero())
+	g.Expect(m.count(now.Add(memberTTL + time.Second))).To(BeZero())
 }
--- a/internal/peers/lately.go
+++ b/internal/peers/lately.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// latelyFor is for how long what a reader works out from all endpoints serves for all questions:
-// a fifth of the time between two questions of a router. Worked out for each it costs as many
-// looks at all endpoints as there are questions, hundreds a second.
-const latelyFor = 50 * time.Millisecond
+// cacheTTL is how long a value that a reader computes from all endpoints serves for all polls: a
+// fifth of a router's poll interval. Computed for each poll, it would take hundreds of passes over
+// all endpoints a second.
+const cacheTTL = 50 * time.Millisecond
 
-// lately holds a value that is worked out anew once it is older than latelyFor. It is safe for
-// concurrent use; what it returns is shared and stays as it is.
-type lately[V any] struct {
-	mu    sync.Mutex
-	value V
-	at    time.Time
+// cached holds a value that is recomputed once it is older than cacheTTL. It is safe for
+// concurrent use; the returned value is shared and must not be modified.
+type cached[V any] struct {
+	mu         sync.Mutex
+	value      V
+	computedAt time.Time
 }
 
-// get returns the value and how old it is.
-func (l *lately[V]) get(now time.Time, work func() V) (V, time.Duration) {
+// get returns the value and its age.
+func (l *cached[V]) get(now time.Time, compute func() V) (V, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if age := now.Sub(l.at); !l.at.IsZero() && age >= 0 && age < latelyFor {
+	if age := now.Sub(l.computedAt); !l.computedAt.IsZero() && age >= 0 && age < cacheTTL {
 		return l.value, age
 	}
-	l.value, l.at = work(), now
+	l.value, l.computedAt = compute(), now
 	return l.value, 0
 }
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -130,7 +130,7 @@
 	}{{1, 1, 1}, {3, 3, 1}, {12, 3, 0.2}, {12, 3, 4}, {31, 3, 1}, {103, 5, 1}, {103, 5, 20}} {
 		playShape(t, c.routers, c.domains, 0, func(g *WithT, f *fleet) {
 			calls := newCallers(f)
-			calls.call(settleFor + time.Second)
+			calls.call(settleTime + time.Second)
 			before := float64(calls.needy.since(time.Now().Add(-time.Second)))
 			calls.needy.limit = upstream.RateLimit{Statement: upstream.LimitNamed, PerSecond: c.perSecond}
 			named := time.Now()
@@ -156,7 +156,7 @@
 func TestARouterThatStartsHearsOfTheLimitsThatHold(t *testing.T) {
 	playShape(t, 12, 3, 0, func(g *WithT, f *fleet) {
 		calls := newCallers(f)
-		calls.call(settleFor + time.Second)
+		calls.call(settleTime + time.Second)
 		calls.needy.limit = upstream.RateLimit{Statement: upstream.LimitNamed, PerSecond: 1}
 		calls.call(30 * time.Second)
 		f.nodes[3].end()
@@ -175,15 +175,15 @@
 // part of as many as there were.
 func TestARouterThatHearsOfNobodyForLongCountsThoseThatThereWere(t *testing.T) {
 	playShape(t, 3, 3, 0, func(g *WithT, f *fleet) {
-		time.Sleep(settleFor)
+		time.Sleep(settleTime)
 		f.nodes[1].end()
 		f.nodes[2].end()
-		time.Sleep(nearFor / 2)
+		time.Sleep(sharingTTL / 2)
 		fleet := f.nodes[0].source.Fleet(time.Now())
 		g.Expect(fleet.Known).To(BeTrue())
 		g.Expect(fleet.Domains).To(HaveLen(3))
 		g.Expect(fleet.CutOffFrom).To(BeZero(), "they may go on")
-		time.Sleep(nearFor)
+		time.Sleep(sharingTTL)
 		fleet = f.nodes[0].source.Fleet(time.Now())
 		g.Expect(fleet.Known).To(BeTrue())
 		g.Expect(fleet.CutOffFrom).To(Equal(2))
--- a/internal/peers/list_test.go
+++ b/internal/peers/list_test.go
@@ -17,26 +17,26 @@
 	play(t, 2, func(g *WithT, f *fleet) {
 		n := f.nodes[0]
 		have := n.follower.Directory()
-		ask := func(revision, digest uint64) newsReply {
-			reply, err := n.source.serveNews(context.Background(), peerOfTests, newsRequest{Version: 1, Revision: revision, Digest: digest})
+		ask := func(revision, digest uint64) updateReply {
+			reply, err := n.source.serveUpdate(context.Background(), peerOfTests, updateRequest{Version: 1, Revision: revision, Digest: digest})
 			g.Expect(err).NotTo(HaveOccurred())
 			return reply
 		}
 		reply := ask(have.Revision(), have.Digest())
-		g.Expect(reply.Lost).To(BeFalse())
+		g.Expect(reply.HistoryLost).To(BeFalse())
 		g.Expect(reply.Config).To(BeNil())
 		g.Expect(reply.Entries).To(BeEmpty())
 		// A list of the same revision that differs can't be mended by changes.
-		g.Expect(ask(have.Revision(), have.Digest()+1).Lost).To(BeTrue())
-		g.Expect(ask(0, 0).Lost).To(BeTrue())
+		g.Expect(ask(have.Revision(), have.Digest()+1).HistoryLost).To(BeTrue())
+		g.Expect(ask(0, 0).HistoryLost).To(BeTrue())
 		// One who knows more than this router learns nothing from it.
-		g.Expect(ask(have.Revision()+5, have.Digest()+1).Lost).To(BeFalse())
+		g.Expect(ask(have.Revision()+5, have.Digest()+1).HistoryLost).To(BeFalse())
 		other := directory.Entry{Endpoint: bundle.Endpoint{Name: "f", Address: "b", Services: []string{"s"}}}
 		next, _ := have.Merge(directory.Reading{Entries: []directory.Entry{other}, Gone: []string{"e"}, Revision: 9}, time.Now(), time.Time{})
 		n.source.Tell(told{State: n.follower, directory: next})
 		reply = ask(have.Revision(), have.Digest())
 		g.Expect(reply.Entries).To(Equal([]directory.Entry{other}))
-		g.Expect(reply.Gone).To(Equal([]string{"e"}))
+		g.Expect(reply.Removed).To(Equal([]string{"e"}))
 		g.Expect(reply.Revision).To(Equal(uint64(9)))
 	})
 }
@@ -112,14 +112,14 @@
 		page, err := n.source.servePage(context.Background(), peerOfTests, pageRequest{})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Entries).To(Equal(here))
-		reply, err := n.source.serveNews(context.Background(), peerOfTests, newsRequest{Revision: 2, Digest: n.follower.Directory().Digest()})
+		reply, err := n.source.serveUpdate(context.Background(), peerOfTests, updateRequest{Revision: 2, Digest: n.follower.Directory().Digest()})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(reply.Lost).To(BeFalse())
+		g.Expect(reply.HistoryLost).To(BeFalse())
 		g.Expect(reply.Entries).To(BeEmpty())
 		// One who still lists it is told that it is gone.
-		reply, err = n.source.serveNews(context.Background(), peerOfTests, newsRequest{Revision: 1, Digest: before.Digest()})
+		reply, err = n.source.serveUpdate(context.Background(), peerOfTests, updateRequest{Revision: 1, Digest: before.Digest()})
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(reply.Lost).To(BeTrue(), "this router was never shown the list before")
+		g.Expect(reply.HistoryLost).To(BeTrue(), "this router was never shown the list before")
 	})
 }
 
--- a/internal/peers/loads.go
+++ b/internal/peers/loads.go
@@ -9,69 +9,68 @@
 )
 
 const (
-	// maxLoads bounds the load reports in one word: some 40 bytes each, four
-	// times a second each way.
+	// maxLoads bounds the load reports in one message: some 40 bytes each, four times a second
+	// in each direction.
 	maxLoads = 64
-	// maxLoadAge is the age up to which a report is told: two questions to a
-	// reader, so that each report is told once at least.
+	// maxLoadAge is the age up to which a report is forwarded: two poll intervals, so that each
+	// report is forwarded at least once.
 	maxLoadAge = 500 * time.Millisecond
-	// loadsOnWay is how long a word takes from one router to another in its
-	// failure domain, at the most that is usual.
-	loadsOnWay = 2 * time.Millisecond
+	// loadReportDelay is the usual maximum time that a message takes between two routers of a
+	// failure domain.
+	loadReportDelay = 2 * time.Millisecond
 )
 
-// Loads is what a router knows of the load of endpoints. See balance.Pool.
+// Loads holds the load of endpoints that a router knows of. See balance.Pool.
 type Loads interface {
-	LoadWords(now time.Time, maxAge time.Duration, most int, own bool) []balance.LoadWord
-	HearLoads(said time.Time, words []balance.LoadWord)
+	LoadWords(now time.Time, maxAge time.Duration, limit int, own bool) []balance.LoadWord
+	HearLoads(sentAt time.Time, words []balance.LoadWord)
 }
 
-// loads are the load reports that routers tell each other through their reader. A
-// report that one of them received counts for all, as long as none has a newer one.
-// It is safe for concurrent use.
-type loads struct {
-	known atomic.Pointer[Loads]
-	// newest are the words of which all answers of a while are made.
-	newest lately[[]balance.LoadWord]
+// loadReports exchanges load reports between routers through their reader. Routers use a report
+// that another one received as long as they have none that is newer. It is safe for concurrent
+// use.
+type loadReports struct {
+	pool atomic.Pointer[Loads]
+	// latestCache holds the reports that all replies share for a short time.
+	latestCache cached[[]balance.LoadWord]
 }
 
-// ShareLoads has this router tell others of the load reports that it receives, and
-// hear of theirs.
-func (s *Source) ShareLoads(known Loads) { s.loads.known.Store(&known) }
+// ShareLoads has this router exchange the load reports that it receives with others.
+func (s *Source) ShareLoads(pool Loads) { s.loads.pool.Store(&pool) }
 
-// own lists the reports that this router received itself in the last while.
-func (l *loads) own(now time.Time, last time.Duration) []balance.LoadWord {
-	known := l.known.Load()
-	if known == nil {
+// local returns the reports that this router received itself within the given period.
+func (l *loadReports) local(now time.Time, period time.Duration) []balance.LoadWord {
+	pool := l.pool.Load()
+	if pool == nil {
 		return nil
 	}
-	return (*known).LoadWords(now, last, maxLoads, true)
+	return (*pool).LoadWords(now, period, maxLoads, true)
 }
 
-// all lists the newest reports that this router knows of.
-func (l *loads) all(now time.Time) []balance.LoadWord {
-	known := l.known.Load()
-	if known == nil {
+// latest returns the newest reports that this router knows of.
+func (l *loadReports) latest(now time.Time) []balance.LoadWord {
+	pool := l.pool.Load()
+	if pool == nil {
 		return nil
 	}
-	words, age := l.newest.get(now, func() []balance.LoadWord { return (*known).LoadWords(now, maxLoadAge, maxLoads, false) })
-	return older(words, age)
+	reports, age := l.latestCache.get(now, func() []balance.LoadWord { return (*pool).LoadWords(now, maxLoadAge, maxLoads, false) })
+	return aged(reports, age)
 }
 
-// older are the words as of so much later.
-func older(words []balance.LoadWord, by time.Duration) []balance.LoadWord {
+// aged returns the reports with their ages increased.
+func aged(reports []balance.LoadWord, by time.Duration) []balance.LoadWord {
 	if by.Milliseconds() == 0 {
-		return words
+		return reports
 	}
-	later := slices.Clone(words)
-	for i := range later {
-		later[i].AgeMillis += by.Milliseconds()
+	result := slices.Clone(reports)
+	for i := range result {
+		result[i].AgeMillis += by.Milliseconds()
 	}
-	return later
+	return result
 }
 
-func (l *loads) hear(said time.Time, words []balance.LoadWord) {
-	if known := l.known.Load(); known != nil {
-		(*known).HearLoads(said, words)
+func (l *loadReports) apply(sentAt time.Time, reports []balance.LoadWord) {
+	if pool := l.pool.Load(); pool != nil {
+		(*pool).HearLoads(sentAt, reports)
 	}
 }
--- a/internal/peers/narrow_test.go
+++ b/internal/peers/narrow_test.go
@@ -178,12 +178,12 @@
 	g := NewWithT(t)
 	m := newMembers(Member{VM: "a", FailureDomain: "d", Cores: 0.8, LinkMbps: 10})
 	now := time.Now()
-	m.hear(Member{VM: "b", FailureDomain: "d", Cores: 0.1, LinkMbps: 200}, now)
+	m.recordSeen(Member{VM: "b", FailureDomain: "d", Cores: 0.1, LinkMbps: 200}, now)
 	g.Expect(m.readers(now, "d")).To(HaveLen(1))
-	m.hear(Member{VM: "c", FailureDomain: "d", Cores: 0.5, LinkMbps: 150}, now)
+	m.recordSeen(Member{VM: "c", FailureDomain: "d", Cores: 0.5, LinkMbps: 150}, now)
 	g.Expect(m.readers(now, "d")[0].VM).To(Equal("c"))
 	// Where nothing is known of VMs, any will do.
-	g.Expect(able([]heard{{member: Member{VM: "x"}}, {member: Member{VM: "y"}}})).To(HaveLen(2))
+	g.Expect(capableRouters([]seenMember{{member: Member{VM: "x"}}, {member: Member{VM: "y"}}})).To(HaveLen(2))
 }
 
 func TestAsManyRoutersReadAsCanTellTheOthersInTime(t *testing.T) {
@@ -193,17 +193,17 @@
 		mbps    float64
 		readers int
 	}{{1, 10, 1}, {8, 200, 1}, {33, 200, 1}, {11, 10, 2}, {33, 10, 4}, {33, 0, 1}, {3, 1000, 1}} {
-		g.Expect(readersFor(c.routers, c.mbps)).To(Equal(c.readers), "%d routers, %g Mbit/s", c.routers, c.mbps)
+		g.Expect(readerCount(c.routers, c.mbps)).To(Equal(c.readers), "%d routers, %g Mbit/s", c.routers, c.mbps)
 	}
 	now := time.Now()
 	asked := make(map[string]int)
 	for self := range 33 {
 		m := newMembers(Member{VM: fmt.Sprint("vm", self), FailureDomain: "d", LinkMbps: 10})
 		for other := range 33 {
-			m.hear(Member{VM: fmt.Sprint("vm", other), FailureDomain: "d", LinkMbps: 10}, now)
+			m.recordSeen(Member{VM: fmt.Sprint("vm", other), FailureDomain: "d", LinkMbps: 10}, now)
 		}
 		if !m.isReader(now) {
-			asked[m.sources(now)[0].VM]++
+			asked[m.peersToQuery(now)[0].VM]++
 		}
 	}
 	g.Expect(asked).To(HaveLen(4))
--- a/internal/peers/news_bench_test.go
+++ b/internal/peers/news_bench_test.go
@@ -25,7 +25,7 @@
 func (s knownState) Age() time.Duration              { return time.Second }
 
 // readerOf is a reader that so many routers ask, of so many endpoints.
-func readerOf(routers, endpoints int) (*Source, []newsRequest) {
+func readerOf(routers, endpoints int) (*Source, []updateRequest) {
 	s := New(Config{Self: Member{VM: "reader", FailureDomain: "d"}, Every: 250 * time.Millisecond, Clock: time.Now})
 	var entries []directory.Entry
 	var list []*bundle.Endpoint
@@ -51,9 +51,9 @@
 	}
 	demand := balance.Demand{kind(0), kind(400), kind(600), kind(1500)}
 	s.ShareDemand(func() balance.Demand { return demand })
-	var asks []newsRequest
+	var asks []updateRequest
 	for i := range routers {
-		asks = append(asks, newsRequest{
+		asks = append(asks, updateRequest{
 			From: Member{VM: fmt.Sprintf("router-%04d", i), FailureDomain: "d"}, Version: 1, Revision: 7, Digest: dir.Digest(), Demand: demand,
 			Loads: pool.LoadWords(time.Now(), time.Hour, 2, true),
 		})
@@ -68,7 +68,7 @@
 		b.Run(fmt.Sprintf("%d routers, %d endpoints", shape.routers, shape.endpoints), func(b *testing.B) {
 			s, asks := readerOf(shape.routers, shape.endpoints)
 			for i := range b.N {
-				if _, err := s.serveNews(context.Background(), identity.Peer{}, asks[i%len(asks)]); err != nil {
+				if _, err := s.serveUpdate(context.Background(), identity.Peer{}, asks[i%len(asks)]); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -89,7 +89,7 @@
 			m.Cores, m.LinkMbps = 0.8, 200
 		}
 		greetings = append(greetings, helloRequest{From: m})
-		s.members.hear(m, time.Now())
+		s.members.recordSeen(m, time.Now())
 	}
 	return s, greetings
 }
--- a/internal/peers/others_test.go
+++ b/internal/peers/others_test.go
@@ -14,7 +14,7 @@
 // The evidence: this test, in which one of twelve that hears of one counts one.
 func TestARouterCountsOthersThatItMayBeCutOffFrom(t *testing.T) {
 	play(t, 12, func(g *WithT, f *fleet) {
-		time.Sleep(settleFor)
+		time.Sleep(settleTime)
 		g.Expect(f.nodes[0].source.members.count(time.Now())).To(Equal(11), "known, and not asked for yet")
 		for _, n := range f.nodes[2:] { // what the two see of a cut from the ten others
 			n.end()
@@ -22,7 +22,7 @@
 		time.Sleep(time.Minute)
 		g.Expect(f.nodes[0].source.Others()).To(Equal(11))
 		g.Expect(f.nodes[1].source.Others()).To(Equal(11))
-		time.Sleep(cutFor)
+		time.Sleep(partitionTTL)
 		g.Expect(f.nodes[0].source.Others()).To(Equal(1), "they won't come back")
 	})
 }
@@ -46,7 +46,7 @@
 			before := f.store.count()
 			time.Sleep(lasts)
 			calls := float64(f.store.count() - before)
-			beside := min(float64(routers)/domains, most) / directEvery.Seconds()
+			beside := min(float64(routers)/domains, most) / originCallInterval.Seconds()
 			const byReader = 2.5 // a second
 			g.Expect(calls).To(BeNumerically("<", 1.1*lasts.Seconds()*domains*(beside+byReader)), "%d routers", routers)
 			t.Logf("%d routers: %.0f calls in %s", routers, calls, lasts)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,7 +1,7 @@
-// Package peers lets routers read a source for each other. In each failure domain
-// a few of them read it; the others ask these, and learn how old what they hear
-// is. Nothing is agreed on: each router works out from whom it heard lately who
-// reads, and reads for itself whenever what it hears is too old or nobody answers.
+// Package peers lets routers read a source for each other. In each failure domain a few routers
+// are readers; the others poll these, and learn the age of the state that they get. There is no
+// agreement protocol: each router determines the readers from the members that it has seen
+// recently, and calls the source itself if the state is too old or no peer answers.
 package peers
 
 import (
@@ -26,162 +26,163 @@
 	"coveferry/internal/route"
 )
 
-// Config is what a Source needs.
+// Config configures a Source.
 type Config struct {
 	Self Member
-	// FailureDomains are all that routers may be in, as the settings name them.
+	// FailureDomains lists all failure domains of the settings in which routers may run.
 	FailureDomains []string
-	// Seeds are control addresses of some routers, which may be stale or down.
+	// Seeds are control addresses of some routers, which may be outdated or down.
 	Seeds []string
-	// Source is read by the routers that read for others.
+	// Source is the source that readers call.
 	Source Origin
-	// Pool reaches peers.
+	// Pool holds the connections to peers.
 	Pool *control.Pool
-	// Every is the time between two questions to a peer.
+	// PollInterval is the time between two polls of a peer.
 	Every time.Duration
-	// MaxAge is the age from which what peers say is too old.
+	// MaxAge is the age above which a peer's state is rejected.
 	MaxAge time.Duration
-	// Outage is the longest gap in what a router reads of the source by which that hasn't
-	// been away.
+	// OutageThreshold is the longest time without an answer of the source that doesn't count
+	// as an outage.
 	Outage time.Duration
-	// Clock tells when others said what; nil is clock.Boot.
+	// Clock timestamps the messages of peers; nil means clock.Boot.
 	Clock clock.Clock
 	Log   zerolog.Logger
-	// Metrics takes the counter of calls to the source; nil for none.
+	// Metrics registers the counter of calls to the source; nil for none.
 	Metrics prometheus.Registerer
 }
 
-// Origin is the source that peers read for each other.
+// Origin is the source that the readers call.
 type Origin interface {
 	follow.Source
-	// CatchUp tells at once what changed after a revision, of the configuration only
-	// the newest version. See follow.Reader.
+	// CatchUp returns at once the changes after a revision, with only the newest version of
+	// the configuration. See follow.Reader.
 	CatchUp(ctx context.Context, after uint64) (follow.Reading, error)
 }
 
-// directEvery is the least time between two calls to the source by a router that
-// doesn't read for others: where nobody knows more, its readers are asking already.
-const directEvery = 800 * time.Millisecond
+// originCallInterval is the least time between two calls to the source by a router that isn't a
+// reader. If no peer has newer state, the readers are already calling the source.
+const originCallInterval = 800 * time.Millisecond
 
-// nothingEvery is the same while peers answer that they know nothing yet.
-const nothingEvery = 2 * time.Second
+// emptyPeersInterval applies instead while peers answer that they have no state yet.
+const emptyPeersInterval = 2 * time.Second
 
-// Source implements follow.Source by asking peers, or the source behind them.
+// Source implements follow.Source by querying peers, and the origin if they fail.
 type Source struct {
 	cfg      Config
 	members  *members
-	demands  demands
-	loads    loads
-	failures failures
+	demand   demandTable
+	loads    loadReports
+	failures failureReports
 	poison   exchange[poison.Words]
 	limits   exchange[balance.LimitWords]
-	steady   steady
-	log      changelog
-	configs  configlog
-	direct   *watched // the source itself
+	uptime   sourceUptime
+	changes  changeLog
+	configs  configLog
+	origin   *monitoredSource // the source itself
 	mu       sync.Mutex
-	// state is what this router itself believes, and tells others.
-	state State
-	hello int // counts the words sent, to take the seeds in turn
-	// asked is when this router last asked the source though it isn't a reader.
-	asked time.Time
-	// wantedSince is since when it has wanted to, and wantedAt when it last did.
-	wantedSince, wantedAt time.Time
-	// pendingAt is when a reader last told that a configuration is on its way.
-	pendingAt time.Time
-	// began is when this router began to greet others.
-	began time.Time
-	// hasRead says that this router has asked for everything before.
-	hasRead bool
-	// hurried is closed once a caller waits for a router that knows nothing.
-	hurried chan struct{}
-	hurry   sync.Once
+	// state is what this router has in force and sends to others.
+	state      State
+	helloCount int // hellos sent, to select the next seed
+	// lastOriginCall is when this router last called the origin without being a reader.
+	lastOriginCall time.Time
+	// originWantedSince is the start of the current series of attempts to call the origin, and
+	// originWantedAt the latest of them.
+	originWantedSince, originWantedAt time.Time
+	// configPendingAt is when a reader last reported that a configuration is pending.
+	configPendingAt time.Time
+	// startedAt is when this router began to announce itself.
+	startedAt time.Time
+	// hasReadAll is set by the first full read.
+	hasReadAll bool
+	// skipPeers is closed by SkipPeerWait.
+	skipPeers     chan struct{}
+	skipPeersOnce sync.Once
 }
 
-// State is what a router tells others. See follow.Follower.
+// State is the state that a router sends to others. See follow.Follower.
 type State interface {
-	// Config is the configuration in force; nil before the first.
+	// Config returns the configuration in force; nil before the first.
 	Config() *route.Config
 	Directory() *directory.Directory
-	// Age is how long ago both were certainly the newest.
+	// Age returns how long ago both were last confirmed to be the newest.
 	Age() time.Duration
 }
 
-// New returns a source that is alone until Run.
+// New returns a source that knows no peers until Run.
 func New(cfg Config) *Source {
 	if cfg.Clock == nil {
 		cfg.Clock = clock.Boot
 	}
-	s := &Source{cfg: cfg, members: newMembers(cfg.Self), steady: steady{outage: cfg.Outage}, hurried: make(chan struct{})}
-	s.direct = &watched{Origin: cfg.Source, calls: newCalls(cfg.Metrics), answered: func() { s.steady.answered(cfg.Clock()) }}
+	s := &Source{cfg: cfg, members: newMembers(cfg.Self), uptime: sourceUptime{maxGap: cfg.Outage}, skipPeers: make(chan struct{})}
+	s.origin = &monitoredSource{Origin: cfg.Source, calls: newCallCounter(cfg.Metrics), onAnswer: func() { s.uptime.recordAnswer(cfg.Clock()) }}
 	return s
 }
 
-// Others is how many other routers there are with which limits are shared. A part of a fleet
-// that is cut off must not take itself for the whole, so that routers count on for a while
-// that are no longer heard of.
-func (s *Source) Others() int { return s.members.sharing(time.Now()) }
+// PeerCount returns the number of other routers with which limits are shared. A partitioned part
+// of a fleet must not take itself for the whole, so routers that are no longer seen still count
+// for a while.
+func (s *Source) Others() int { return s.members.countForSharing(time.Now()) }
 
-// settleFor is how long a router greets others before it knows all of its failure domain:
-// each seed once, and once more, as those that start with it greet them meanwhile.
-const settleFor = 4 * helloEvery
+// settleTime is how long a router announces itself before it knows all of its failure domain. It
+// sends a hello to each seed, and another one, as those that start with it send theirs meanwhile.
+const settleTime = 4 * helloInterval
 
-// Fleet is which routers share endpoints with this one: those heard of in the last nearFor. A
-// failure domain of the settings counts without having been heard of until this router has
-// greeted others for that long; not all domains have routers.
+// Fleet returns the routers that share endpoints with this one: those seen in the last
+// sharingTTL. Until this router has been announcing itself for that long, all failure domains of
+// the settings count, seen or not; later a domain without routers doesn't.
 func (s *Source) Fleet(now time.Time) endpointrate.Fleet {
-	greeted := s.greetingFor(now)
-	if greeted < settleFor {
+	announcing := s.announcingFor(now)
+	if announcing < settleTime {
 		return endpointrate.Fleet{}
 	}
-	near, domains := s.members.sharers(now)
-	alone := len(near) == 0 && len(domains) == 0 && s.hasSeeds()
+	domainPeers, domains := s.members.limitSharers(now)
+	alone := len(domainPeers) == 0 && len(domains) == 0 && s.hasSeeds()
 	domains = union(domains, []string{s.cfg.Self.FailureDomain})
 	switch {
-	case greeted < nearFor && alone:
+	case announcing < sharingTTL && alone:
 		return endpointrate.Fleet{}
-	case greeted < nearFor:
+	case announcing < sharingTTL:
 		domains = union(domains, s.cfg.FailureDomains)
 	case alone:
-		return endpointrate.Fleet{Known: true, Domains: domains, CutOffFrom: cmp.Or(s.members.everKnown(), LargestFleet)}
+		return endpointrate.Fleet{Known: true, Domains: domains, CutOffFrom: cmp.Or(s.members.peakCount(), LargestFleet)}
 	}
-	return endpointrate.Fleet{Known: true, Near: near, Domains: domains}
+	return endpointrate.Fleet{Known: true, Near: domainPeers, Domains: domains}
 }
 
-// greetingFor is for how long this router has greeted others.
-func (s *Source) greetingFor(now time.Time) time.Duration {
+// announcingFor returns for how long this router has been announcing itself.
+func (s *Source) announcingFor(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.began.IsZero() {
+	if s.startedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(s.began)
+	return now.Sub(s.startedAt)
 }
 
-// LargestFleet is how many routers one takes for granted that has heard of none though there
-// may be others: somewhat more than are planned.
+// AssumedFleetSize is the number of routers that a router assumes if it has seen none though
+// there may be others. It is somewhat above the planned maximum.
 const LargestFleet = 1000
 
-// union is all that is in a or b.
+// union returns the sorted distinct elements of a and b.
 func union(a, b []string) []string {
 	all := slices.Concat(a, b)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// hasSeeds says whether other routers are to be had.
+// hasSeeds reports whether any seed is configured besides this router.
 func (s *Source) hasSeeds() bool {
 	return slices.ContainsFunc(s.cfg.Seeds, func(seed string) bool { return seed != s.cfg.Self.Address })
 }
 
-// Tell sets what this router tells others; before it tells nothing.
+// SetState sets the state to send to others; until then requests for it are refused.
 func (s *Source) Tell(state State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state = state
 }
 
-func (s *Source) own() State {
+func (s *Source) localState() State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state
@@ -190,12 +191,12 @@
 // Read implements follow.Source.
 func (s *Source) Read(ctx context.Context, fresh bool) (follow.Reading, error) {
 	r, err := s.read(ctx, fresh)
-	r.Steady = s.steady.span()
+	r.Steady = s.uptime.span()
 	return r, err
 }
 
 func (s *Source) read(ctx context.Context, fresh bool) (follow.Reading, error) {
-	if s.isFirst() {
+	if s.isFirstRead() {
 		r, ok := s.readFromPeers(ctx)
 		if ok || ctx.Err() != nil {
 			return r, context.Cause(ctx)
@@ -204,30 +205,30 @@
 	now := time.Now()
 	reader := s.members.isReader(now)
 	if reader {
-		s.mayAskDirectly(now, 0)
+		s.mayCallOrigin(now, 0)
 	} else {
-		r, err := s.ask(ctx, s.readPages)
-		if err == nil || !s.mayAskDirectly(now, pauseAfter(err)) {
+		r, err := s.queryPeers(ctx, s.readPages)
+		if err == nil || !s.mayCallOrigin(now, originPause(err)) {
 			return r.Reading, err
 		}
 	}
-	r, err := s.direct.Read(ctx, fresh)
+	r, err := s.origin.Read(ctx, fresh)
 	if err == nil || !reader || ctx.Err() != nil {
 		return r, err
 	}
-	// The source may turn away this router alone.
-	heard, peerErr := s.ask(ctx, s.readPages)
+	// The source may refuse only this router.
+	fromPeer, peerErr := s.queryPeers(ctx, s.readPages)
 	if peerErr != nil {
 		return follow.Reading{}, errors.CombineErrors(err, peerErr)
 	}
-	return heard.Reading, nil
+	return fromPeer.Reading, nil
 }
 
-// Await implements follow.Source. A router that doesn't read asks its readers
-// again and again instead of waiting at the source.
+// Await implements follow.Source. A router that isn't a reader polls its readers instead of
+// waiting at the source.
 func (s *Source) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
 	r, err := s.await(ctx, after, wait)
-	r.Steady = s.steady.span()
+	r.Steady = s.uptime.span()
 	return r, err
 }
 
@@ -238,121 +239,120 @@
 	if !clock.Sleep(ctx, min(s.cfg.Every, wait)) {
 		return follow.Reading{}, context.Cause(ctx)
 	}
-	r, err := s.ask(ctx, s.askNews)
-	if errors.Is(err, follow.ErrHistoryLost) || err == nil && !r.sourceLost || !s.mayAskDirectly(time.Now(), directEvery) {
+	r, err := s.queryPeers(ctx, s.pollUpdates)
+	if errors.Is(err, follow.ErrHistoryLost) || err == nil && !r.sourceUnavailable || !s.mayCallOrigin(time.Now(), originCallInterval) {
 		return r.Reading, err
 	}
 	if err != nil {
-		return s.askSource(ctx, after)
+		return s.callOrigin(ctx, after)
 	}
-	return s.awaitBeside(ctx, after, r.Reading), nil
+	return s.awaitWithFallback(ctx, after, r.Reading), nil
 }
 
-// askSource asks the source at once for what changed. Where a configuration is known to have
-// changed the newest alone is read: news hold each version that was missed, and a reader that
-// stopped in the middle of one has often missed several.
-func (s *Source) askSource(ctx context.Context, after uint64) (follow.Reading, error) {
-	if s.isPending(time.Now()) {
-		return s.direct.CatchUp(ctx, after)
+// callOrigin requests the changes from the origin without waiting. If a configuration is pending
+// it reads only the newest one: Await returns each missed version in full, and a reader that
+// failed in the middle of one has often missed several.
+func (s *Source) callOrigin(ctx context.Context, after uint64) (follow.Reading, error) {
+	if s.isConfigPending(time.Now()) {
+		return s.origin.CatchUp(ctx, after)
 	}
-	return s.direct.Await(ctx, after, follow.AtOnce)
+	return s.origin.Await(ctx, after, follow.AtOnce)
 }
 
-// notePending notes what a reader said, in answer to a question sent at a moment, of whether a
-// configuration is on its way.
-func (s *Source) notePending(sent time.Time, pending bool) {
+// recordPending records a reader's answer, to a request sent at the given time, on whether a
+// configuration is pending.
+func (s *Source) recordPending(sent time.Time, pending bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if pending {
-		s.pendingAt = sent
+		s.configPendingAt = sent
 	}
 }
 
-// isPending says whether a reader has told lately that a configuration is on its way.
-func (s *Source) isPending(now time.Time) bool {
+// isConfigPending reports whether a reader recently reported a pending configuration.
+func (s *Source) isConfigPending(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Sub(s.pendingAt) < s.newsFor()
+	return now.Sub(s.configPendingAt) < s.pollUpdateWindow()
 }
 
-// awaitBeside asks the source behind the word of a reader that has lost it, and falls back
-// on that word. Where the source is silent to the readers alone, waiting until their word is
-// too old costs those that it would answer 2.4 s: of 30 routers 17 sent requests to
-// endpoints 3.0 s after these had left.
-func (s *Source) awaitBeside(ctx context.Context, after uint64, word follow.Reading) follow.Reading {
+// awaitWithFallback calls the origin after a reader that can't reach it has answered, and falls
+// back on that answer. If the source is unresponsive only to the readers, the routers that it
+// would answer lose 2.4 s by waiting until the readers' state is too old: 17 of 30 routers sent
+// requests to endpoints 3.0 s after these had left.
+func (s *Source) awaitWithFallback(ctx context.Context, after uint64, fallback follow.Reading) follow.Reading {
 	ctx, cancel := idle.WithTimeout(ctx, callTimeout, callTimeout)
 	defer cancel()
-	r, err := s.askSource(ctx, after)
+	r, err := s.callOrigin(ctx, after)
 	if err != nil {
-		return word
+		return fallback
 	}
 	return r
 }
 
-// awaitAsReader asks the source, and if it fails the readers of other failure
-// domains: the source may turn away this router alone.
+// awaitAsReader calls the source, and if it fails the readers of other failure domains, since the
+// source may refuse only this router.
 func (s *Source) awaitAsReader(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
-	r, err := s.awaitDirectly(ctx, after, wait)
+	r, err := s.awaitOrigin(ctx, after, wait)
 	if err == nil || errors.Is(err, follow.ErrHistoryLost) || errors.Is(context.Cause(ctx), context.Canceled) {
 		return r, err
 	}
-	heard, peerErr := s.ask(context.WithoutCancel(ctx), s.askNews)
+	fromPeer, peerErr := s.queryPeers(context.WithoutCancel(ctx), s.pollUpdates)
 	if peerErr == nil || errors.Is(peerErr, follow.ErrHistoryLost) {
-		return heard.Reading, peerErr
+		return fromPeer.Reading, peerErr
 	}
 	return follow.Reading{}, errors.CombineErrors(err, peerErr)
 }
 
-// awaitDirectly waits at the source. While its calls fail they don't wait: peers
-// tell the news, and what matters is to notice that the source is back and to have the
-// newest of what was missed.
-func (s *Source) awaitDirectly(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
-	if s.direct.lost() == 0 {
-		return s.direct.Await(ctx, after, wait)
+// awaitOrigin waits at the origin for a change. While calls fail it doesn't wait: peers supply the
+// updates, and the calls only serve to detect the recovery and to fetch the newest state.
+func (s *Source) awaitOrigin(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
+	if s.origin.unavailableFor() == 0 {
+		return s.origin.Await(ctx, after, wait)
 	}
 	if !clock.Sleep(ctx, min(s.cfg.Every, wait)) {
 		return follow.Reading{}, context.Cause(ctx)
 	}
 	ctx, cancel := idle.WithTimeout(ctx, callTimeout, callTimeout)
 	defer cancel()
-	return s.direct.CatchUp(ctx, after)
+	return s.origin.CatchUp(ctx, after)
 }
 
-// pauseAfter is the least time between two calls to the source by a router that knows
-// nothing and isn't a reader, by why its peers told it nothing. Where they answer that they
-// know nothing themselves their readers are asking, several times a second.
-func pauseAfter(err error) time.Duration {
+// originPause is the least time between two calls to the source by a router that has no state and
+// isn't a reader, given the error of its peers. If these answered that they have no state either,
+// their readers are already calling the source several times a second.
+func originPause(err error) time.Duration {
 	var refused *control.Error
 	if errors.As(err, &refused) {
-		return nothingEvery
+		return emptyPeersInterval
 	}
 	return 0
 }
 
-// askersAtOnce is how many routers of a failure domain may ask the source within the pause
-// between two calls of one of them. Without a bound all of a fleet ask it as soon as their
-// readers have lost it: hundreds of calls a second to a source in trouble.
-const askersAtOnce = 16
+// originCallersPerRound is how many routers of a failure domain may call the source within the
+// call interval of one of them. Without a bound a whole fleet calls it as soon as the readers
+// can't: hundreds of calls a second to a failing source.
+const originCallersPerRound = 16
 
-// wantedFor is for how long a router goes on wanting to ask the source that doesn't ask.
-const wantedFor = time.Second
+// originWantedTTL is the gap between attempts to call the source after which a new series begins.
+const originWantedTTL = time.Second
 
-// mayAskDirectly says whether this router may ask the source now that last did at least
-// so long ago, and if so notes that it does. Where a failure domain has many routers they
-// take turns: each waits longer, and at first for its turn.
-func (s *Source) mayAskDirectly(now time.Time, pause time.Duration) bool {
-	turn, rounds := s.members.turn(now)
+// mayCallOrigin reports whether this router, if its last call is at least pause ago, may call the
+// source now, and if so records the call. In a large failure domain routers take turns: the
+// interval grows with their number, and the first call of a series waits for the router's turn.
+func (s *Source) mayCallOrigin(now time.Time, pause time.Duration) bool {
+	position, rounds := s.members.originTurn(now)
 	round := time.Duration(rounds * float64(pause))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Sub(s.wantedAt) > wantedFor {
-		s.wantedSince = now
+	if now.Sub(s.originWantedAt) > originWantedTTL {
+		s.originWantedSince = now
 	}
-	s.wantedAt = now
-	first := s.wantedSince.Add(time.Duration(turn * float64(round-pause)))
-	if now.Sub(s.asked) < round || now.Before(first) {
+	s.originWantedAt = now
+	first := s.originWantedSince.Add(time.Duration(position * float64(round-pause)))
+	if now.Sub(s.lastOriginCall) < round || now.Before(first) {
 		return false
 	}
-	s.asked = now
+	s.lastOriginCall = now
 	return true
 }
--- a/internal/peers/serve.go
+++ b/internal/peers/serve.go
@@ -10,86 +10,86 @@
 	"coveferry/internal/identity"
 )
 
-// Register has a server answer other routers.
+// Register registers the handlers for the methods of other routers.
 func (s *Source) Register(srv *control.Server) {
 	control.Register(srv, methodHello, s.serveHello)
-	control.Register(srv, methodNews, s.serveNews)
+	control.Register(srv, methodUpdate, s.serveUpdate)
 	control.Register(srv, methodPage, s.servePage)
 }
 
 func (s *Source) serveHello(_ context.Context, _ identity.Peer, req helloRequest) (helloReply, error) {
 	now := time.Now()
-	s.members.hear(req.From, now)
-	s.demands.hear(req.From, req.Demand, now)
-	s.hearDomain(req.From, req.Domain, now)
+	s.members.recordSeen(req.From, now)
+	s.demand.record(req.From, req.Demand, now)
+	s.recordDomainDemand(req.From, req.Domain, now)
 	at := s.cfg.Clock()
-	s.steady.hear(at, req.Steady)
+	s.uptime.apply(at, req.SourceUptime)
 	return helloReply{
-		From: s.cfg.Self, Members: s.members.neededBy(req.From, now), Known: s.members.byName(now), New: s.isNew(now),
-		Demand: s.demands.ask(), Domain: s.domainDemand(now),
-		Poison: s.poison.heard(at, req.Poison, greetedFor), Steady: s.steady.word(at),
-		Limits: s.limits.heard(at, req.Limits, greetedFor),
+		From: s.cfg.Self, Members: s.members.membersFor(req.From, now), Known: s.members.countSeen(now), Starting: s.isStarting(now),
+		Demand: s.demand.local(), Domain: s.domainDemand(now),
+		Poison: s.poison.serve(at, req.Poison, helloUpdateWindow), SourceUptime: s.uptime.report(at),
+		Limits: s.limits.serve(at, req.Limits, helloUpdateWindow),
 	}, nil
 }
 
-// errNothing is what a router says that knows nothing itself.
+// errNothing is the reply of a router that has no state yet.
 var errNothing = errors.New("peers: nothing is known here yet")
 
-// known is what this router knows; the error says that it has nothing to tell yet.
-func (s *Source) known() (State, error) {
-	own := s.own()
-	if own == nil || own.Config() == nil || own.Directory().Len() == 0 {
+// readyState returns this router's state, or errNothing if it has none to send yet.
+func (s *Source) readyState() (State, error) {
+	state := s.localState()
+	if state == nil || state.Config() == nil || state.Directory().Len() == 0 {
 		return nil, errNothing
 	}
-	return own, nil
+	return state, nil
 }
 
-func (s *Source) serveNews(_ context.Context, _ identity.Peer, req newsRequest) (newsReply, error) {
+func (s *Source) serveUpdate(_ context.Context, _ identity.Peer, req updateRequest) (updateReply, error) {
 	now := time.Now()
-	s.members.hear(req.From, now)
-	s.demands.hear(req.From, req.Demand, now)
-	// Heard also by a router that has nothing to tell yet.
+	s.members.recordSeen(req.From, now)
+	s.demand.record(req.From, req.Demand, now)
+	// Applied even if this router has no state to send yet.
 	at := s.cfg.Clock()
-	poisonous := s.poison.heard(at, req.Poison, s.newsFor())
-	limits := s.limits.heard(at, req.Limits, s.newsFor())
-	s.steady.hear(at, req.Steady)
-	own, err := s.known()
+	poison := s.poison.serve(at, req.Poison, s.pollUpdateWindow())
+	limits := s.limits.serve(at, req.Limits, s.pollUpdateWindow())
+	s.uptime.apply(at, req.SourceUptime)
+	state, err := s.readyState()
 	if err != nil {
-		return newsReply{}, err
+		return updateReply{}, err
 	}
-	// The age is taken first: what is told may be newer than it says.
-	reply := newsReply{AgeMillis: own.Age().Milliseconds() + 1, SourceLost: s.direct.lost() > 0, Pending: s.direct.isPending(), Poison: poisonous, Steady: s.steady.word(at), Limits: limits}
-	others, routers := s.demands.sum(now, req.From.VM)
-	reply.Demand, reply.DemandOf = s.demands.ask().Plus(others), routers+1
-	s.loads.hear(now.Add(-loadsOnWay), req.Loads)
-	reply.Loads = s.loads.all(now)
-	s.failures.said(req.From.VM, req.Failures, now)
-	reply.Failures = s.failures.of(now, req.From.VM)
-	if reply.Config, err = s.configs.since(own.Config(), req.Version); err != nil {
-		return newsReply{}, err
+	// The age is read before the state, which may only be newer than that.
+	reply := updateReply{AgeMillis: state.Age().Milliseconds() + 1, SourceUnavailable: s.origin.unavailableFor() > 0, ConfigPending: s.origin.isConfigPending(), Poison: poison, SourceUptime: s.uptime.report(at), Limits: limits}
+	others, routers := s.demand.sum(now, req.From.VM)
+	reply.Demand, reply.DemandRouters = s.demand.local().Plus(others), routers+1
+	s.loads.apply(now.Add(-loadReportDelay), req.Loads)
+	reply.Loads = s.loads.latest(now)
+	s.failures.record(req.From.VM, req.Failures, now)
+	reply.Failures = s.failures.total(now, req.From.VM)
+	if reply.Config, err = s.configs.since(state.Config(), req.Version); err != nil {
+		return updateReply{}, err
 	}
-	list := own.Directory().Listed()
-	news, known := s.log.since(list, req.Revision, req.Digest)
+	list := state.Directory().Listed()
+	changes, known := s.changes.since(list, req.Revision, req.Digest)
 	reply.Evacuated = list.Evacuated()
-	reply.Entries, reply.Gone, reply.Lost, reply.Revision = news.Entries, news.Gone, !known, news.Revision
+	reply.Entries, reply.Removed, reply.HistoryLost, reply.Revision = changes.Entries, changes.Gone, !known, changes.Revision
 	return reply, nil
 }
 
 func (s *Source) servePage(_ context.Context, _ identity.Peer, req pageRequest) (pageReply, error) {
-	s.members.hear(req.From, time.Now())
-	own, err := s.known()
+	s.members.recordSeen(req.From, time.Now())
+	state, err := s.readyState()
 	if err != nil {
 		return pageReply{}, err
 	}
-	reply := pageReply{AgeMillis: own.Age().Milliseconds() + 1}
-	if req.Behind == "" {
-		if reply.Config, err = s.configs.since(own.Config(), req.Version); err != nil {
+	reply := pageReply{AgeMillis: state.Age().Milliseconds() + 1}
+	if req.After == "" {
+		if reply.Config, err = s.configs.since(state.Config(), req.Version); err != nil {
 			return pageReply{}, err
 		}
 	}
-	d := own.Directory().Listed()
+	d := state.Directory().Listed()
 	reply.Revision = d.Revision()
 	reply.Evacuated = d.Evacuated()
-	reply.Entries, reply.More = d.Page(req.Behind, maxPage)
+	reply.Entries, reply.More = d.Page(req.After, maxPage)
 	return reply, nil
 }
--- a/internal/peers/shared_test.go
+++ b/internal/peers/shared_test.go
@@ -107,7 +107,7 @@
 		time.Sleep(2 * time.Second)
 		g.Expect(f.nodes[0].source.OthersDemand().Demand).To(Equal(balance.Demand{{Requests: 1}}))
 		f.nodes[1].end()
-		time.Sleep(demandFor + 2*time.Second)
+		time.Sleep(demandTTL + 2*time.Second)
 		g.Expect(f.nodes[0].source.OthersDemand().Demand).To(BeEmpty())
 	})
 }
@@ -141,7 +141,7 @@
 				n.end()
 			}
 		}
-		time.Sleep(heardFor + 4*time.Second) // seeds forget them and have said so, each in turn
+		time.Sleep(memberTTL + 4*time.Second) // seeds forget them and have said so, each in turn
 		for _, n := range f.nodes {
 			if n.stop != nil {
 				g.Expect(n.source.OthersDemand().Demand[0].Requests).To(BeNumerically("~", 5, 0.5), n.vm)
--- a/internal/peers/start_test.go
+++ b/internal/peers/start_test.go
@@ -137,7 +137,7 @@
 		f := &fleet{net: memnet.New(), store: &store{version: 1, away: make(map[string]bool)}, seeds: []string{address(90), address(91)}}
 		defer f.end()
 		f.start(g, 5)
-		g.Expect(f.settled(1, 5*time.Second)).To(BeNumerically("<", startFor+500*time.Millisecond))
+		g.Expect(f.settled(1, 5*time.Second)).To(BeNumerically("<", defaultPeerReadTimeout+500*time.Millisecond))
 	})
 }
 
--- a/internal/peers/steady.go
+++ b/internal/peers/steady.go
@@ -8,61 +8,60 @@
 	"coveferry/internal/follow"
 )
 
-// steady is the latest span over which the source was read without a gap, by this router or
-// others in turn. It says that the source wasn't away, whatever gap there is in what this
-// router knows. It is safe for concurrent use.
-type steady struct {
-	// outage is the longest gap that is none: entries of the list last longer.
-	outage time.Duration
+// sourceUptime is the latest span over which the routers, taken together, read the source without
+// a long gap. It shows that the source had no outage, even if this router's state was outdated for
+// a while. It is safe for concurrent use.
+type sourceUptime struct {
+	// maxGap is the longest gap within a span; entries of the list take longer to expire.
+	maxGap time.Duration
 	mu     sync.Mutex
-	known  follow.Span
+	latest follow.Span
 }
 
-// steadyWord is a span as routers tell it, in milliseconds; empty if none is known.
-type steadyWord struct {
+// uptimeReport is a span on the wire, in milliseconds; empty if none is known.
+type uptimeReport struct {
 	ForMillis int64 `json:"for_ms"`
 	AgoMillis int64 `json:"ago_ms"`
 }
 
-// span is what is known.
-func (s *steady) span() follow.Span {
+func (s *sourceUptime) span() follow.Span {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.known
+	return s.latest
 }
 
-// answered notes that the source answered this router.
-func (s *steady) answered(now time.Time) { s.add(follow.Span{From: now, To: now}) }
+// recordAnswer records that the source answered this router.
+func (s *sourceUptime) recordAnswer(now time.Time) { s.add(follow.Span{From: now, To: now}) }
 
-// add joins a span to what is known, if there is no gap between them; else the later one
-// counts.
-func (s *steady) add(other follow.Span) {
+// add merges a span with the known one if the gap between them is at most maxGap; otherwise the
+// later one is kept.
+func (s *sourceUptime) add(other follow.Span) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case other.From.Sub(s.known.To) > s.outage:
-		s.known = other
-	case s.known.From.Sub(other.To) > s.outage:
+	case other.From.Sub(s.latest.To) > s.maxGap:
+		s.latest = other
+	case s.latest.From.Sub(other.To) > s.maxGap:
 	default:
-		s.known.From = slices.MinFunc([]time.Time{s.known.From, other.From}, time.Time.Compare)
-		s.known.To = slices.MaxFunc([]time.Time{s.known.To, other.To}, time.Time.Compare)
+		s.latest.From = slices.MinFunc([]time.Time{s.latest.From, other.From}, time.Time.Compare)
+		s.latest.To = slices.MaxFunc([]time.Time{s.latest.To, other.To}, time.Time.Compare)
 	}
 }
 
-// word is what to tell others.
-func (s *steady) word(now time.Time) steadyWord {
+// report returns the span for other routers.
+func (s *sourceUptime) report(now time.Time) uptimeReport {
 	span := s.span()
 	if span.To.IsZero() {
-		return steadyWord{}
+		return uptimeReport{}
 	}
-	return steadyWord{ForMillis: span.To.Sub(span.From).Milliseconds(), AgoMillis: now.Sub(span.To).Milliseconds()}
+	return uptimeReport{ForMillis: span.To.Sub(span.From).Milliseconds(), AgoMillis: now.Sub(span.To).Milliseconds()}
 }
 
-// hear takes in a word of a moment.
-func (s *steady) hear(said time.Time, w steadyWord) {
-	if w == (steadyWord{}) {
+// apply adds the span of a report that was sent at the given time.
+func (s *sourceUptime) apply(sentAt time.Time, report uptimeReport) {
+	if report == (uptimeReport{}) {
 		return
 	}
-	to := said.Add(-time.Duration(w.AgoMillis) * time.Millisecond)
-	s.add(follow.Span{From: to.Add(-time.Duration(w.ForMillis) * time.Millisecond), To: to})
+	to := sentAt.Add(-time.Duration(report.AgoMillis) * time.Millisecond)
+	s.add(follow.Span{From: to.Add(-time.Duration(report.ForMillis) * time.Millisecond), To: to})
 }
