--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -30,14 +30,14 @@
 	return next
 }
 
-func TestAnOlderReadingChangesNothing(t *testing.T) {
+func TestOlderReadingIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	d := merge(directory.Empty(), 5, time.Time{}, entry("a", "1"))
 	d = merge(d, 4, time.Time{}, entry("b", "2"))
 	g.Expect(names(d)).To(Equal([]string{"a"}))
 }
 
-func TestAbsentEndpointsAreGoneAtOnceInCalmTimes(t *testing.T) {
+func TestAbsentEndpointIsRemovedAtOnceWithoutOutage(t *testing.T) {
 	g := NewWithT(t)
 	d := merge(directory.Empty(), 1, time.Time{}, entry("a", "1"), entry("b", "2"))
 	d = merge(d, 2, time.Time{}, entry("a", "1"))
@@ -45,7 +45,7 @@
 	g.Expect(d.For("s")).To(HaveLen(1))
 }
 
-func TestAbsentEndpointsStayAfterAnOutageUntilTheyWouldBeBack(t *testing.T) {
+func TestAbsentEndpointIsKeptAfterOutage(t *testing.T) {
 	g := NewWithT(t)
 	d := merge(directory.Empty(), 1, time.Time{}, entry("a", "1"), entry("b", "2"), entry("c", "3"))
 	// c's address has been taken over, so c is gone for certain.
@@ -55,7 +55,7 @@
 	g.Expect(names(d)).To(Equal([]string{"a", "d"}))
 }
 
-func TestMergeTellsWhatDiffers(t *testing.T) {
+func TestMergeReportsChanges(t *testing.T) {
 	g := NewWithT(t)
 	d := merge(directory.Empty(), 1, time.Time{}, entry("a", "1"))
 	same, changed := d.Merge(directory.Reading{Whole: true, Entries: []directory.Entry{entry("a", "1")}, Revision: 9}, now, time.Time{})
@@ -67,7 +67,7 @@
 	g.Expect(changed).To(BeTrue())
 }
 
-func TestChangesAreAddedToWhatWasRead(t *testing.T) {
+func TestMergeAppliesChanges(t *testing.T) {
 	g := NewWithT(t)
 	d := merge(directory.Empty(), 1, time.Time{}, entry("a", "1"), entry("b", "2"))
 	moved := entry("a", "9")
@@ -81,7 +81,7 @@
 	g.Expect(d.Revision()).To(Equal(uint64(7)))
 }
 
-func TestChangesAfterAnOutageKeepWhatLapsedUntilItWouldBeBack(t *testing.T) {
+func TestRemovedEndpointIsKeptAfterOutage(t *testing.T) {
 	g := NewWithT(t)
 	d := merge(directory.Empty(), 1, time.Time{}, entry("a", "1"), entry("b", "2"))
 	until := now.Add(time.Second)
@@ -95,16 +95,16 @@
 	g.Expect(names(d)).To(Equal([]string{"a"}))
 }
 
-func TestTheChangesBetweenTwoDirectoriesTurnOneIntoTheOther(t *testing.T) {
+func TestChangesToTurnsOneDirectoryIntoAnother(t *testing.T) {
 	g := NewWithT(t)
 	before := merge(directory.Empty(), 1, time.Time{}, entry("a", "1"), entry("b", "2"), entry("c", "3"))
 	draining := entry("a", "1")
 	draining.Draining = true
 	after := merge(directory.Empty(), 2, time.Time{}, draining, entry("c", "3"), entry("d", "4"))
-	changed, gone := before.ChangesTo(after)
+	changed, removed := before.ChangesTo(after)
 	g.Expect(changed).To(HaveLen(2))
-	g.Expect(gone).To(Equal([]string{"b"}))
-	same, _ := before.Merge(directory.Reading{Entries: changed, Gone: gone, Revision: 2}, now, time.Time{})
+	g.Expect(removed).To(Equal([]string{"b"}))
+	same, _ := before.Merge(directory.Reading{Entries: changed, Gone: removed, Revision: 2}, now, time.Time{})
 	g.Expect(same.Digest()).To(Equal(after.Digest()))
 }
 
@@ -112,23 +112,23 @@
 	g := NewWithT(t)
 	d := merge(directory.Empty(), 1, time.Time{}, entry("a", "1"), entry("b", "2"), entry("c", "3"), entry("d", "4"), entry("e", "5"))
 	var all []string
-	behind, more := "", true
+	after, more := "", true
 	for more {
 		var page []directory.Entry
-		page, more = d.Page(behind, 2)
+		page, more = d.Page(after, 2)
 		g.Expect(len(page)).To(BeNumerically("<=", 2))
 		for _, e := range page {
 			all = append(all, e.Endpoint.Name)
-			behind = e.Endpoint.Name
+			after = e.Endpoint.Name
 		}
 	}
 	g.Expect(all).To(Equal(names(d)))
-	page, more := d.Page("bb", 1) // behind a name that has left
+	page, more := d.Page("bb", 1) // after a name that was removed
 	g.Expect(page[0].Endpoint.Name).To(Equal("c"))
 	g.Expect(more).To(BeTrue())
 }
 
-func TestAnEndpointThatStartedAgainIsAnother(t *testing.T) {
+func TestRestartedEndpointHasNewIncarnation(t *testing.T) {
 	g := NewWithT(t)
 	first, second := entry("a", "1"), entry("a", "1")
 	first.Incarnation, second.Incarnation = "100", "90" // its clock was set back
@@ -137,20 +137,20 @@
 	later, changed := d.Merge(directory.Reading{Entries: []directory.Entry{second}, Revision: 2}, now, time.Time{})
 	g.Expect(changed).To(BeTrue())
 	g.Expect(later.For("s")[0].Process()).To(Equal("90"))
-	g.Expect(later.Digest()).NotTo(Equal(d.Digest()), "peers are told")
-	told, _ := d.ChangesTo(later)
-	text, err := json.Marshal(told)
+	g.Expect(later.Digest()).NotTo(Equal(d.Digest()), "peers must notice the change")
+	changes, _ := d.ChangesTo(later)
+	text, err := json.Marshal(changes)
 	g.Expect(err).NotTo(HaveOccurred())
-	var heard []directory.Entry
-	g.Expect(json.Unmarshal(text, &heard)).To(Succeed())
-	peer, _ := d.Merge(directory.Reading{Entries: heard, Revision: 2}, now, time.Time{})
+	var received []directory.Entry
+	g.Expect(json.Unmarshal(text, &received)).To(Succeed())
+	peer, _ := d.Merge(directory.Reading{Entries: received, Revision: 2}, now, time.Time{})
 	g.Expect(peer.Digest()).To(Equal(later.Digest()))
 	g.Expect(peer.For("s")[0].Process()).To(Equal("90"))
-	late, _ := later.Merge(directory.Reading{Entries: []directory.Entry{first}, Revision: 1}, now, time.Time{})
-	g.Expect(late.For("s")[0].Process()).To(Equal("90"), "older news come late")
+	afterOlder, _ := later.Merge(directory.Reading{Entries: []directory.Entry{first}, Revision: 1}, now, time.Time{})
+	g.Expect(afterOlder.For("s")[0].Process()).To(Equal("90"), "an older reading arrives late")
 }
 
-func TestAnEntryThatCantBeUsedTakesItsEndpointAway(t *testing.T) {
+func TestUnreadableEntryRemovesEndpoint(t *testing.T) {
 	g := NewWithT(t)
 	d := merge(directory.Empty(), 1, time.Time{}, entry("a", "1"), entry("b", "2"), entry("c", "3"))
 	overwritten := directory.Reading{Unreadable: []directory.Unreadable{{Name: "a"}}, Revision: 2}
@@ -159,7 +159,7 @@
 		g.Expect(changed).To(BeTrue())
 		g.Expect(names(d)).To(Equal([]string{"b", "c"}))
 	}
-	whole := directory.Reading{Whole: true, Entries: []directory.Entry{entry("b", "2")}, Unreadable: overwritten.Unreadable, Revision: 3}
-	d, _ = d.Merge(whole, now, now.Add(time.Second))
-	g.Expect(names(d)).To(Equal([]string{"b", "c"}), "c is kept for a while, a isn't")
+	full := directory.Reading{Whole: true, Entries: []directory.Entry{entry("b", "2")}, Unreadable: overwritten.Unreadable, Revision: 3}
+	d, _ = d.Merge(full, now, now.Add(time.Second))
+	g.Expect(names(d)).To(Equal([]string{"b", "c"}), "c is kept for a while, a is not")
 }
--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -9,16 +9,16 @@
 	"coveferry/internal/directory"
 )
 
-func in(domain string, e directory.Entry) directory.Entry {
+func inDomain(domain string, e directory.Entry) directory.Entry {
 	e.Endpoint.FailureDomain = domain
 	return e
 }
 
-// Orders to evacuate weren't read at all: 2,785 requests reached an evacuated failure domain
-// in a day, the first 5.0 s after the operator's order.
-func TestAnOrderToEvacuateStandsUntilAReadingSaysThatItWasRemoved(t *testing.T) {
+// Guards against ignoring evacuations: 2,785 requests reached an evacuated failure domain in a day,
+// the first 5.0 s after the operator had ordered the evacuation.
+func TestEvacuationLastsUntilReportedEnded(t *testing.T) {
 	g := NewWithT(t)
-	d := merge(directory.Empty(), 1, time.Time{}, in("x", entry("a", "1")), in("y", entry("b", "2")))
+	d := merge(directory.Empty(), 1, time.Time{}, inDomain("x", entry("a", "1")), inDomain("y", entry("b", "2")))
 	read := func(r directory.Reading) bool {
 		next, changed := d.Merge(r, now, time.Time{})
 		d = next
@@ -28,11 +28,11 @@
 	g.Expect(d.Evacuated()).To(Equal([]string{"nowhere", "x"}))
 	g.Expect(d.TakesWork("a")).To(BeFalse())
 	g.Expect(d.TakesWork("b")).To(BeTrue())
-	g.Expect(d.For("s")).To(HaveLen(2), "what is cached there can still be fetched")
+	g.Expect(d.For("s")).To(HaveLen(2), "data cached there can still be fetched")
 
-	// Neither news nor a list without a word on orders ends one, nor does an older reading.
-	read(directory.Reading{Revision: 3, Entries: []directory.Entry{in("x", entry("c", "3"))}})
-	g.Expect(d.TakesWork("c")).To(BeFalse(), "one that comes while its domain is evacuated")
+	// Changes and full lists without evacuations don't end one, nor does an older reading.
+	read(directory.Reading{Revision: 3, Entries: []directory.Entry{inDomain("x", entry("c", "3"))}})
+	g.Expect(d.TakesWork("c")).To(BeFalse(), "an endpoint that joins an evacuated domain")
 	read(directory.Reading{Whole: true, Revision: 4, Entries: d.Entries()})
 	read(directory.Reading{Revision: 3, Evacuations: directory.Evacuations{Whole: true}})
 	g.Expect(d.IsEvacuated("x")).To(BeTrue())
@@ -45,7 +45,7 @@
 	g.Expect(d.Evacuated()).To(BeEmpty())
 }
 
-func TestDirectoriesDifferByTheirOrdersAndByWhatIsCold(t *testing.T) {
+func TestDigestIncludesEvacuationsAndCold(t *testing.T) {
 	g := NewWithT(t)
 	d := merge(directory.Empty(), 1, time.Time{}, entry("a", "1"))
 	evacuated, _ := d.Merge(directory.Reading{Revision: 2, Evacuations: directory.Evacuations{Ordered: []string{"x"}}}, now, time.Time{})
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -18,38 +18,38 @@
 	"coveferry/internal/route"
 )
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("source unavailable")
 
-// source is a service in memory whose failures a test switches.
+// source is an in-memory service with switchable failures.
 type source struct {
 	mu       sync.Mutex
 	version  uint64
 	revision uint64
 	entries  []directory.Entry
-	// oldEntries is what a cheap reading of the list gives, if set.
-	oldEntries  []directory.Entry
-	oldRevision uint64
-	history     []change
-	changed     chan struct{}
-
-	away      bool
-	lost      bool // the next waiting call finds no history
-	delay     time.Duration
-	peerAge   time.Duration
-	watches   int
-	reads     int
-	freshens  int
-	unusable  bool
-	lastAfter uint64
-	// steady is the span over which others read the service; nil if nobody says.
-	steady func() follow.Span
+	// staleEntries is the result of a read that isn't fresh, if set.
+	staleEntries  []directory.Entry
+	staleRevision uint64
+	history       []change
+	changed       chan struct{}
+
+	unavailable bool
+	historyLost bool // the next Await returns ErrHistoryLost
+	delay       time.Duration
+	peerAge     time.Duration
+	awaits      int
+	reads       int
+	freshReads  int
+	unusable    bool
+	lastAfter   uint64
+	// uptime returns the span over which others read the service; nil if unknown.
+	uptime func() follow.Span
 }
 
-// change is what a revision did to the list.
+// change is the change of the list at a revision.
 type change struct {
 	revision uint64
-	set      []directory.Entry
-	gone     []string
+	changed  []directory.Entry
+	removed  []string
 }
 
 func newSource() *source {
@@ -62,8 +62,8 @@
 	return directory.Entry{Endpoint: bundle.Endpoint{Name: name, Address: name, Services: []string{"s"}}}
 }
 
-// set makes a change that waiting calls are told of.
-func (s *source) set(change func()) {
+// update makes a change that wakes waiting calls.
+func (s *source) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -72,26 +72,26 @@
 	s.changed = make(chan struct{})
 }
 
-// with changes what the service does, which no call is told of.
-func (s *source) with(change func()) {
+// configure changes the behavior of the service without waking calls.
+func (s *source) configure(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// leave removes an endpoint.
-func (s *source) leave(name string) {
-	s.set(func() {
+// removeEndpoint removes an endpoint.
+func (s *source) removeEndpoint(name string) {
+	s.update(func() {
 		s.entries = slices.DeleteFunc(slices.Clone(s.entries), func(e directory.Entry) bool { return e.Endpoint.Name == name })
-		s.history = append(s.history, change{revision: s.revision + 1, gone: []string{name}})
+		s.history = append(s.history, change{revision: s.revision + 1, removed: []string{name}})
 	})
 }
 
-// enter adds one.
-func (s *source) enter(name string) {
-	s.set(func() {
+// addEndpoint adds an endpoint.
+func (s *source) addEndpoint(name string) {
+	s.update(func() {
 		s.entries = append(slices.Clone(s.entries), entry(name))
-		s.history = append(s.history, change{revision: s.revision + 1, set: []directory.Entry{entry(name)}})
+		s.history = append(s.history, change{revision: s.revision + 1, changed: []directory.Entry{entry(name)}})
 	})
 }
 
@@ -107,31 +107,31 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reads++
-	if s.away {
-		return follow.Reading{}, errAway
+	if s.unavailable {
+		return follow.Reading{}, errUnavailable
 	}
 	r := follow.Reading{Config: s.config(), List: directory.Reading{Whole: true, Entries: s.entries, Revision: s.revision}}
 	if fresh {
-		s.freshens++
-	} else if s.oldEntries != nil {
-		r.List.Entries, r.List.Revision = s.oldEntries, s.oldRevision
+		s.freshReads++
+	} else if s.staleEntries != nil {
+		r.List.Entries, r.List.Revision = s.staleEntries, s.staleRevision
 	}
 	return r, nil
 }
 
-// news is what changed after a revision. s.mu is held.
-func (s *source) news(after uint64) follow.Reading {
+// changesSince returns the changes after a revision. s.mu is held.
+func (s *source) changesSince(after uint64) follow.Reading {
 	r := follow.Reading{List: directory.Reading{Revision: s.revision}, Age: s.peerAge}
-	if s.steady != nil {
-		r.Steady = s.steady()
+	if s.uptime != nil {
+		r.Steady = s.uptime()
 	}
 	if s.revision > after {
 		r.Config = s.config()
 	}
 	for _, c := range s.history {
 		if c.revision > after {
-			r.List.Entries = append(r.List.Entries, c.set...)
-			r.List.Gone = append(r.List.Gone, c.gone...)
+			r.List.Entries = append(r.List.Entries, c.changed...)
+			r.List.Gone = append(r.List.Gone, c.removed...)
 		}
 	}
 	return r
@@ -139,21 +139,21 @@
 
 func (s *source) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
 	s.mu.Lock()
-	s.watches++
+	s.awaits++
 	s.lastAfter = after
-	away, lost, changed, delay := s.away, s.lost, s.changed, s.delay
-	s.lost = false
-	if s.revision > after && !away && !lost {
+	unavailable, historyLost, changed, delay := s.unavailable, s.historyLost, s.changed, s.delay
+	s.historyLost = false
+	if s.revision > after && !unavailable && !historyLost {
 		defer s.mu.Unlock()
-		return s.news(after), nil
+		return s.changesSince(after), nil
 	}
 	s.mu.Unlock()
-	if lost {
+	if historyLost {
 		return follow.Reading{}, follow.ErrHistoryLost
 	}
-	if away {
+	if unavailable {
 		<-ctx.Done()
-		return follow.Reading{}, errAway
+		return follow.Reading{}, errUnavailable
 	}
 	select {
 	case <-changed:
@@ -163,7 +163,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.news(after), nil
+	return s.changesSince(after), nil
 }
 
 var timing = follow.Timing{
@@ -171,8 +171,8 @@
 	Outage: 2800 * time.Millisecond, Return: 2500 * time.Millisecond,
 }
 
-// play runs a follower of the source in a bubble of fake time.
-func play(t *testing.T, do func(g *WithT, s *source, f *follow.Follower)) {
+// runFollower runs a follower of the source in a synctest bubble.
+func runFollower(t *testing.T, test func(g *WithT, s *source, f *follow.Follower)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := newSource()
@@ -183,209 +183,208 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go f.Run(ctx)
-		do(NewWithT(t), s, f)
+		test(NewWithT(t), s, f)
 	})
 }
 
-func after(d time.Duration) {
+func sleep(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-func TestAChangeIsInForceAtOnce(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
-		after(300 * time.Millisecond)
+func TestChangeIsInForceAtOnce(t *testing.T) {
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
+		sleep(300 * time.Millisecond)
 		g.Expect(f.Table().Version()).To(Equal(uint64(1)))
-		s.set(func() { s.version = 7 })
+		s.update(func() { s.version = 7 })
 		synctest.Wait()
 		g.Expect(f.Table().Version()).To(Equal(uint64(7)))
 	})
 }
 
 func TestATableIsNeverReplacedByAnOlderOne(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
-		s.set(func() { s.version = 7 })
-		after(time.Millisecond)
-		s.set(func() { s.version = 6 })
-		after(3 * time.Second)
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
+		s.update(func() { s.version = 7 })
+		sleep(time.Millisecond)
+		s.update(func() { s.version = 6 })
+		sleep(3 * time.Second)
 		g.Expect(f.Table().Version()).To(Equal(uint64(7)))
 	})
 }
 
-func TestAgeCountsFromWhenAReadingWasSent(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
-		s.with(func() { s.delay = 200 * time.Millisecond })
-		after(1100 * time.Millisecond)
-		// The call that waits was sent at 0 and hasn't been answered.
+func TestAgeStartsWhenCallIsSent(t *testing.T) {
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
+		s.configure(func() { s.delay = 200 * time.Millisecond })
+		sleep(1100 * time.Millisecond)
+		// The waiting call was sent at 0 and hasn't been answered.
 		g.Expect(f.Age()).To(Equal(1100 * time.Millisecond))
-		after(200 * time.Millisecond)
-		// It has been, at 1.2 s, and tells of the moment 0 at the earliest.
+		sleep(200 * time.Millisecond)
+		// It was answered at 1.2 s, and only confirms the state as of time 0.
 		g.Expect(f.Age()).To(Equal(1300 * time.Millisecond))
 	})
 }
 
-func TestAgeGrowsWhileTheSourceIsAwayAndTheTableStays(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
-		after(time.Millisecond)
-		s.with(func() { s.away = true })
-		after(10 * time.Second)
+func TestAgeGrowsAndTableStaysDuringOutage(t *testing.T) {
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
+		sleep(time.Millisecond)
+		s.configure(func() { s.unavailable = true })
+		sleep(10 * time.Second)
 		g.Expect(f.Age()).To(BeNumerically(">", 8*time.Second))
 		g.Expect(f.Table().Version()).To(Equal(uint64(1)))
-		s.with(func() { s.away = false })
-		after(time.Second)
+		s.configure(func() { s.unavailable = false })
+		sleep(time.Second)
 		g.Expect(f.Age()).To(BeNumerically("<", 1500*time.Millisecond))
 	})
 }
 
-func TestALostHistoryHasTheWholeReadAgain(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
-		after(time.Millisecond)
-		s.with(func() {
-			s.lost = true
-			s.version = 9 // changed where no call was told of it
-			s.entries, s.oldEntries = s.entries[:1], s.entries
+func TestLostHistoryCausesFullRead(t *testing.T) {
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
+		sleep(time.Millisecond)
+		s.configure(func() {
+			s.historyLost = true
+			s.version = 9 // changed without waking a call
+			s.entries, s.staleEntries = s.entries[:1], s.entries
 		})
-		after(1500 * time.Millisecond)
+		sleep(1500 * time.Millisecond)
 		g.Expect(f.Table().Version()).To(Equal(uint64(9)))
 		g.Expect(f.Directory().For("s")).To(HaveLen(1))
-		g.Expect(s.freshens).To(Equal(1), "a cheap reading may be older than what was known")
+		g.Expect(s.freshReads).To(Equal(1), "a cheap read may be older than the present state")
 	})
 }
 
-func TestACheapReadingThatIsOldIsCaughtUpAtOnce(t *testing.T) {
+func TestOutdatedCheapReadIsUpdatedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := newSource()
-		s.oldEntries, s.oldRevision = s.entries, s.revision
-		s.leave("b")
+		s.staleEntries, s.staleRevision = s.entries, s.revision
+		s.removeEndpoint("b")
 		f := follow.New(follow.Config{Source: s, Timing: timing, Log: zerolog.Nop(), Clock: time.Now, OnDirectory: func(*directory.Directory) {}})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go f.Run(ctx)
-		after(timing.Pace)
+		sleep(timing.Pace)
 		g.Expect(f.Directory().For("s")).To(HaveLen(1))
 		g.Expect(s.reads).To(Equal(1))
 	})
 }
 
-func TestEndpointsComeAndGoWithoutReadingTheListAgain(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
-		after(300 * time.Millisecond)
-		s.leave("a")
+func TestEndpointChangesNeedNoFullRead(t *testing.T) {
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
+		sleep(300 * time.Millisecond)
+		s.removeEndpoint("a")
 		synctest.Wait()
 		g.Expect(f.Directory().For("s")).To(HaveLen(1))
-		s.enter("c")
-		after(timing.Pace)
+		s.addEndpoint("c")
+		sleep(timing.Pace)
 		g.Expect(f.Directory().For("s")).To(HaveLen(2))
 		g.Expect(s.reads).To(Equal(1))
 	})
 }
 
-func TestChangesWithoutEndAreAskedForAtAPace(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
+func TestCallRateIsBoundedUnderConstantChanges(t *testing.T) {
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
 		for range 1000 {
-			s.set(func() { s.version++ })
-			after(10 * time.Millisecond)
+			s.update(func() { s.version++ })
+			sleep(10 * time.Millisecond)
 		}
-		g.Expect(s.watches).To(BeNumerically("<=", 52))
+		g.Expect(s.awaits).To(BeNumerically("<=", 52))
 		g.Expect(f.Age()).To(BeNumerically("<=", 2*timing.Pace))
 	})
 }
 
-func TestEntriesThatLapsedInAnOutageAreKeptUntilTheyWouldBeBack(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
-		after(100 * time.Millisecond)
-		s.with(func() { s.away = true })
-		after(4 * time.Second)
-		s.leave("b")
-		s.with(func() { s.away = false })
-		after(time.Second)
+func TestExpiredEntriesAreKeptAfterOutage(t *testing.T) {
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
+		sleep(100 * time.Millisecond)
+		s.configure(func() { s.unavailable = true })
+		sleep(4 * time.Second)
+		s.removeEndpoint("b")
+		s.configure(func() { s.unavailable = false })
+		sleep(time.Second)
 		g.Expect(f.Directory().For("s")).To(HaveLen(2))
-		after(3 * time.Second)
+		sleep(3 * time.Second)
 		g.Expect(f.Directory().For("s")).To(HaveLen(1))
 	})
 }
 
-func TestAnOutageThatOnlyThePeersNoticedKeepsEntriesToo(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
-		after(100 * time.Millisecond)
-		s.with(func() {
-			s.peerAge = 3500 * time.Millisecond // all calls succeed, what they tell is old
+func TestExpiredEntriesAreKeptAfterOutageSeenByPeers(t *testing.T) {
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
+		sleep(100 * time.Millisecond)
+		s.configure(func() {
+			s.peerAge = 3500 * time.Millisecond // all calls succeed with outdated state
 		})
-		after(4 * time.Second)
-		s.with(func() { s.peerAge = 0 })
-		s.leave("b")
-		after(500 * time.Millisecond)
+		sleep(4 * time.Second)
+		s.configure(func() { s.peerAge = 0 })
+		s.removeEndpoint("b")
+		sleep(500 * time.Millisecond)
 		g.Expect(f.Directory().For("s")).To(HaveLen(2))
-		after(4 * time.Second)
+		sleep(4 * time.Second)
 		g.Expect(f.Directory().For("s")).To(HaveLen(1))
 	})
 }
 
-// What peers told was old, while others read the service all the while: the same without
-// the words on that is TestAnOutageThatOnlyThePeersNoticedKeepsEntriesToo.
-func TestAGapInWhatPeersTellIsNoOutageWhereOthersReadOn(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
-		begun := time.Now()
-		after(100 * time.Millisecond)
-		s.with(func() {
+// Peers sent outdated state while others read the service throughout. Without the report of this
+// span TestExpiredEntriesAreKeptAfterOutageSeenByPeers applies.
+func TestOutdatedPeerIsNoOutageWhileOthersReadSource(t *testing.T) {
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
+		start := time.Now()
+		sleep(100 * time.Millisecond)
+		s.configure(func() {
 			s.peerAge = 3500 * time.Millisecond
-			s.steady = func() follow.Span { return follow.Span{From: begun, To: time.Now()} }
+			s.uptime = func() follow.Span { return follow.Span{From: start, To: time.Now()} }
 		})
-		after(4 * time.Second)
-		s.with(func() { s.peerAge = 0 })
-		s.leave("b")
-		after(500 * time.Millisecond)
+		sleep(4 * time.Second)
+		s.configure(func() { s.peerAge = 0 })
+		s.removeEndpoint("b")
+		sleep(500 * time.Millisecond)
 		g.Expect(f.Directory().For("s")).To(HaveLen(1))
 	})
 }
 
-func TestKnowledgeThatGetsFreshWithoutAnOutageKeepsNothing(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
-		after(3 * time.Second)
-		// A peer in calm times: what it knows is up to two waits old, and fresh right
-		// after something changed there twice.
-		s.with(func() { s.peerAge = 900 * time.Millisecond })
-		after(2100 * time.Millisecond)
-		s.with(func() { s.peerAge = 0 })
-		s.leave("b")
-		after(timing.Pace)
+func TestNothingIsKeptWithoutOutage(t *testing.T) {
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
+		sleep(3 * time.Second)
+		// Without changes a peer's state is up to two waits old, and fresh right after two changes.
+		s.configure(func() { s.peerAge = 900 * time.Millisecond })
+		sleep(2100 * time.Millisecond)
+		s.configure(func() { s.peerAge = 0 })
+		s.removeEndpoint("b")
+		sleep(timing.Pace)
 		g.Expect(f.Directory().For("s")).To(HaveLen(1))
 	})
 }
 
-func TestAfterAFailedCallTheNextDoesNotWait(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
-		after(300 * time.Millisecond)
-		s.with(func() { s.away = true })
-		after(3 * time.Second)
-		s.with(func() { s.away = false })
-		// A call that is under way fails within the slack, and a pause follows.
-		after(timing.Slack + 450*time.Millisecond)
+func TestCallAfterFailureDoesNotWait(t *testing.T) {
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
+		sleep(300 * time.Millisecond)
+		s.configure(func() { s.unavailable = true })
+		sleep(3 * time.Second)
+		s.configure(func() { s.unavailable = false })
+		// A call in progress fails within the slack, and a pause follows.
+		sleep(timing.Slack + 450*time.Millisecond)
 		g.Expect(f.Age()).To(BeNumerically("<", timing.Slack+450*time.Millisecond))
-		g.Expect(s.reads).To(Equal(1), "what changed meanwhile is known without reading the whole")
+		g.Expect(s.reads).To(Equal(1), "missed changes need no full read")
 	})
 }
 
-func TestAConfigurationThatCannotBeUsedLeavesTheLastAndTheListFollowed(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
-		after(300 * time.Millisecond)
-		s.set(func() { s.version, s.unusable = 7, true })
-		after(time.Second)
-		s.leave("b")
-		after(time.Second)
+func TestInvalidConfigurationKeepsLastAndListUpdates(t *testing.T) {
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
+		sleep(300 * time.Millisecond)
+		s.update(func() { s.version, s.unusable = 7, true })
+		sleep(time.Second)
+		s.removeEndpoint("b")
+		sleep(time.Second)
 		g.Expect(f.Table().Version()).To(Equal(uint64(1)))
 		g.Expect(f.Directory().For("s")).To(HaveLen(1))
-		s.set(func() { s.version, s.unusable = 8, false })
-		after(time.Second)
+		s.update(func() { s.version, s.unusable = 8, false })
+		sleep(time.Second)
 		g.Expect(f.Table().Version()).To(Equal(uint64(8)))
 	})
 }
 
-func TestCallsStayFewWhileNothingChanges(t *testing.T) {
-	play(t, func(g *WithT, s *source, f *follow.Follower) {
-		after(30 * time.Second)
-		g.Expect(s.watches).To(BeNumerically("<=", 31))
+func TestFewCallsWithoutChanges(t *testing.T) {
+	runFollower(t, func(g *WithT, s *source, f *follow.Follower) {
+		sleep(30 * time.Second)
+		g.Expect(s.awaits).To(BeNumerically("<=", 31))
 		g.Expect(s.reads).To(Equal(1))
 	})
 }
--- a/internal/follow/suspend_test.go
+++ b/internal/follow/suspend_test.go
@@ -13,9 +13,8 @@
 	"coveferry/internal/follow"
 )
 
-// A VM that is suspended loses time that timers don't count, and that callers and the
-// operator's bounds do.
-func TestKnowledgeAgesWhileTheVMIsSuspended(t *testing.T) {
+// While a VM is suspended timers stand still, but callers and the operator's bounds count that time.
+func TestAgeIncludesSuspendedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		s := newSource()
@@ -25,12 +24,12 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go f.Run(ctx)
-		after(300 * time.Millisecond)
+		sleep(300 * time.Millisecond)
 		suspended = 8 * time.Second
-		g.Expect(f.Age()).To(BeNumerically(">", 8*time.Second), "keys must not be trusted on waking")
-		// What left meanwhile is told by the first call that is sent after waking.
-		s.leave("b")
-		after(timing.Wait + timing.Slack)
+		g.Expect(f.Age()).To(BeNumerically(">", 8*time.Second), "keys must not be trusted after resuming")
+		// The first call after resuming returns what was removed meanwhile.
+		s.removeEndpoint("b")
+		sleep(timing.Wait + timing.Slack)
 		g.Expect(f.Age()).To(BeNumerically("<", timing.Wait+timing.Slack))
 	})
 }
--- a/internal/peers/demand.go
+++ b/internal/peers/demand.go
@@ -125,9 +125,9 @@
 		routers += report.routers
 		reported[report.domain] = true
 	}
-	for vm, said := range d.byRouter {
-		if vm != except && !reported[said.domain] {
-			total = total.Plus(said.demand)
+	for vm, report := range d.byRouter {
+		if vm != except && !reported[report.domain] {
+			total = total.Plus(report.demand)
 			routers++
 		}
 	}
--- a/internal/peers/failures.go
+++ b/internal/peers/failures.go
@@ -88,12 +88,12 @@
 			add(received.reports)
 		}
 	}
-	var words []balance.FailureWord
+	var reports []balance.FailureWord
 	for _, w := range totals {
-		words = append(words, w)
+		reports = append(reports, w)
 	}
-	slices.SortFunc(words, func(a, b balance.FailureWord) int { return strings.Compare(a.Endpoint, b.Endpoint) })
-	return words
+	slices.SortFunc(reports, func(a, b balance.FailureWord) int { return strings.Compare(a.Endpoint, b.Endpoint) })
+	return reports
 }
 
 // applyFailures passes the failures that others observed to this router's pool. Without any it
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -23,20 +23,20 @@
 	"coveferry/internal/route"
 )
 
-var peerOfTests = identity.Peer{Role: identity.RoleRouter}
+var testPeer = identity.Peer{Role: identity.RoleRouter}
 
-var errAway = errors.New("away")
+var errRefused = errors.New("refused by the store")
 
-// store is the source behind all routers. It counts calls and turns some away.
+// store is the source behind all routers. It counts calls and can refuse or ignore routers.
 type store struct {
-	mu      sync.Mutex
-	version uint64
-	calls   int
-	reads   int // of everything
-	away    map[string]bool
-	silent  map[string]bool // these get no answer at all
-	second  bool            // a second endpoint is listed
-	// evacuated are the failure domains that are to get nothing.
+	mu             sync.Mutex
+	version        uint64
+	calls          int
+	reads          int // full reads
+	refused        map[string]bool
+	unresponsive   map[string]bool // calls of these routers get no answer
+	secondEndpoint bool            // lists a second endpoint
+	// evacuated are the evacuated failure domains.
 	evacuated []string
 }
 
@@ -46,39 +46,39 @@
 	return s.calls
 }
 
-// view is the store as one router reaches it.
-type view struct {
+// routerView is the store as one router reaches it.
+type routerView struct {
 	*store
 	vm string
 }
 
-func (v view) call(ctx context.Context) (uint64, error) {
+func (v routerView) call(ctx context.Context) (uint64, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.calls++
-	if v.silent[v.vm] {
+	if v.unresponsive[v.vm] {
 		v.mu.Unlock()
 		<-ctx.Done()
 		v.mu.Lock()
 		return 0, ctx.Err()
 	}
-	if v.away[v.vm] {
-		return 0, errAway
+	if v.refused[v.vm] {
+		return 0, errRefused
 	}
 	return v.version, nil
 }
 
-func (v view) now() uint64 {
+func (v routerView) currentVersion() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.version
 }
 
-func (v view) reading(version uint64) follow.Reading {
+func (v routerView) reading(version uint64) follow.Reading {
 	entries := []directory.Entry{{Endpoint: bundle.Endpoint{Name: "e", Address: "a", Services: []string{"s"}}}}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.second {
+	if v.secondEndpoint {
 		entries = append(entries, directory.Entry{Endpoint: bundle.Endpoint{Name: "x", Address: "b", Services: []string{"s"}}})
 	}
 	return follow.Reading{
@@ -90,7 +90,7 @@
 	}
 }
 
-func (v view) Read(ctx context.Context, _ bool) (follow.Reading, error) {
+func (v routerView) Read(ctx context.Context, _ bool) (follow.Reading, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	v.mu.Lock()
@@ -100,7 +100,7 @@
 	return v.reading(version), err
 }
 
-func (v view) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
+func (v routerView) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
 	version, err := v.call(ctx)
 	if err != nil {
 		return follow.Reading{}, err
@@ -112,34 +112,34 @@
 		if !clock.Sleep(ctx, min(10*time.Millisecond, time.Until(until))) {
 			return follow.Reading{}, ctx.Err()
 		}
-		if now := v.now(); now > after {
-			return v.answer(ctx, v.reading(now))
+		if now := v.currentVersion(); now > after {
+			return v.reply(ctx, v.reading(now))
 		}
 	}
-	return v.answer(ctx, follow.Reading{List: directory.Reading{Revision: after}})
+	return v.reply(ctx, follow.Reading{List: directory.Reading{Revision: after}})
 }
 
-// answer is what a call that has waited gets: nothing where the store has fallen silent
+// reply returns the answer of a call that has waited: none if the store has become unresponsive
 // to the router meanwhile.
-func (v view) answer(ctx context.Context, r follow.Reading) (follow.Reading, error) {
+func (v routerView) reply(ctx context.Context, r follow.Reading) (follow.Reading, error) {
 	v.mu.Lock()
-	silent := v.silent[v.vm]
+	unresponsive := v.unresponsive[v.vm]
 	v.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return follow.Reading{}, ctx.Err()
 	}
 	return r, nil
 }
 
-func (v view) CatchUp(ctx context.Context, after uint64) (follow.Reading, error) {
+func (v routerView) CatchUp(ctx context.Context, after uint64) (follow.Reading, error) {
 	return v.Await(ctx, after, follow.AtOnce)
 }
 
 // readTimeout bounds a single read, as in the daemon.
 const readTimeout = 600 * time.Millisecond
 
-// node is a router as far as reading goes.
+// node is the part of a router that reads the configuration and the list.
 type node struct {
 	vm       string
 	source   *Source
@@ -149,49 +149,49 @@
 	pool     *control.Pool
 }
 
-// fleet is routers in two failure domains that share a store.
+// fleet is a set of routers, by default in two failure domains, that share a store.
 type fleet struct {
 	net   *memnet.Net
 	store *store
 	nodes []*node
 	seeds []string
-	// shape of the fleet
-	domains int     // failure domains; 0 is 2
-	mbps    float64 // of each router's link; 0 isn't known
+	// Shape of the fleet.
+	domains int     // number of failure domains; 0 means 2
+	mbps    float64 // of each router's link; 0 means unknown
 }
 
-// maxAge is above two waits, as in the daemon: knowledge gets that old in calm times.
+// maxAge is above two waits, as in the daemon: without changes the state gets that old.
 const (
 	maxAge = 2350 * time.Millisecond
 	outage = 2800 * time.Millisecond
 )
 
-func play(t *testing.T, routers int, do func(g *WithT, f *fleet)) {
+func runFleet(t *testing.T, routers int, test func(g *WithT, f *fleet)) {
 	t.Helper()
-	playShape(t, routers, 2, 0, do)
+	runFleetShape(t, routers, 2, 0, test)
 }
 
-// playShape is the same in so many failure domains with links of mbps.
-func playShape(t *testing.T, routers, domains int, mbps float64, do func(g *WithT, f *fleet)) {
+// runFleetShape is runFleet with the given number of failure domains and links of mbps.
+func runFleetShape(t *testing.T, routers, domains int, mbps float64, test func(g *WithT, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		f := &fleet{net: memnet.New(), store: &store{version: 1, away: make(map[string]bool)}, domains: domains, mbps: mbps}
+		f := &fleet{net: memnet.New(), store: &store{version: 1, refused: make(map[string]bool)}, domains: domains, mbps: mbps}
 		for i := range min(3, routers) {
 			f.seeds = append(f.seeds, address(i))
 		}
 		for i := range routers {
-			f.start(g, i)
+			f.startNode(g, i)
 		}
-		defer f.end()
+		defer f.stopAll()
 		time.Sleep(6 * time.Second)
-		do(g, f)
+		test(g, f)
 	})
 }
 
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:1", i/250, i%250) }
 
-func (f *fleet) start(g *WithT, i int) {
+func (f *fleet) startNode(g *WithT, i int) {
 	vm := fmt.Sprint("vm", i)
 	l, err := f.net.Listen(address(i))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -199,7 +199,7 @@
 	n.pool = control.NewPool(control.ClientConfig{Dial: f.net.Dialer(vm)}, 0)
 	n.source = New(Config{
 		Self: Member{VM: vm, FailureDomain: fmt.Sprint("domain", i%cmp.Or(f.domains, 2)), Address: address(i), LinkMbps: f.mbps}, Seeds: f.seeds,
-		Source: view{f.store, vm}, Pool: n.pool, Every: 250 * time.Millisecond, MaxAge: maxAge, Outage: outage, Clock: time.Now, Log: zerolog.Nop(),
+		Source: routerView{f.store, vm}, Pool: n.pool, Every: 250 * time.Millisecond, MaxAge: maxAge, Outage: outage, Clock: time.Now, Log: zerolog.Nop(),
 	})
 	n.server = control.NewServer(control.ServerConfig{Listener: l})
 	n.source.Register(n.server)
@@ -220,7 +220,7 @@
 	f.nodes = append(f.nodes, n)
 }
 
-func (n *node) end() {
+func (n *node) shutDown() {
 	if n.stop == nil {
 		return
 	}
@@ -240,39 +240,39 @@
 	return readers
 }
 
-func (f *fleet) set(version uint64) {
+func (f *fleet) setVersion(version uint64) {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
 	f.store.version = version
 }
 
-// change sets a version, with or without a second endpoint.
-func (f *fleet) change(version uint64, second bool) {
+// setVersionAndEndpoint sets the version and whether a second endpoint is listed.
+func (f *fleet) setVersionAndEndpoint(version uint64, second bool) {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
-	f.store.version, f.store.second = version, second
+	f.store.version, f.store.secondEndpoint = version, second
 }
 
-func (f *fleet) turnAway(vms ...string) {
+func (f *fleet) refuse(vms ...string) {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
 	for _, vm := range vms {
-		f.store.away[vm] = true
+		f.store.refused[vm] = true
 	}
 }
 
-// silence has the store answer some routers nothing; none ends that.
-func (f *fleet) silence(vms ...string) {
+// setUnresponsive has the store not answer these routers, and answer all others.
+func (f *fleet) setUnresponsive(vms ...string) {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
-	f.store.silent = make(map[string]bool)
+	f.store.unresponsive = make(map[string]bool)
 	for _, vm := range vms {
-		f.store.silent[vm] = true
+		f.store.unresponsive[vm] = true
 	}
 }
 
-// inForce counts the routers that run by a version.
-func (f *fleet) inForce(version uint64) int {
+// countInForce counts the running routers that have a version in force.
+func (f *fleet) countInForce(version uint64) int {
 	count := 0
 	for _, n := range f.nodes {
 		if n.stop != nil && n.follower.Table() != nil && n.follower.Table().Version() == version {
--- a/internal/peers/hello_test.go
+++ b/internal/peers/hello_test.go
@@ -1,7 +1,8 @@
 package peers
 
-// A greeting told all routers that were known, 120 bytes each: at 880 routers 105 KB a
-// second at each of them, six times what control may cost, and 31 MB a second at a seed.
+// Guards against hello replies that list all known routers, at 120 bytes each: with 880 routers
+// they took 105 KB a second at each, six times the limit for control traffic, and 31 MB a second
+// at a seed.
 
 import (
 	"encoding/json"
@@ -12,28 +13,28 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestAGreetingStaysSmallInALargeFleet(t *testing.T) {
+func TestHelloReplyStaysSmallInLargeFleet(t *testing.T) {
 	g := NewWithT(t)
 	const routers, inDomain = 880, 33
 	now := time.Now()
-	of := func(i int) Member {
+	member := func(i int) Member {
 		return Member{VM: fmt.Sprintf("front-domain-%d-%d", i/inDomain, i), FailureDomain: fmt.Sprint("domain-", i/inDomain), Address: "10.0.0.1:8000"}
 	}
-	seed := newMembers(of(0))
+	seed := newMembers(member(0))
 	for i := range routers {
-		seed.recordSeen(of(i), now)
+		seed.recordSeen(member(i), now)
 	}
-	asker := of(500)
-	told := seed.membersFor(asker, now)
-	text, err := json.Marshal(told)
+	requester := member(500)
+	listed := seed.membersFor(requester, now)
+	text, err := json.Marshal(listed)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(text)).To(BeNumerically("<", 16<<10))
 
-	// It suffices to know whom to ask and how many there are.
-	m := newMembers(asker)
-	m.recordSeen(of(0), now)
+	// The readers to query and the number of routers are sufficient.
+	m := newMembers(requester)
+	m.recordSeen(member(0), now)
 	m.recordCount("seed", seed.countSeen(now), now)
-	for _, h := range told {
+	for _, h := range listed {
 		m.recordSeen(h.Member, now)
 	}
 	g.Expect(m.count(now)).To(Equal(routers - 1))
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -15,50 +15,52 @@
 	"coveferry/internal/upstream"
 )
 
-// needy is an endpoint that names a limit while it is in need, and counts what it gets.
-type needy struct {
+// limitedEndpoint is an endpoint that may name a rate limit, and records its requests.
+type limitedEndpoint struct {
 	limit    upstream.RateLimit
 	arrivals []time.Time
 }
 
-// since is how many requests came from a moment on.
-func (e *needy) since(from time.Time) int {
+// requestsSince counts the requests from the given time on.
+func (e *limitedEndpoint) requestsSince(from time.Time) int {
 	i, _ := slices.BinarySearchFunc(e.arrivals, from, time.Time.Compare)
 	return len(e.arrivals) - i
 }
 
-// most is the most requests that came in the span of a length from a moment on.
-func (e *needy) most(from time.Time, span time.Duration) int {
-	at := e.arrivals[len(e.arrivals)-e.since(from):]
-	most, first := 0, 0
+// maxInWindow returns the highest number of requests in any window of this length from the given
+// time on.
+func (e *limitedEndpoint) maxInWindow(from time.Time, window time.Duration) int {
+	at := e.arrivals[len(e.arrivals)-e.requestsSince(from):]
+	highest, first := 0, 0
 	for i, t := range at {
-		for t.Sub(at[first]) >= span {
+		for t.Sub(at[first]) >= window {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
 
-// callers ask the routers of a fleet for a service of four endpoints, of which one is needy.
-type callers struct {
+// clients send requests to the routers of a fleet for a service of four endpoints, one of which is
+// a limitedEndpoint.
+type clients struct {
 	fleet     *fleet
 	pools     map[*node]*balance.Pool
 	endpoints []*bundle.Endpoint
-	needy     *needy
-	rnd       *rand.Rand
+	limited   *limitedEndpoint
+	rng       *rand.Rand
 }
 
 const (
-	needyName = "e0"
-	// callsEach is how many requests a second come to each router.
-	callsEach  = 8.0
-	callStep   = 5 * time.Millisecond
-	answerTime = 40 * time.Millisecond
+	limitedName = "e0"
+	// requestsPerRouter is the number of requests a second to each router.
+	requestsPerRouter = 8.0
+	requestStep       = 5 * time.Millisecond
+	responseTime      = 40 * time.Millisecond
 )
 
-func newCallers(f *fleet) *callers {
-	c := &callers{fleet: f, pools: make(map[*node]*balance.Pool), needy: &needy{}, rnd: rand.New(rand.NewPCG(1, 2))}
+func newClients(f *fleet) *clients {
+	c := &clients{fleet: f, pools: make(map[*node]*balance.Pool), limited: &limitedEndpoint{}, rng: rand.New(rand.NewPCG(1, 2))}
 	for i := range 4 {
 		c.endpoints = append(c.endpoints, &bundle.Endpoint{
 			Name: fmt.Sprint("e", i), FailureDomain: "domain0", Services: []string{"s"}, Slots: 64,
@@ -67,8 +69,8 @@
 	return c
 }
 
-// pool is that of a router, which shares limits with the others.
-func (c *callers) pool(n *node) *balance.Pool {
+// pool returns the pool of a router, which shares limits with the others.
+func (c *clients) pool(n *node) *balance.Pool {
 	if p, ok := c.pools[n]; ok {
 		return p
 	}
@@ -83,106 +85,105 @@
 	return p
 }
 
-// call has callers ask for a while.
-func (c *callers) call(lasts time.Duration) {
-	for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(callStep) {
+// run sends requests for the given time.
+func (c *clients) run(duration time.Duration) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(requestStep) {
 		for _, n := range c.fleet.nodes {
-			if n.stop != nil && c.rnd.Float64() < callsEach*callStep.Seconds() {
+			if n.stop != nil && c.rng.Float64() < requestsPerRouter*requestStep.Seconds() {
 				c.request(c.pool(n))
 			}
 		}
 	}
-	time.Sleep(2 * answerTime) // what is open is answered
+	time.Sleep(2 * responseTime) // until the open requests are answered
 }
 
-func (c *callers) request(p *balance.Pool) {
+func (c *clients) request(p *balance.Pool) {
 	sent := time.Now()
 	e, err := p.Choose(sent, balance.Request{Service: "s"}, c.endpoints, nil)
 	if err != nil {
 		return
 	}
-	account := p.SentWork(sent, e.Name, balance.Work{Service: "s"})
-	var said upstream.RateLimit
-	if e.Name == needyName {
-		c.needy.arrivals = append(c.needy.arrivals, sent)
-		said = c.needy.limit
+	work := p.SentWork(sent, e.Name, balance.Work{Service: "s"})
+	var limit upstream.RateLimit
+	if e.Name == limitedName {
+		c.limited.arrivals = append(c.limited.arrivals, sent)
+		limit = c.limited.limit
 	}
-	time.AfterFunc(answerTime, func() {
-		p.HearLimit(time.Now(), sent, e.Name, said)
-		account.Ended()
-		account.Done(time.Now(), balance.ResultOK)
+	time.AfterFunc(responseTime, func() {
+		p.HearLimit(time.Now(), sent, e.Name, limit)
+		work.Ended()
+		work.Done(time.Now(), balance.ResultOK)
 	})
 }
 
 const (
 	limitWindow = 4 * time.Second
-	// toldWithin is how soon all routers must keep to a limit: half of the time that is
-	// allowed to them.
-	toldWithin = 1500 * time.Millisecond
-	// backWithin is how soon an endpoint gets its share again.
-	backWithin = 3 * time.Second
+	// maxLimitDelay is how soon all routers must respect a limit: half of the time allowed.
+	maxLimitDelay = 1500 * time.Millisecond
+	// maxRecoveryTime is how soon after the end of its limit an endpoint gets its share again.
+	maxRecoveryTime = 3 * time.Second
 )
 
-func TestAFleetKeepsToALimitFromWhenItIsNamedUntilItIsNot(t *testing.T) {
+func TestFleetEnforcesEndpointLimitWhileNamed(t *testing.T) {
 	for _, c := range []struct {
 		routers, domains int
 		perSecond        float64
 	}{{1, 1, 1}, {3, 3, 1}, {12, 3, 0.2}, {12, 3, 4}, {31, 3, 1}, {103, 5, 1}, {103, 5, 20}} {
-		playShape(t, c.routers, c.domains, 0, func(g *WithT, f *fleet) {
-			calls := newCallers(f)
-			calls.call(settleTime + time.Second)
-			before := float64(calls.needy.since(time.Now().Add(-time.Second)))
-			calls.needy.limit = upstream.RateLimit{Statement: upstream.LimitNamed, PerSecond: c.perSecond}
-			named := time.Now()
-			calls.call(toldWithin + 5*limitWindow)
-			bears := 1.5*c.perSecond*limitWindow.Seconds() + 5
-			most := calls.needy.most(named.Add(toldWithin), limitWindow)
-			mean := float64(calls.needy.since(named.Add(toldWithin))) / (5 * limitWindow.Seconds())
-			calls.needy.limit = upstream.RateLimit{}
-			calls.call(max(backWithin, time.Duration(1.5/c.perSecond*float64(time.Second))))
+		runFleetShape(t, c.routers, c.domains, 0, func(g *WithT, f *fleet) {
+			clients := newClients(f)
+			clients.run(settleTime + time.Second)
+			before := float64(clients.limited.requestsSince(time.Now().Add(-time.Second)))
+			clients.limited.limit = upstream.RateLimit{Statement: upstream.LimitNamed, PerSecond: c.perSecond}
+			limitedAt := time.Now()
+			clients.run(maxLimitDelay + 5*limitWindow)
+			allowed := 1.5*c.perSecond*limitWindow.Seconds() + 5
+			highest := clients.limited.maxInWindow(limitedAt.Add(maxLimitDelay), limitWindow)
+			mean := float64(clients.limited.requestsSince(limitedAt.Add(maxLimitDelay))) / (5 * limitWindow.Seconds())
+			clients.limited.limit = upstream.RateLimit{}
+			clients.run(max(maxRecoveryTime, time.Duration(1.5/c.perSecond*float64(time.Second))))
 			after := time.Now()
-			calls.call(2 * time.Second)
-			back := float64(calls.needy.since(after)) / 2
-			t.Logf("%3d routers, %4.3g/s: %d in 4 s of %.1f, %.2f/s used; %.0f/s before, %.0f/s after", c.routers, c.perSecond, most, bears, mean, before, back)
-			g.Expect(float64(most)).To(BeNumerically("<=", bears), "%+v", c)
-			wanted := min(c.perSecond, before)
-			g.Expect(mean).To(BeNumerically(">=", 0.5*wanted), "%+v: used", c)
-			g.Expect(back).To(BeNumerically(">=", 0.5*before), "%+v: after it is no longer named", c)
+			clients.run(2 * time.Second)
+			recovered := float64(clients.limited.requestsSince(after)) / 2
+			t.Logf("%3d routers, limit %4.3g/s: %d in 4 s (at most %.1f), mean %.2f/s; %.0f/s before, %.0f/s after", c.routers, c.perSecond, highest, allowed, mean, before, recovered)
+			g.Expect(float64(highest)).To(BeNumerically("<=", allowed), "%+v", c)
+			expected := min(c.perSecond, before)
+			g.Expect(mean).To(BeNumerically(">=", 0.5*expected), "%+v: mean rate under the limit", c)
+			g.Expect(recovered).To(BeNumerically(">=", 0.5*before), "%+v: after the limit has ended", c)
 		})
 	}
 }
 
-// A router that has just started asks others which limits hold before it owns a part of any.
-func TestARouterThatStartsHearsOfTheLimitsThatHold(t *testing.T) {
-	playShape(t, 12, 3, 0, func(g *WithT, f *fleet) {
-		calls := newCallers(f)
-		calls.call(settleTime + time.Second)
-		calls.needy.limit = upstream.RateLimit{Statement: upstream.LimitNamed, PerSecond: 1}
-		calls.call(30 * time.Second)
-		f.nodes[3].end()
-		f.start(g, 12)
+// A starting router learns the current limits from others before it owns a share of any.
+func TestStartingRouterLearnsCurrentLimits(t *testing.T) {
+	runFleetShape(t, 12, 3, 0, func(g *WithT, f *fleet) {
+		clients := newClients(f)
+		clients.run(settleTime + time.Second)
+		clients.limited.limit = upstream.RateLimit{Statement: upstream.LimitNamed, PerSecond: 1}
+		clients.run(30 * time.Second)
+		f.nodes[3].shutDown()
+		f.startNode(g, 12)
 		started := f.nodes[12]
-		calls.pool(started)
+		clients.pool(started)
 		time.Sleep(2 * time.Second)
-		g.Expect(calls.pool(started).Limits().Endpoints).To(Equal(1), "without a request of its own")
+		g.Expect(clients.pool(started).Limits().Endpoints).To(Equal(1), "without any request to this router")
 		from := time.Now()
-		calls.call(3 * limitWindow)
-		g.Expect(calls.needy.most(from, limitWindow)).To(BeNumerically("<=", 11))
+		clients.run(3 * limitWindow)
+		g.Expect(clients.limited.maxInWindow(from, limitWindow)).To(BeNumerically("<=", 11))
 	})
 }
 
-// A router that hears of nobody any more may be the last one or cut off: it goes on with one
-// part of as many as there were.
-func TestARouterThatHearsOfNobodyForLongCountsThoseThatThereWere(t *testing.T) {
-	playShape(t, 3, 3, 0, func(g *WithT, f *fleet) {
+// A router that sees no other may be the last one or partitioned: it continues with one share of
+// as many as there were at the peak.
+func TestIsolatedRouterAssumesPeakFleetSize(t *testing.T) {
+	runFleetShape(t, 3, 3, 0, func(g *WithT, f *fleet) {
 		time.Sleep(settleTime)
-		f.nodes[1].end()
-		f.nodes[2].end()
+		f.nodes[1].shutDown()
+		f.nodes[2].shutDown()
 		time.Sleep(sharingTTL / 2)
 		fleet := f.nodes[0].source.Fleet(time.Now())
 		g.Expect(fleet.Known).To(BeTrue())
 		g.Expect(fleet.Domains).To(HaveLen(3))
-		g.Expect(fleet.CutOffFrom).To(BeZero(), "they may go on")
+		g.Expect(fleet.CutOffFrom).To(BeZero(), "the others may still run")
 		time.Sleep(sharingTTL)
 		fleet = f.nodes[0].source.Fleet(time.Now())
 		g.Expect(fleet.Known).To(BeTrue())
--- a/internal/peers/narrow_test.go
+++ b/internal/peers/narrow_test.go
@@ -22,31 +22,31 @@
 	"coveferry/internal/route"
 )
 
-// bigStore holds a configuration that has to come over the link of who reads it.
-type bigStore struct {
+// configStore holds a configuration that is transferred over the reader's link.
+type configStore struct {
 	mu     sync.Mutex
 	config *route.Config
 }
 
-func (s *bigStore) set(c *route.Config) {
+func (s *configStore) set(c *route.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config = c
 }
 
-func (s *bigStore) get() *route.Config {
+func (s *configStore) get() *route.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.config
 }
 
-// linkedView is the store as a router reaches it over its link.
-type linkedView struct {
-	store *bigStore
+// linkView is the store as a router reaches it over its link.
+type linkView struct {
+	store *configStore
 	link  *memnet.Link
 }
 
-func (v linkedView) reading() follow.Reading {
+func (v linkView) reading() follow.Reading {
 	c := v.store.get()
 	size, _ := json.Marshal(c)
 	time.Sleep(time.Until(v.link.Reserve(len(size))))
@@ -54,9 +54,9 @@
 	return follow.Reading{Config: c, List: directory.Reading{Whole: true, Entries: entries, Revision: c.Version}}
 }
 
-func (v linkedView) Read(context.Context, bool) (follow.Reading, error) { return v.reading(), nil }
+func (v linkView) Read(context.Context, bool) (follow.Reading, error) { return v.reading(), nil }
 
-func (v linkedView) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
+func (v linkView) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
 	for until := time.Now().Add(wait); time.Now().Before(until); {
 		if v.store.get().Version > after {
 			return v.reading(), ctx.Err()
@@ -68,12 +68,12 @@
 	return follow.Reading{List: directory.Reading{Revision: after}}, ctx.Err()
 }
 
-func (v linkedView) CatchUp(ctx context.Context, after uint64) (follow.Reading, error) {
+func (v linkView) CatchUp(ctx context.Context, after uint64) (follow.Reading, error) {
 	return v.Await(ctx, after, follow.AtOnce)
 }
 
-// routesOf is a configuration of so many routes.
-func routesOf(version uint64, routes int) *route.Config {
+// configWithRoutes returns a configuration with the given number of routes.
+func configWithRoutes(version uint64, routes int) *route.Config {
 	c := &route.Config{Version: version, Services: []route.Service{{Name: "s"}}, Teams: map[string]*route.Team{"key": {Name: "team"}}}
 	for i := range routes {
 		c.Routes = append(c.Routes, route.Route{
@@ -90,7 +90,7 @@
 	link *memnet.Link
 }
 
-func startLinked(ctx context.Context, g *WithT, n *memnet.Net, store *bigStore, i int, mbps float64, seeds []string) *linkedNode {
+func startLinked(ctx context.Context, g *WithT, n *memnet.Net, store *configStore, i int, mbps float64, seeds []string) *linkedNode {
 	vm := fmt.Sprint("vm", i)
 	l, err := n.Listen(address(i))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -105,7 +105,7 @@
 	}}, 0)
 	source := New(Config{
 		Self: Member{VM: vm, FailureDomain: "domain", Address: address(i), Cores: 1, LinkMbps: mbps}, Seeds: seeds,
-		Source: linkedView{store, link}, Pool: pool, Every: 250 * time.Millisecond, MaxAge: maxAge, Log: zerolog.Nop(),
+		Source: linkView{store, link}, Pool: pool, Every: 250 * time.Millisecond, MaxAge: maxAge, Log: zerolog.Nop(),
 	})
 	server := control.NewServer(control.ServerConfig{Listener: link.Listener(l)})
 	source.Register(server)
@@ -124,21 +124,21 @@
 	return &linkedNode{node: node{vm: vm, source: source, follower: follower, stop: stop, server: server, pool: pool}, link: link}
 }
 
-// Of eleven routers of a failure domain one has a link of 200 Mbit/s and the others
-// of 10. A configuration that grows by many routes has to be in force at all of them
-// within 3 s, also while some restart.
-func TestALargeConfigurationIsInForceInTimeBehindNarrowLinks(t *testing.T) {
+// One of eleven routers of a failure domain has a link of 200 Mbit/s and the others of 10. A
+// configuration that grows by many routes has to be in force at all of them within 3 s, even while
+// some restart.
+func TestLargeConfigurationIsInForceInTimeOverNarrowLinks(t *testing.T) {
 	for _, routes := range []int{1500, 5000} {
 		t.Run(fmt.Sprint(routes), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				n := memnet.New()
-				store := &bigStore{config: routesOf(1, 20)}
+				store := &configStore{config: configWithRoutes(1, 20)}
 				seeds := []string{address(1), address(2), address(3)}
 				var nodes []*linkedNode
 				defer func() {
 					for _, node := range nodes {
-						node.end()
+						node.shutDown()
 					}
 					time.Sleep(time.Minute)
 				}()
@@ -154,8 +154,8 @@
 				}
 				time.Sleep(6 * time.Second)
 				for step, size := range []int{routes, routes + 1, routes / 2} {
-					nodes[4].end()
-					store.set(routesOf(uint64(2+step), size))
+					nodes[4].shutDown()
+					store.set(configWithRoutes(uint64(2+step), size))
 					time.Sleep(time.Second)
 					nodes[4] = start(4)
 					time.Sleep(2 * time.Second)
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestTheReaderIsOneThatCanCarryIt(t *testing.T) {
+func TestReaderHasEnoughCapacity(t *testing.T) {
 	g := NewWithT(t)
 	m := newMembers(Member{VM: "a", FailureDomain: "d", Cores: 0.8, LinkMbps: 10})
 	now := time.Now()
@@ -182,11 +182,11 @@
 	g.Expect(m.readers(now, "d")).To(HaveLen(1))
 	m.recordSeen(Member{VM: "c", FailureDomain: "d", Cores: 0.5, LinkMbps: 150}, now)
 	g.Expect(m.readers(now, "d")[0].VM).To(Equal("c"))
-	// Where nothing is known of VMs, any will do.
+	// If no capacity is known, all routers are candidates.
 	g.Expect(capableRouters([]seenMember{{member: Member{VM: "x"}}, {member: Member{VM: "y"}}})).To(HaveLen(2))
 }
 
-func TestAsManyRoutersReadAsCanTellTheOthersInTime(t *testing.T) {
+func TestReaderCountDependsOnLinkAndDomainSize(t *testing.T) {
 	g := NewWithT(t)
 	for _, c := range []struct {
 		routers int
@@ -196,18 +196,18 @@
 		g.Expect(readerCount(c.routers, c.mbps)).To(Equal(c.readers), "%d routers, %g Mbit/s", c.routers, c.mbps)
 	}
 	now := time.Now()
-	asked := make(map[string]int)
+	queries := make(map[string]int)
 	for self := range 33 {
 		m := newMembers(Member{VM: fmt.Sprint("vm", self), FailureDomain: "d", LinkMbps: 10})
 		for other := range 33 {
 			m.recordSeen(Member{VM: fmt.Sprint("vm", other), FailureDomain: "d", LinkMbps: 10}, now)
 		}
 		if !m.isReader(now) {
-			asked[m.peersToQuery(now)[0].VM]++
+			queries[m.peersToQuery(now)[0].VM]++
 		}
 	}
-	g.Expect(asked).To(HaveLen(4))
-	for reader, askers := range asked {
-		g.Expect(askers).To(BeNumerically("<", 15), reader)
+	g.Expect(queries).To(HaveLen(4))
+	for reader, count := range queries {
+		g.Expect(count).To(BeNumerically("<", 15), reader)
 	}
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -7,17 +7,17 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestOneRouterOfAFailureDomainReadsForAll(t *testing.T) {
-	play(t, 12, func(g *WithT, f *fleet) {
+func TestOneReaderPerFailureDomain(t *testing.T) {
+	runFleet(t, 12, func(g *WithT, f *fleet) {
 		g.Expect(f.readers()).To(HaveLen(2))
 		before := f.store.count()
 		time.Sleep(10 * time.Second)
-		// Two readers make a call a second that waits; each for itself, the
-		// routers would make 120.
+		// Two readers make one waiting call a second each; without readers the routers would make 120
+		// calls.
 		g.Expect(f.store.count() - before).To(BeNumerically("<=", 22))
-		f.set(7)
+		f.setVersion(7)
 		time.Sleep(1500 * time.Millisecond)
-		g.Expect(f.inForce(7)).To(Equal(12))
+		g.Expect(f.countInForce(7)).To(Equal(12))
 		for _, n := range f.nodes {
 			g.Expect(n.follower.Age()).To(BeNumerically("<", maxAge), n.vm)
 			g.Expect(n.follower.Directory().Len()).To(Equal(1))
@@ -25,10 +25,10 @@
 	})
 }
 
-func TestALostReaderIsReplaced(t *testing.T) {
-	play(t, 12, func(g *WithT, f *fleet) {
-		lost := f.readers()[0]
-		lost.end()
+func TestFailedReaderIsReplaced(t *testing.T) {
+	runFleet(t, 12, func(g *WithT, f *fleet) {
+		failed := f.readers()[0]
+		failed.shutDown()
 		time.Sleep(time.Second)
 		for _, n := range f.nodes {
 			if n.stop != nil {
@@ -37,38 +37,38 @@
 		}
 		time.Sleep(8 * time.Second)
 		g.Expect(f.readers()).To(HaveLen(2))
-		g.Expect(f.readers()).NotTo(ContainElement(lost))
-		f.set(9)
+		g.Expect(f.readers()).NotTo(ContainElement(failed))
+		f.setVersion(9)
 		time.Sleep(1500 * time.Millisecond)
-		g.Expect(f.inForce(9)).To(Equal(11))
+		g.Expect(f.countInForce(9)).To(Equal(11))
 	})
 }
 
-func TestARouterThatTheStoreTurnsAwayHearsFromOthers(t *testing.T) {
-	play(t, 2, func(g *WithT, f *fleet) { // each reads for its own domain
-		f.turnAway("vm0")
-		f.set(5)
+func TestRouterRefusedBySourceGetsUpdatesFromPeers(t *testing.T) {
+	runFleet(t, 2, func(g *WithT, f *fleet) { // each reads for its own domain
+		f.refuse("vm0")
+		f.setVersion(5)
 		time.Sleep(5 * time.Second)
 		g.Expect(f.nodes[0].follower.Table().Version()).To(Equal(uint64(5)))
 		g.Expect(f.nodes[0].follower.Age()).To(BeNumerically("<", 4*time.Second))
 		g.Expect(f.nodes[0].source.SourceLost()).To(BeNumerically(">", 3*time.Second))
 		g.Expect(f.nodes[1].source.SourceLost()).To(BeZero())
 		f.store.mu.Lock()
-		f.store.away = map[string]bool{}
+		f.store.refused = map[string]bool{}
 		f.store.mu.Unlock()
 		time.Sleep(time.Second)
 		g.Expect(f.nodes[0].source.SourceLost()).To(BeZero())
 	})
 }
 
-func TestARouterThatNoLongerAsksTheStoreHasNotLostIt(t *testing.T) {
-	play(t, 12, func(g *WithT, f *fleet) {
+func TestSourceFailureExpiresWithoutFurtherCalls(t *testing.T) {
+	runFleet(t, 12, func(g *WithT, f *fleet) {
 		for _, n := range f.nodes {
-			f.turnAway(n.vm)
+			f.refuse(n.vm)
 		}
 		time.Sleep(4 * time.Second)
 		f.store.mu.Lock()
-		f.store.away = map[string]bool{}
+		f.store.refused = map[string]bool{}
 		f.store.mu.Unlock()
 		time.Sleep(4 * time.Second)
 		for _, n := range f.nodes {
@@ -77,11 +77,11 @@
 	})
 }
 
-func TestNobodyMakesOldKnowledgeYounger(t *testing.T) {
-	play(t, 6, func(g *WithT, f *fleet) {
-		f.turnAway("vm0", "vm1", "vm2", "vm3", "vm4", "vm5")
+func TestPeersNeverReduceStateAge(t *testing.T) {
+	runFleet(t, 6, func(g *WithT, f *fleet) {
+		f.refuse("vm0", "vm1", "vm2", "vm3", "vm4", "vm5")
 		time.Sleep(time.Second)
-		began := time.Now()
+		start := time.Now()
 		before := make([]time.Duration, len(f.nodes))
 		for i, n := range f.nodes {
 			before[i] = n.follower.Age()
@@ -89,28 +89,28 @@
 		time.Sleep(10 * time.Second)
 		for i, n := range f.nodes {
 			grown := n.follower.Age() - before[i]
-			g.Expect(grown).To(BeNumerically(">", time.Since(began)-2*time.Second), n.vm)
+			g.Expect(grown).To(BeNumerically(">", time.Since(start)-2*time.Second), n.vm)
 		}
 	})
 }
 
-func TestRoutersWithoutPeersReadForThemselves(t *testing.T) {
-	play(t, 1, func(g *WithT, f *fleet) {
-		f.set(3)
+func TestRouterWithoutPeersReadsSource(t *testing.T) {
+	runFleet(t, 1, func(g *WithT, f *fleet) {
+		f.setVersion(3)
 		time.Sleep(1500 * time.Millisecond)
-		g.Expect(f.inForce(3)).To(Equal(1))
+		g.Expect(f.countInForce(3)).To(Equal(1))
 	})
 }
 
-func TestRoutersDoNotAllAskASourceThatNobodyReaches(t *testing.T) {
-	play(t, 12, func(g *WithT, f *fleet) {
+func TestFewCallsToUnreachableSource(t *testing.T) {
+	runFleet(t, 12, func(g *WithT, f *fleet) {
 		for _, n := range f.nodes {
-			f.turnAway(n.vm)
+			f.refuse(n.vm)
 		}
 		time.Sleep(4 * time.Second)
 		before := f.store.count()
 		time.Sleep(8 * time.Second)
-		// Ten routers ask once in 0.8 s at most, two readers 2.5 times a second.
+		// Ten routers make at most one call in 0.8 s, two readers 2.5 a second.
 		g.Expect(f.store.count() - before).To(BeNumerically("<=", 10*10+2*24))
 	})
 }
--- a/internal/peers/news_bench_test.go
+++ b/internal/peers/serve_bench_test.go
@@ -14,18 +14,18 @@
 	"coveferry/internal/route"
 )
 
-// knownState is a router's knowledge that doesn't change.
-type knownState struct {
+// fixedState is a router's state that doesn't change.
+type fixedState struct {
 	config *route.Config
 	list   *directory.Directory
 }
 
-func (s knownState) Config() *route.Config           { return s.config }
-func (s knownState) Directory() *directory.Directory { return s.list }
-func (s knownState) Age() time.Duration              { return time.Second }
+func (s fixedState) Config() *route.Config           { return s.config }
+func (s fixedState) Directory() *directory.Directory { return s.list }
+func (s fixedState) Age() time.Duration              { return time.Second }
 
-// readerOf is a reader that so many routers ask, of so many endpoints.
-func readerOf(routers, endpoints int) (*Source, []updateRequest) {
+// newBenchReader returns a reader of a list of endpoints, and the polls of its routers.
+func newBenchReader(routers, endpoints int) (*Source, []updateRequest) {
 	s := New(Config{Self: Member{VM: "reader", FailureDomain: "d"}, Every: 250 * time.Millisecond, Clock: time.Now})
 	var entries []directory.Entry
 	var list []*bundle.Endpoint
@@ -35,7 +35,7 @@
 		list = append(list, &e)
 	}
 	dir, _ := directory.Empty().Merge(directory.Reading{Whole: true, Entries: entries, Revision: 7}, time.Now(), time.Time{})
-	s.Tell(knownState{config: &route.Config{Version: 1}, list: dir})
+	s.Tell(fixedState{config: &route.Config{Version: 1}, list: dir})
 	policy := balance.NewPromptAware()
 	pool := balance.NewPool(balance.Config{Policy: policy})
 	pool.Views(time.Now(), list)
@@ -51,24 +51,24 @@
 	}
 	demand := balance.Demand{kind(0), kind(400), kind(600), kind(1500)}
 	s.ShareDemand(func() balance.Demand { return demand })
-	var asks []updateRequest
+	var polls []updateRequest
 	for i := range routers {
-		asks = append(asks, updateRequest{
+		polls = append(polls, updateRequest{
 			From: Member{VM: fmt.Sprintf("router-%04d", i), FailureDomain: "d"}, Version: 1, Revision: 7, Digest: dir.Digest(), Demand: demand,
 			Loads: pool.LoadWords(time.Now(), time.Hour, 2, true),
 		})
 	}
-	return s, asks
+	return s, polls
 }
 
-// What a question costs a reader grew with the endpoints: 18, 65, 227 and 1,574 us in these
-// shapes. It is 6, 13, 43 and 77 us where what all questions have in common serves for a while.
-func BenchmarkAQuestionToAReader(b *testing.B) {
+// The cost of a poll to a reader grew with the number of endpoints: 18, 65, 227 and 1,574 us for
+// these shapes. With the values that all polls share cached it is 6, 13, 43 and 77 us.
+func BenchmarkServeUpdate(b *testing.B) {
 	for _, shape := range []struct{ routers, endpoints int }{{7, 50}, {20, 180}, {71, 644}, {71, 3700}} {
 		b.Run(fmt.Sprintf("%d routers, %d endpoints", shape.routers, shape.endpoints), func(b *testing.B) {
-			s, asks := readerOf(shape.routers, shape.endpoints)
+			s, polls := newBenchReader(shape.routers, shape.endpoints)
 			for i := range b.N {
-				if _, err := s.serveUpdate(context.Background(), identity.Peer{}, asks[i%len(asks)]); err != nil {
+				if _, err := s.serveUpdate(context.Background(), identity.Peer{}, polls[i%len(polls)]); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -76,11 +76,11 @@
 	}
 }
 
-// seedOf is a seed that so many routers of so many failure domains greet.
-func seedOf(routers, domains int) (*Source, []helloRequest) {
+// newBenchSeed returns a seed that knows these routers, and their hellos.
+func newBenchSeed(routers, domains int) (*Source, []helloRequest) {
 	s := New(Config{Self: Member{VM: "seed", FailureDomain: "domain-0", Cores: 1, LinkMbps: 200}, Every: 250 * time.Millisecond, Clock: time.Now})
 	s.ShareDemand(func() balance.Demand { return nil })
-	var greetings []helloRequest
+	var hellos []helloRequest
 	for i := range routers {
 		m := Member{
 			VM: fmt.Sprintf("router-%04d", i), FailureDomain: fmt.Sprintf("domain-%d", i%domains), Address: "10.0.0.1:1", Cores: 0.144, LinkMbps: 20,
@@ -88,21 +88,21 @@
 		if i%7 == 0 {
 			m.Cores, m.LinkMbps = 0.8, 200
 		}
-		greetings = append(greetings, helloRequest{From: m})
+		hellos = append(hellos, helloRequest{From: m})
 		s.members.recordSeen(m, time.Now())
 	}
-	return s, greetings
+	return s, hellos
 }
 
-// What a greeting costs a seed grew with the square of the fleet: 49, 232, 888 and 8,128 us in
-// these shapes, as all routers were sorted for each failure domain and ranked at each comparison.
-// It is 20, 46, 160 and 394 us where they are gone through once.
-func BenchmarkAGreetingAtASeed(b *testing.B) {
+// The cost of a hello to a seed grew with the square of the fleet, as all routers were sorted for
+// each failure domain and ranked at each comparison: 49, 232, 888 and 8,128 us for these shapes.
+// With a single pass over the routers it is 20, 46, 160 and 394 us.
+func BenchmarkServeHello(b *testing.B) {
 	for _, shape := range []struct{ routers, domains int }{{28, 3}, {103, 5}, {357, 5}, {880, 27}} {
 		b.Run(fmt.Sprintf("%d routers in %d domains", shape.routers, shape.domains), func(b *testing.B) {
-			s, greetings := seedOf(shape.routers, shape.domains)
+			s, hellos := newBenchSeed(shape.routers, shape.domains)
 			for i := range b.N {
-				if _, err := s.serveHello(context.Background(), identity.Peer{}, greetings[i%len(greetings)]); err != nil {
+				if _, err := s.serveHello(context.Background(), identity.Peer{}, hellos[i%len(hellos)]); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/peers/shared_test.go
+++ b/internal/peers/shared_test.go
@@ -12,9 +12,9 @@
 	"coveferry/internal/load"
 )
 
-func TestRoutersKnowTheDemandOfAllOthersOnce(t *testing.T) {
+func TestDemandOfEachPeerCountsOnce(t *testing.T) {
 	for _, routers := range []int{2, 3, 12} {
-		play(t, routers, func(g *WithT, f *fleet) {
+		runFleet(t, routers, func(g *WithT, f *fleet) {
 			for _, n := range f.nodes {
 				n.source.ShareDemand(func() balance.Demand {
 					return balance.Demand{{GapMillis: 1, Requests: 1}, {GapMillis: 2, Requests: 10}}
@@ -22,20 +22,20 @@
 			}
 			time.Sleep(4 * time.Second)
 			for _, n := range f.nodes {
-				heard := n.source.OthersDemand().Demand
-				g.Expect(heard).To(HaveLen(2), n.vm)
-				g.Expect(heard[1].Requests).To(BeNumerically("~", 10*heard[0].Requests, 1e-9), n.vm)
-				g.Expect(heard[0].Requests).To(BeNumerically("<", float64(routers-1)+0.5), n.vm)
-				// What a reader doesn't hear from other failure domains is taken to
-				// be like what it hears.
-				g.Expect(heard[0].Requests).To(BeNumerically(">", float64(routers-1)-0.5), n.vm)
+				demand := n.source.OthersDemand().Demand
+				g.Expect(demand).To(HaveLen(2), n.vm)
+				g.Expect(demand[1].Requests).To(BeNumerically("~", 10*demand[0].Requests, 1e-9), n.vm)
+				g.Expect(demand[0].Requests).To(BeNumerically("<", float64(routers-1)+0.5), n.vm)
+				// The demand that a reader doesn't get from other failure domains is extrapolated from
+				// what it gets.
+				g.Expect(demand[0].Requests).To(BeNumerically(">", float64(routers-1)-0.5), n.vm)
 			}
 		})
 	}
 }
 
-func TestRoutersHearTheLoadReportsOfOthersInTheirFailureDomain(t *testing.T) {
-	play(t, 12, func(g *WithT, f *fleet) {
+func TestLoadReportsAreSharedWithinFailureDomain(t *testing.T) {
+	runFleet(t, 12, func(g *WithT, f *fleet) {
 		pools := make([]*balance.Pool, len(f.nodes))
 		for i, n := range f.nodes {
 			pools[i] = balance.NewPool(balance.Config{})
@@ -50,7 +50,7 @@
 		for i, pool := range pools {
 			v := pool.Views(time.Now(), []*bundle.Endpoint{{Name: "e", Slots: 64}})[0]
 			if f.nodes[i].source.cfg.Self.FailureDomain != f.nodes[2].source.cfg.Self.FailureDomain {
-				continue // it has readers of its own
+				continue // its readers are others
 			}
 			g.Expect(v.Load.TotalRunning()).To(Equal(17), f.nodes[i].vm)
 			g.Expect(v.ReportedAt).To(BeTemporally("~", received, 5*time.Millisecond), f.nodes[i].vm)
@@ -58,8 +58,8 @@
 	})
 }
 
-func TestAnEndpointThatFailsForTwoRoutersIsAvoidedByTheOthersOfTheirDomain(t *testing.T) {
-	play(t, 12, func(g *WithT, f *fleet) {
+func TestEndpointFailingForTwoRoutersIsAvoidedInTheirDomain(t *testing.T) {
+	runFleet(t, 12, func(g *WithT, f *fleet) {
 		endpoints := []*bundle.Endpoint{
 			{Name: "bad", Services: []string{"s"}}, {Name: "lone", Services: []string{"s"}},
 		}
@@ -67,7 +67,7 @@
 			endpoints = append(endpoints, &bundle.Endpoint{Name: fmt.Sprint("good", i), Services: []string{"s"}})
 		}
 		pools := make([]*balance.Pool, len(f.nodes))
-		weights := func(i int) (bad, lone float64) {
+		weights := func(i int) (bad, single float64) {
 			views := pools[i].Views(time.Now(), endpoints)
 			return views[0].Weight, views[1].Weight
 		}
@@ -101,47 +101,46 @@
 	})
 }
 
-func TestDemandOfARouterThatFellSilentIsForgotten(t *testing.T) {
-	play(t, 3, func(g *WithT, f *fleet) {
+func TestDemandOfStoppedRouterExpires(t *testing.T) {
+	runFleet(t, 3, func(g *WithT, f *fleet) {
 		f.nodes[1].source.ShareDemand(func() balance.Demand { return balance.Demand{{Requests: 1}} })
 		time.Sleep(2 * time.Second)
 		g.Expect(f.nodes[0].source.OthersDemand().Demand).To(Equal(balance.Demand{{Requests: 1}}))
-		f.nodes[1].end()
+		f.nodes[1].shutDown()
 		time.Sleep(demandTTL + 2*time.Second)
 		g.Expect(f.nodes[0].source.OthersDemand().Demand).To(BeEmpty())
 	})
 }
 
-// Each router took what its own failure domain asks for to be like what the others do.
-// Evidence: at 103 routers in five domains those of two kept 20 and 35 of 180 endpoints
-// apart for four seconds.
-func TestRoutersOfAllFailureDomainsKnowTheSameDemand(t *testing.T) {
+// Guards against routers that extrapolate the demand of all domains from their own. With 103 routers
+// in five domains, those of two domains reserved 20 and 35 of 180 endpoints for four seconds.
+func TestAllFailureDomainsKnowSameDemand(t *testing.T) {
 	const routers = 12 // in two domains
-	play(t, routers, func(g *WithT, f *fleet) {
-		asks := func(n *node) float64 {
+	runFleet(t, routers, func(g *WithT, f *fleet) {
+		requestsOf := func(n *node) float64 {
 			if n.source.cfg.Self.FailureDomain == "domain0" {
 				return 1
 			}
 			return 10
 		}
-		all := 0.0
+		total := 0.0
 		for _, n := range f.nodes {
-			all += asks(n)
-			n.source.ShareDemand(func() balance.Demand { return balance.Demand{{Requests: asks(n)}} })
+			total += requestsOf(n)
+			n.source.ShareDemand(func() balance.Demand { return balance.Demand{{Requests: requestsOf(n)}} })
 		}
 		time.Sleep(4 * time.Second)
 		for _, n := range f.nodes {
-			heard := n.source.OthersDemand().Demand
-			g.Expect(heard).To(HaveLen(1), n.vm)
-			g.Expect(heard[0].Requests+asks(n)).To(BeNumerically("~", all, 0.1*all), n.vm)
+			demand := n.source.OthersDemand().Demand
+			g.Expect(demand).To(HaveLen(1), n.vm)
+			g.Expect(demand[0].Requests+requestsOf(n)).To(BeNumerically("~", total, 0.1*total), n.vm)
 		}
-		// A domain that is cut off is soon taken to be like the other.
+		// A partitioned domain's demand is soon extrapolated from the other's.
 		for _, n := range f.nodes {
 			if n.source.cfg.Self.FailureDomain == "domain1" {
-				n.end()
+				n.shutDown()
 			}
 		}
-		time.Sleep(memberTTL + 4*time.Second) // seeds forget them and have said so, each in turn
+		time.Sleep(memberTTL + 4*time.Second) // until the seeds have expired them and each has replied
 		for _, n := range f.nodes {
 			if n.stop != nil {
 				g.Expect(n.source.OthersDemand().Demand[0].Requests).To(BeNumerically("~", 5, 0.5), n.vm)
