--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -35,7 +35,7 @@
 	Whole   bool
 	Entries []Entry
 	Gone    []string
-	// Unreadable lists the entries that can't be used. They don't affect other entries; an
+	// Unreadable lists the unreadable entries. They don't affect other entries; an
 	// endpoint that was listed under such a name counts as removed.
 	Unreadable []Unreadable
 	// Evacuations are the evacuations of failure domains, or their changes.
@@ -53,7 +53,7 @@
 	Lifted  []string
 }
 
-// Unreadable is an entry that can't be used, and why.
+// Unreadable is an entry that can't be decoded or is invalid, and why.
 type Unreadable struct {
 	Name  string
 	Cause error
@@ -90,7 +90,7 @@
 	return d
 }
 
-// For returns the endpoints of a service sorted by name, including draining ones.
+// ByService returns the endpoints of a service sorted by name, including draining ones.
 func (d *Directory) For(service string) []*bundle.Endpoint { return d.byService[service] }
 
 // Entry returns the entry of an endpoint; false if there is none.
@@ -145,13 +145,13 @@
 // IsEvacuated reports whether a failure domain is evacuated.
 func (d *Directory) IsEvacuated(domain string) bool { return d.evacuated[domain] }
 
-// TakesWork reports whether an endpoint is listed and may get new work.
+// AcceptsWork reports whether an endpoint is listed and may get new work.
 func (d *Directory) TakesWork(endpoint string) bool {
 	e, listed := d.entries[endpoint]
 	return listed && !e.Draining && !d.evacuated[e.Endpoint.FailureDomain]
 }
 
-// Kept returns the number of endpoints that the list lacks.
+// KeptCount returns the number of endpoints that the list lacks.
 func (d *Directory) Kept() int { return d.kept }
 
 // Len returns the number of endpoints.
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -68,14 +68,14 @@
 	// state; nil before the first.
 	confirmed    atomic.Pointer[time.Time]
 	availability availabilityLog
-	// keepAbsentUntil is when the endpoints are dropped that the list lacks after an outage.
+	// keepAbsentUntil is until when endpoints missing from the list after an outage are kept.
 	// Only Run uses it.
 	keepAbsentUntil time.Time
 	// gap is the outage that keepAbsentUntil refers to. Only Run uses it.
 	gap Span
 	// configTransferTime is that of the last configuration. Only Run uses it.
 	configTransferTime time.Duration
-	// unreadable tracks the invalid entries of the list. Only Run uses it.
+	// unreadable tracks the unreadable entries of the list. Only Run uses it.
 	unreadable *unreadable
 }
 
@@ -151,9 +151,9 @@
 
 // nextWait returns how long the next call waits. It is as short as possible while absent endpoints
 // are kept, since a peer may report that they have left, and is reduced by the transfer time of a
-// configuration. Until the next one has arrived nothing confirms the state: with a transfer time
-// of 1.1 s, for a megabyte over 10 Mbit/s, and calls that waited for a second in addition, the state
-// was 4.0 s old, too old for peers (2.4 s) and to stay ready (2.8 s).
+// configuration. While a configuration is being transferred nothing confirms the state: with a
+// transfer time of 1.1 s, for a megabyte over 10 Mbit/s, and calls that waited for a second in
+// addition, the state was 4.0 s old, too old for peers (2.4 s) and to stay ready (2.8 s).
 func (f *Follower) nextWait(now time.Time) time.Duration {
 	wait := max(f.cfg.Timing.Wait-f.configTransferTime, min(f.cfg.Timing.Wait, f.cfg.Timing.Pace))
 	if left := f.keepAbsentUntil.Sub(now); left > 0 {
@@ -280,7 +280,7 @@
 	}
 	if f.gap.To.Equal(at) {
 		f.cfg.Log.Warn().Dur("gap", at.Sub(f.gap.From)).Dur("age", f.cfg.Clock().Sub(at)).Uint64("revision", r.List.Revision).
-			Msg("state not confirmed for longer than entries live; keeping endpoints that the list lacks for a while")
+			Msg("state not confirmed for longer than the lifetime of entries; temporarily keeping endpoints that are missing from the list")
 	}
 }
 
--- a/internal/follow/unreadable.go
+++ b/internal/follow/unreadable.go
@@ -11,7 +11,7 @@
 // readings of them are logged again.
 const maxUnreadable = 1024
 
-// unreadable counts the unusable entries of the list and logs each once, even if it is written
+// unreadable counts the unreadable entries of the list and logs each once, even if it is written
 // again every second.
 type unreadable struct {
 	log   zerolog.Logger
--- a/internal/peers/demand.go
+++ b/internal/peers/demand.go
@@ -41,7 +41,7 @@
 	s.demand.own = own
 }
 
-// OthersDemand returns the demand at all other routers, based on their recent reports.
+// PeerDemand returns the demand at all other routers, based on their recent reports.
 func (s *Source) OthersDemand() balance.Others {
 	now := time.Now()
 	demand, routers, ok := s.demand.readerTotal(now)
--- a/internal/peers/evacuation_test.go
+++ b/internal/peers/evacuation_test.go
@@ -11,11 +11,11 @@
 // allow.
 const maxEvacuationDelay = 2500 * time.Millisecond
 
-// setEvacuated sets the evacuated failure domains in the store.
+// setEvacuated sets the evacuated failure domains in the origin.
 func (f *fleet) setEvacuated(version uint64, domains ...string) {
-	f.store.mu.Lock()
-	defer f.store.mu.Unlock()
-	f.store.version, f.store.evacuated = version, domains
+	f.origin.mu.Lock()
+	defer f.origin.mu.Unlock()
+	f.origin.version, f.origin.evacuated = version, domains
 }
 
 // countWithEvacuations counts the routers that know exactly these evacuations.
@@ -34,7 +34,7 @@
 	return count
 }
 
-// Routers that the store refuses or doesn't answer also learn of an evacuation in time, and keep it
+// Routers that the origin refuses or doesn't answer also learn of an evacuation in time, and keep it
 // until its end is reported.
 func TestEvacuationReachesAllRoutersInTime(t *testing.T) {
 	for _, routers := range []int{3, 31, 300} {
@@ -84,9 +84,9 @@
 		}
 		// A router that stops sending may only be partitioned, and still counts for a while.
 		f.nodes[11].shutDown()
-		time.Sleep(sharingTTL / 2)
+		time.Sleep(rateSharerTTL / 2)
 		g.Expect(f.nodes[1].source.Fleet(time.Now()).Near).To(HaveLen(5))
-		time.Sleep(sharingTTL)
+		time.Sleep(rateSharerTTL)
 		g.Expect(f.nodes[1].source.Fleet(time.Now()).Near).To(HaveLen(4))
 		f.startNode(g, 12)
 		time.Sleep(settleTime / 2)
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -18,8 +18,8 @@
 
 // sharedState is state that all routers exchange.
 type sharedState[U update] interface {
-	// Tell returns the update for a router with the digest theirs: the changes of the given
-	// period, or everything if the digests differ.
+	// UpdateFor returns the update for a router whose digest is theirs: the changes of the
+	// given period, or everything if the digests differ.
 	Tell(theirs uint64, window time.Duration) U
 	Hear(sentAt time.Time, u U)
 }
@@ -69,13 +69,13 @@
 // SharePoison has this router exchange with others which requests have crashed endpoints.
 func (s *Source) SharePoison(table *poison.Table) { s.poison.setState(table) }
 
-// Limits holds the rate limits that endpoints have named. See balance.Pool.
+// Limits holds the rate limits that endpoints have stated. See balance.Pool.
 type Limits interface {
 	TellLimits(now time.Time, theirs uint64, window time.Duration) balance.LimitWords
 	HearLimits(now, sentAt time.Time, words []balance.LimitWord)
 }
 
-// ShareLimits has this router exchange with others the rate limits that endpoints have named.
+// ShareLimits has this router exchange with others the rate limits that endpoints have stated.
 func (s *Source) ShareLimits(limits Limits) { s.limits.setState(limitState{limits, s.cfg.Clock}) }
 
 // limitState adapts Limits to sharedState. It converts to the request clock, which doesn't count
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -25,10 +25,10 @@
 
 var testPeer = identity.Peer{Role: identity.RoleRouter}
 
-var errRefused = errors.New("refused by the store")
+var errRefused = errors.New("refused by the origin")
 
-// store is the source behind all routers. It counts calls and can refuse or ignore routers.
-type store struct {
+// fakeOrigin is the origin of all routers. It counts calls and can refuse or ignore routers.
+type fakeOrigin struct {
 	mu             sync.Mutex
 	version        uint64
 	calls          int
@@ -40,15 +40,15 @@
 	evacuated []string
 }
 
-func (s *store) count() int {
+func (s *fakeOrigin) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// routerView is the store as one router reaches it.
+// routerView is the origin as one router reaches it.
 type routerView struct {
-	*store
+	*fakeOrigin
 	vm string
 }
 
@@ -119,7 +119,7 @@
 	return v.reply(ctx, follow.Reading{List: directory.Reading{Revision: after}})
 }
 
-// reply returns the answer of a call that has waited: none if the store has become unresponsive
+// reply returns the answer of a call that has waited: none if the origin has become unresponsive
 // to the router meanwhile.
 func (v routerView) reply(ctx context.Context, r follow.Reading) (follow.Reading, error) {
 	v.mu.Lock()
@@ -149,12 +149,12 @@
 	pool     *control.Pool
 }
 
-// fleet is a set of routers, by default in two failure domains, that share a store.
+// fleet is a set of routers, by default in two failure domains, that share an origin.
 type fleet struct {
-	net   *memnet.Net
-	store *store
-	nodes []*node
-	seeds []string
+	net    *memnet.Net
+	origin *fakeOrigin
+	nodes  []*node
+	seeds  []string
 	// Shape of the fleet.
 	domains int     // number of failure domains; 0 means 2
 	mbps    float64 // of each router's link; 0 means unknown
@@ -176,7 +176,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		f := &fleet{net: memnet.New(), store: &store{version: 1, refused: make(map[string]bool)}, domains: domains, mbps: mbps}
+		f := &fleet{net: memnet.New(), origin: &fakeOrigin{version: 1, refused: make(map[string]bool)}, domains: domains, mbps: mbps}
 		for i := range min(3, routers) {
 			f.seeds = append(f.seeds, address(i))
 		}
@@ -199,7 +199,7 @@
 	n.pool = control.NewPool(control.ClientConfig{Dial: f.net.Dialer(vm)}, 0)
 	n.source = New(Config{
 		Self: Member{VM: vm, FailureDomain: fmt.Sprint("domain", i%cmp.Or(f.domains, 2)), Address: address(i), LinkMbps: f.mbps}, Seeds: f.seeds,
-		Source: routerView{f.store, vm}, Pool: n.pool, Every: 250 * time.Millisecond, MaxAge: maxAge, Outage: outage, Clock: time.Now, Log: zerolog.Nop(),
+		Source: routerView{f.origin, vm}, Pool: n.pool, Every: 250 * time.Millisecond, MaxAge: maxAge, Outage: outage, Clock: time.Now, Log: zerolog.Nop(),
 	})
 	n.server = control.NewServer(control.ServerConfig{Listener: l})
 	n.source.Register(n.server)
@@ -241,33 +241,33 @@
 }
 
 func (f *fleet) setVersion(version uint64) {
-	f.store.mu.Lock()
-	defer f.store.mu.Unlock()
-	f.store.version = version
+	f.origin.mu.Lock()
+	defer f.origin.mu.Unlock()
+	f.origin.version = version
 }
 
 // setVersionAndEndpoint sets the version and whether a second endpoint is listed.
 func (f *fleet) setVersionAndEndpoint(version uint64, second bool) {
-	f.store.mu.Lock()
-	defer f.store.mu.Unlock()
-	f.store.version, f.store.secondEndpoint = version, second
+	f.origin.mu.Lock()
+	defer f.origin.mu.Unlock()
+	f.origin.version, f.origin.secondEndpoint = version, second
 }
 
 func (f *fleet) refuse(vms ...string) {
-	f.store.mu.Lock()
-	defer f.store.mu.Unlock()
+	f.origin.mu.Lock()
+	defer f.origin.mu.Unlock()
 	for _, vm := range vms {
-		f.store.refused[vm] = true
+		f.origin.refused[vm] = true
 	}
 }
 
-// setUnresponsive has the store not answer these routers, and answer all others.
+// setUnresponsive has the origin not answer these routers, and answer all others.
 func (f *fleet) setUnresponsive(vms ...string) {
-	f.store.mu.Lock()
-	defer f.store.mu.Unlock()
-	f.store.unresponsive = make(map[string]bool)
+	f.origin.mu.Lock()
+	defer f.origin.mu.Unlock()
+	f.origin.unresponsive = make(map[string]bool)
 	for _, vm := range vms {
-		f.store.unresponsive[vm] = true
+		f.origin.unresponsive[vm] = true
 	}
 }
 
--- a/internal/peers/hello.go
+++ b/internal/peers/hello.go
@@ -70,7 +70,7 @@
 	sent, sentClock := time.Now(), s.cfg.Clock()
 	req := helloRequest{
 		From: s.cfg.Self, Demand: s.demand.local(), Domain: s.domainDemand(sent),
-		Poison: s.poison.request(helloUpdateWindow), SourceUptime: s.uptime.report(sentClock), Limits: s.limits.request(helloUpdateWindow),
+		Poison: s.poison.request(helloUpdateWindow), OriginUptime: s.uptime.report(sentClock), Limits: s.limits.request(helloUpdateWindow),
 	}
 	reply, err := control.Call(ctx, s.client(seed), methodHello, req)
 	if err != nil {
@@ -81,7 +81,7 @@
 	s.demand.record(reply.From, reply.Demand, sent)
 	s.poison.applyReply(sentClock, reply.Poison)
 	s.limits.applyReply(sentClock, reply.Limits)
-	s.uptime.apply(sentClock, reply.SourceUptime)
+	s.uptime.apply(sentClock, reply.OriginUptime)
 	s.recordDomainDemand(reply.From, reply.Domain, sent)
 	s.members.recordCount(reply.From.VM, reply.Known, sent)
 	if !reply.Starting {
@@ -93,9 +93,9 @@
 }
 
 const (
-	// minDomainHelloInterval is the least time between two hellos of a reader to those of other
-	// failure domains. It grows by domainHelloSpacing for each of them, so that 27 domains cost
-	// a reader some 20 hellos a second.
+	// Hellos of a reader to each other failure domain are domainHelloSpacing per domain apart,
+	// but no less than minDomainHelloInterval. With 27 domains a reader sends some 20 hellos a
+	// second.
 	minDomainHelloInterval = 250 * time.Millisecond
 	domainHelloSpacing     = 50 * time.Millisecond
 )
@@ -106,9 +106,10 @@
 }
 
 // exchangeDomainDemand has readers report the demand of their failure domains to each other.
-// Each router reserves its share of the endpoints for a kind of request by the total demand. When
-// routers took the demand of their own domain for the total, those of two domains reserved 20 and
-// 35 of 180 endpoints for seconds, and sent long prompts to endpoints that others had reserved.
+// Each router dedicates its share of the endpoints to a kind of request by the total demand. When
+// routers took the demand of their own domain for the total, those of two domains dedicated 20 and
+// 35 of 180 endpoints for seconds, and sent long prompts to endpoints that the other domain had
+// dedicated.
 func (s *Source) exchangeDomainDemand(ctx context.Context) {
 	for {
 		now := time.Now()
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -15,7 +15,7 @@
 	"coveferry/internal/upstream"
 )
 
-// limitedEndpoint is an endpoint that may name a rate limit, and records its requests.
+// limitedEndpoint is an endpoint that may state a rate limit, and records its requests.
 type limitedEndpoint struct {
 	limit    upstream.RateLimit
 	arrivals []time.Time
@@ -124,7 +124,7 @@
 	maxRecoveryTime = 3 * time.Second
 )
 
-func TestFleetEnforcesEndpointLimitWhileNamed(t *testing.T) {
+func TestFleetEnforcesEndpointLimitWhileStated(t *testing.T) {
 	for _, c := range []struct {
 		routers, domains int
 		perSecond        float64
@@ -179,12 +179,12 @@
 		time.Sleep(settleTime)
 		f.nodes[1].shutDown()
 		f.nodes[2].shutDown()
-		time.Sleep(sharingTTL / 2)
+		time.Sleep(rateSharerTTL / 2)
 		fleet := f.nodes[0].source.Fleet(time.Now())
 		g.Expect(fleet.Known).To(BeTrue())
 		g.Expect(fleet.Domains).To(HaveLen(3))
 		g.Expect(fleet.CutOffFrom).To(BeZero(), "the others may still run")
-		time.Sleep(sharingTTL)
+		time.Sleep(rateSharerTTL)
 		fleet = f.nodes[0].source.Fleet(time.Now())
 		g.Expect(fleet.Known).To(BeTrue())
 		g.Expect(fleet.CutOffFrom).To(Equal(2))
--- a/internal/peers/list_test.go
+++ b/internal/peers/list_test.go
@@ -43,7 +43,7 @@
 
 func TestListChangesNeedNoFullRead(t *testing.T) {
 	runFleet(t, 12, func(g *WithT, f *fleet) {
-		before := f.store.count()
+		before := f.origin.count()
 		for version := uint64(2); version < 22; version++ {
 			f.setVersion(version)
 			time.Sleep(300 * time.Millisecond)
@@ -54,7 +54,7 @@
 			g.Expect(n.follower.Directory().Revision()).To(Equal(uint64(21)), n.vm)
 		}
 		// Each reader makes a call per change, and one a second without changes.
-		g.Expect(f.store.count() - before).To(BeNumerically("<=", 2*(20+4)))
+		g.Expect(f.origin.count() - before).To(BeNumerically("<=", 2*(20+4)))
 	})
 }
 
--- a/internal/peers/members.go
+++ b/internal/peers/members.go
@@ -18,9 +18,9 @@
 	largeConfigBytes = 40 << 10
 )
 
-// readerCount returns how many of a failure domain's routers read the source for the others,
+// readerCount returns how many of a failure domain's routers read the origin for the others,
 // where the best link has mbps (0 if unknown). One is enough if it can send a large change to all
-// of them within callTimeout: if it fails, readers of other domains answer, and then the source
+// of them within callTimeout: if it fails, readers of other domains answer, and then the origin
 // itself. A reader that is too slow for this answers too late and is queried again, which fills
 // its link: of 33 routers behind 10 Mbit/s some got no update for 1.8 s after such a change.
 func readerCount(routers int, mbps float64) int {
@@ -46,10 +46,10 @@
 	establishedPeer bool
 	// peak is the highest number of other routers known at once.
 	peak int
-	// sharingCount is the number of other routers that limits are shared with, and
-	// sharingCountAt when that many were last known.
-	sharingCount   int
-	sharingCountAt time.Time
+	// partitionCount is the number of other routers including those that this one may be
+	// partitioned from, and partitionCountAt when that many were last known.
+	partitionCount   int
+	partitionCountAt time.Time
 }
 
 type reportedCount struct {
@@ -84,7 +84,7 @@
 	}
 	m.known[member.VM] = seenMember{member: member, seenAt: at, rank: rank(member)}
 	m.peak = max(m.peak, len(m.known))
-	m.updateSharingCount(len(m.known), at)
+	m.updatePartitionCount(len(m.known), at)
 	if member.FailureDomain == m.self.member.FailureDomain {
 		m.domainPeerSeen[member.VM] = at
 		return
@@ -94,26 +94,27 @@
 	}
 }
 
-// sharingTTL is how long a router counts as sharing limits with those of its failure domain after
-// it was last seen. It may still be running and merely be partitioned from them. Until the time
-// has passed endpoints without an owner get fewer requests, not too many.
-const sharingTTL = 30 * time.Second
+// rateSharerTTL is how long a router counts as sharing the rate limits of endpoints with those of
+// its failure domain after it was last seen. It may still be running and merely be partitioned from
+// them. If it was stopped, its share of an endpoint's rate goes unused in that time, so the endpoint
+// gets fewer requests than it accepts, not too many.
+const rateSharerTTL = 30 * time.Second
 
-// limitSharers lists the other routers of this one's failure domain that may share limits with
-// it, and the other failure domains with such routers.
-func (m *members) limitSharers(now time.Time) (domainPeers, domains []string) {
+// rateSharers lists the other routers of this one's failure domain that may share the rate limits
+// of endpoints with it, and the other failure domains with such routers.
+func (m *members) rateSharers(now time.Time) (domainPeers, domains []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	recent := func(seen map[string]time.Time) []string {
+	seenWithinTTL := func(seen map[string]time.Time) []string {
 		list := make([]string, 0, len(seen))
 		for name, at := range seen {
-			if now.Sub(at) <= sharingTTL {
+			if now.Sub(at) <= rateSharerTTL {
 				list = append(list, name)
 			}
 		}
 		return list
 	}
-	return recent(m.domainPeerSeen), recent(m.remoteDomainSeen)
+	return seenWithinTTL(m.domainPeerSeen), seenWithinTTL(m.remoteDomainSeen)
 }
 
 // peakCount returns the highest number of other routers known at once.
@@ -135,7 +136,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for vm, at := range m.domainPeerSeen {
-		if now.Sub(at) > sharingTTL {
+		if now.Sub(at) > rateSharerTTL {
 			delete(m.domainPeerSeen, vm)
 		}
 	}
@@ -183,7 +184,7 @@
 	defer m.mu.Unlock()
 	m.reportedCounts[reporter] = reportedCount{count: count, at: at}
 	m.peak = max(m.peak, count)
-	m.updateSharingCount(count, at)
+	m.updatePartitionCount(count, at)
 }
 
 // markEstablishedPeer records that a router that isn't starting itself has sent its members.
@@ -222,24 +223,24 @@
 	return n
 }
 
-// partitionTTL is how long routers that are no longer seen count for sharing. They may only be
-// partitioned from this one and go on using their shares.
+// partitionTTL is how long a router that is no longer seen counts in PeerCount. It may only be
+// partitioned from this one and go on using its share of the fleet-wide limits.
 const partitionTTL = 10 * time.Minute
 
-// countForSharing returns the number of other routers, including those that this one may be
+// countWithPartitioned returns the number of other routers, including those that this one may be
 // partitioned from.
-func (m *members) countForSharing(now time.Time) int {
+func (m *members) countWithPartitioned(now time.Time) int {
 	n := m.count(now)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.updateSharingCount(n, now)
-	return m.sharingCount
+	m.updatePartitionCount(n, now)
+	return m.partitionCount
 }
 
-// updateSharingCount records the number of other routers at the given time. m.mu is held.
-func (m *members) updateSharingCount(others int, at time.Time) {
-	if others >= m.sharingCount || at.Sub(m.sharingCountAt) > partitionTTL {
-		m.sharingCount, m.sharingCountAt = others, at
+// updatePartitionCount records the number of other routers at the given time. m.mu is held.
+func (m *members) updatePartitionCount(others int, at time.Time) {
+	if others >= m.partitionCount || at.Sub(m.partitionCountAt) > partitionTTL {
+		m.partitionCount, m.partitionCountAt = others, at
 	}
 }
 
@@ -265,8 +266,8 @@
 	return readers
 }
 
-// rankReaders returns the readers among a failure domain's routers by their rank, followed by
-// their successors if that makes at least so many in all.
+// rankReaders returns a failure domain's routers with enough capacity by rank: its readers, or the
+// first minimum routers if that is more.
 func rankReaders(routers []seenMember, minimum int) []seenMember {
 	total := len(routers)
 	routers = capableRouters(routers)
@@ -323,9 +324,9 @@
 	return list
 }
 
-// originTurn returns this router's position in its failure domain's turns to call the source,
+// originTurn returns this router's position in its failure domain's turns to call the origin,
 // from 0 to 1, and the number of call intervals that one round of all its routers takes.
-func (m *members) originTurn(now time.Time) (position, rounds float64) {
+func (m *members) originTurn(now time.Time) (position, intervals float64) {
 	routers := 1
 	m.mu.Lock()
 	for _, h := range m.known {
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -11,12 +11,12 @@
 )
 
 // callTimeout bounds a call to a peer. Calls take milliseconds; the bound leaves time to query
-// another peer or the source itself.
+// another peer or the origin itself.
 const callTimeout = 300 * time.Millisecond
 
 // pageTimeout bounds a call for one page, and maxPage the endpoints in it. At some 200 bytes each
 // a page takes a tenth of a second on a link of 10 Mbit/s, and the configuration of some hundred
-// routes as long again.
+// routes takes another tenth.
 const (
 	pageTimeout = time.Second
 	maxPage     = 500
@@ -58,8 +58,8 @@
 	// Domain is the demand of the sender's failure domain if the sender is a reader.
 	Domain       domainDemand `json:"domain,omitzero"`
 	Poison       poison.Words `json:"poison,omitzero"`
-	SourceUptime uptimeReport `json:"steady,omitzero"`
-	// Limits are the rate limits named by endpoints that the sender knows of.
+	OriginUptime uptimeReport `json:"steady,omitzero"`
+	// Limits are the rate limits stated by endpoints that the sender knows of.
 	Limits balance.LimitWords `json:"limits,omitzero"`
 }
 
@@ -75,8 +75,8 @@
 	Demand       balance.Demand `json:"demand"`
 	Domain       domainDemand   `json:"domain,omitzero"`
 	Poison       poison.Words   `json:"poison,omitzero"`
-	SourceUptime uptimeReport   `json:"steady,omitzero"`
-	// Limits are the rate limits named by endpoints that the sender knows of.
+	OriginUptime uptimeReport   `json:"steady,omitzero"`
+	// Limits are the rate limits stated by endpoints that the sender knows of.
 	Limits balance.LimitWords `json:"limits,omitzero"`
 }
 
@@ -95,10 +95,10 @@
 	Failures []balance.FailureWord `json:"failures,omitempty"`
 	// Poison is what the requester knows of requests that crash endpoints.
 	Poison poison.Words `json:"poison,omitzero"`
-	// Limits are the rate limits named by endpoints that the requester knows of.
+	// Limits are the rate limits stated by endpoints that the requester knows of.
 	Limits balance.LimitWords `json:"limits,omitzero"`
-	// SourceUptime is the span in which the source was readable, as far as the requester knows.
-	SourceUptime uptimeReport `json:"steady,omitzero"`
+	// OriginUptime is the span in which the origin was readable, as far as the requester knows.
+	OriginUptime uptimeReport `json:"steady,omitzero"`
 }
 
 type updateReply struct {
@@ -114,9 +114,9 @@
 	Evacuated []string `json:"evacuated,omitempty"`
 	// AgeMillis is how long ago the sender's state was last confirmed to be the newest.
 	AgeMillis int64 `json:"age_ms"`
-	// SourceUnavailable reports that the reader's own calls to the source fail at present, so
+	// OriginUnavailable reports that the reader's own calls to the origin fail at present, so
 	// that it gets no further changes.
-	SourceUnavailable bool `json:"source_lost,omitempty"`
+	OriginUnavailable bool `json:"source_lost,omitempty"`
 	// ConfigPending reports that the reader has received a part of a configuration, the rest of
 	// which may never arrive.
 	ConfigPending bool `json:"pending,omitempty"`
@@ -130,10 +130,10 @@
 	Failures []balance.FailureWord `json:"failures,omitempty"`
 	// Poison is what the reader knows of requests that crash endpoints.
 	Poison poison.Words `json:"poison,omitzero"`
-	// Limits are the rate limits named by endpoints that the reader knows of.
+	// Limits are the rate limits stated by endpoints that the reader knows of.
 	Limits balance.LimitWords `json:"limits,omitzero"`
-	// SourceUptime is the span in which the source was readable, as far as the reader knows.
-	SourceUptime uptimeReport `json:"steady,omitzero"`
+	// OriginUptime is the span in which the origin was readable, as far as the reader knows.
+	OriginUptime uptimeReport `json:"steady,omitzero"`
 }
 
 // pageRequest requests one page of a full read.
@@ -151,7 +151,7 @@
 type pageReply struct {
 	Config    packedChange      `json:"config,omitempty"`
 	Entries   []directory.Entry `json:"entries"`
-	Evacuated []string          `json:"evacuated,omitempty"` // as in newsReply
+	Evacuated []string          `json:"evacuated,omitempty"` // as in updateReply
 	More      bool              `json:"more,omitempty"`
 	Revision  uint64            `json:"revision"`
 	AgeMillis int64             `json:"age_ms"`
--- a/internal/peers/monitored.go
+++ b/internal/peers/monitored.go
@@ -12,7 +12,7 @@
 	"coveferry/internal/idle"
 )
 
-// failureTTL is how long after a failed call the source counts as unavailable. A router that gets
+// failureTTL is how long after a failed call the origin counts as unavailable. A router that gets
 // its updates from peers may never call it again. Routers that do keep calling call more often
 // than this, even if each call runs into its timeout.
 const failureTTL = 3 * originCallInterval
@@ -21,7 +21,7 @@
 // rather than changes of endpoints.
 const configResponseBytes = 64 << 10
 
-// Values of the label "for". A full read takes several requests to the source.
+// Values of the label "for". A full read takes several requests to the origin.
 const (
 	callFull    = "everything"
 	callUpdates = "news"
@@ -39,8 +39,8 @@
 	return calls
 }
 
-// monitoredSource tracks for how long the calls to a source have been failing.
-type monitoredSource struct {
+// monitoredOrigin tracks for how long the calls to an origin have been failing.
+type monitoredOrigin struct {
 	Origin
 	// onAnswer is called after each answer.
 	onAnswer func()
@@ -56,7 +56,7 @@
 }
 
 // startCall resets the byte count and returns the context for a call.
-func (m *monitoredSource) startCall(ctx context.Context) context.Context {
+func (m *monitoredOrigin) startCall(ctx context.Context) context.Context {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.received = 0
@@ -64,16 +64,16 @@
 }
 
 // countBytes counts received bytes of a response.
-func (m *monitoredSource) countBytes(bytes int) {
+func (m *monitoredOrigin) countBytes(bytes int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.received += bytes
 	m.configPending = m.configPending || m.received >= configResponseBytes
 }
 
-// isConfigPending reports whether the source has begun a long response, mostly a configuration,
+// isConfigPending reports whether the origin has begun a long response, mostly a configuration,
 // that this router hasn't received completely.
-func (m *monitoredSource) isConfigPending() bool {
+func (m *monitoredOrigin) isConfigPending() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.configPending
@@ -81,7 +81,7 @@
 
 // unavailableFor returns for how long calls have been failing; 0 while they succeed, or if no
 // call failed recently.
-func (m *monitoredSource) unavailableFor() time.Duration {
+func (m *monitoredOrigin) unavailableFor() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.failingSince.IsZero() || time.Since(m.lastFailure) > failureTTL {
@@ -91,7 +91,7 @@
 }
 
 // recordResult records the result of a call and when the call was sent.
-func (m *monitoredSource) recordResult(sent time.Time, err error) {
+func (m *monitoredOrigin) recordResult(sent time.Time, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
@@ -107,7 +107,7 @@
 }
 
 // Read implements follow.Source.
-func (m *monitoredSource) Read(ctx context.Context, fresh bool) (follow.Reading, error) {
+func (m *monitoredOrigin) Read(ctx context.Context, fresh bool) (follow.Reading, error) {
 	m.calls.WithLabelValues(callFull).Inc()
 	sent := time.Now()
 	r, err := m.Origin.Read(m.startCall(ctx), fresh)
@@ -116,7 +116,7 @@
 }
 
 // Await implements follow.Source. ErrHistoryLost counts as an answer.
-func (m *monitoredSource) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
+func (m *monitoredOrigin) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
 	m.calls.WithLabelValues(callUpdates).Inc()
 	sent := time.Now()
 	r, err := m.Origin.Await(m.startCall(ctx), after, wait)
@@ -125,7 +125,7 @@
 }
 
 // CatchUp implements Origin.
-func (m *monitoredSource) CatchUp(ctx context.Context, after uint64) (follow.Reading, error) {
+func (m *monitoredOrigin) CatchUp(ctx context.Context, after uint64) (follow.Reading, error) {
 	m.calls.WithLabelValues(callLatest).Inc()
 	sent := time.Now()
 	r, err := m.Origin.CatchUp(m.startCall(ctx), after)
@@ -133,7 +133,7 @@
 	return r, err
 }
 
-// SourceUnavailableFor returns for how long this router's own calls to the source have been
+// OriginUnavailableFor returns for how long this router's own calls to the origin have been
 // failing; 0 while they succeed or if it made none recently. Its state may still be fresh, by
 // updates from peers.
 func (s *Source) SourceLost() time.Duration { return s.origin.unavailableFor() }
--- a/internal/peers/narrow_test.go
+++ b/internal/peers/narrow_test.go
@@ -22,32 +22,32 @@
 	"coveferry/internal/route"
 )
 
-// configStore holds a configuration that is transferred over the reader's link.
-type configStore struct {
+// configOrigin holds a configuration that is transferred over the reader's link.
+type configOrigin struct {
 	mu     sync.Mutex
 	config *route.Config
 }
 
-func (s *configStore) set(c *route.Config) {
+func (s *configOrigin) set(c *route.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config = c
 }
 
-func (s *configStore) get() *route.Config {
+func (s *configOrigin) get() *route.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.config
 }
 
-// linkView is the store as a router reaches it over its link.
+// linkView is the origin as a router reaches it over its link.
 type linkView struct {
-	store *configStore
-	link  *memnet.Link
+	origin *configOrigin
+	link   *memnet.Link
 }
 
 func (v linkView) reading() follow.Reading {
-	c := v.store.get()
+	c := v.origin.get()
 	size, _ := json.Marshal(c)
 	time.Sleep(time.Until(v.link.Reserve(len(size))))
 	entries := []directory.Entry{{Endpoint: bundle.Endpoint{Name: "e", Address: "a", Services: []string{"s"}}}}
@@ -58,7 +58,7 @@
 
 func (v linkView) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
 	for until := time.Now().Add(wait); time.Now().Before(until); {
-		if v.store.get().Version > after {
+		if v.origin.get().Version > after {
 			return v.reading(), ctx.Err()
 		}
 		if !clock.Sleep(ctx, 10*time.Millisecond) {
@@ -90,7 +90,7 @@
 	link *memnet.Link
 }
 
-func startLinked(ctx context.Context, g *WithT, n *memnet.Net, store *configStore, i int, mbps float64, seeds []string) *linkedNode {
+func startLinked(ctx context.Context, g *WithT, n *memnet.Net, origin *configOrigin, i int, mbps float64, seeds []string) *linkedNode {
 	vm := fmt.Sprint("vm", i)
 	l, err := n.Listen(address(i))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -105,7 +105,7 @@
 	}}, 0)
 	source := New(Config{
 		Self: Member{VM: vm, FailureDomain: "domain", Address: address(i), Cores: 1, LinkMbps: mbps}, Seeds: seeds,
-		Source: linkView{store, link}, Pool: pool, Every: 250 * time.Millisecond, MaxAge: maxAge, Log: zerolog.Nop(),
+		Source: linkView{origin, link}, Pool: pool, Every: 250 * time.Millisecond, MaxAge: maxAge, Log: zerolog.Nop(),
 	})
 	server := control.NewServer(control.ServerConfig{Listener: link.Listener(l)})
 	source.Register(server)
@@ -133,7 +133,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				n := memnet.New()
-				store := &configStore{config: configWithRoutes(1, 20)}
+				origin := &configOrigin{config: configWithRoutes(1, 20)}
 				seeds := []string{address(1), address(2), address(3)}
 				var nodes []*linkedNode
 				defer func() {
@@ -147,7 +147,7 @@
 					if i == 0 {
 						mbps = 200
 					}
-					return startLinked(t.Context(), g, n, store, i, mbps, seeds)
+					return startLinked(t.Context(), g, n, origin, i, mbps, seeds)
 				}
 				for i := range 11 {
 					nodes = append(nodes, start(i))
@@ -155,7 +155,7 @@
 				time.Sleep(6 * time.Second)
 				for step, size := range []int{routes, routes + 1, routes / 2} {
 					nodes[4].shutDown()
-					store.set(configWithRoutes(uint64(2+step), size))
+					origin.set(configWithRoutes(uint64(2+step), size))
 					time.Sleep(time.Second)
 					nodes[4] = start(4)
 					time.Sleep(2 * time.Second)
--- a/internal/peers/outage_test.go
+++ b/internal/peers/outage_test.go
@@ -11,12 +11,13 @@
 // maxDrainDelay is how soon a removed endpoint must no longer be used.
 const maxDrainDelay = 2200 * time.Millisecond
 
-// Guards against keeping removed endpoints after an outage of the store for some routers only. Ten
-// routers that the store didn't answer went on sending to three endpoints for 4.3 s after these had
+// Guards against keeping removed endpoints after an outage of the origin for some routers only. Ten
+// routers that the origin didn't answer went on sending to three endpoints for 4.3 s after these had
 // left, beyond the bound, and 2.9 s after they had got the revision without them. Their peers'
 // answers were 2 s old at one poll and fresh at the next. The routers took the gap of 3.0 s in their
-// confirmed state for an outage of the store, after which expired entries come back, and kept the
-// endpoints for 2.5 s.
+// confirmed state for an outage of the origin, after which expired entries come back, and kept the
+// endpoints for 2.5 s. The change from live to removed was logged at 14.4 s by some routers and at
+// 19.4 s by those ten, whose lists fell from 360 endpoints to 283 in one reading.
 func TestRemovedEndpointIsNotKeptAfterPartialOutage(t *testing.T) {
 	for name, isUnresponsive := range map[string]func(router int) bool{
 		"a failure domain":                         func(i int) bool { return i%2 == 0 },
@@ -30,7 +31,7 @@
 	}
 }
 
-// countUsingRemoved removes an endpoint the given time after the store has become unresponsive to
+// countUsingRemoved removes an endpoint the given time after the origin has become unresponsive to
 // some of twelve routers, and counts the routers that still use it after maxDrainDelay.
 func countUsingRemoved(t *testing.T, offset time.Duration, isUnresponsive func(router int) bool) int {
 	late := 0
@@ -58,7 +59,7 @@
 	return late
 }
 
-// Entries expire while the store is unavailable to all, and are back within two seconds of its
+// Entries expire while the origin is unavailable to all, and are back within two seconds of its
 // recovery. Until then all routers keep using the endpoints that they know.
 func TestExpiredEntriesAreKeptAfterFullOutage(t *testing.T) {
 	runFleet(t, 12, func(g *WithT, f *fleet) {
@@ -85,11 +86,11 @@
 	})
 }
 
-// Guards against waiting for readers that can't reach the store. It was unresponsive to the readers
+// Guards against waiting for readers that can't reach the origin. It was unresponsive to the readers
 // of all failure domains and answered seventeen of thirty routers. These went on sending to an
 // endpoint for 3.00 to 3.13 s after it had left, beyond the bound of 3 s: readers served their
 // state until it was 2.4 s old although their own calls had failed for a second, and only then did
-// the others call the store. Five routers got no update for 2.90 s.
+// the others call the origin. Five routers got no update for 2.90 s.
 func TestRemovedEndpointIsDroppedInTimeDuringOutageForReaders(t *testing.T) {
 	for offset := time.Duration(0); offset < 2*time.Second; offset += 200 * time.Millisecond {
 		late := 0
@@ -111,11 +112,11 @@
 				}
 			}
 		})
-		NewWithT(t).Expect(late).To(BeZero(), "%s after the start of the outage: routers that the store answers and that still use the removed endpoint", offset)
+		NewWithT(t).Expect(late).To(BeZero(), "%s after the start of the outage: routers that the origin answers and that still use the removed endpoint", offset)
 	}
 }
 
-// sendHeartbeats keeps changing the store, as the heartbeats of many endpoints do, and returns the
+// sendHeartbeats keeps changing the origin, as the heartbeats of many endpoints do, and returns the
 // next version.
 func (f *fleet) sendHeartbeats(version uint64, duration time.Duration) uint64 {
 	for until := time.Now().Add(duration); time.Now().Before(until); version++ {
--- a/internal/peers/partition_test.go
+++ b/internal/peers/partition_test.go
@@ -25,11 +25,11 @@
 	})
 }
 
-// Guards against calls to a failing store that grow with the fleet: 357 routers made 670 times the
-// usual number of calls while the store had lost its history. Each router whose reader can't reach
-// the store calls it itself every 0.8 s. Without turns this test counted 180, 540 and 1,055 calls in
+// Guards against calls to a failing origin that grow with the fleet: 357 routers made 670 times the
+// usual number of calls while the origin had lost its history. Each router whose reader can't reach
+// the origin calls it itself every 0.8 s. Without turns this test counted 180, 540 and 1,055 calls in
 // 4 s with 31, 103 and 206 routers.
-func TestCallsToFailingSourceAreBounded(t *testing.T) {
+func TestCallsToFailingOriginAreBounded(t *testing.T) {
 	const (
 		domains, duration = 5, 4 * time.Second
 		maxCallers        = 16 // per domain, within the call interval of one router
@@ -40,9 +40,9 @@
 				f.refuse(n.vm)
 			}
 			time.Sleep(2 * time.Second) // all know that their readers can't reach it
-			before := f.store.count()
+			before := f.origin.count()
 			time.Sleep(duration)
-			calls := float64(f.store.count() - before)
+			calls := float64(f.origin.count() - before)
 			byOthers := min(float64(routers)/domains, maxCallers) / originCallInterval.Seconds()
 			const byReader = 2.5 // per second
 			g.Expect(calls).To(BeNumerically("<", 1.1*duration.Seconds()*domains*(byOthers+byReader)), "%d routers", routers)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,7 +1,8 @@
-// Package peers lets routers read a source for each other. In each failure domain a few routers
-// are readers; the others poll these, and learn the age of the state that they get. There is no
+// Package peers lets routers read the origin of their configuration and list of endpoints for each
+// other. In each failure domain a few routers are readers, which call the origin; the others poll
+// these, and learn the age of the state that they get. There is no
 // agreement protocol: each router determines the readers from the members that it has seen
-// recently, and calls the source itself if the state is too old or no peer answers.
+// recently, and calls the origin itself if the state is too old or no peer answers.
 package peers
 
 import (
@@ -33,7 +34,7 @@
 	FailureDomains []string
 	// Seeds are control addresses of some routers, which may be outdated or down.
 	Seeds []string
-	// Source is the source that readers call.
+	// Origin is called by the readers.
 	Source Origin
 	// Pool holds the connections to peers.
 	Pool *control.Pool
@@ -41,17 +42,17 @@
 	Every time.Duration
 	// MaxAge is the age above which a peer's state is rejected.
 	MaxAge time.Duration
-	// OutageThreshold is the longest time without an answer of the source that doesn't count
+	// OutageThreshold is the longest time without an answer of the origin that doesn't count
 	// as an outage.
 	Outage time.Duration
 	// Clock timestamps the messages of peers; nil means clock.Boot.
 	Clock clock.Clock
 	Log   zerolog.Logger
-	// Metrics registers the counter of calls to the source; nil for none.
+	// Metrics registers the counter of calls to the origin; nil for none.
 	Metrics prometheus.Registerer
 }
 
-// Origin is the source that the readers call.
+// Origin is the service that holds the configuration and the list of endpoints.
 type Origin interface {
 	follow.Source
 	// CatchUp returns at once the changes after a revision, with only the newest version of
@@ -59,11 +60,11 @@
 	CatchUp(ctx context.Context, after uint64) (follow.Reading, error)
 }
 
-// originCallInterval is the least time between two calls to the source by a router that isn't a
-// reader. If no peer has newer state, the readers are already calling the source.
+// originCallInterval is the least time between two calls to the origin by a router that isn't a
+// reader. If no peer has newer state, the readers are already calling the origin.
 const originCallInterval = 800 * time.Millisecond
 
-// emptyPeersInterval applies instead while peers answer that they have no state yet.
+// emptyPeersInterval is the originCallInterval of a router whose peers have no state yet.
 const emptyPeersInterval = 2 * time.Second
 
 // Source implements follow.Source by querying peers, and the origin if they fail.
@@ -75,10 +76,10 @@
 	failures failureReports
 	poison   exchange[poison.Words]
 	limits   exchange[balance.LimitWords]
-	uptime   sourceUptime
+	uptime   originUptime
 	changes  changeLog
 	configs  configLog
-	origin   *monitoredSource // the source itself
+	origin   *monitoredOrigin
 	mu       sync.Mutex
 	// state is what this router has in force and sends to others.
 	state      State
@@ -92,8 +93,8 @@
 	configPendingAt time.Time
 	// startedAt is when this router began to announce itself.
 	startedAt time.Time
-	// hasReadAll is set by the first full read.
-	hasReadAll bool
+	// startedFirstRead is set when the first full read starts, even if it fails.
+	startedFirstRead bool
 	// skipPeers is closed by SkipPeerWait.
 	skipPeers     chan struct{}
 	skipPeersOnce sync.Once
@@ -108,40 +109,43 @@
 	Age() time.Duration
 }
 
-// New returns a source that knows no peers until Run.
+// New returns a Source that knows no peers until Run.
 func New(cfg Config) *Source {
 	if cfg.Clock == nil {
 		cfg.Clock = clock.Boot
 	}
-	s := &Source{cfg: cfg, members: newMembers(cfg.Self), uptime: sourceUptime{maxGap: cfg.Outage}, skipPeers: make(chan struct{})}
-	s.origin = &monitoredSource{Origin: cfg.Source, calls: newCallCounter(cfg.Metrics), onAnswer: func() { s.uptime.recordAnswer(cfg.Clock()) }}
+	s := &Source{cfg: cfg, members: newMembers(cfg.Self), uptime: originUptime{maxGap: cfg.Outage}, skipPeers: make(chan struct{})}
+	s.origin = &monitoredOrigin{Origin: cfg.Source, calls: newCallCounter(cfg.Metrics), onAnswer: func() { s.uptime.recordAnswer(cfg.Clock()) }}
 	return s
 }
 
-// PeerCount returns the number of other routers with which limits are shared. A partitioned part
-// of a fleet must not take itself for the whole, so routers that are no longer seen still count
-// for a while.
-func (s *Source) Others() int { return s.members.countForSharing(time.Now()) }
+// PeerCount returns the number of other routers, by which fleet-wide limits such as the retry slack
+// are divided. A partitioned part of a fleet must not take itself for the whole, so routers that
+// are no longer seen still count for partitionTTL.
+func (s *Source) Others() int { return s.members.countWithPartitioned(time.Now()) }
 
-// settleTime is how long a router announces itself before it knows all of its failure domain. It
-// sends a hello to each seed, and another one, as those that start with it send theirs meanwhile.
+// settleTime is how long a router announces itself before it knows all of its failure domain. In
+// that time it sends a hello to each of three seeds and another one to the first, and the routers
+// that started with it send theirs.
 const settleTime = 4 * helloInterval
 
-// Fleet returns the routers that share endpoints with this one: those seen in the last
-// sharingTTL. Until this router has been announcing itself for that long, all failure domains of
-// the settings count, seen or not; later a domain without routers doesn't.
+// Fleet returns the routers that share the rate limits of endpoints with this one. Known is false
+// until this router has announced itself for settleTime, or for rateSharerTTL if it has seen no
+// router though it has seeds. Until rateSharerTTL all failure domains of the settings count, seen
+// or not; after it only those in which a router was seen. A router with seeds that sees no other
+// then gets CutOffFrom, the number of routers that it may be partitioned from.
 func (s *Source) Fleet(now time.Time) endpointrate.Fleet {
 	announcing := s.announcingFor(now)
 	if announcing < settleTime {
 		return endpointrate.Fleet{}
 	}
-	domainPeers, domains := s.members.limitSharers(now)
+	domainPeers, domains := s.members.rateSharers(now)
 	alone := len(domainPeers) == 0 && len(domains) == 0 && s.hasSeeds()
 	domains = union(domains, []string{s.cfg.Self.FailureDomain})
 	switch {
-	case announcing < sharingTTL && alone:
+	case announcing < rateSharerTTL && alone:
 		return endpointrate.Fleet{}
-	case announcing < sharingTTL:
+	case announcing < rateSharerTTL:
 		domains = union(domains, s.cfg.FailureDomains)
 	case alone:
 		return endpointrate.Fleet{Known: true, Domains: domains, CutOffFrom: cmp.Or(s.members.peakCount(), LargestFleet)}
@@ -208,7 +212,7 @@
 		s.mayCallOrigin(now, 0)
 	} else {
 		r, err := s.queryPeers(ctx, s.readPages)
-		if err == nil || !s.mayCallOrigin(now, originPause(err)) {
+		if err == nil || !s.mayCallOrigin(now, minOriginInterval(err)) {
 			return r.Reading, err
 		}
 	}
@@ -216,7 +220,7 @@
 	if err == nil || !reader || ctx.Err() != nil {
 		return r, err
 	}
-	// The source may refuse only this router.
+	// The origin may refuse only this router.
 	fromPeer, peerErr := s.queryPeers(ctx, s.readPages)
 	if peerErr != nil {
 		return follow.Reading{}, errors.CombineErrors(err, peerErr)
@@ -225,7 +229,7 @@
 }
 
 // Await implements follow.Source. A router that isn't a reader polls its readers instead of
-// waiting at the source.
+// waiting at the origin.
 func (s *Source) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
 	r, err := s.await(ctx, after, wait)
 	r.Steady = s.uptime.span()
@@ -233,14 +237,14 @@
 }
 
 func (s *Source) await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
-	if s.isReader(time.Now()) {
+	if s.actsAsReader(time.Now()) {
 		return s.awaitAsReader(ctx, after, wait)
 	}
 	if !clock.Sleep(ctx, min(s.cfg.Every, wait)) {
 		return follow.Reading{}, context.Cause(ctx)
 	}
 	r, err := s.queryPeers(ctx, s.pollUpdates)
-	if errors.Is(err, follow.ErrHistoryLost) || err == nil && !r.sourceUnavailable || !s.mayCallOrigin(time.Now(), originCallInterval) {
+	if errors.Is(err, follow.ErrHistoryLost) || err == nil && !r.originUnavailable || !s.mayCallOrigin(time.Now(), originCallInterval) {
 		return r.Reading, err
 	}
 	if err != nil {
@@ -277,7 +281,7 @@
 }
 
 // awaitWithFallback calls the origin after a reader that can't reach it has answered, and falls
-// back on that answer. If the source is unresponsive only to the readers, the routers that it
+// back on that answer. If the origin is unresponsive only to the readers, the routers that it
 // would answer lose 2.4 s by waiting until the readers' state is too old: 17 of 30 routers sent
 // requests to endpoints 3.0 s after these had left.
 func (s *Source) awaitWithFallback(ctx context.Context, after uint64, fallback follow.Reading) follow.Reading {
@@ -290,8 +294,8 @@
 	return r
 }
 
-// awaitAsReader calls the source, and if it fails the readers of other failure domains, since the
-// source may refuse only this router.
+// awaitAsReader calls the origin, and if it fails the readers of other failure domains, since the
+// origin may refuse only this router.
 func (s *Source) awaitAsReader(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
 	r, err := s.awaitOrigin(ctx, after, wait)
 	if err == nil || errors.Is(err, follow.ErrHistoryLost) || errors.Is(context.Cause(ctx), context.Canceled) {
@@ -318,10 +322,10 @@
 	return s.origin.CatchUp(ctx, after)
 }
 
-// originPause is the least time between two calls to the source by a router that has no state and
-// isn't a reader, given the error of its peers. If these answered that they have no state either,
-// their readers are already calling the source several times a second.
-func originPause(err error) time.Duration {
+// minOriginInterval is the least time between two calls to the origin by a router that has no state
+// and isn't a reader, given the error of its peers. If these answered that they have no state either,
+// their readers are already calling the origin several times a second.
+func minOriginInterval(err error) time.Duration {
 	var refused *control.Error
 	if errors.As(err, &refused) {
 		return emptyPeersInterval
@@ -329,27 +333,27 @@
 	return 0
 }
 
-// originCallersPerRound is how many routers of a failure domain may call the source within the
+// originCallersPerRound is how many routers of a failure domain may call the origin within the
 // call interval of one of them. Without a bound a whole fleet calls it as soon as the readers
-// can't: hundreds of calls a second to a failing source.
+// can't: hundreds of calls a second to a failing origin.
 const originCallersPerRound = 16
 
-// originWantedTTL is the gap between attempts to call the source after which a new series begins.
+// originWantedTTL is the gap between attempts to call the origin after which a new series begins.
 const originWantedTTL = time.Second
 
-// mayCallOrigin reports whether this router, if its last call is at least pause ago, may call the
-// source now, and if so records the call. In a large failure domain routers take turns: the
-// interval grows with their number, and the first call of a series waits for the router's turn.
-func (s *Source) mayCallOrigin(now time.Time, pause time.Duration) bool {
-	position, rounds := s.members.originTurn(now)
-	round := time.Duration(rounds * float64(pause))
+// mayCallOrigin reports whether this router, if its last call is at least interval ago, may call the
+// origin now, and if so records the call. In a large failure domain routers take turns: each
+// waits for a round of several intervals, and the first call of a series waits for the router's turn.
+func (s *Source) mayCallOrigin(now time.Time, interval time.Duration) bool {
+	position, intervals := s.members.originTurn(now)
+	round := time.Duration(intervals * float64(interval))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now.Sub(s.originWantedAt) > originWantedTTL {
 		s.originWantedSince = now
 	}
 	s.originWantedAt = now
-	first := s.originWantedSince.Add(time.Duration(position * float64(round-pause)))
+	first := s.originWantedSince.Add(time.Duration(position * float64(round-interval)))
 	if now.Sub(s.lastOriginCall) < round || now.Before(first) {
 		return false
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -10,11 +10,11 @@
 func TestOneReaderPerFailureDomain(t *testing.T) {
 	runFleet(t, 12, func(g *WithT, f *fleet) {
 		g.Expect(f.readers()).To(HaveLen(2))
-		before := f.store.count()
+		before := f.origin.count()
 		time.Sleep(10 * time.Second)
 		// Two readers make one waiting call a second each; without readers the routers would make 120
 		// calls.
-		g.Expect(f.store.count() - before).To(BeNumerically("<=", 22))
+		g.Expect(f.origin.count() - before).To(BeNumerically("<=", 22))
 		f.setVersion(7)
 		time.Sleep(1500 * time.Millisecond)
 		g.Expect(f.countInForce(7)).To(Equal(12))
@@ -44,7 +44,7 @@
 	})
 }
 
-func TestRouterRefusedBySourceGetsUpdatesFromPeers(t *testing.T) {
+func TestRouterRefusedByOriginGetsUpdatesFromPeers(t *testing.T) {
 	runFleet(t, 2, func(g *WithT, f *fleet) { // each reads for its own domain
 		f.refuse("vm0")
 		f.setVersion(5)
@@ -53,23 +53,23 @@
 		g.Expect(f.nodes[0].follower.Age()).To(BeNumerically("<", 4*time.Second))
 		g.Expect(f.nodes[0].source.SourceLost()).To(BeNumerically(">", 3*time.Second))
 		g.Expect(f.nodes[1].source.SourceLost()).To(BeZero())
-		f.store.mu.Lock()
-		f.store.refused = map[string]bool{}
-		f.store.mu.Unlock()
+		f.origin.mu.Lock()
+		f.origin.refused = map[string]bool{}
+		f.origin.mu.Unlock()
 		time.Sleep(time.Second)
 		g.Expect(f.nodes[0].source.SourceLost()).To(BeZero())
 	})
 }
 
-func TestSourceFailureExpiresWithoutFurtherCalls(t *testing.T) {
+func TestOriginFailureExpiresWithoutFurtherCalls(t *testing.T) {
 	runFleet(t, 12, func(g *WithT, f *fleet) {
 		for _, n := range f.nodes {
 			f.refuse(n.vm)
 		}
 		time.Sleep(4 * time.Second)
-		f.store.mu.Lock()
-		f.store.refused = map[string]bool{}
-		f.store.mu.Unlock()
+		f.origin.mu.Lock()
+		f.origin.refused = map[string]bool{}
+		f.origin.mu.Unlock()
 		time.Sleep(4 * time.Second)
 		for _, n := range f.nodes {
 			g.Expect(n.source.SourceLost()).To(BeZero(), n.vm)
@@ -94,7 +94,7 @@
 	})
 }
 
-func TestRouterWithoutPeersReadsSource(t *testing.T) {
+func TestRouterWithoutPeersReadsOrigin(t *testing.T) {
 	runFleet(t, 1, func(g *WithT, f *fleet) {
 		f.setVersion(3)
 		time.Sleep(1500 * time.Millisecond)
@@ -102,15 +102,15 @@
 	})
 }
 
-func TestFewCallsToUnreachableSource(t *testing.T) {
+func TestFewCallsToUnreachableOrigin(t *testing.T) {
 	runFleet(t, 12, func(g *WithT, f *fleet) {
 		for _, n := range f.nodes {
 			f.refuse(n.vm)
 		}
 		time.Sleep(4 * time.Second)
-		before := f.store.count()
+		before := f.origin.count()
 		time.Sleep(8 * time.Second)
 		// Ten routers make at most one call in 0.8 s, two readers 2.5 a second.
-		g.Expect(f.store.count() - before).To(BeNumerically("<=", 10*10+2*24))
+		g.Expect(f.origin.count() - before).To(BeNumerically("<=", 10*10+2*24))
 	})
 }
--- a/internal/peers/query.go
+++ b/internal/peers/query.go
@@ -20,11 +20,11 @@
 // peerReading is a peer's answer to a query.
 type peerReading struct {
 	follow.Reading
-	// sourceUnavailable reports that the peer's own calls to the source fail at present.
-	sourceUnavailable bool
+	// originUnavailable reports that the peer's own calls to the origin fail at present.
+	originUnavailable bool
 }
 
-// queryPeers queries the nearest peers in turn until one answers whose own calls to the source
+// queryPeers queries the nearest peers in turn until one answers whose own calls to the origin
 // succeed. If there is none, it returns the freshest answer of the others.
 func (s *Source) queryPeers(ctx context.Context, query func(context.Context, Member) (peerReading, error)) (peerReading, error) {
 	err := errNoPeers
@@ -33,7 +33,7 @@
 		var r peerReading
 		r, err = query(ctx, peer)
 		switch {
-		case errors.Is(err, follow.ErrHistoryLost), err == nil && !r.sourceUnavailable:
+		case errors.Is(err, follow.ErrHistoryLost), err == nil && !r.originUnavailable:
 			return r, err
 		case err == nil && (fallback == nil || r.Age < fallback.Age):
 			fallback = &r
@@ -45,15 +45,16 @@
 	return peerReading{}, err
 }
 
-// peersToQuery lists the routers to query, the nearest first. A router with a partial view of its
-// failure domain queries the seeds first, which call the source in that phase.
+// peersToQuery lists the routers to query, the nearest first. A router that considers itself a
+// reader but may not know all of its failure domain queries the seeds first, which call the origin
+// in that phase.
 func (s *Source) peersToQuery(now time.Time) []Member {
-	sources := s.members.peersToQuery(now)
+	list := s.members.peersToQuery(now)
 	if !s.members.isReader(now) || !s.hasPartialMembership(now) {
-		return sources
+		return list
 	}
 	seeds := s.members.rotated(s.members.atAddresses(now, s.cfg.Seeds))
-	others := slices.DeleteFunc(sources, func(m Member) bool { return slices.Contains(seeds, m) })
+	others := slices.DeleteFunc(list, func(m Member) bool { return slices.Contains(seeds, m) })
 	return slices.Concat(seeds, others)
 }
 
@@ -65,7 +66,7 @@
 func (s *Source) pollUpdates(ctx context.Context, peer Member) (peerReading, error) {
 	state := s.localState()
 	if state == nil {
-		return peerReading{}, errNothing
+		return peerReading{}, errNoState
 	}
 	list := state.Directory().Listed()
 	req := updateRequest{From: s.cfg.Self, Revision: list.Revision(), Digest: list.Digest(), Demand: s.demand.local()}
@@ -74,7 +75,7 @@
 	req.Failures = s.failures.local(time.Now())
 	req.Poison = s.poison.request(s.pollUpdateWindow())
 	req.Limits = s.limits.request(s.pollUpdateWindow())
-	req.SourceUptime = s.uptime.report(s.cfg.Clock())
+	req.OriginUptime = s.uptime.report(s.cfg.Clock())
 	base := state.Config()
 	req.Version = versionOf(base)
 	sent, sentClock := time.Now(), s.cfg.Clock()
@@ -88,7 +89,7 @@
 	s.recordPending(sent, reply.ConfigPending)
 	s.poison.applyReply(sentClock, reply.Poison)
 	s.limits.applyReply(sentClock, reply.Limits)
-	s.uptime.apply(sentClock, reply.SourceUptime)
+	s.uptime.apply(sentClock, reply.OriginUptime)
 	age, err := s.checkAge(peer, reply.AgeMillis)
 	if err != nil {
 		return peerReading{}, err
@@ -104,7 +105,7 @@
 		Entries: reply.Entries, Gone: reply.Removed, Revision: reply.Revision,
 		Evacuations: directory.Evacuations{Whole: true, Ordered: reply.Evacuated},
 	}
-	return peerReading{Reading: follow.Reading{Config: config, List: reading, Age: age}, sourceUnavailable: reply.SourceUnavailable}, nil
+	return peerReading{Reading: follow.Reading{Config: config, List: reading, Age: age}, originUnavailable: reply.OriginUnavailable}, nil
 }
 
 // config returns this router's own configuration; nil if it has none.
--- a/internal/peers/serve.go
+++ b/internal/peers/serve.go
@@ -23,23 +23,23 @@
 	s.demand.record(req.From, req.Demand, now)
 	s.recordDomainDemand(req.From, req.Domain, now)
 	at := s.cfg.Clock()
-	s.uptime.apply(at, req.SourceUptime)
+	s.uptime.apply(at, req.OriginUptime)
 	return helloReply{
 		From: s.cfg.Self, Members: s.members.membersFor(req.From, now), Known: s.members.countSeen(now), Starting: s.isStarting(now),
 		Demand: s.demand.local(), Domain: s.domainDemand(now),
-		Poison: s.poison.serve(at, req.Poison, helloUpdateWindow), SourceUptime: s.uptime.report(at),
+		Poison: s.poison.serve(at, req.Poison, helloUpdateWindow), OriginUptime: s.uptime.report(at),
 		Limits: s.limits.serve(at, req.Limits, helloUpdateWindow),
 	}, nil
 }
 
-// errNothing is the reply of a router that has no state yet.
-var errNothing = errors.New("peers: nothing is known here yet")
+// errNoState is the reply of a router that has no state yet.
+var errNoState = errors.New("peers: nothing is known here yet")
 
 // readyState returns this router's state, or errNothing if it has none to send yet.
 func (s *Source) readyState() (State, error) {
 	state := s.localState()
 	if state == nil || state.Config() == nil || state.Directory().Len() == 0 {
-		return nil, errNothing
+		return nil, errNoState
 	}
 	return state, nil
 }
@@ -52,13 +52,13 @@
 	at := s.cfg.Clock()
 	poison := s.poison.serve(at, req.Poison, s.pollUpdateWindow())
 	limits := s.limits.serve(at, req.Limits, s.pollUpdateWindow())
-	s.uptime.apply(at, req.SourceUptime)
+	s.uptime.apply(at, req.OriginUptime)
 	state, err := s.readyState()
 	if err != nil {
 		return updateReply{}, err
 	}
 	// The age is read before the state, which may only be newer than that.
-	reply := updateReply{AgeMillis: state.Age().Milliseconds() + 1, SourceUnavailable: s.origin.unavailableFor() > 0, ConfigPending: s.origin.isConfigPending(), Poison: poison, SourceUptime: s.uptime.report(at), Limits: limits}
+	reply := updateReply{AgeMillis: state.Age().Milliseconds() + 1, OriginUnavailable: s.origin.unavailableFor() > 0, ConfigPending: s.origin.isConfigPending(), Poison: poison, OriginUptime: s.uptime.report(at), Limits: limits}
 	others, routers := s.demand.sum(now, req.From.VM)
 	reply.Demand, reply.DemandRouters = s.demand.local().Plus(others), routers+1
 	s.loads.apply(now.Add(-loadReportDelay), req.Loads)
--- a/internal/peers/shared_test.go
+++ b/internal/peers/shared_test.go
@@ -113,7 +113,7 @@
 }
 
 // Guards against routers that extrapolate the demand of all domains from their own. With 103 routers
-// in five domains, those of two domains reserved 20 and 35 of 180 endpoints for four seconds.
+// in five domains, those of two domains dedicated 20 and 35 of 180 endpoints for four seconds.
 func TestAllFailureDomainsKnowSameDemand(t *testing.T) {
 	const routers = 12 // in two domains
 	runFleet(t, routers, func(g *WithT, f *fleet) {
--- a/internal/peers/start.go
+++ b/internal/peers/start.go
@@ -10,11 +10,11 @@
 
 const (
 	// defaultPeerReadTimeout is how long a starting router, while no caller waits for it, tries to read
-	// from peers before it reads the source: some seeds start later than the routers that announce
+	// from peers before it reads the origin: some seeds start later than the routers that announce
 	// themselves to them, and a fleet may start before the operator's first configuration.
 	defaultPeerReadTimeout = 2 * time.Second
-	// readerPeerReadTimeout applies instead to a router that considers itself a reader: if no
-	// seed has any state by then, there may be none yet.
+	// readerPeerReadTimeout is the peer read timeout of a router that considers itself a reader:
+	// if no seed has any state by then, there may be none yet.
 	readerPeerReadTimeout = 400 * time.Millisecond
 	// peerReadInterval is the pause between two attempts.
 	peerReadInterval = 50 * time.Millisecond
@@ -27,7 +27,7 @@
 )
 
 // readFromPeers reads everything from a peer on start; ok is false if none had it. If each router
-// read the source on start, the start of a fleet would cause as many reads of the configuration
+// read the origin on start, the start of a fleet would cause as many reads of the configuration
 // and the list as it has routers. Readers read from a seed, and all others from their readers, so
 // a router serves only those of its own domain, and a seed also a few of each other. Seeds
 // themselves skip this, and so does a router for which callers wait.
@@ -66,7 +66,7 @@
 	return false
 }
 
-// SkipPeerWait has a router that has no state yet read the source at once, as a caller waits.
+// SkipPeerWait has a router that has no state yet read the origin at once, as a caller waits.
 func (s *Source) Hurry() { s.skipPeersOnce.Do(func() { close(s.skipPeers) }) }
 
 // usesStartHelloInterval reports whether this router is starting and lacks answers of some seeds.
@@ -98,15 +98,15 @@
 func (s *Source) isFirstRead() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	first := !s.hasReadAll
-	s.hasReadAll = true
+	first := !s.startedFirstRead
+	s.startedFirstRead = true
 	return first
 }
 
-// isReader reports whether this router calls the source for others. A starting router that got
+// actsAsReader reports whether this router calls the origin for others. A starting router that got
 // its members only from other starting routers knows few of those that start with it, and would
 // consider itself a reader until its next hello.
-func (s *Source) isReader(now time.Time) bool {
+func (s *Source) actsAsReader(now time.Time) bool {
 	return s.members.isReader(now) && !s.hasPartialMembership(now) || s.isStartingSeed(now)
 }
 
--- a/internal/peers/start_test.go
+++ b/internal/peers/start_test.go
@@ -1,6 +1,6 @@
 package peers
 
-// Guards against repeated calls to the source by all routers of a fleet that starts before there is a
+// Guards against repeated calls to the origin by all routers of a fleet that starts before there is a
 // configuration, while their readers have no state either. 103 routers made some 450 calls in 0.85 s,
 // half of all calls of a day without faults. This test counted 240 calls of 30 routers in two seconds
 // before, and 47 since.
@@ -21,7 +21,7 @@
 	const routers = 30
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		f := &fleet{net: memnet.New(), store: &store{version: 1, refused: make(map[string]bool)}}
+		f := &fleet{net: memnet.New(), origin: &fakeOrigin{version: 1, refused: make(map[string]bool)}}
 		defer f.stopAll()
 		for i := range 3 {
 			f.seeds = append(f.seeds, address(i))
@@ -33,10 +33,10 @@
 			f.startNode(g, i)
 		}
 		time.Sleep(2 * time.Second)
-		g.Expect(f.store.count()).To(BeNumerically("<", 2*routers))
-		f.store.mu.Lock()
-		clear(f.store.refused)
-		f.store.mu.Unlock()
+		g.Expect(f.origin.count()).To(BeNumerically("<", 2*routers))
+		f.origin.mu.Lock()
+		clear(f.origin.refused)
+		f.origin.mu.Unlock()
 		time.Sleep(1200 * time.Millisecond)
 		g.Expect(f.countInForce(1)).To(Equal(routers))
 	})
@@ -87,13 +87,13 @@
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				f := &fleet{net: memnet.New(), store: &store{version: 1, refused: make(map[string]bool)}, domains: 5}
+				f := &fleet{net: memnet.New(), origin: &fakeOrigin{version: 1, refused: make(map[string]bool)}, domains: 5}
 				defer f.stopAll()
 				f.startNodes(g, routers, 300*time.Millisecond)
 				g.Expect(f.waitForVersion(1, 5*time.Second)).To(BeNumerically("<", time.Second))
-				t.Logf("%d routers: %d full reads, %d calls", routers, f.store.reads, f.store.count())
-				g.Expect(f.store.reads).To(BeNumerically("<=", 3+2*5), "by seeds, and by a few of each failure domain, as the seeds start late")
-				g.Expect(f.store.count()).To(BeNumerically("<=", 40), "by routers that considered themselves readers until they knew others")
+				t.Logf("%d routers: %d full reads, %d calls", routers, f.origin.reads, f.origin.count())
+				g.Expect(f.origin.reads).To(BeNumerically("<=", 3+2*5), "by seeds, and by a few of each failure domain, as the seeds start late")
+				g.Expect(f.origin.count()).To(BeNumerically("<=", 40), "by routers that considered themselves readers until they knew others")
 			})
 		})
 	}
@@ -104,7 +104,7 @@
 	const routers = 60
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		f := &fleet{net: memnet.New(), store: &store{version: 1, refused: make(map[string]bool)}, domains: 5}
+		f := &fleet{net: memnet.New(), origin: &fakeOrigin{version: 1, refused: make(map[string]bool)}, domains: 5}
 		defer f.stopAll()
 		f.startNodes(g, routers, 300*time.Millisecond)
 		time.Sleep(6 * time.Second)
@@ -116,22 +116,22 @@
 			}
 		}
 		time.Sleep(2 * time.Second)
-		before := f.store.count()
+		before := f.origin.count()
 		for i := range routers {
 			if i%20 < 11 {
 				f.startNode(g, routers-1-i)
 			}
 		}
 		g.Expect(f.waitForVersion(1, 5*time.Second)).To(BeNumerically("<", 300*time.Millisecond))
-		g.Expect(f.store.count()-before).To(BeNumerically("<", killed/2), "before, each of them made a full read")
+		g.Expect(f.origin.count()-before).To(BeNumerically("<", killed/2), "before, each of them made a full read")
 	})
 }
 
-// If the seeds are gone for good, routers have to read the source themselves.
-func TestRouterWithoutReachableSeedsReadsSourceInTime(t *testing.T) {
+// If the seeds are gone for good, routers have to read the origin themselves.
+func TestRouterWithoutReachableSeedsReadsOriginInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		f := &fleet{net: memnet.New(), store: &store{version: 1, refused: make(map[string]bool)}, seeds: []string{address(90), address(91)}}
+		f := &fleet{net: memnet.New(), origin: &fakeOrigin{version: 1, refused: make(map[string]bool)}, seeds: []string{address(90), address(91)}}
 		defer f.stopAll()
 		f.startNode(g, 5)
 		g.Expect(f.waitForVersion(1, 5*time.Second)).To(BeNumerically("<", defaultPeerReadTimeout+500*time.Millisecond))
@@ -140,10 +140,10 @@
 
 // All routers restart at once while callers send requests, and the seeds start last. Without
 // SkipPeerWait the last of these routers gets its state after 0.9 s.
-func TestSkipPeerWaitReadsSourceAtOnce(t *testing.T) {
+func TestSkipPeerWaitReadsOriginAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		f := &fleet{net: memnet.New(), store: &store{version: 1, refused: make(map[string]bool)}, domains: 5, seeds: []string{address(0)}}
+		f := &fleet{net: memnet.New(), origin: &fakeOrigin{version: 1, refused: make(map[string]bool)}, domains: 5, seeds: []string{address(0)}}
 		defer f.stopAll()
 		for i := 1; i <= 12; i++ {
 			f.startNode(g, i)
@@ -159,29 +159,29 @@
 
 // The first configuration is written after the fleet has started: one router of each failure domain
 // must read it, not all. With a hello a second, only one of two seeds had answered before the next
-// hello, and 25 of 28 routers read the source themselves.
+// hello, and 25 of 28 routers read the origin themselves.
 func TestFirstConfigurationAfterFleetStartNeedsFewReads(t *testing.T) {
 	const routers = 103
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		f := &fleet{net: memnet.New(), store: &store{version: 1, refused: make(map[string]bool)}, domains: 5}
+		f := &fleet{net: memnet.New(), origin: &fakeOrigin{version: 1, refused: make(map[string]bool)}, domains: 5}
 		defer f.stopAll()
 		for i := range routers {
 			f.refuse(fmt.Sprint("vm", i))
 		}
 		f.startNodes(g, routers, 300*time.Millisecond)
 		time.Sleep(300 * time.Millisecond)
-		f.store.mu.Lock()
-		clear(f.store.refused)
-		f.store.mu.Unlock()
+		f.origin.mu.Lock()
+		clear(f.origin.refused)
+		f.origin.mu.Unlock()
 		g.Expect(f.waitForVersion(1, 5*time.Second)).To(BeNumerically("<", time.Second))
-		t.Logf("%d full reads", f.store.reads)
-		g.Expect(f.store.reads).To(BeNumerically("<", routers/2), "by some, repeatedly until there is a configuration")
+		t.Logf("%d full reads", f.origin.reads)
+		g.Expect(f.origin.reads).To(BeNumerically("<", routers/2), "by some, repeatedly until there is a configuration")
 	})
 }
 
 // Starting routers leave the calls to the seeds for a while. A change in that time has to be in force
-// everywhere as soon as at other times: one poll each takes it from the source to a seed, a reader
+// everywhere as soon as at other times: one poll each takes it from the origin to a seed, a reader
 // and the others.
 func TestConfigurationChangeDuringFleetStartIsInForceInTime(t *testing.T) {
 	const routers, limit = 103, time.Second
@@ -189,7 +189,7 @@
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				f := &fleet{net: memnet.New(), store: &store{version: 1, refused: make(map[string]bool)}, domains: 5}
+				f := &fleet{net: memnet.New(), origin: &fakeOrigin{version: 1, refused: make(map[string]bool)}, domains: 5}
 				defer f.stopAll()
 				f.startNodes(g, routers, 300*time.Millisecond)
 				time.Sleep(after * time.Millisecond)
@@ -204,7 +204,7 @@
 
 // Guards against update calls by starting routers that aren't readers. A router whose hellos reach
 // only seeds that have just started themselves learns of few others, considers itself a reader, and
-// calls the store until its next hello a second later. Of 357 routers 42 made calls, 34 of them after
+// calls the origin until its next hello a second later. Of 357 routers 42 made calls, 34 of them after
 // a full read from a seed; of 880 routers 150 did. One of eight runs exceeded the bound of the test
 // above.
 func TestFleetStartLeavesUpdateCallsToSeeds(t *testing.T) {
@@ -212,25 +212,25 @@
 		t.Run(fmt.Sprint(c.routers), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				f := &fleet{net: memnet.New(), store: &store{version: 1, refused: make(map[string]bool)}, domains: c.domains}
+				f := &fleet{net: memnet.New(), origin: &fakeOrigin{version: 1, refused: make(map[string]bool)}, domains: c.domains}
 				defer f.stopAll()
 				f.startNodes(g, c.routers, 300*time.Millisecond)
 				g.Expect(f.waitForVersion(1, 5*time.Second)).To(BeNumerically("<", time.Second))
-				t.Logf("%d routers: %d full reads, %d calls", c.routers, f.store.reads, f.store.count())
-				g.Expect(f.store.count()).To(BeNumerically("<=", 2*f.store.reads), "one update call per full read")
+				t.Logf("%d routers: %d full reads, %d calls", c.routers, f.origin.reads, f.origin.count())
+				g.Expect(f.origin.count()).To(BeNumerically("<=", 2*f.origin.reads), "one update call per full read")
 			})
 		})
 	}
 }
 
-// The reader of a failure domain restarts in a stable fleet. It must call the source at once, since
+// The reader of a failure domain restarts in a stable fleet. It must call the origin at once, since
 // the seeds, which know all of the domain, poll it. If it polls the seeds instead, a change takes
 // 1.6 s and more.
 func TestRestartedReaderReadsAtOnce(t *testing.T) {
 	const routers = 12
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		f := &fleet{net: memnet.New(), store: &store{version: 1, refused: make(map[string]bool)}, domains: 1}
+		f := &fleet{net: memnet.New(), origin: &fakeOrigin{version: 1, refused: make(map[string]bool)}, domains: 1}
 		defer f.stopAll()
 		for i := routers - 3; i < routers; i++ {
 			f.seeds = append(f.seeds, address(i))
--- a/internal/peers/uptime.go
+++ b/internal/peers/uptime.go
@@ -8,10 +8,10 @@
 	"coveferry/internal/follow"
 )
 
-// sourceUptime is the latest span over which the routers, taken together, read the source without
-// a long gap. It shows that the source had no outage, even if this router's state was outdated for
+// originUptime is the latest span over which the routers, taken together, read the origin without
+// a long gap. It shows that the origin had no outage, even if this router's state was outdated for
 // a while. It is safe for concurrent use.
-type sourceUptime struct {
+type originUptime struct {
 	// maxGap is the longest gap within a span; entries of the list take longer to expire.
 	maxGap time.Duration
 	mu     sync.Mutex
@@ -24,18 +24,18 @@
 	AgoMillis int64 `json:"ago_ms"`
 }
 
-func (s *sourceUptime) span() follow.Span {
+func (s *originUptime) span() follow.Span {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.latest
 }
 
-// recordAnswer records that the source answered this router.
-func (s *sourceUptime) recordAnswer(now time.Time) { s.add(follow.Span{From: now, To: now}) }
+// recordAnswer records that the origin answered this router.
+func (s *originUptime) recordAnswer(now time.Time) { s.add(follow.Span{From: now, To: now}) }
 
 // add merges a span with the known one if the gap between them is at most maxGap; otherwise the
 // later one is kept.
-func (s *sourceUptime) add(other follow.Span) {
+func (s *originUptime) add(other follow.Span) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -49,7 +49,7 @@
 }
 
 // report returns the span for other routers.
-func (s *sourceUptime) report(now time.Time) uptimeReport {
+func (s *originUptime) report(now time.Time) uptimeReport {
 	span := s.span()
 	if span.To.IsZero() {
 		return uptimeReport{}
@@ -58,7 +58,7 @@
 }
 
 // apply adds the span of a report that was sent at the given time.
-func (s *sourceUptime) apply(sentAt time.Time, report uptimeReport) {
+func (s *originUptime) apply(sentAt time.Time, report uptimeReport) {
 	if report == (uptimeReport{}) {
 		return
 	}
