--- a/internal/peers/narrow_test.go
+++ b/internal/peers/narrow_test.go
@@ -22,43 +22,43 @@
 	"coveferry/internal/route"
 )
 
-// bigStore holds a configuration that has to come over the link of who reads it.
-type bigStore struct {
+// configOrigin holds a configuration that is transferred over the reader's link.
+type configOrigin struct {
 	mu     sync.Mutex
 	config *route.Config
 }
 
-func (s *bigStore) set(c *route.Config) {
+func (s *configOrigin) set(c *route.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.config = c
 }
 
-func (s *bigStore) get() *route.Config {
+func (s *configOrigin) get() *route.Config {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.config
 }
 
-// linkedView is the store as a router reaches it over its link.
-type linkedView struct {
-	store *bigStore
-	link  *memnet.Link
+// linkView is the origin as a router reaches it over its link.
+type linkView struct {
+	origin *configOrigin
+	link   *memnet.Link
 }
 
-func (v linkedView) reading() follow.Reading {
-	c := v.store.get()
+func (v linkView) reading() follow.Reading {
+	c := v.origin.get()
 	size, _ := json.Marshal(c)
 	time.Sleep(time.Until(v.link.Reserve(len(size))))
 	entries := []directory.Entry{{Endpoint: bundle.Endpoint{Name: "e", Address: "a", Services: []string{"s"}}}}
 	return follow.Reading{Config: c, List: directory.Reading{Whole: true, Entries: entries, Revision: c.Version}}
 }
 
-func (v linkedView) Read(context.Context, bool) (follow.Reading, error) { return v.reading(), nil }
+func (v linkView) Read(context.Context, bool) (follow.Reading, error) { return v.reading(), nil }
 
-func (v linkedView) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
+func (v linkView) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
 	for until := time.Now().Add(wait); time.Now().Before(until); {
-		if v.store.get().Version > after {
+		if v.origin.get().Version > after {
 			return v.reading(), ctx.Err()
 		}
 		if !clock.Sleep(ctx, 10*time.Millisecond) {
@@ -68,12 +68,12 @@
 	return follow.Reading{List: directory.Reading{Revision: after}}, ctx.Err()
 }
 
-func (v linkedView) CatchUp(ctx context.Context, after uint64) (follow.Reading, error) {
+func (v linkView) CatchUp(ctx context.Context, after uint64) (follow.Reading, error) {
 	return v.Await(ctx, after, follow.AtOnce)
 }
 
-// routesOf is a configuration of so many routes.
-func routesOf(version uint64, routes int) *route.Config {
+// configWithRoutes returns a configuration with the given number of routes.
+func configWithRoutes(version uint64, routes int) *route.Config {
 	c := &route.Config{Version: version, Services: []route.Service{{Name: "s"}}, Teams: map[string]*route.Team{"key": {Name: "team"}}}
 	for i := range routes {
 		c.Routes = append(c.Routes, route.Route{
@@ -90,7 +90,7 @@
 	link *memnet.Link
 }
 
-func startLinked(ctx context.Context, g *WithT, n *memnet.Net, store *bigStore, i int, mbps float64, seeds []string) *linkedNode {
+func startLinked(ctx context.Context, g *WithT, n *memnet.Net, origin *configOrigin, i int, mbps float64, seeds []string) *linkedNode {
 	vm := fmt.Sprint("vm", i)
 	l, err := n.Listen(address(i))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -105,7 +105,7 @@
 	}}, 0)
 	source := New(Config{
 		Self: Member{VM: vm, FailureDomain: "domain", Address: address(i), Cores: 1, LinkMbps: mbps}, Seeds: seeds,
-		Source: linkedView{store, link}, Pool: pool, Every: 250 * time.Millisecond, MaxAge: maxAge, Log: zerolog.Nop(),
+		Source: linkView{origin, link}, Pool: pool, Every: 250 * time.Millisecond, MaxAge: maxAge, Log: zerolog.Nop(),
 	})
 	server := control.NewServer(control.ServerConfig{Listener: link.Listener(l)})
 	source.Register(server)
@@ -124,21 +124,21 @@
 	return &linkedNode{node: node{vm: vm, source: source, follower: follower, stop: stop, server: server, pool: pool}, link: link}
 }
 
-// Of eleven routers of a failure domain one has a link of 200 Mbit/s and the others
-// of 10. A configuration that grows by many routes has to be in force at all of them
-// within 3 s, also while some restart.
-func TestALargeConfigurationIsInForceInTimeBehindNarrowLinks(t *testing.T) {
+// One of eleven routers of a failure domain has a link of 200 Mbit/s and the others of 10. A
+// configuration that grows by many routes has to be in force at all of them within 3 s, even while
+// some restart.
+func TestLargeConfigurationIsInForceInTimeOverNarrowLinks(t *testing.T) {
 	for _, routes := range []int{1500, 5000} {
 		t.Run(fmt.Sprint(routes), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				n := memnet.New()
-				store := &bigStore{config: routesOf(1, 20)}
+				origin := &configOrigin{config: configWithRoutes(1, 20)}
 				seeds := []string{address(1), address(2), address(3)}
 				var nodes []*linkedNode
 				defer func() {
 					for _, node := range nodes {
-						node.end()
+						node.shutDown()
 					}
 					time.Sleep(time.Minute)
 				}()
@@ -147,15 +147,15 @@
 					if i == 0 {
 						mbps = 200
 					}
-					return startLinked(t.Context(), g, n, store, i, mbps, seeds)
+					return startLinked(t.Context(), g, n, origin, i, mbps, seeds)
 				}
 				for i := range 11 {
 					nodes = append(nodes, start(i))
 				}
 				time.Sleep(6 * time.Second)
 				for step, size := range []int{routes, routes + 1, routes / 2} {
-					nodes[4].end()
-					store.set(routesOf(uint64(2+step), size))
+					nodes[4].shutDown()
+					origin.set(configWithRoutes(uint64(2+step), size))
 					time.Sleep(time.Second)
 					nodes[4] = start(4)
 					time.Sleep(2 * time.Second)
@@ -174,40 +174,40 @@
 	}
 }
 
-func TestTheReaderIsOneThatCanCarryIt(t *testing.T) {
+func TestReaderHasEnoughCapacity(t *testing.T) {
 	g := NewWithT(t)
 	m := newMembers(Member{VM: "a", FailureDomain: "d", Cores: 0.8, LinkMbps: 10})
 	now := time.Now()
-	m.hear(Member{VM: "b", FailureDomain: "d", Cores: 0.1, LinkMbps: 200}, now)
+	m.recordSeen(Member{VM: "b", FailureDomain: "d", Cores: 0.1, LinkMbps: 200}, now)
 	g.Expect(m.readers(now, "d")).To(HaveLen(1))
-	m.hear(Member{VM: "c", FailureDomain: "d", Cores: 0.5, LinkMbps: 150}, now)
+	m.recordSeen(Member{VM: "c", FailureDomain: "d", Cores: 0.5, LinkMbps: 150}, now)
 	g.Expect(m.readers(now, "d")[0].VM).To(Equal("c"))
-	// Where nothing is known of VMs, any will do.
-	g.Expect(able([]heard{{member: Member{VM: "x"}}, {member: Member{VM: "y"}}})).To(HaveLen(2))
+	// If no capacity is known, all routers are candidates.
+	g.Expect(capableRouters([]seenMember{{member: Member{VM: "x"}}, {member: Member{VM: "y"}}})).To(HaveLen(2))
 }
 
-func TestAsManyRoutersReadAsCanTellTheOthersInTime(t *testing.T) {
+func TestReaderCountDependsOnLinkAndDomainSize(t *testing.T) {
 	g := NewWithT(t)
 	for _, c := range []struct {
 		routers int
 		mbps    float64
 		readers int
 	}{{1, 10, 1}, {8, 200, 1}, {33, 200, 1}, {11, 10, 2}, {33, 10, 4}, {33, 0, 1}, {3, 1000, 1}} {
-		g.Expect(readersFor(c.routers, c.mbps)).To(Equal(c.readers), "%d routers, %g Mbit/s", c.routers, c.mbps)
+		g.Expect(readerCount(c.routers, c.mbps)).To(Equal(c.readers), "%d routers, %g Mbit/s", c.routers, c.mbps)
 	}
 	now := time.Now()
-	asked := make(map[string]int)
+	queries := make(map[string]int)
 	for self := range 33 {
 		m := newMembers(Member{VM: fmt.Sprint("vm", self), FailureDomain: "d", LinkMbps: 10})
 		for other := range 33 {
-			m.hear(Member{VM: fmt.Sprint("vm", other), FailureDomain: "d", LinkMbps: 10}, now)
+			m.recordSeen(Member{VM: fmt.Sprint("vm", other), FailureDomain: "d", LinkMbps: 10}, now)
 		}
 		if !m.isReader(now) {
-			asked[m.sources(now)[0].VM]++
+			queries[m.peersToQuery(now)[0].VM]++
 		}
 	}
-	g.Expect(asked).To(HaveLen(4))
-	for reader, askers := range asked {
-		g.Expect(askers).To(BeNumerically("<", 15), reader)
+	g.Expect(queries).To(HaveLen(4))
+	for reader, count := range queries {
+		g.Expect(count).To(BeNumerically("<", 15), reader)
 	}
 }
