--- a/internal/balance/member_test.go
+++ b/internal/balance/member_test.go
@@ -9,7 +9,7 @@
 	"coveferry/internal/load"
 )
 
-func TestSuspectIsChosenOnlyWhereNothingElseIsLeft(t *testing.T) {
+func TestSuspectEndpointIsChosenOnlyAsLastResort(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{Seed: 1})
 	list := endpoints("a", "b")
@@ -24,7 +24,7 @@
 	g.Expect(e.Name).To(gomega.Equal("a"))
 }
 
-func TestReturnIsSlowAndKeepsOlderReportsOut(t *testing.T) {
+func TestReturnIsGradualAndIgnoresOlderReports(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{})
 	list := endpoints("a", "b")
@@ -37,7 +37,7 @@
 		v := p.Views(epoch.Add(after), list)[0]
 		weights = append(weights, v.Weight)
 	}
-	g.Expect(weights).To(gomega.Equal([]float64{firstWeight, (1 + firstWeight) / 2, 1}))
+	g.Expect(weights).To(gomega.Equal([]float64{initialSlowStartWeight, (1 + initialSlowStartWeight) / 2, 1}))
 	e, err := p.Choose(epoch, Request{}, list[:1], nil)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(e.Name).To(gomega.Equal("a"))
