--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -32,15 +32,15 @@
 	Objective time.Duration
 	// Retry marks a request that was already sent to an endpoint. It isn't sent to an endpoint
 	// known to be full, and is rejected if all are.
-	Again bool
+	Retry bool
 	// ColdRate limits the requests a second that a cold endpoint receives from all routers; 0
 	// means no limit.
 	ColdRate float64
 	// AtMostOnce marks a request that must not be retried after its endpoint failed while running
 	// it.
-	Once bool
+	AtMostOnce bool
 	// majoritySuspect is set if connections to more than half of the candidates fail.
-	mostUnsure bool
+	majoritySuspect bool
 }
 
 // kind returns the key under which demand for this request is counted.
@@ -54,46 +54,46 @@
 	Inflight int
 	// PendingPrefill is the number of prompt tokens, by tier, that this router sent and that the
 	// endpoint may not have prefilled yet.
-	Prefill [maxTiers]int
+	PendingPrefill [maxTiers]int
 	// InflightByTier is the number of this router's own tracked requests, by tier.
-	Open [maxTiers]int
+	InflightByTier [maxTiers]int
 	// TightGapStreams is the number of this router's streams with a tight gap limit.
-	Tight int
+	TightGapStreams int
 	// CachedTokens is the number of tokens at the start of the prompt that this router sent to
 	// the endpoint recently, so that its prefix cache probably holds them.
-	Cached int
+	CachedTokens int
 	// OwnUnreported is the number of this router's inflight requests that were sent after the
 	// last load report arrived, so that the report doesn't include them.
-	SinceReport int
+	OwnUnreported int
 	// EstimatedUnreported estimates the requests of all routers that the last report doesn't
 	// include. A policy that needs it computes it from all views.
-	Since float64
+	EstimatedUnreported float64
 	// EstimatedInflight estimates the requests of all routers at an endpoint without a load
 	// report. A policy that needs it computes it from all views.
-	Expected float64
+	EstimatedInflight float64
 	// Load is the last load report and ReportedAt when it arrived; zero if there is none.
 	Load       load.Report
 	ReportedAt time.Time
 	// TimeToFirstToken is a moving average.
-	FirstToken time.Duration
+	TimeToFirstToken time.Duration
 	// SlotTime is the average time for which a request holds a slot, derived from the running
 	// requests and the drain rate in load reports; 0 if unknown.
-	Service time.Duration
+	SlotTime time.Duration
 	// SecondsPerOutputToken is the time between two output tokens, 0 if unknown, and
 	// SecondsPerPromptToken the prefill time of a prompt token.
-	Token, PerToken float64
+	SecondsPerOutputToken, SecondsPerPromptToken float64
 	// PrefillOverhead is the fixed part of a prompt's prefill time, in seconds.
-	First float64
+	PrefillOverhead float64
 	// HasRateLimit is set if the endpoint has a rate limit over all routers that still admits
 	// this request. Endpoints at their limit aren't among the views.
-	Bounded bool
+	HasRateLimit bool
 	// Suspect is set if connections to the endpoint fail or it is unresponsive.
-	Unsure bool
+	Suspect bool
 	// ReducedCapacity is set for a cold endpoint, or one with a stated rate limit that turns
 	// requests away. It is left out when endpoints are dedicated to tight-gap streams, preferred
 	// endpoints are assigned and waits are estimated, and only receives requests that would cost
 	// more elsewhere.
-	Aside bool
+	ReducedCapacity bool
 	// Full is set if the endpoint recently refused a request for lack of capacity.
 	Full bool
 	// Weight is 1 for a healthy endpoint, less for one that ramps up after it was slow, failing
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -56,19 +56,19 @@
 	return e.freeAt, true
 }
 
-// happening is a scheduled event of a simulation.
-type happening struct {
+// simEvent is a scheduled event of a simulation.
+type simEvent struct {
 	at time.Time
 	do func(now time.Time)
 }
 
-type happenings []happening
+type eventQueue []simEvent
 
-func (h happenings) Len() int           { return len(h) }
-func (h happenings) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
-func (h happenings) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)        { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
+func (h eventQueue) Len() int           { return len(h) }
+func (h eventQueue) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h eventQueue) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *eventQueue) Push(x any)        { *h = append(*h, x.(simEvent)) }
+func (h *eventQueue) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
@@ -80,7 +80,7 @@
 	rnd       *rand.Rand
 	pools     []*Pool
 	endpoints []*crashEndpoint
-	queue     happenings
+	queue     eventQueue
 	rate      float64 // cold rate that routers know of; 0 for none
 	// repeatedCrashes counts crashes of endpoints that had restarted.
 	repeatedCrashes int
@@ -101,11 +101,11 @@
 			for j := i % domains; j < routers; j += domains {
 				near = append(near, fmt.Sprint("r", j))
 			}
-			return endpointrate.Fleet{Known: true, Near: near, Domains: names}
+			return endpointrate.Fleet{Known: true, OwnDomainRouters: near, Domains: names}
 		}}
 		policy := NewPromptAware()
-		policy.HearOthers(func() Others { return Others{Routers: routers - 1} })
-		c.pools = append(c.pools, NewPool(Config{Policy: policy, Seed: uint64(i + 1), Part: share.Of}))
+		policy.SetPeerDemand(func() PeerDemand { return PeerDemand{Routers: routers - 1} })
+		c.pools = append(c.pools, NewPool(Config{Policy: policy, Seed: uint64(i + 1), RateShare: share.Rate}))
 	}
 	for i := range endpoints {
 		c.endpoints = append(c.endpoints, &crashEndpoint{Endpoint: bundle.Endpoint{Name: fmt.Sprint("e", i), FailureDomain: names[i%domains], Slots: 64}})
@@ -120,13 +120,13 @@
 		}
 	})
 	for len(c.queue) > 0 {
-		h := heap.Pop(&c.queue).(happening)
+		h := heap.Pop(&c.queue).(simEvent)
 		h.do(h.at)
 	}
 	return c
 }
 
-func (c *crashSim) on(at time.Time, do func(time.Time)) { heap.Push(&c.queue, happening{at, do}) }
+func (c *crashSim) on(at time.Time, do func(time.Time)) { heap.Push(&c.queue, simEvent{at, do}) }
 
 // crashOne crashes an endpoint, which restarts cold as another process.
 func (c *crashSim) crashOne(e *crashEndpoint, now time.Time) {
@@ -164,7 +164,7 @@
 			e = other
 		}
 	}
-	account := p.SentWork(now, e.Name, Work{Service: req.Service, Prompt: req.Prompt})
+	account := p.Track(now, e.Name, Work{Service: req.Service, Prompt: req.Prompt})
 	done, ok := e.arrive(now)
 	if !ok {
 		c.repeatedCrashes++
@@ -178,8 +178,8 @@
 			account.Done(now, ResultFailed)
 			return
 		}
-		account.Event(now)
-		account.Ended()
+		account.EventReceived(now)
+		account.Release()
 		account.Done(now, ResultOK)
 		report := load.Report{Slots: 64, Seq: uint64(now.Sub(epoch))}
 		report.Running[0] = int(e.freeAt.Sub(now) / serviceTime)
@@ -220,10 +220,10 @@
 
 func TestColdEndpointGetsItsShareAtMost(t *testing.T) {
 	g := NewWithT(t)
-	p := NewPool(Config{Policy: NewPromptAware(), Seed: 1, Part: func(time.Time, endpointrate.Bound) float64 { return 4 }})
-	all := engines(2)
+	p := NewPool(Config{Policy: NewPromptAware(), Seed: 1, RateShare: func(time.Time, endpointrate.Bound) float64 { return 4 }})
+	all := newEndpoints(2)
 	for i := range 90 {
-		p.SentWork(epoch, "e0", Work{Prompt: prompt.Prompt{Tokens: 5000 + i}}) // e0 is full
+		p.Track(epoch, "e0", Work{Prompt: prompt.Prompt{Tokens: 5000 + i}}) // e0 is full
 	}
 	p.SetCold(epoch, "e1", coldDuration)
 	req := Request{Service: "llm", Prompt: prompt.Prompt{Tokens: 900, Output: 50}, ColdRate: coldRate}
@@ -239,7 +239,7 @@
 	var none *NoEndpointError
 	_, err := p.Choose(epoch.Add(2*time.Second), req, all, nil)
 	g.Expect(err).To(BeAssignableToTypeOf(none))
-	g.Expect(err.(*NoEndpointError).Bounded).To(Equal(1))
+	g.Expect(err.(*NoEndpointError).RateLimited).To(Equal(1))
 	// After its cold time it is an endpoint like any other.
 	e, err := p.Choose(epoch.Add(coldDuration), req, all, nil)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/balance/config.go
+++ b/internal/balance/config.go
@@ -23,24 +23,24 @@
 	Seed uint64
 	// FirstTokenSmoothing is the weight, from 0 to 1, of a new sample in the moving average of
 	// the time to first token.
-	FirstTokenShare float64
+	FirstTokenSmoothing float64
 	// SeqHold is how long after a report those with a lower Seq are ignored. Later, a lower Seq
 	// means that the agent restarted.
 	SeqHold time.Duration
 	// FullReportMaxAge is the maximum age of a report that can show an endpoint to be full.
-	RefuseAge time.Duration
+	FullReportMaxAge time.Duration
 	// LateBindingThreshold is the slot utilization from which ChoosePair returns a second
 	// endpoint; negative means always.
-	SecondAbove float64
+	LateBindingThreshold float64
 	// RateShare returns this router's share, in requests a second, of an endpoint's rate limit
 	// over all routers. If nil, the router uses the whole limit.
-	Part func(now time.Time, b endpointrate.Bound) float64
+	RateShare func(now time.Time, b endpointrate.Bound) float64
 	// OnLimit is called for each change of the rate limit that an endpoint states. It must not
 	// block. It may be nil.
 	OnLimit func(LimitEvent)
 	// OnDomainEvent is called when a failure domain becomes unresponsive or responsive again. It
 	// must not block. It may be nil.
-	OnSilentDomain func(SilentDomain)
+	OnDomainEvent func(DomainEvent)
 	// Outlier configures outlier detection.
 	Outlier Outlier
 }
@@ -49,20 +49,20 @@
 	if c.Policy == nil {
 		c.Policy = LoadAware{}
 	}
-	if c.FirstTokenShare <= 0 {
-		c.FirstTokenShare = defaultFirstTokenSmoothing
+	if c.FirstTokenSmoothing <= 0 {
+		c.FirstTokenSmoothing = defaultFirstTokenSmoothing
 	}
 	if c.SeqHold <= 0 {
 		c.SeqHold = defaultSeqHold
 	}
-	if c.RefuseAge <= 0 {
-		c.RefuseAge = defaultRefuseReportMaxAge
+	if c.FullReportMaxAge <= 0 {
+		c.FullReportMaxAge = defaultRefuseReportMaxAge
 	}
-	if c.SecondAbove == 0 {
-		c.SecondAbove = defaultLateBindingThreshold
+	if c.LateBindingThreshold == 0 {
+		c.LateBindingThreshold = defaultLateBindingThreshold
 	}
-	if c.Part == nil {
-		c.Part = func(_ time.Time, b endpointrate.Bound) float64 { return b.PerSecond }
+	if c.RateShare == nil {
+		c.RateShare = func(_ time.Time, b endpointrate.Bound) float64 { return b.PerSecond }
 	}
 	c.Outlier = c.Outlier.withDefaults()
 	return c
--- a/internal/balance/copy.go
+++ b/internal/balance/copy.go
@@ -6,17 +6,17 @@
 // the cost of copying grows with the tokens, the benefit with how long the stream runs.
 const copyRatio = 5
 
-// copyTo is the index of the endpoint to copy the run's KV cache to, -1 if none. A run is copied if it
-// couldn't be repeated after its endpoint crashed, or if its stream would be late when resumed
-// elsewhere, and only if its prompt is short relative to the output. Since copies take memory they
-// are spread over the endpoints dedicated to such streams, if possible in another failure domain.
-// group are the endpoints of the request's kind. A retry leaves out those already tried, so that
-// they may be fewer than at the last isolation decision.
-func copyTo(req Request, views []View, e Expectation, group, all []int, chosen int) int {
-	if !e.Tight && !req.Once || req.Prompt.Tokens > copyRatio*req.Prompt.Output {
+// copyTarget is the index of the endpoint to copy the run's KV cache to, -1 if none. A run is
+// copied if it couldn't be repeated after its endpoint crashed, or if its stream would be late when
+// resumed elsewhere, and only if its prompt is short relative to the output. Since copies take
+// memory they are spread over the endpoints dedicated to such streams, if possible in another
+// failure domain. group are the endpoints of the request's kind. A retry leaves out those already
+// tried, so that they may be fewer than at the last isolation decision.
+func copyTarget(req Request, views []View, e Estimates, group, all []int, chosen int) int {
+	if !e.TightGap && !req.AtMostOnce || req.Prompt.Tokens > copyRatio*req.Prompt.Output {
 		return -1
 	}
-	if e.Tight {
+	if e.TightGap {
 		if to := bestCopyTarget(req.Prompt, views, group, chosen); to >= 0 {
 			return to
 		}
@@ -28,7 +28,7 @@
 func bestCopyTarget(p prompt.Prompt, views []View, group []int, chosen int) int {
 	best := -1
 	for _, i := range group {
-		if i == chosen || views[i].Bounded || views[i].requests() >= views[i].slots() {
+		if i == chosen || views[i].HasRateLimit || views[i].estimatedRequests() >= views[i].slots() {
 			continue
 		}
 		if best < 0 || betterCopyTarget(p, views, chosen, i, best) {
--- a/internal/balance/copy_test.go
+++ b/internal/balance/copy_test.go
@@ -10,10 +10,10 @@
 func TestCopyTargetWithFewerEndpointsThanDedicated(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPromptAware()
-	p.demand.last = map[string]separation{"": {tight: []int64{250}, kept: 9}}
+	p.demand.isolations = map[string]isolation{"": {gapLimits: []int64{250}, dedicated: 9}}
 	views := []View{
 		{Endpoint: "a", FailureDomain: "x", Weight: 1},
 		{Endpoint: "b", FailureDomain: "y", Weight: 1},
 	}
-	g.Expect(p.Expect(tight(1), views, nil, 0).Copy).To(Equal(1))
+	g.Expect(p.Estimate(tightGapRequest(1), views, nil, 0).CopyTo).To(Equal(1))
 }
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -31,7 +31,7 @@
 // before a new request of the tier.
 func (v *View) prefillAhead(tier int) int {
 	tokens := 0
-	for _, n := range v.Prefill[:min(tier, maxTiers-1)+1] {
+	for _, n := range v.PendingPrefill[:min(tier, maxTiers-1)+1] {
 		tokens += n
 	}
 	return tokens
@@ -62,7 +62,7 @@
 	own, all := 1.0, 1.0
 	for i := range views {
 		own += float64(views[i].Inflight)
-		all += views[i].requests()
+		all += views[i].estimatedRequests()
 	}
 	return own / all
 }
@@ -72,21 +72,21 @@
 // correlation, from 0 to 1, says how far routers that see the same reports make the same choice:
 // an endpoint that appears idle to all routers and is sampled by all receives the requests of
 // all.
-func countOthers(views []View, share, correlation float64) {
+func estimateOtherRouters(views []View, share, correlation float64) {
 	ownShare := ownInflightShare(views)
 	inflight, unreported := 0.0, 0.0
 	for i := range views {
 		inflight += float64(views[i].Inflight) / float64(len(views))
-		unreported += float64(views[i].SinceReport) / float64(len(views))
+		unreported += float64(views[i].OwnUnreported) / float64(len(views))
 	}
 	for i := range views {
 		v := &views[i]
-		v.Since = sentSince(float64(v.SinceReport), unreported, ownShare, correlation)
+		v.EstimatedUnreported = estimateUnreported(float64(v.OwnUnreported), unreported, ownShare, correlation)
 		if v.ReportedAt.IsZero() {
 			// With few requests per router the counts differ mostly by chance, so that they are
 			// shrunk towards the mean, the more the fewer there are.
 			estimate := (float64(v.Inflight) + 1) * inflight / (inflight + 1)
-			v.Expected = estimate / share
+			v.EstimatedInflight = estimate / share
 		}
 	}
 }
@@ -97,7 +97,7 @@
 // request says little about them: counted in full, it would stand for a hundred requests at one
 // router of a hundred, which would leave preferred endpoints that have capacity; a fifth to two
 // fifths of the prompts would go elsewhere.
-func sentSince(own, mean, share, correlation float64) float64 {
+func estimateUnreported(own, mean, share, correlation float64) float64 {
 	estimate := own / share
 	if independence := 1 - correlation; independence > 0 && mean > 0 {
 		// The posterior mean of a gamma distribution around the mean of all endpoints, with a
@@ -119,7 +119,7 @@
 
 // sampleSize returns how many endpoints of a group a router with the given share of all requests
 // compares: all if it is the only router, a few if it is one of many.
-func looks(group int, share float64) int {
+func sampleSize(group int, share float64) int {
 	n := int(math.Ceil(samplesPerRequest * share * float64(group)))
 	return min(max(n, minSampledEndpoints), group)
 }
@@ -130,20 +130,20 @@
 	if preferred {
 		return 0
 	}
-	return max(0, req.Prompt.Shared()-v.Cached)
+	return max(0, req.Prompt.Shared()-v.CachedTokens)
 }
 
 // promptCost returns the cost of sending the request to the endpoint, in milliseconds.
 func promptCost(req Request, v *View, preferred, tightGap bool) float64 {
-	perToken := 1000 * v.PerToken
+	perToken := 1000 * v.SecondsPerPromptToken
 	waiting := perToken*float64(v.prefillAhead(maxTiers)) + perQueuedCost*float64(v.Load.TotalQueued())
 	waiting *= waitWeight(req.Objective)
 	recompute := perToken * recomputeFactor * float64(recomputedTokens(req, v, preferred))
-	cost := waiting + recompute + perStreamCost*v.requests()
+	cost := waiting + recompute + perStreamCost*v.estimatedRequests()
 	if !tightGap {
-		cost += pausePenalty * float64(v.Tight)
+		cost += pausePenalty * float64(v.TightGapStreams)
 	}
-	if inflight := max(v.requests(), v.Expected); inflight >= v.slots() {
+	if inflight := max(v.estimatedRequests(), v.EstimatedInflight); inflight >= v.slots() {
 		cost += noFreeSlotCost * inflight / v.slots()
 	}
 	return cost
@@ -164,8 +164,8 @@
 
 // estimatedRequests estimates how many of all routers run or are queued there, based on its last
 // report. EstimatedInflight is the value for endpoints without a report.
-func (v *View) requests() float64 {
-	n := float64(v.Load.TotalQueued()+v.Load.TotalRunning()) + max(v.Since, float64(v.SinceReport))
+func (v *View) estimatedRequests() float64 {
+	n := float64(v.Load.TotalQueued()+v.Load.TotalRunning()) + max(v.EstimatedUnreported, float64(v.OwnUnreported))
 	return max(n, float64(v.Inflight))
 }
 
--- a/internal/balance/demand.go
+++ b/internal/balance/demand.go
@@ -27,14 +27,14 @@
 	GapMillis int64 `json:"gap"`
 	// Requests is the number of requests with the longer half-life, RecentRequests with the
 	// shorter.
-	Requests float64 `json:"n"`
-	Recent   float64 `json:"recent"`
+	Requests       float64 `json:"n"`
+	RecentRequests float64 `json:"recent"`
 	// TierSum is the sum of the priority tiers of Requests; the highest priority adds 0.
-	Ranks float64 `json:"rank"`
+	TierSum float64 `json:"rank"`
 	// PrefillSeconds is the prefill time of Requests, and SlotSeconds the time for which they
 	// hold a slot.
-	Read float64 `json:"read"`
-	Held float64 `json:"held"`
+	PrefillSeconds float64 `json:"read"`
+	SlotSeconds    float64 `json:"held"`
 	// Ended is the number of responses that ended, and Late of those that exceeded their
 	// objective or maximum gap.
 	Ended float64 `json:"ended"`
@@ -45,12 +45,12 @@
 // the longer one: an endpoint that accepts long prompts while tight-gap streams still run there
 // makes them late.
 func (k Kind) rate() float64 {
-	return math.Ln2 * max(k.Requests/slowHalfLife.Seconds(), k.Recent/fastHalfLife.Seconds())
+	return math.Ln2 * max(k.Requests/slowHalfLife.Seconds(), k.RecentRequests/fastHalfLife.Seconds())
 }
 
 // meanPrefillSeconds and meanSlotSeconds are the means per request.
-func (k Kind) read() float64 { return perRequest(k.Read, k.Requests) }
-func (k Kind) held() float64 { return perRequest(k.Held, k.Requests) }
+func (k Kind) meanPrefillSeconds() float64 { return perRequest(k.PrefillSeconds, k.Requests) }
+func (k Kind) meanSlotSeconds() float64    { return perRequest(k.SlotSeconds, k.Requests) }
 
 func perRequest(sum, requests float64) float64 {
 	if requests <= 0 {
@@ -80,7 +80,7 @@
 }
 
 // Add returns the sum of two demands.
-func (d Demand) Plus(o Demand) Demand {
+func (d Demand) Add(o Demand) Demand {
 	sum := slices.Clone(d)
 	for _, k := range o {
 		i := sum.findOrInsert(k.key())
@@ -88,10 +88,10 @@
 			continue
 		}
 		sum[i].Requests += k.Requests
-		sum[i].Recent += k.Recent
-		sum[i].Ranks += k.Ranks
-		sum[i].Read += k.Read
-		sum[i].Held += k.Held
+		sum[i].RecentRequests += k.RecentRequests
+		sum[i].TierSum += k.TierSum
+		sum[i].PrefillSeconds += k.PrefillSeconds
+		sum[i].SlotSeconds += k.SlotSeconds
 		sum[i].Ended += k.Ended
 		sum[i].Late += k.Late
 	}
@@ -99,7 +99,7 @@
 }
 
 // Scale returns the demand multiplied by x, for example by the number of equal routers.
-func (d Demand) Times(x float64) Demand {
+func (d Demand) Scale(x float64) Demand {
 	scaled := slices.Clone(d)
 	for i := range scaled {
 		scaled[i].scale(x, x)
@@ -111,12 +111,12 @@
 // fast.
 func (k *Kind) scale(slow, fast float64) {
 	k.Requests *= slow
-	k.Ranks *= slow
-	k.Read *= slow
-	k.Held *= slow
+	k.TierSum *= slow
+	k.PrefillSeconds *= slow
+	k.SlotSeconds *= slow
 	k.Ended *= slow
 	k.Late *= slow
-	k.Recent *= fast
+	k.RecentRequests *= fast
 }
 
 func (d Demand) requests() float64 {
@@ -155,7 +155,7 @@
 const minRequests = 0.01
 
 // PeerDemand is the demand that other routers see, and their number.
-type Others struct {
+type PeerDemand struct {
 	Demand  Demand
 	Routers int
 }
@@ -167,13 +167,13 @@
 	decayedAt time.Time
 	// observedFor is the time since the first request, 0 before it.
 	observedFor time.Duration
-	seen        Demand
+	observed    Demand
 	// slotTimes is the average slot time of each kind's streams, in seconds.
 	slotTimes map[kindKey]runningMean
 	// peerDemand returns the demand that other routers see; nil if they don't report it.
-	others func() Others
-	// separations holds the most recent decision for each service.
-	last map[string]separation
+	peerDemand func() PeerDemand
+	// isolations holds the most recent decision for each service.
+	isolations map[string]isolation
 	// ownShare is this router's share of all requests as last computed; 0 before.
 	ownShare float64
 }
@@ -183,16 +183,16 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.decay(now)
-	i := d.seen.findOrInsert(key)
+	i := d.observed.findOrInsert(key)
 	if i < 0 {
 		return
 	}
-	k := &d.seen[i]
+	k := &d.observed[i]
 	k.Requests++
-	k.Recent++
-	k.Ranks += float64(tier)
-	k.Read += prefill.Seconds()
-	k.Held += d.slotTimeOf(key)
+	k.RecentRequests++
+	k.TierSum += float64(tier)
+	k.PrefillSeconds += prefill.Seconds()
+	k.SlotSeconds += d.slotTimeOf(key)
 }
 
 const (
@@ -215,9 +215,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	slotSeconds, requests := 0.0, 0.0
-	for _, k := range d.seen {
+	for _, k := range d.observed {
 		if k.Service == service {
-			slotSeconds += k.Held
+			slotSeconds += k.SlotSeconds
 			requests += k.Requests
 		}
 	}
@@ -241,17 +241,17 @@
 }
 
 // recordEnded counts a finished stream that held its slot for the given time.
-func (d *demand) ended(now time.Time, key kindKey, slotTime time.Duration, late bool) {
+func (d *demand) recordEnded(now time.Time, key kindKey, slotTime time.Duration, late bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.decay(now)
-	i := d.seen.findOrInsert(key)
+	i := d.observed.findOrInsert(key)
 	if i < 0 {
 		return
 	}
-	d.seen[i].Ended++
+	d.observed[i].Ended++
 	if late {
-		d.seen[i].Late++
+		d.observed[i].Late++
 	}
 	if d.slotTimes == nil || len(d.slotTimes) > maxKinds {
 		d.slotTimes = make(map[kindKey]runningMean)
@@ -260,23 +260,23 @@
 }
 
 // decideIsolation decides how many endpoints of a service are dedicated now, and to which kinds.
-func (d *demand) separate(now time.Time, service string, f fleet) separation {
+func (d *demand) decideIsolation(now time.Time, service string, f serviceEndpoints) isolation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.decay(now)
-	own := d.whole()
+	own := d.extrapolated()
 	all, routers := own, 1
-	if d.others != nil {
-		peers := d.others()
-		all = all.Plus(peers.Demand)
+	if d.peerDemand != nil {
+		peers := d.peerDemand()
+		all = all.Add(peers.Demand)
 		routers += peers.Routers
 	}
 	d.ownShare = estimateShare(own.requests(), all.requests(), routers)
-	if d.last == nil || len(d.last) > maxKinds {
-		d.last = make(map[string]separation)
+	if d.isolations == nil || len(d.isolations) > maxKinds {
+		d.isolations = make(map[string]isolation)
 	}
-	next := d.last[service].next(all.forService(service), f)
-	d.last[service] = next
+	next := d.isolations[service].next(all.forService(service), f)
+	d.isolations[service] = next
 	return next
 }
 
@@ -293,23 +293,23 @@
 // cached at their preferred endpoints, unless this router sent them there. In a fleet that has
 // just started they aren't, and prefill takes three times as long. A router that joins a running
 // fleet assumes so wrongly, but its demand is a small part of the total.
-const coldFor = 3 * time.Second
+const coldStartPeriod = 3 * time.Second
 
 // cold reports whether preferred endpoints may not have cached the shared prompt parts yet.
 func (d *demand) cold() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.observedFor < coldFor
+	return d.observedFor < coldStartPeriod
 }
 
 // extrapolated returns the sums as they would be after an unlimited observation time. A sum that
 // covers half a second holds a sixth of its final value: without the extrapolation, routers that
 // have just started treat a full load as too small for dedicated endpoints, and a third of the
 // tight-gap streams are late for six seconds. d.mu is held.
-func (d *demand) whole() Demand {
+func (d *demand) extrapolated() Demand {
 	observedFor := max(d.observedFor, minObservation)
 	fraction := func(halfLife time.Duration) float64 { return 1 - math.Exp2(-observedFor.Seconds()/halfLife.Seconds()) }
-	scaled := slices.Clone(d.seen)
+	scaled := slices.Clone(d.observed)
 	for i := range scaled {
 		scaled[i].scale(1/fraction(slowHalfLife), 1/fraction(fastHalfLife))
 	}
@@ -333,11 +333,11 @@
 // minShare is the share of one router of the largest fleet the design supports.
 const minShare = 0.001
 
-// lastSeparation returns the last decision for a service.
-func (d *demand) decided(service string) separation {
+// lastIsolation returns the last decision for a service.
+func (d *demand) lastIsolation(service string) isolation {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.last[service]
+	return d.isolations[service]
 }
 
 // own returns the demand that this router sees.
@@ -345,16 +345,16 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.decay(now)
-	return d.whole()
+	return d.extrapolated()
 }
 
 // decay ages the observed demand. d.mu is held.
 func (d *demand) decay(now time.Time) {
 	if age := now.Sub(d.decayedAt); !d.decayedAt.IsZero() && age > 0 {
-		if d.observedFor > 0 || len(d.seen) > 0 {
+		if d.observedFor > 0 || len(d.observed) > 0 {
 			d.observedFor += age
 		}
-		d.seen = d.seen.decay(age)
+		d.observed = d.observed.decay(age)
 	}
 	d.decayedAt = now
 }
--- a/internal/balance/detect.go
+++ b/internal/balance/detect.go
@@ -8,22 +8,22 @@
 	"coveferry/internal/bundle"
 )
 
-// detect compares the endpoints of each group and ejects outliers, at most once per interval unless
-// urgent. The caller must not hold a shard's lock.
-func (p *Pool) detect(now time.Time, urgent bool) {
-	if p.cfg.Outlier.Off {
+// detectOutliers compares the endpoints of each group and ejects outliers, at most once per
+// interval unless urgent. The caller must not hold a shard's lock.
+func (p *Pool) detectOutliers(now time.Time, urgent bool) {
+	if p.cfg.Outlier.Disabled {
 		return
 	}
-	due := p.detectAt.Load()
+	due := p.nextDetectAt.Load()
 	if now.UnixNano() < due && !urgent {
 		return
 	}
 	next := now.Add(p.cfg.Outlier.Interval).UnixNano()
-	if !p.detectAt.CompareAndSwap(due, next) {
+	if !p.nextDetectAt.CompareAndSwap(due, next) {
 		return // another goroutine compares them
 	}
-	p.detecting.Lock()
-	defer p.detecting.Unlock()
+	p.detectMu.Lock()
+	defer p.detectMu.Unlock()
 	members := p.groupMembers(now)
 	for len(members) > 0 {
 		n := groupLen(members)
@@ -56,10 +56,10 @@
 		members = append(members, groupMember{
 			endpoint:     name,
 			group:        st.group,
-			service:      st.service(),
+			service:      st.slotTime(),
 			firstToken:   st.firstToken,
 			samples:      st.health.samples,
-			failureShare: st.health.failures,
+			failureShare: st.health.failureShare,
 			ejected:      st.health.weight(now, o) == 0,
 		})
 	}
@@ -83,12 +83,12 @@
 		return
 	}
 	st.health.eject(now, p.cfg.Outlier)
-	st.running, st.drain, st.firstToken = 0, 0, 0
+	st.avgRunning, st.avgDrainRate, st.firstToken = 0, 0, 0
 }
 
-// peerGroup names the group of endpoints that c is compared with: those of the same first model,
+// endpointGroup names the group of endpoints that c is compared with: those of the same first model,
 // or else of the same first service.
-func peerGroup(c *bundle.Endpoint) string {
+func endpointGroup(c *bundle.Endpoint) string {
 	if len(c.Models) > 0 {
 		return "model " + c.Models[0]
 	}
--- a/internal/balance/errors.go
+++ b/internal/balance/errors.go
@@ -14,21 +14,21 @@
 // by the caller, Leaving accept no new requests, and RateLimited have used up this router's share
 // of their rate limit.
 type NoEndpointError struct {
-	Candidates int
-	Skipped    int
-	Leaving    int
-	Bounded    int
-	// FreeIn is the time until the first of the rate-limited endpoints takes the next request, 0
-	// if there are none.
-	FreeIn time.Duration
+	Candidates  int
+	Skipped     int
+	Leaving     int
+	RateLimited int
+	// AvailableIn is the time until the first of the rate-limited endpoints takes the next request,
+	// 0 if there are none.
+	AvailableIn time.Duration
 }
 
 // Error describes the failure with its counts.
 func (e *NoEndpointError) Error() string {
 	text := fmt.Sprintf("no endpoint may take the request: %d candidates, %d skipped, %d leaving",
 		e.Candidates, e.Skipped, e.Leaving)
-	if e.Bounded > 0 {
-		text += fmt.Sprintf(", %d rate-limited, the next available in %s", e.Bounded, e.FreeIn)
+	if e.RateLimited > 0 {
+		text += fmt.Sprintf(", %d rate-limited, the next available in %s", e.RateLimited, e.AvailableIn)
 	}
 	return text
 }
--- a/internal/balance/expect.go
+++ b/internal/balance/expect.go
@@ -3,30 +3,30 @@
 import "time"
 
 // Estimate implements ChoiceEstimator.
-func (p PromptAware) Expect(req Request, views, leaving []View, chosen int) Expectation {
-	isolation := p.demand.decided(req.Service)
+func (p PromptAware) Estimate(req Request, views, leaving []View, chosen int) Estimates {
+	isolation := p.demand.lastIsolation(req.Service)
 	regular, _ := splitReducedCapacity(views, usableViews(views))
 	ranked := rankForTightGap(views, regular)
-	e := Expectation{Tight: isolation.tightFor(req.MaxGap), Kept: isolation.kept}
-	group := isolation.rankedGroup(e.Tight, ranked)
-	e.Read = prefillTime(req, &views[chosen])
+	e := Estimates{TightGap: isolation.isolates(req.MaxGap), DedicatedEndpoints: isolation.dedicated}
+	group := isolation.rankedGroup(e.TightGap, ranked)
+	e.PrefillTime = prefillTime(req, &views[chosen])
 	reach := group
-	if e.Tight {
+	if e.TightGap {
 		reach = ranked // tight-gap streams overflow to other endpoints if the dedicated ones are full
 	}
-	e.Wait = max(prefillWait(req, views, group, chosen), p.slotWait(req, views, reach, chosen)) + e.Read
-	e.Source = fetchSource(req, views, leaving, group, chosen)
-	e.Copy = copyTo(req, views, e, group, ranked, chosen)
+	e.Wait = max(prefillWait(req, views, group, chosen), p.slotWait(req, views, reach, chosen)) + e.PrefillTime
+	e.FetchFrom = fetchSource(req, views, leaving, group, chosen)
+	e.CopyTo = copyTarget(req, views, e, group, ranked, chosen)
 	return e
 }
 
 // rankedGroup returns the endpoints dedicated to tight-gap streams or the other ones, from all in
 // rank order. Each group has at least one.
-func (s separation) rankedGroup(tight bool, ranked []int) []int {
+func (s isolation) rankedGroup(tight bool, ranked []int) []int {
 	if tight {
-		return ranked[:min(max(s.kept, 1), len(ranked))]
+		return ranked[:min(max(s.dedicated, 1), len(ranked))]
 	}
-	return ranked[min(s.kept, max(len(ranked)-1, 0)):]
+	return ranked[min(s.dedicated, max(len(ranked)-1, 0)):]
 }
 
 // prefillWait returns how long a request waits until the prefill of its own prompt starts.
@@ -39,9 +39,9 @@
 	if req.Prompt.Tokens == 0 {
 		return 0
 	}
-	if views[chosen].Aside {
+	if views[chosen].ReducedCapacity {
 		// Few routers send to this endpoint, and this one is among them.
-		return seconds(views[chosen].PerToken * float64(views[chosen].prefillAhead(req.Tier)))
+		return seconds(views[chosen].SecondsPerPromptToken * float64(views[chosen].prefillAhead(req.Tier)))
 	}
 	mean := 0.0
 	for _, i := range group {
@@ -49,7 +49,7 @@
 	}
 	others := mean * (1/ownInflightShare(views) - 1)
 	ahead := float64(views[chosen].prefillAhead(req.Tier)) + others
-	return seconds(views[chosen].PerToken * ahead)
+	return seconds(views[chosen].SecondsPerPromptToken * ahead)
 }
 
 // usableSlotShare is the share of the slots that requests of a tier may fill while there are
@@ -64,15 +64,15 @@
 // of 20 s with nine endpoints callers got .436 and .371 of the value of timely responses with
 // this rule and per-route tiers, and .403 and .334 without them.
 func (p PromptAware) slotWait(req Request, views []View, group []int, chosen int) time.Duration {
-	if req.Prompt.Tokens == 0 || views[chosen].Aside {
+	if req.Prompt.Tokens == 0 || views[chosen].ReducedCapacity {
 		return 0
 	}
 	requests, slots, inflight, ahead, higherTier := 0.0, 0.0, 0, 0, 0
 	for _, i := range group {
 		v := &views[i]
-		requests += max(v.requests(), v.Expected)
+		requests += max(v.estimatedRequests(), v.EstimatedInflight)
 		slots += v.slots()
-		for tier, n := range v.Open {
+		for tier, n := range v.InflightByTier {
 			inflight += n
 			if tier <= req.Tier {
 				ahead += n
@@ -101,5 +101,5 @@
 	if req.Prompt.Tokens == 0 {
 		return 0
 	}
-	return seconds(v.PerToken * float64(max(0, req.Prompt.Tokens-v.Cached)))
+	return seconds(v.SecondsPerPromptToken * float64(max(0, req.Prompt.Tokens-v.CachedTokens)))
 }
--- a/internal/balance/failures.go
+++ b/internal/balance/failures.go
@@ -33,45 +33,46 @@
 	restartGracePeriod = failureWindow + time.Second
 )
 
-// FailureWord is a router's summary of failed attempts at an endpoint and of its being unresponsive.
-type FailureWord struct {
+// FailureSummary is a router's summary of failed attempts at an endpoint and of its being
+// unresponsive.
+type FailureSummary struct {
 	Endpoint string `json:"e"`
 	Attempts int    `json:"n"`
 	Failed   int    `json:"f"`
-	// Witnesses is how many routers had failed attempts.
-	Witnesses int `json:"w"`
-	// Silent is how many routers found the endpoint unresponsive, and UnresponsiveMillis the
+	// Reporters is how many routers had failed attempts.
+	Reporters int `json:"w"`
+	// Unresponsive is how many routers found the endpoint unresponsive, and UnresponsiveMillis the
 	// shortest time for which it was.
-	Silent       int   `json:"s,omitempty"`
-	SilentMillis int64 `json:"q,omitempty"`
+	Unresponsive       int   `json:"s,omitempty"`
+	UnresponsiveMillis int64 `json:"q,omitempty"`
 }
 
-// Plus adds another router's summary of the same endpoint.
-func (w FailureWord) Plus(o FailureWord) FailureWord {
+// Add adds another router's summary of the same endpoint.
+func (w FailureSummary) Add(o FailureSummary) FailureSummary {
 	w.Attempts += o.Attempts
 	w.Failed += o.Failed
-	w.Witnesses += o.Witnesses
-	if w.Silent == 0 || o.Silent > 0 && o.SilentMillis < w.SilentMillis {
-		w.SilentMillis = o.SilentMillis
+	w.Reporters += o.Reporters
+	if w.Unresponsive == 0 || o.Unresponsive > 0 && o.UnresponsiveMillis < w.UnresponsiveMillis {
+		w.UnresponsiveMillis = o.UnresponsiveMillis
 	}
-	w.Silent += o.Silent
+	w.Unresponsive += o.Unresponsive
 	return w
 }
 
-// FailureWords lists up to limit endpoints at which attempts of this router failed recently or that
-// it found unresponsive, those with the most failures first.
-func (p *Pool) FailureWords(now time.Time, limit int) []FailureWord {
-	var failures []FailureWord
+// RecentFailures lists up to limit endpoints at which attempts of this router failed recently or
+// that it found unresponsive, those with the most failures first.
+func (p *Pool) RecentFailures(now time.Time, limit int) []FailureSummary {
+	var failures []FailureSummary
 	for i := range p.shards {
 		failures = p.shards[i].appendFailures(failures, now)
 	}
-	slices.SortFunc(failures, func(a, b FailureWord) int {
+	slices.SortFunc(failures, func(a, b FailureSummary) int {
 		return cmp.Or(cmp.Compare(b.Failed, a.Failed), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	return failures[:min(limit, len(failures))]
 }
 
-func (sh *shard) appendFailures(failures []FailureWord, now time.Time) []FailureWord {
+func (sh *shard) appendFailures(failures []FailureSummary, now time.Time) []FailureSummary {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for name, st := range sh.states {
@@ -79,9 +80,9 @@
 		if n.Part == 0 && !st.isUnresponsive(now) {
 			continue
 		}
-		w := FailureWord{Endpoint: name, Attempts: n.Total, Failed: n.Part, Witnesses: min(1, n.Part)}
+		w := FailureSummary{Endpoint: name, Attempts: n.Total, Failed: n.Part, Reporters: min(1, n.Part)}
 		if st.isUnresponsive(now) {
-			w.Silent, w.SilentMillis = 1, now.Sub(maxTime(st.heardAt, st.quietSince)).Milliseconds()
+			w.Unresponsive, w.UnresponsiveMillis = 1, now.Sub(maxTime(st.lastResponseAt, st.waitingSince)).Milliseconds()
 		}
 		failures = append(failures, w)
 	}
@@ -96,9 +97,9 @@
 	return st.attempts.Sum(now)
 }
 
-// noteResult counts an attempt. Cancelled and refused attempts say nothing about the endpoint's
+// recordResult counts an attempt. Cancelled and refused attempts say nothing about the endpoint's
 // health and aren't counted.
-func (st *state) noteResult(now time.Time, res Result) {
+func (st *state) recordResult(now time.Time, res Result) {
 	if res != ResultOK && res != ResultFailed {
 		return
 	}
@@ -113,20 +114,20 @@
 	st.attempts.Add(now, c)
 }
 
-// HearFailures applies the failures that peers report, and avoids for a while the endpoints that
-// fail at several routers. Each call passes everything that all peers report. It returns the
+// ApplyPeerFailures applies the failures that peers report, and avoids for a while the endpoints
+// that fail at several routers. Each call passes everything that all peers report. It returns the
 // endpoints that are avoided from now on.
-func (p *Pool) HearFailures(now time.Time, reports []FailureWord) []FailureWord {
-	byEndpoint := make(map[string]FailureWord, len(reports))
+func (p *Pool) ApplyPeerFailures(now time.Time, reports []FailureSummary) []FailureSummary {
+	byEndpoint := make(map[string]FailureSummary, len(reports))
 	for _, w := range reports {
 		byEndpoint[w.Endpoint] = w
 	}
-	byGroup := make(map[string][]FailureWord)
+	byGroup := make(map[string][]FailureSummary)
 	avoided := make(map[string]int)
 	for i := range p.shards {
 		p.shards[i].collectFailures(byGroup, avoided, byEndpoint, now)
 	}
-	var failing []FailureWord
+	var failing []FailureSummary
 	for group, attempts := range byGroup {
 		failing = append(failing, failingEndpoints(attempts, avoided[group], p.cfg.Outlier)...)
 	}
@@ -140,10 +141,10 @@
 // applyPeerUnresponsive avoids endpoints that several peers found unresponsive, unless they have
 // responded or reported since. With many routers each sends few requests to an endpoint, and would
 // otherwise lose a request there to find out.
-func (p *Pool) applyPeerUnresponsive(now time.Time, reports []FailureWord) {
+func (p *Pool) applyPeerUnresponsive(now time.Time, reports []FailureSummary) {
 	reported := make(map[string]int)
 	for _, w := range reports {
-		if w.Silent > 0 {
+		if w.Unresponsive > 0 {
 			reported[p.groupOf(w.Endpoint)]++
 		}
 	}
@@ -153,13 +154,13 @@
 		tooMany[group] = float64(unresponsive) > maxUnresponsiveShare*float64(all)
 	}
 	for _, w := range reports {
-		if w.Silent == 0 || tooMany[p.groupOf(w.Endpoint)] {
+		if w.Unresponsive == 0 || tooMany[p.groupOf(w.Endpoint)] {
 			continue
 		}
 		sh := p.shard(w.Endpoint)
 		sh.mu.Lock()
 		if st, known := sh.states[w.Endpoint]; known && !st.rejectsPeerReport(now, w) {
-			st.toldAt = now
+			st.peersFoundUnresponsiveAt = now
 			st.avoidUntil = maxTime(st.avoidUntil, now.Add(unresponsiveReportTTL))
 		}
 		sh.mu.Unlock()
@@ -179,7 +180,7 @@
 
 // collectFailures adds up what this router and its peers saw of each endpoint in use, by group, and
 // counts those already avoided.
-func (sh *shard) collectFailures(byGroup map[string][]FailureWord, avoided map[string]int, peerReports map[string]FailureWord, now time.Time) {
+func (sh *shard) collectFailures(byGroup map[string][]FailureSummary, avoided map[string]int, peerReports map[string]FailureSummary, now time.Time) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for name, st := range sh.states {
@@ -191,9 +192,9 @@
 			continue
 		}
 		n := st.recentAttempts(now)
-		w := FailureWord{Endpoint: name, Attempts: n.Total, Failed: n.Part, Witnesses: min(1, n.Part)}
+		w := FailureSummary{Endpoint: name, Attempts: n.Total, Failed: n.Part, Reporters: min(1, n.Part)}
 		if now.Sub(st.restartedAt) > restartGracePeriod {
-			w = w.Plus(peerReports[name])
+			w = w.Add(peerReports[name])
 		}
 		byGroup[st.group] = append(byGroup[st.group], w)
 	}
@@ -201,36 +202,36 @@
 
 // failingEndpoints returns the endpoints of a group that fail at several routers and much more than
 // the other endpoints, the worst first. No more than Outlier.MaxShare of them are avoided at once.
-func failingEndpoints(attempts []FailureWord, avoided int, o Outlier) []FailureWord {
-	slices.SortFunc(attempts, func(a, b FailureWord) int {
+func failingEndpoints(attempts []FailureSummary, avoided int, o Outlier) []FailureSummary {
+	slices.SortFunc(attempts, func(a, b FailureSummary) int {
 		return cmp.Or(cmp.Compare(b.failedShare(), a.failedShare()), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 	maxAvoided := int(o.MaxShare * float64(len(attempts)+avoided))
-	othersInGroup := FailureWord{}
+	othersInGroup := FailureSummary{}
 	for _, w := range attempts[min(maxAvoided, len(attempts)):] {
-		othersInGroup = othersInGroup.Plus(w)
+		othersInGroup = othersInGroup.Add(w)
 	}
 	remaining := max(1, maxAvoided) - avoided
-	var failing []FailureWord
+	var failing []FailureSummary
 	for _, w := range attempts {
-		if len(failing) < remaining && w.Witnesses >= minReporters && w.isFailing(othersInGroup.failedShare()) {
+		if len(failing) < remaining && w.Reporters >= minReporters && w.isFailing(othersInGroup.failedShare()) {
 			failing = append(failing, w)
 		}
 	}
 	return failing
 }
 
-// isFailing says whether more attempts failed than chance explains, given the share of failures at the
-// other endpoints of the group. Rare failures follow a Poisson distribution, whose variance is its
-// mean; one is added because the mean is only an estimate.
-func (w FailureWord) isFailing(groupShare float64) bool {
+// isFailing says whether more attempts failed than chance explains, given the share of failures at
+// the other endpoints of the group. Rare failures follow a Poisson distribution, whose variance is
+// its mean; one is added because the mean is only an estimate.
+func (w FailureSummary) isFailing(groupShare float64) bool {
 	expected := groupShare * float64(w.Attempts)
 	threshold := expected + failingStdDevs*math.Sqrt(expected+1)
 	return w.Failed >= minFailed && float64(w.Failed) > threshold &&
 		w.failedShare() > minFailedShare
 }
 
-func (w FailureWord) failedShare() float64 {
+func (w FailureSummary) failedShare() float64 {
 	if w.Attempts <= 0 {
 		return 0
 	}
--- a/internal/balance/failures_test.go
+++ b/internal/balance/failures_test.go
@@ -21,12 +21,12 @@
 	p := NewPool(Config{})
 	viewOf(p, epoch, 8)
 	for i := range 8 {
-		attempt(p, epoch, engines(9)[i].Name, ResultOK)
+		attempt(p, epoch, newEndpoints(9)[i].Name, ResultOK)
 	}
 	attempt(p, epoch, "e8", ResultFailed)
 	g.Expect(isAvoided(p, epoch, 8)).To(BeFalse())
-	avoided := p.HearFailures(epoch, []FailureWord{{Endpoint: "e8", Attempts: 3, Failed: 3, Witnesses: 2}})
-	g.Expect(avoided).To(Equal([]FailureWord{{Endpoint: "e8", Attempts: 4, Failed: 4, Witnesses: 3}}))
+	avoided := p.ApplyPeerFailures(epoch, []FailureSummary{{Endpoint: "e8", Attempts: 3, Failed: 3, Reporters: 2}})
+	g.Expect(avoided).To(Equal([]FailureSummary{{Endpoint: "e8", Attempts: 4, Failed: 4, Reporters: 3}}))
 	g.Expect(isAvoided(p, epoch, 8)).To(BeTrue())
 	// A good health check brings it back in the membership only.
 	p.Return(epoch.Add(time.Second), "e8")
@@ -38,54 +38,54 @@
 	g := NewWithT(t)
 	p := NewPool(Config{})
 	viewOf(p, epoch, 8)
-	reports := []FailureWord{{Endpoint: "e8", Attempts: 40, Failed: 40, Witnesses: 1}}
-	g.Expect(p.HearFailures(epoch, reports)).To(BeEmpty())
+	reports := []FailureSummary{{Endpoint: "e8", Attempts: 40, Failed: 40, Reporters: 1}}
+	g.Expect(p.ApplyPeerFailures(epoch, reports)).To(BeEmpty())
 	// This router's own successes outweigh the failures of two others.
 	for range 10 {
 		attempt(p, epoch, "e7", ResultOK)
 	}
-	reports = []FailureWord{{Endpoint: "e7", Attempts: 3, Failed: 3, Witnesses: 2}}
-	g.Expect(p.HearFailures(epoch, reports)).To(BeEmpty())
+	reports = []FailureSummary{{Endpoint: "e7", Attempts: 3, Failed: 3, Reporters: 2}}
+	g.Expect(p.ApplyPeerFailures(epoch, reports)).To(BeEmpty())
 }
 
 func TestNoEndpointIsAvoidedIfAllFailAlike(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{})
 	viewOf(p, epoch, 8)
-	var reports []FailureWord
-	for _, e := range engines(9) {
-		reports = append(reports, FailureWord{Endpoint: e.Name, Attempts: 10, Failed: 4, Witnesses: 4})
+	var reports []FailureSummary
+	for _, e := range newEndpoints(9) {
+		reports = append(reports, FailureSummary{Endpoint: e.Name, Attempts: 10, Failed: 4, Reporters: 4})
 	}
-	g.Expect(p.HearFailures(epoch, reports)).To(BeEmpty())
+	g.Expect(p.ApplyPeerFailures(epoch, reports)).To(BeEmpty())
 }
 
 func TestOccasionalFailuresAreTolerated(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{})
 	viewOf(p, epoch, 2)
-	reports := []FailureWord{
-		{Endpoint: "e0", Attempts: 10, Failed: 4, Witnesses: 3}, // one in seven fails anyway
-		{Endpoint: "e1", Attempts: 30, Failed: 4, Witnesses: 4},
-		{Endpoint: "e2", Attempts: 30, Failed: 4, Witnesses: 4},
+	reports := []FailureSummary{
+		{Endpoint: "e0", Attempts: 10, Failed: 4, Reporters: 3}, // one in seven fails anyway
+		{Endpoint: "e1", Attempts: 30, Failed: 4, Reporters: 4},
+		{Endpoint: "e2", Attempts: 30, Failed: 4, Reporters: 4},
 	}
-	g.Expect(p.HearFailures(epoch, reports)).To(BeEmpty())
+	g.Expect(p.ApplyPeerFailures(epoch, reports)).To(BeEmpty())
 	reports[0].Failed = 9
-	g.Expect(p.HearFailures(epoch, reports)).To(HaveLen(1))
+	g.Expect(p.ApplyPeerFailures(epoch, reports)).To(HaveLen(1))
 }
 
 func TestAvoidedShareIsLimited(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{})
 	viewOf(p, epoch, 8)
-	var reports []FailureWord
-	for _, e := range engines(9)[:4] {
-		reports = append(reports, FailureWord{Endpoint: e.Name, Attempts: 10, Failed: 10, Witnesses: 4})
+	var reports []FailureSummary
+	for _, e := range newEndpoints(9)[:4] {
+		reports = append(reports, FailureSummary{Endpoint: e.Name, Attempts: 10, Failed: 10, Reporters: 4})
 	}
-	for _, e := range engines(9)[4:] {
-		reports = append(reports, FailureWord{Endpoint: e.Name, Attempts: 50, Failed: 1, Witnesses: 1})
+	for _, e := range newEndpoints(9)[4:] {
+		reports = append(reports, FailureSummary{Endpoint: e.Name, Attempts: 50, Failed: 1, Reporters: 1})
 	}
-	g.Expect(p.HearFailures(epoch, reports)).To(HaveLen(3))
-	g.Expect(p.HearFailures(epoch, reports)).To(BeEmpty())
+	g.Expect(p.ApplyPeerFailures(epoch, reports)).To(HaveLen(3))
+	g.Expect(p.ApplyPeerFailures(epoch, reports)).To(BeEmpty())
 }
 
 func TestOnlyRecentFailuresAreReported(t *testing.T) {
@@ -96,8 +96,8 @@
 	attempt(p, epoch, "e0", ResultFailed)
 	attempt(p, epoch, "e1", ResultOK)
 	attempt(p, epoch, "e1", ResultCancelled)
-	g.Expect(p.FailureWords(epoch, 9)).To(Equal([]FailureWord{{Endpoint: "e0", Attempts: 2, Failed: 1, Witnesses: 1}}))
-	g.Expect(p.FailureWords(epoch.Add(failureWindow+time.Second), 9)).To(BeEmpty())
+	g.Expect(p.RecentFailures(epoch, 9)).To(Equal([]FailureSummary{{Endpoint: "e0", Attempts: 2, Failed: 1, Reporters: 1}}))
+	g.Expect(p.RecentFailures(epoch.Add(failureWindow+time.Second), 9)).To(BeEmpty())
 }
 
 func TestEndpointWithGoodHealthChecksAndFailingRequestsIsEjected(t *testing.T) {
--- a/internal/balance/fetch.go
+++ b/internal/balance/fetch.go
@@ -19,7 +19,7 @@
 func fetchSource(req Request, views, leaving []View, group []int, chosen int) int {
 	key := req.Prompt.Home()
 	shared := req.Prompt.Shared()
-	if key == 0 || shared-views[chosen].Cached < minFetchTokens {
+	if key == 0 || shared-views[chosen].CachedTokens < minFetchTokens {
 		return -1
 	}
 	best := -1
@@ -50,7 +50,7 @@
 
 // betterSource reports whether a is more likely than b to have all shared parts cached.
 func betterSource(key uint64, shared int, a, b *View) bool {
-	if hasA, hasB := a.Cached >= shared, b.Cached >= shared; hasA != hasB {
+	if hasA, hasB := a.CachedTokens >= shared, b.CachedTokens >= shared; hasA != hasB {
 		return hasA
 	}
 	return rendezvous(key, a.Endpoint) > rendezvous(key, b.Endpoint)
--- a/internal/balance/fetch_test.go
+++ b/internal/balance/fetch_test.go
@@ -19,58 +19,58 @@
 // endpoints but the given one, which has so much to prefill that others are cheaper.
 func poolWithBusyEndpoint(busy string) *Pool {
 	p := NewPool(Config{Policy: NewPromptAware()})
-	for i, e := range engines(9) {
-		work := Work{Prompt: long(uint64(50 + i)).Prompt}
+	for i, e := range newEndpoints(9) {
+		work := Work{Prompt: longRequest(uint64(50 + i)).Prompt}
 		if e.Name == busy {
-			work.Prompt = unseen(900).Prompt
+			work.Prompt = unsharedRequest(900).Prompt
 			for range 20 {
-				p.SentWork(epoch, e.Name, work)
+				p.Track(epoch, e.Name, work)
 			}
 			continue
 		}
-		a := p.SentWork(epoch, e.Name, work)
-		a.Ended()
+		a := p.Track(epoch, e.Name, work)
+		a.Release()
 		p.Done(epoch, e.Name, ResultOK, 0)
 	}
 	return p
 }
 
 // unsharedRequest returns a request with a long prompt whose beginning is unique.
-func unseen(key uint64) Request {
-	r := long(key)
+func unsharedRequest(key uint64) Request {
+	r := longRequest(key)
 	r.Prompt.Parts[0].ID = key + 5000
 	return r
 }
 
 // preferredFor returns the preferred endpoint of a prompt key.
 func preferredFor(key uint64, all []*bundle.Endpoint) string {
-	name, _ := send(NewPool(Config{Policy: NewPromptAware()}), epoch, long(key), all)
+	name, _ := chooseAndSend(NewPool(Config{Policy: NewPromptAware()}), epoch, longRequest(key), all)
 	return name
 }
 
 func TestCacheIsFetchedFromThePreferredEndpoint(t *testing.T) {
 	for key := uint64(10); key < 30; key++ {
 		g := NewWithT(t)
-		preferred := preferredFor(key, engines(9))
-		c, err := poolWithBusyEndpoint(preferred).ChooseExpecting(epoch.Add(time.Millisecond), long(key), engines(9), nil)
+		preferred := preferredFor(key, newEndpoints(9))
+		c, err := poolWithBusyEndpoint(preferred).ChooseWithEstimates(epoch.Add(time.Millisecond), longRequest(key), newEndpoints(9), nil)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(c.Endpoint.Name).NotTo(Equal(preferred))
-		g.Expect(c.Source).NotTo(BeNil())
-		g.Expect(c.Source.Name).To(Equal(preferred))
+		g.Expect(c.FetchFrom).NotTo(BeNil())
+		g.Expect(c.FetchFrom.Name).To(Equal(preferred))
 	}
 }
 
 func TestCacheIsNotFetchedFromEndpointsDedicatedToOtherKinds(t *testing.T) {
 	g := NewWithT(t)
-	all := engines(12)
+	all := newEndpoints(12)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	_, tightAt := traffic(p, all, 6, 20, 20)
+	_, tightAt := simulateTraffic(p, all, 6, 20, 20)
 	g.Expect(tightAt).NotTo(BeEmpty())
 	now := epoch.Add(6 * time.Second)
 	for key := uint64(2000); key < 2100; key++ {
-		c, err := p.ChooseExpecting(now, unseen(key), all, nil)
+		c, err := p.ChooseWithEstimates(now, unsharedRequest(key), all, nil)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(c.Source).NotTo(BeNil())
-		g.Expect(tightAt).NotTo(HaveKey(c.Source.Name))
+		g.Expect(c.FetchFrom).NotTo(BeNil())
+		g.Expect(tightAt).NotTo(HaveKey(c.FetchFrom.Name))
 	}
 }
--- a/internal/balance/herd_test.go
+++ b/internal/balance/herd_test.go
@@ -1,11 +1,11 @@
 package balance
 
 // A hundred routers get the same load reports, some hundred milliseconds old. When each compared all
-// endpoints, all found the same one empty; and since a router's own recent requests were extrapolated
-// to all routers, a single one made a preferred endpoint look full. At 103 routers and 180 endpoints
-// 23% to 42% of the prompts of a kind with a common preferred endpoint went elsewhere, even with a
-// third of the slots in use. In these tests one of 60 endpoints got 50 of the first 103 requests, and
-// all 103 routers left the preferred endpoint after one request to it.
+// endpoints, all found the same one empty; and since a router's own recent requests were
+// extrapolated to all routers, a single one made a preferred endpoint look full. At 103 routers and
+// 180 endpoints 23% to 42% of the prompts of a kind with a common preferred endpoint went
+// elsewhere, even with a third of the slots in use. In these tests one of 60 endpoints got 50 of
+// the first 103 requests, and all 103 routers left the preferred endpoint after one request to it.
 
 import (
 	"fmt"
@@ -20,8 +20,8 @@
 	pools := make([]*Pool, routers)
 	for i := range pools {
 		policy := NewPromptAware()
-		policy.HearOthers(func() Others {
-			return Others{Demand: Demand{{GapMillis: 250, Requests: 2500, Recent: 1250, Held: 2500}}, Routers: routers - 1}
+		policy.SetPeerDemand(func() PeerDemand {
+			return PeerDemand{Demand: Demand{{GapMillis: 250, Requests: 2500, RecentRequests: 1250, SlotSeconds: 2500}}, Routers: routers - 1}
 		})
 		pools[i] = NewPool(Config{Policy: policy, Seed: uint64(i + 1)})
 	}
@@ -31,14 +31,14 @@
 func TestRoutersWithTheSameReportsDoNotHerd(t *testing.T) {
 	const routers, endpoints = 103, 60
 	g := NewWithT(t)
-	all := engines(endpoints)
+	all := newEndpoints(endpoints)
 	sent := make(map[string]int)
 	for i, p := range newRouterPools(routers) {
 		for n, e := range all {
 			p.Report(epoch, e.Name, loadReport(20+n%20, 0))
 		}
 		p.Report(epoch, "e7", loadReport(0, 0))
-		name, _ := send(p, epoch.Add(time.Millisecond), tight(uint64(100+i)), all)
+		name, _ := chooseAndSend(p, epoch.Add(time.Millisecond), tightGapRequest(uint64(100+i)), all)
 		sent[name]++
 	}
 	g.Expect(sent["e7"]).To(BeNumerically("<", routers/4))
@@ -49,17 +49,17 @@
 
 func TestOneOwnRequestDoesNotFillPreferredEndpoint(t *testing.T) {
 	g := NewWithT(t)
-	all := engines(60)
+	all := newEndpoints(60)
 	moved := 0
 	for i, p := range newRouterPools(103) {
 		for n, e := range all {
 			p.Report(epoch, e.Name, loadReport(20+n%5, 0))
 		}
 		now := epoch.Add(time.Millisecond)
-		req := long(uint64(300 + i))
-		preferred, a := send(p, now, req, all)
-		a.Read()
-		again, _ := send(p, now.Add(time.Millisecond), req, all)
+		req := longRequest(uint64(300 + i))
+		preferred, a := chooseAndSend(p, now, req, all)
+		a.PrefillDone()
+		again, _ := chooseAndSend(p, now.Add(time.Millisecond), req, all)
 		if again != preferred {
 			moved++
 		}
@@ -74,13 +74,13 @@
 		share float64
 		want  int
 	}{{9, 1, 9}, {9, 0.34, 9}, {9, 0.2, 6}, {55, 0.033, 6}, {180, 0.01, 6}, {180, 0.001, 2}, {1, 0.5, 1}} {
-		NewWithT(t).Expect(looks(c.group, c.share)).To(Equal(c.want), fmt.Sprint(c))
+		NewWithT(t).Expect(sampleSize(c.group, c.share)).To(Equal(c.want), fmt.Sprint(c))
 	}
 	g := NewWithT(t)
-	g.Expect(sentSince(3, 1, 1, 1)).To(Equal(3.0))
-	g.Expect(sentSince(3, 1, 1, 0)).To(Equal(3.0))
-	g.Expect(sentSince(1, 1, 0.25, 1)).To(Equal(4.0))
-	g.Expect(sentSince(0, 0, 0.01, 0)).To(BeZero())
-	g.Expect(sentSince(1, 0.02, 0.01, 0)).To(BeNumerically("<", 5), "one request by one of a hundred routers may be chance")
-	g.Expect(sentSince(20, 0.02, 0.01, 0)).To(BeNumerically(">", 30), "twenty requests aren't chance")
+	g.Expect(estimateUnreported(3, 1, 1, 1)).To(Equal(3.0))
+	g.Expect(estimateUnreported(3, 1, 1, 0)).To(Equal(3.0))
+	g.Expect(estimateUnreported(1, 1, 0.25, 1)).To(Equal(4.0))
+	g.Expect(estimateUnreported(0, 0, 0.01, 0)).To(BeZero())
+	g.Expect(estimateUnreported(1, 0.02, 0.01, 0)).To(BeNumerically("<", 5), "one request by one of a hundred routers may be chance")
+	g.Expect(estimateUnreported(20, 0.02, 0.01, 0)).To(BeNumerically(">", 30), "twenty requests aren't chance")
 }
--- a/internal/balance/hotcold.go
+++ b/internal/balance/hotcold.go
@@ -54,5 +54,5 @@
 	if hotA {
 		return a.loadPerSlot() < b.loadPerSlot()
 	}
-	return a.FirstToken < b.FirstToken
+	return a.TimeToFirstToken < b.TimeToFirstToken
 }
--- a/internal/balance/lab/sim.go
+++ b/internal/balance/lab/sim.go
@@ -117,7 +117,7 @@
 		s.endpoints = append(s.endpoints, &bundle.Endpoint{Name: srv.name, FailureDomain: fmt.Sprintf("d%d", i%domains), Slots: slots})
 	}
 	for i := range s.pools {
-		s.pools[i] = balance.NewPool(balance.Config{Policy: v.Policy(), Seed: seed + uint64(i), SecondAbove: v.LateBindingThreshold, Outlier: balance.Outlier{Off: !v.OutlierDetection}})
+		s.pools[i] = balance.NewPool(balance.Config{Policy: v.Policy(), Seed: seed + uint64(i), LateBindingThreshold: v.LateBindingThreshold, Outlier: balance.Outlier{Disabled: !v.OutlierDetection}})
 	}
 	return s
 }
--- a/internal/balance/lab/storm.go
+++ b/internal/balance/lab/storm.go
@@ -82,7 +82,7 @@
 	if elapsed >= burstStart && elapsed < burstEnd {
 		rate = stormBurst
 	}
-	s.budget.First(s.now, "", 0)
+	s.budget.RecordFirst(s.now, "", 0)
 	s.send(&call{number: 1})
 	gap := time.Duration(s.rnd.ExpFloat64() / rate * float64(time.Second))
 	s.at(s.now.Add(gap), s.arrive)
--- a/internal/balance/leastloaded.go
+++ b/internal/balance/leastloaded.go
@@ -34,6 +34,6 @@
 // loadPerSlot returns the number of requests per slot according to the last report and the
 // router's own requests.
 func (v *View) loadPerSlot() float64 {
-	n := v.Load.TotalQueued() + v.Load.TotalRunning() + v.SinceReport
+	n := v.Load.TotalQueued() + v.Load.TotalRunning() + v.OwnUnreported
 	return float64(max(n, v.Inflight)) / float64(max(v.Load.Slots, 1))
 }
--- a/internal/balance/limit.go
+++ b/internal/balance/limit.go
@@ -12,7 +12,7 @@
 
 // limit is the rate limit that an endpoint states in its responses, for all routers together.
 type limit struct {
-	named     bool
+	active    bool
 	perSecond float64
 	// statedAt is when the endpoint last stated it, as far as known; zero if it never stated one.
 	statedAt time.Time
@@ -34,12 +34,12 @@
 	outdated := sent.Before(l.statedAt)
 	switch stated.Statement {
 	case upstream.LimitNamed:
-		if outdated && !l.named {
+		if outdated && !l.active {
 			return false
 		}
 		return l.set(now, now, true, stated.PerSecond)
 	case upstream.LimitNone:
-		if !l.named || outdated {
+		if !l.active || outdated {
 			return false
 		}
 		return l.set(now, now, false, 0)
@@ -49,8 +49,8 @@
 
 // set stores a limit that the endpoint stated at the given time.
 func (l *limit) set(now, at time.Time, named bool, perSecond float64) (changed bool) {
-	changed = named != l.named || math.Abs(perSecond-l.advertised) > minRelativeChange*l.advertised
-	l.named, l.perSecond, l.statedAt = named, perSecond, at
+	changed = named != l.active || math.Abs(perSecond-l.advertised) > minRelativeChange*l.advertised
+	l.active, l.perSecond, l.statedAt = named, perSecond, at
 	if changed {
 		l.changedAt, l.advertised = now, perSecond
 	}
@@ -70,25 +70,25 @@
 // LimitEvent is a change of the limit that an endpoint states.
 type LimitEvent struct {
 	Endpoint string
-	// Named says that the endpoint limits all routers together to PerSecond; false if it no
+	// Limited says that the endpoint limits all routers together to PerSecond; false if it no
 	// longer does.
-	Named     bool
+	Limited   bool
 	PerSecond float64
 	// FromPeer says that another router reported the change.
 	FromPeer bool
 }
 
-// HearLimit applies what an endpoint states about its limit in the response to a request sent at
+// ApplyLimit applies what an endpoint states about its limit in the response to a request sent at
 // the given time.
-func (p *Pool) HearLimit(now, sent time.Time, endpoint string, stated upstream.RateLimit) {
+func (p *Pool) ApplyLimit(now, sent time.Time, endpoint string, stated upstream.RateLimit) {
 	if stated.Statement == upstream.LimitNone && !p.limits.seen.Load() {
 		return
 	}
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
-	l := &sh.state(endpoint).bound.limit
+	l := &sh.state(endpoint).rateState.limit
 	changed := l.applyResponse(now, sent, stated)
-	event := LimitEvent{Endpoint: endpoint, Named: l.named, PerSecond: l.perSecond}
+	event := LimitEvent{Endpoint: endpoint, Limited: l.active, PerSecond: l.perSecond}
 	sh.mu.Unlock()
 	if changed {
 		p.notifyLimit(event)
@@ -106,14 +106,14 @@
 type LimitUse struct {
 	// PerSecond is what the endpoint accepts from all routers, as stated Age ago, Share
 	// this router's share of it and Used what this router sent recently, each in requests a second.
-	PerSecond  float64
-	Part, Used float64
-	Age        time.Duration
+	PerSecond   float64
+	Share, Used float64
+	Age         time.Duration
 }
 
 // String formats the use for a log line.
 func (u LimitUse) String() string {
-	return fmt.Sprintf("part %.3g/s, %.3g/s used, of %.3g/s said %s ago", u.Part, u.Used, u.PerSecond, u.Age.Round(time.Millisecond))
+	return fmt.Sprintf("part %.3g/s, %.3g/s used, of %.3g/s said %s ago", u.Share, u.Used, u.PerSecond, u.Age.Round(time.Millisecond))
 }
 
 // LimitOf is the use of an endpoint's limit; false if the endpoint states none.
@@ -125,28 +125,28 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	st, ok := sh.states[e.Name]
-	if !ok || !st.bound.limit.named {
+	if !ok || !st.rateState.limit.active {
 		return LimitUse{}, false
 	}
-	b := &st.bound
+	b := &st.rateState
 	return LimitUse{
-		PerSecond: b.limit.perSecond, Part: b.share, Used: b.pace.Used(now), Age: now.Sub(b.limit.statedAt),
+		PerSecond: b.limit.perSecond, Share: b.share, Used: b.pace.Admitted(now), Age: now.Sub(b.limit.statedAt),
 	}, true
 }
 
-// LimitSum sums up the limits that endpoints state.
-type LimitSum struct {
+// LimitTotals sums up the limits that endpoints state.
+type LimitTotals struct {
 	// Endpoints is how many endpoints state one.
 	Endpoints int
-	// PerSecond is what they accept together from all routers, and Part this router's share.
-	PerSecond, Part float64
+	// PerSecond is what they accept together from all routers, and Share this router's share.
+	PerSecond, Share float64
 	// Sent counts this router's requests to such endpoints.
 	Sent int64
 }
 
 // Limits sums up the limits that endpoints state.
-func (p *Pool) Limits() LimitSum {
-	sum := LimitSum{Sent: p.limits.sent.Load()}
+func (p *Pool) Limits() LimitTotals {
+	sum := LimitTotals{Sent: p.limits.sent.Load()}
 	if !p.limits.seen.Load() {
 		return sum
 	}
@@ -156,14 +156,14 @@
 	return sum
 }
 
-func (sh *shard) addLimits(sum *LimitSum) {
+func (sh *shard) addLimits(sum *LimitTotals) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for _, st := range sh.states {
-		if st.bound.limit.named {
+		if st.rateState.limit.active {
 			sum.Endpoints++
-			sum.PerSecond += st.bound.limit.perSecond
-			sum.Part += st.bound.share
+			sum.PerSecond += st.rateState.limit.perSecond
+			sum.Share += st.rateState.share
 		}
 	}
 }
--- a/internal/balance/limit_play_test.go
+++ b/internal/balance/limit_play_test.go
@@ -60,7 +60,7 @@
 // limitSim is a running simulation.
 type limitSim struct {
 	rnd     *rand.Rand
-	queue   happenings
+	queue   eventQueue
 	pools   []*Pool
 	engines []*limitedEngine
 	// total, noEndpoint, late and inTime count requests by rank while limits are stated: all,
@@ -81,20 +81,20 @@
 			near = append(near, fmt.Sprint("r", j))
 		}
 		share := endpointrate.Share{Self: fmt.Sprint("r", i), Domain: domains[i%3], Fleet: func(time.Time) endpointrate.Fleet {
-			return endpointrate.Fleet{Known: true, Near: near, Domains: domains}
+			return endpointrate.Fleet{Known: true, OwnDomainRouters: near, Domains: domains}
 		}}
 		policy := NewPromptAware()
 		demands[i] = func() Demand { return policy.Demand(now) }
-		policy.HearOthers(func() Others {
+		policy.SetPeerDemand(func() PeerDemand {
 			var all Demand
 			for j, d := range demands {
 				if j != i {
-					all = all.Plus(d())
+					all = all.Add(d())
 				}
 			}
-			return Others{Demand: all, Routers: routers - 1}
+			return PeerDemand{Demand: all, Routers: routers - 1}
 		})
-		n.pools = append(n.pools, NewPool(Config{Policy: policy, Seed: uint64(i + 1), Part: share.Of}))
+		n.pools = append(n.pools, NewPool(Config{Policy: policy, Seed: uint64(i + 1), RateShare: share.Rate}))
 	}
 	for i := range limitSimEndpoints {
 		n.engines = append(n.engines, &limitedEngine{
@@ -113,14 +113,14 @@
 		n.on(epoch.Add(at), n.exchangeAll)
 	}
 	for len(n.queue) > 0 {
-		h := heap.Pop(&n.queue).(happening)
+		h := heap.Pop(&n.queue).(simEvent)
 		now = h.at
 		h.do(h.at)
 	}
 	return n
 }
 
-func (n *limitSim) on(at time.Time, do func(time.Time)) { heap.Push(&n.queue, happening{at, do}) }
+func (n *limitSim) on(at time.Time, do func(time.Time)) { heap.Push(&n.queue, simEvent{at, do}) }
 
 func (n *limitSim) setLimit(limited int, stated upstream.RateLimit) {
 	for _, e := range n.engines[:limited] {
@@ -133,7 +133,7 @@
 	for _, from := range n.pools {
 		for _, to := range n.pools {
 			exchangeLimits(now, from, to, time.Second)
-			to.HearLoads(now, from.LoadWords(now, 500*time.Millisecond, 64, true))
+			to.ApplyPeerLoads(now, from.RecentLoads(now, 500*time.Millisecond, 64, true))
 		}
 	}
 }
@@ -153,20 +153,20 @@
 	own := n.rnd.Uint64()
 	pr := prompt.Prompt{Tokens: k.shared + k.own, Output: k.events * 5, Parts: []prompt.Part{{ID: group, Tokens: k.shared}, {ID: own, Tokens: k.own}}}
 	req := Request{Service: "llm", Tier: k.rank, Prompt: pr, MaxGap: k.gap, Stride: 5}
-	c, err := p.ChooseExpecting(now, req, candidates, nil)
+	c, err := p.ChooseWithEstimates(now, req, candidates, nil)
 	switch {
 	case err != nil:
 		if counts {
 			n.noEndpoint[k.rank]++
 		}
 		return
-	case c.Wait-c.Read > maxWait:
+	case c.Wait-c.PrefillTime > maxWait:
 		if counts {
 			n.late[k.rank]++
 		}
 		return
 	}
-	n.serve(now, p, n.engineOf(c.Endpoint), k, req, group, counts, c.Tight)
+	n.serve(now, p, n.engineOf(c.Endpoint), k, req, group, counts, c.TightGap)
 }
 
 func (n *limitSim) engineOf(e *bundle.Endpoint) *limitedEngine {
@@ -179,7 +179,7 @@
 }
 
 func (n *limitSim) serve(now time.Time, p *Pool, e *limitedEngine, k limitSimKind, req Request, group uint64, counts, tight bool) {
-	account := p.SentWork(now, e.Name, Work{Service: "llm", Tier: k.rank, Prompt: req.Prompt, Tight: tight, MaxGap: k.gap, Stride: 5, Objective: k.latencyObjective})
+	account := p.Track(now, e.Name, Work{Service: "llm", Tier: k.rank, Prompt: req.Prompt, TightGap: tight, MaxGap: k.gap, Stride: 5, Objective: k.latencyObjective})
 	e.sent = append(e.sent, now)
 	tokens := k.own
 	if !e.cached[group] {
@@ -196,8 +196,8 @@
 	e.running++
 	first := e.freeAt.Add(13 * time.Millisecond)
 	n.on(first, func(at time.Time) {
-		account.Event(at)
-		p.HearLimit(at, now, e.Name, e.limit)
+		account.EventReceived(at)
+		p.ApplyLimit(at, now, e.Name, e.limit)
 		report := load.Report{Slots: 64, Seq: uint64(at.Sub(epoch))}
 		report.Running[0] = e.running
 		p.Report(at, e.Name, report)
@@ -207,7 +207,7 @@
 	})
 	n.on(first.Add(time.Duration(k.events)*perEvent), func(at time.Time) {
 		e.running--
-		account.Ended()
+		account.Release()
 		account.Done(at, ResultOK)
 	})
 }
--- a/internal/balance/limitwords.go
+++ b/internal/balance/limitwords.go
@@ -12,8 +12,8 @@
 // to each request to a peer while many endpoints begin to state a limit at once.
 const maxPeerLimits = 32
 
-// LimitWord is a router's summary of an endpoint's limit.
-type LimitWord struct {
+// LimitSummary is a router's summary of an endpoint's limit.
+type LimitSummary struct {
 	Endpoint string `json:"e"`
 	// PerSecond is nil if the endpoint no longer states a limit.
 	PerSecond *float64 `json:"l,omitempty"`
@@ -21,38 +21,38 @@
 	AgeMillis int64 `json:"a"`
 }
 
-// LimitWords is what a router reports to a peer about the limits of all endpoints.
-type LimitWords struct {
-	// Sum is a digest of the names of the endpoints that state a limit. Two routers whose
+// LimitSummaries is what a router reports to a peer about the limits of all endpoints.
+type LimitSummaries struct {
+	// NameDigest is a digest of the names of the endpoints that state a limit. Two routers whose
 	// digests differ report all limits to each other.
-	Sum   uint64      `json:"d,omitempty"`
-	Words []LimitWord `json:"w,omitempty"`
+	NameDigest uint64         `json:"d,omitempty"`
+	Limits     []LimitSummary `json:"w,omitempty"`
 }
 
 // Digest is what a router sends so that its peer reports only changes if both digests agree.
-func (w LimitWords) Digest() uint64 { return w.Sum }
+func (w LimitSummaries) Digest() uint64 { return w.NameDigest }
 
-// TellLimits returns the limits to report to a peer whose digest is theirs: those changed within the
-// given time, and the others too if the digests differ.
-func (p *Pool) TellLimits(now time.Time, theirs uint64, within time.Duration) LimitWords {
+// LimitsForPeer returns the limits to report to a peer whose digest is theirs: those changed within
+// the given time, and the others too if the digests differ.
+func (p *Pool) LimitsForPeer(now time.Time, theirs uint64, within time.Duration) LimitSummaries {
 	if !p.limits.seen.Load() {
-		return LimitWords{}
+		return LimitSummaries{}
 	}
-	report := LimitWords{Sum: p.limitDigest()}
-	var changed, rest []LimitWord
+	report := LimitSummaries{NameDigest: p.limitDigest()}
+	var changed, rest []LimitSummary
 	for i := range p.shards {
 		changed, rest = p.shards[i].appendLimits(changed, rest, now, within)
 	}
-	report.Words = p.nextBatch(changed, maxPeerLimits)
-	if report.Sum != theirs {
-		report.Words = append(report.Words, p.nextBatch(rest, maxPeerLimits-len(report.Words))...)
+	report.Limits = p.nextBatch(changed, maxPeerLimits)
+	if report.NameDigest != theirs {
+		report.Limits = append(report.Limits, p.nextBatch(rest, maxPeerLimits-len(report.Limits))...)
 	}
 	return report
 }
 
 // nextBatch returns up to size of the limits, others at each call if there are more.
-func (p *Pool) nextBatch(limits []LimitWord, size int) []LimitWord {
-	slices.SortFunc(limits, func(a, b LimitWord) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
+func (p *Pool) nextBatch(limits []LimitSummary, size int) []LimitSummary {
+	slices.SortFunc(limits, func(a, b LimitSummary) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	if len(limits) <= size {
 		return limits
 	}
@@ -75,7 +75,7 @@
 	defer sh.mu.Unlock()
 	var sum uint64
 	for name, st := range sh.states {
-		if st.bound.limit.named {
+		if st.rateState.limit.active {
 			sum ^= xxhash.Sum64String(name)
 		}
 	}
@@ -83,11 +83,11 @@
 }
 
 // appendLimits appends the limits that changed within the given time to changed, the others to rest.
-func (sh *shard) appendLimits(changed, rest []LimitWord, now time.Time, within time.Duration) (_, _ []LimitWord) {
+func (sh *shard) appendLimits(changed, rest []LimitSummary, now time.Time, within time.Duration) (_, _ []LimitSummary) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	for name, st := range sh.states {
-		l := &st.bound.limit
+		l := &st.rateState.limit
 		switch {
 		case l.statedAt.IsZero():
 		case now.Sub(l.changedAt) < within:
@@ -99,53 +99,53 @@
 	return changed, rest
 }
 
-func (l *limit) summary(endpoint string, now time.Time) LimitWord {
-	w := LimitWord{Endpoint: endpoint, AgeMillis: now.Sub(l.statedAt).Milliseconds()}
-	if l.named {
+func (l *limit) summary(endpoint string, now time.Time) LimitSummary {
+	w := LimitSummary{Endpoint: endpoint, AgeMillis: now.Sub(l.statedAt).Milliseconds()}
+	if l.active {
 		perSecond := l.perSecond
 		w.PerSecond = &perSecond
 	}
 	return w
 }
 
-// HearLimits applies the limits that a peer sent at sentAt. Endpoints that this router doesn't know
-// are skipped.
-func (p *Pool) HearLimits(now, sentAt time.Time, limits []LimitWord) {
+// ApplyPeerLimits applies the limits that a peer sent at sentAt. Endpoints that this router doesn't
+// know are skipped.
+func (p *Pool) ApplyPeerLimits(now, sentAt time.Time, limits []LimitSummary) {
 	for _, w := range limits {
 		p.applyPeerLimit(now, sentAt.Add(-time.Duration(max(0, w.AgeMillis))*time.Millisecond), w)
 	}
 }
 
-func (p *Pool) applyPeerLimit(now, at time.Time, w LimitWord) {
+func (p *Pool) applyPeerLimit(now, at time.Time, w LimitSummary) {
 	sh := p.shard(w.Endpoint)
 	sh.mu.Lock()
 	st, known := sh.states[w.Endpoint]
-	changed := known && !at.Before(st.restartedAt) && st.bound.limit.applyPeer(now, at, w)
+	changed := known && !at.Before(st.restartedAt) && st.rateState.limit.applyPeer(now, at, w)
 	sh.mu.Unlock()
 	if !changed {
 		return
 	}
-	event := LimitEvent{Endpoint: w.Endpoint, Named: w.PerSecond != nil, FromPeer: true}
-	if event.Named {
+	event := LimitEvent{Endpoint: w.Endpoint, Limited: w.PerSecond != nil, FromPeer: true}
+	if event.Limited {
 		event.PerSecond = *w.PerSecond
 	}
 	p.notifyLimit(event)
 }
 
-// timestampTolerance bounds the error of a time that one router sends to another as an age, since the
-// age doesn't include the duration of the call.
+// timestampTolerance bounds the error of a time that one router sends to another as an age, since
+// the age doesn't include the duration of the call.
 const timestampTolerance = 300 * time.Millisecond
 
 // applyPeer applies a limit that, by another router's report, the endpoint stated at the given time.
 // If it equals the known one, it must be newer by more than timestampTolerance: otherwise the delay
 // of each report would make the statement look newer than it is.
-func (l *limit) applyPeer(now, at time.Time, w LimitWord) (changed bool) {
+func (l *limit) applyPeer(now, at time.Time, w LimitSummary) (changed bool) {
 	named, perSecond := w.PerSecond != nil, 0.0
 	if named {
 		perSecond = *w.PerSecond
 	}
 	after := l.statedAt
-	if named == l.named && perSecond == l.perSecond {
+	if named == l.active && perSecond == l.perSecond {
 		after = after.Add(timestampTolerance)
 	}
 	if !at.After(after) || !(perSecond >= 0) || l.statedAt.IsZero() && !named {
--- a/internal/balance/loadaware.go
+++ b/internal/balance/loadaware.go
@@ -107,9 +107,9 @@
 			reported++
 			busy += v.requestsAhead(req.Tier) / v.slots()
 		}
-		if v.Service > 0 {
+		if v.SlotTime > 0 {
 			measured++
-			rate += 1 / v.Service.Seconds()
+			rate += 1 / v.SlotTime.Seconds()
 		}
 	}
 	if reported > 0 {
@@ -125,12 +125,12 @@
 func (e *estimator) cost(v *View) float64 {
 	slots := v.slots()
 	weight := e.reportWeight(v)
-	ahead := weight*v.requestsAhead(e.tier) + (1-weight)*e.meanAheadPerSlot*slots + float64(v.SinceReport)
+	ahead := weight*v.requestsAhead(e.tier) + (1-weight)*e.meanAheadPerSlot*slots + float64(v.OwnUnreported)
 	ahead = max(ahead, float64(v.Inflight)*weight)
 	waiting := max(0, ahead+1-slots)
 	slotTime := e.meanSlotTime
-	if v.Service.Seconds() > slowRatio*slotTime {
-		slotTime = v.Service.Seconds()
+	if v.SlotTime.Seconds() > slowRatio*slotTime {
+		slotTime = v.SlotTime.Seconds()
 	}
 	return slotTime * (waiting + firstTokenFraction*(ahead+1)) / slots
 }
--- a/internal/balance/loadaware_test.go
+++ b/internal/balance/loadaware_test.go
@@ -50,7 +50,7 @@
 	later := epoch.Add(time.Minute)
 	fresh.ReportedAt = later
 	g.Expect(firstViewShare(LoadAware{}, epoch, Request{}, old, fresh)).To(gomega.BeNumerically(">", 0.9))
-	old.SinceReport = 2
+	old.OwnUnreported = 2
 	g.Expect(firstViewShare(LoadAware{}, later, Request{}, old, fresh)).To(gomega.BeNumerically("<", 0.1))
 }
 
@@ -72,9 +72,9 @@
 func TestSlowEndpointCostsMore(t *testing.T) {
 	g := gomega.NewWithT(t)
 	slow := reportedView("slow", tierCounts(), tierCounts(1))
-	slow.Service = 10 * time.Second
+	slow.SlotTime = 10 * time.Second
 	fast := reportedView("fast", tierCounts(), tierCounts(3))
-	fast.Service = 2 * time.Second
+	fast.SlotTime = 2 * time.Second
 	g.Expect(firstViewShare(LoadAware{}, epoch, Request{}, slow, fast)).To(gomega.BeNumerically("<", 0.1))
 }
 
@@ -96,7 +96,7 @@
 func TestMayRefuseOnlyWithoutPreemptableLowerTier(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{})
-	list := endpoints("a", "b")
+	list := namedEndpoints("a", "b")
 	full := load.Report{Seq: 1, Slots: 4, Queued: tierCounts(3), Running: tierCounts(2, 2)}
 	p.Report(epoch, "a", full)
 	g.Expect(p.MayRefuse(epoch, 1, list)).To(gomega.BeFalse(), "b is unknown")
@@ -113,7 +113,7 @@
 func TestPairHasSecondEndpointOnlyIfFirstIsBusy(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{})
-	list := endpoints("a", "b")
+	list := namedEndpoints("a", "b")
 	busy := load.Report{Seq: 1, Slots: 4, Running: tierCounts(3)}
 	p.Report(epoch, "a", busy)
 	p.Report(epoch, "b", busy)
--- a/internal/balance/member.go
+++ b/internal/balance/member.go
@@ -8,26 +8,26 @@
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	sh.state(endpoint).bound.suspect = suspect
+	sh.state(endpoint).rateState.suspect = suspect
 }
 
-// MostUnsure says whether more than half of the endpoint's group, itself included, is suspect:
+// MajoritySuspect says whether more than half of the endpoint's group, itself included, is suspect:
 // then it is this router that was cut off.
-func (p *Pool) MostUnsure(endpoint string) bool {
+func (p *Pool) MajoritySuspect(endpoint string) bool {
 	all, suspect := p.countInGroup(p.groupOf(endpoint))
 	return 2*suspect > all
 }
 
-// Return puts an endpoint back into use that was leaving, suspect or gone. Its weight grows as after an
-// ejection. The last load report stays, so that an older one can't replace it.
+// Return puts an endpoint back into use that was leaving, suspect or gone. Its weight grows as
+// after an ejection. The last load report stays, so that an older one can't replace it.
 func (p *Pool) Return(now time.Time, endpoint string) {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	st := sh.state(endpoint)
-	st.leaving, st.bound.suspect = false, false
+	st.leaving, st.rateState.suspect = false, false
 	if st.health.ejectedUntil.Before(now) {
 		// The failure share is kept: requests may fail where health checks pass.
-		st.health = health{ejectedUntil: now, ejections: st.health.ejections, failures: st.health.failures}
+		st.health = health{ejectedUntil: now, ejections: st.health.ejections, failureShare: st.health.failureShare}
 	}
 }
--- a/internal/balance/member_test.go
+++ b/internal/balance/member_test.go
@@ -12,7 +12,7 @@
 func TestSuspectEndpointIsChosenOnlyAsLastResort(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{Seed: 1})
-	list := endpoints("a", "b")
+	list := namedEndpoints("a", "b")
 	p.SetSuspect("a", true)
 	for range 50 {
 		e, err := p.Choose(epoch, Request{}, list, nil)
@@ -27,13 +27,13 @@
 func TestReturnIsGradualAndIgnoresOlderReports(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{})
-	list := endpoints("a", "b")
+	list := namedEndpoints("a", "b")
 	p.Report(epoch, "a", load.Report{Seq: 5, Leaving: true})
 	p.SetSuspect("a", true)
 	p.Return(epoch, "a")
 	p.Report(epoch, "a", load.Report{Seq: 4, Leaving: true})
 	weights := []float64{}
-	for _, after := range []time.Duration{0, defaultReturn / 2, defaultReturn} {
+	for _, after := range []time.Duration{0, defaultSlowStart / 2, defaultSlowStart} {
 		v := p.Views(epoch.Add(after), list)[0]
 		weights = append(weights, v.Weight)
 	}
--- a/internal/balance/objective_test.go
+++ b/internal/balance/objective_test.go
@@ -17,16 +17,16 @@
 // preferred endpoint has the given number of tokens to prefill.
 func leavesPreferred(pendingTokens int, objective time.Duration) bool {
 	p := NewPool(Config{Policy: NewPromptAware(), Seed: 1})
-	all := engines(4)
-	req := long(300)
+	all := newEndpoints(4)
+	req := longRequest(300)
 	req.Objective = objective
-	now := epoch.Add(coldFor)
-	preferred, a := send(p, now, req, all)
-	a.Ended()
-	before := long(400)
+	now := epoch.Add(coldStartPeriod)
+	preferred, a := chooseAndSend(p, now, req, all)
+	a.Release()
+	before := longRequest(400)
 	before.Prompt.Tokens = pendingTokens
-	p.SentWork(now, preferred, Work{Prompt: before.Prompt})
-	to, _ := send(p, now.Add(time.Millisecond), req, all)
+	p.Track(now, preferred, Work{Prompt: before.Prompt})
+	to, _ := chooseAndSend(p, now.Add(time.Millisecond), req, all)
 	return to != preferred
 }
 
--- a/internal/balance/outlier.go
+++ b/internal/balance/outlier.go
@@ -15,7 +15,7 @@
 	defaultInterval     = time.Second
 	defaultEjectFor     = 10 * time.Second
 	defaultMaxEject     = time.Minute
-	defaultReturn       = 30 * time.Second
+	defaultSlowStart    = 30 * time.Second
 
 	// resultWeight is the weight of a new result in the smoothed failure share.
 	resultWeight = 0.2
@@ -27,8 +27,8 @@
 // than the other endpoints of their group, which have the same model or service. The zero value is
 // usable: every field that is zero takes its default.
 type Outlier struct {
-	// Off turns outlier detection off, for comparison.
-	Off bool
+	// Disabled turns outlier detection off, for comparison.
+	Disabled bool
 	// SlowFactor is the multiple of the group's median time above which an endpoint is ejected.
 	SlowFactor float64
 	// FailureShare is the smoothed share of failed attempts above which an endpoint is ejected.
@@ -43,8 +43,8 @@
 	// to MaxEject.
 	EjectFor time.Duration
 	MaxEject time.Duration
-	// Return is the time after an ejection over which the weight grows back to 1.
-	Return time.Duration
+	// SlowStart is the time after an ejection over which the weight grows back to 1.
+	SlowStart time.Duration
 }
 
 func (o Outlier) withDefaults() Outlier {
@@ -55,29 +55,29 @@
 	o.Interval = cmp.Or(o.Interval, defaultInterval)
 	o.EjectFor = cmp.Or(o.EjectFor, defaultEjectFor)
 	o.MaxEject = cmp.Or(o.MaxEject, defaultMaxEject)
-	o.Return = cmp.Or(o.Return, defaultReturn)
+	o.SlowStart = cmp.Or(o.SlowStart, defaultSlowStart)
 	return o
 }
 
 // health is the state of outlier detection for one endpoint.
 type health struct {
 	samples      int     // load reports or first tokens since the last ejection
-	failures     float64 // smoothed share of failed attempts
+	failureShare float64 // smoothed share of failed attempts
 	ejectedUntil time.Time
 	ejections    int // in a row, without a complete slow start in between
 }
 
-func (h *health) result(res Result) {
+func (h *health) recordResult(res Result) {
 	switch res {
 	case ResultOK:
-		h.failures -= resultWeight * h.failures
+		h.failureShare -= resultWeight * h.failureShare
 	case ResultFailed:
-		h.failures += resultWeight * (1 - h.failures)
+		h.failureShare += resultWeight * (1 - h.failureShare)
 	case ResultRefused, ResultCancelled:
 	}
 }
 
-func (h *health) sample(now time.Time) {
+func (h *health) recordSample(now time.Time) {
 	if now.Before(h.ejectedUntil) {
 		return // the work began before the ejection
 	}
@@ -92,7 +92,7 @@
 	if now.Before(h.ejectedUntil) {
 		return 0
 	}
-	elapsed := float64(now.Sub(h.ejectedUntil)) / float64(o.Return)
+	elapsed := float64(now.Sub(h.ejectedUntil)) / float64(o.SlowStart)
 	return min(1, initialSlowStartWeight+(1-initialSlowStartWeight)*elapsed)
 }
 
@@ -115,8 +115,8 @@
 	ejected      bool
 }
 
-// outliers returns those members of a group to eject, the worst first. With those already ejected they
-// are at most MaxShare of the group.
+// outliers returns those members of a group to eject, the worst first. With those already ejected
+// they are at most MaxShare of the group.
 func outliers(members []groupMember, o Outlier) []groupMember {
 	remaining := int(o.MaxShare * float64(len(members)))
 	service := median(members, func(p groupMember) time.Duration { return p.service })
@@ -139,8 +139,8 @@
 	return found[:min(len(found), max(remaining, 0))]
 }
 
-// slowness is the ratio of the member's time to the median: of its time per slot, which doesn't depend
-// on its queue, or else of its time to the first token.
+// slowness is the ratio of the member's time to the median: of its time per slot, which doesn't
+// depend on its queue, or else of its time to the first token.
 func slowness(p groupMember, service, firstToken time.Duration, o Outlier) float64 {
 	if p.samples < o.MinSamples {
 		return 0
@@ -154,8 +154,8 @@
 	return 0
 }
 
-// median is the lower median over the members that aren't ejected and whose value is known; 0 if there
-// are none.
+// median is the lower median over the members that aren't ejected and whose value is known; 0 if
+// there are none.
 func median(members []groupMember, value func(groupMember) time.Duration) time.Duration {
 	var known []time.Duration
 	for _, p := range members {
--- a/internal/balance/outlier_test.go
+++ b/internal/balance/outlier_test.go
@@ -29,7 +29,7 @@
 func ejectedCount(p *Pool, now time.Time, n int) int {
 	count := 0
 	for i := range n {
-		v := p.Views(now, endpoints(fmt.Sprintf("e%d", i)))[0]
+		v := p.Views(now, namedEndpoints(fmt.Sprintf("e%d", i)))[0]
 		if v.Weight == 0 {
 			count++
 		}
@@ -42,13 +42,13 @@
 	p := NewPool(Config{})
 	ejectedCount(p, epoch, 6) // adds the endpoints to the pool
 	now := reportAll(p, epoch, 12, 6, 1)
-	weight := func(at time.Time) float64 { return p.Views(at, endpoints("e0"))[0].Weight }
+	weight := func(at time.Time) float64 { return p.Views(at, namedEndpoints("e0"))[0].Weight }
 	g.Expect(weight(now)).To(gomega.BeZero())
 	g.Expect(ejectedCount(p, now, 6)).To(gomega.Equal(1))
 	back := now.Add(defaultEjectFor)
 	g.Expect(weight(back)).To(gomega.BeNumerically("~", initialSlowStartWeight, 0.15))
-	g.Expect(weight(back.Add(defaultReturn / 2))).To(gomega.BeNumerically("~", 0.5, 0.15))
-	g.Expect(weight(back.Add(defaultReturn))).To(gomega.Equal(1.0))
+	g.Expect(weight(back.Add(defaultSlowStart / 2))).To(gomega.BeNumerically("~", 0.5, 0.15))
+	g.Expect(weight(back.Add(defaultSlowStart))).To(gomega.Equal(1.0))
 }
 
 func TestEjectedShareIsLimited(t *testing.T) {
@@ -62,7 +62,7 @@
 func TestFailingEndpointIsEjectedAtOnceAndLongerNextTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{})
-	list := endpoints("e0", "e1", "e2")
+	list := namedEndpoints("e0", "e1", "e2")
 	p.Views(epoch, list)
 	fail := func(now time.Time) {
 		for range 4 {
--- a/internal/balance/pair.go
+++ b/internal/balance/pair.go
@@ -25,7 +25,7 @@
 		return Pair{}, err
 	}
 	pair := Pair{First: candidates[s.candidateIndexes[first]]}
-	if s.views[first].hasFreeSlots(p.cfg.SecondAbove) {
+	if s.views[first].hasFreeSlots(p.cfg.LateBindingThreshold) {
 		return pair, nil
 	}
 	s.remove(first)
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -21,10 +21,10 @@
 	// speedsByGroup maps the name of an endpoint group to its *engineSpeeds.
 	speedsByGroup sync.Map
 	// nextDetectAt is when outlier detection runs next, in Unix nanoseconds.
-	detectAt  atomic.Int64
-	detecting sync.Mutex
-	limits    limits
-	domains   domainWatch
+	nextDetectAt atomic.Int64
+	detectMu     sync.Mutex
+	limits       limits
+	domains      domainMonitor
 }
 
 // scratch holds the reusable buffers of one call of Choose.
@@ -72,47 +72,47 @@
 	// Wait is the expected time to first token; 0 if the policy can't estimate it.
 	Wait time.Duration
 	// PrefillTime is the part of Wait for the prefill of the request's own prompt.
-	Read time.Duration
+	PrefillTime time.Duration
 	// FetchFrom probably has cached parts of the prompt that the endpoint lacks; nil if there is
 	// none.
-	Source *bundle.Endpoint
+	FetchFrom *bundle.Endpoint
 	// TightGap is set if the stream would exceed its gap limit beside long prompts.
-	Tight bool
+	TightGap bool
 	// DedicatedEndpoints is the number of endpoints dedicated to such streams.
-	Kept int
+	DedicatedEndpoints int
 	// CopyTo is the endpoint to which the stream's KV cache is copied as it grows, so that the
 	// stream can resume there after a crash; nil if that isn't worth its cost.
-	Copy *bundle.Endpoint
+	CopyTo *bundle.Endpoint
 }
 
-// Expecter is a Policy that can estimate more about its choice.
-type Expecter interface {
-	// Expect returns the estimates for the chosen view. leaving are the views of endpoints that
+// ChoiceEstimator is a Policy that can estimate more about its choice.
+type ChoiceEstimator interface {
+	// Estimate returns the estimates for the chosen view. leaving are the views of endpoints that
 	// accept no new requests but still serve their caches.
-	Expect(req Request, views, leaving []View, chosen int) Expectation
+	Estimate(req Request, views, leaving []View, chosen int) Estimates
 }
 
-// Expectation holds a policy's estimates for a choice. Indexes are those of the views, followed
+// Estimates holds a policy's estimates for a choice. Indexes are those of the views, followed
 // by those of leaving endpoints; -1 means none.
-type Expectation struct {
+type Estimates struct {
 	// Wait, PrefillTime, TightGap and DedicatedEndpoints are as in Choice.
-	Wait, Read time.Duration
-	Tight      bool
-	Kept       int
+	Wait, PrefillTime  time.Duration
+	TightGap           bool
+	DedicatedEndpoints int
 	// FetchFrom is the index of the endpoint to fetch missing cached parts from, and CopyTo that
 	// of the one to which the KV cache is copied.
-	Source, Copy int
+	FetchFrom, CopyTo int
 }
 
 // StreamObserver is a Policy that learns from finished streams.
-type Learner interface {
+type StreamObserver interface {
 	// StreamEnded records the end of a stream of a service with the given maximum gap, the time
 	// for which it held its slot, and whether it exceeded its objective or maximum gap.
-	Ended(now time.Time, service string, gap, held time.Duration, late bool)
+	StreamEnded(now time.Time, service string, gap, held time.Duration, late bool)
 }
 
-// ChooseExpecting is Choose that also returns the policy's estimates.
-func (p *Pool) ChooseExpecting(now time.Time, req Request, candidates []*bundle.Endpoint, skip func(endpoint string) bool) (Choice, error) {
+// ChooseWithEstimates is Choose that also returns the policy's estimates.
+func (p *Pool) ChooseWithEstimates(now time.Time, req Request, candidates []*bundle.Endpoint, skip func(endpoint string) bool) (Choice, error) {
 	s := p.scratch.Get().(*scratch)
 	defer p.scratch.Put(s)
 	i, err := p.choose(s, now, req, candidates, skip)
@@ -120,17 +120,17 @@
 		return Choice{}, err
 	}
 	choice := Choice{Endpoint: candidates[s.candidateIndexes[i]]}
-	e, ok := p.cfg.Policy.(Expecter)
+	e, ok := p.cfg.Policy.(ChoiceEstimator)
 	if !ok {
 		return choice, nil
 	}
-	expected := e.Expect(req, s.views, s.leaving, i)
-	choice.Wait, choice.Read, choice.Tight, choice.Kept = expected.Wait, expected.Read, expected.Tight, expected.Kept
-	if expected.Source >= 0 {
-		choice.Source = candidates[append(s.candidateIndexes, s.leavingIndexes...)[expected.Source]]
+	expected := e.Estimate(req, s.views, s.leaving, i)
+	choice.Wait, choice.PrefillTime, choice.TightGap, choice.DedicatedEndpoints = expected.Wait, expected.PrefillTime, expected.TightGap, expected.DedicatedEndpoints
+	if expected.FetchFrom >= 0 {
+		choice.FetchFrom = candidates[append(s.candidateIndexes, s.leavingIndexes...)[expected.FetchFrom]]
 	}
-	if expected.Copy >= 0 {
-		choice.Copy = candidates[s.candidateIndexes[expected.Copy]]
+	if expected.CopyTo >= 0 {
+		choice.CopyTo = candidates[s.candidateIndexes[expected.CopyTo]]
 	}
 	return choice, nil
 }
@@ -142,7 +142,7 @@
 	if excluded.rateLimited > 0 && 2*excluded.suspect > len(candidates) {
 		// This router itself is or was disconnected. Suspect endpoints aren't limited to the rate
 		// of cold ones then, so that it notices at once when its network is back.
-		req.mostUnsure = true
+		req.majoritySuspect = true
 		excluded = p.collect(s, now, req, candidates, skip)
 	}
 	restoreIfAllEjected(s.views)
@@ -150,18 +150,18 @@
 		i, ok := p.cfg.Policy.Choose(now, req, s.views, s.rnd)
 		if !ok {
 			if excluded.rateLimited > 0 {
-				p.refuse(now, candidates, req)
+				p.recordUnserved(now, candidates, req)
 			}
 			return 0, &NoEndpointError{
 				Candidates: len(candidates), Skipped: excluded.skipped, Leaving: excluded.leaving,
-				Bounded: excluded.rateLimited, FreeIn: excluded.availableIn,
+				RateLimited: excluded.rateLimited, AvailableIn: excluded.availableIn,
 			}
 		}
-		if !s.views[i].Bounded || p.Take(now, candidates[s.candidateIndexes[i]], req) {
+		if !s.views[i].HasRateLimit || p.Take(now, candidates[s.candidateIndexes[i]], req) {
 			return i, nil
 		}
 		// A concurrent request used up the rate limit.
-		excluded.addRateLimited(p.turnAway(now, candidates[s.candidateIndexes[i]], req))
+		excluded.addRateLimited(p.recordRejected(now, candidates[s.candidateIndexes[i]], req))
 		s.views = slices.Delete(s.views, i, i+1)
 		s.candidateIndexes = slices.Delete(s.candidateIndexes, i, i+1)
 	}
@@ -199,16 +199,16 @@
 		}
 		s.views = append(s.views, View{})
 		v := &s.views[len(s.views)-1]
-		avail := p.view(now, c, v, req)
-		if v.Unsure {
+		avail := p.fillView(now, c, v, req)
+		if v.Suspect {
 			excluded.suspect++
 		}
 		switch avail {
-		case takesWork:
+		case accepting:
 			s.candidateIndexes = append(s.candidateIndexes, i)
 			continue
 		case atRateLimit:
-			excluded.addRateLimited(p.turnAway(now, c, req))
+			excluded.addRateLimited(p.recordRejected(now, c, req))
 		case draining:
 			s.leaving = append(s.leaving, *v)
 			s.leavingIndexes = append(s.leavingIndexes, i)
@@ -223,7 +223,7 @@
 type availability uint8
 
 const (
-	takesWork availability = iota
+	accepting availability = iota
 	// draining: it accepts no new requests.
 	draining
 	// atRateLimit: the endpoint has a rate limit, and this router has used up its share.
@@ -244,36 +244,36 @@
 }
 
 // fillView fills v and returns whether the endpoint may be sent the request.
-func (p *Pool) view(now time.Time, c *bundle.Endpoint, v *View, req Request) availability {
+func (p *Pool) fillView(now time.Time, c *bundle.Endpoint, v *View, req Request) availability {
 	sh := p.shard(c.Name)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	st := sh.state(c.Name)
 	if st.group == "" {
-		st.group, st.domain = peerGroup(c), c.FailureDomain
+		st.group, st.domain = endpointGroup(c), c.FailureDomain
 	}
-	if st.engines == nil {
-		st.engines = p.speedsOf(st.group)
+	if st.speeds == nil {
+		st.speeds = p.speedsOf(st.group)
 	}
 	st.fillView(c, v)
-	speed := st.engines.estimate(st.outputToken)
-	v.Token, v.PerToken, v.First = speed.SecondsPerOutputToken, speed.SecondsPerPromptToken, speed.PrefillOverhead
-	v.Cached = st.cachedParts.cached(now, req.Prompt)
+	speed := st.speeds.estimate(st.outputToken)
+	v.SecondsPerOutputToken, v.SecondsPerPromptToken, v.PrefillOverhead = speed.SecondsPerOutputToken, speed.SecondsPerPromptToken, speed.PrefillOverhead
+	v.CachedTokens = st.cachedParts.cached(now, req.Prompt)
 	v.Full = st.full(now)
 	v.Weight = st.health.weight(now, p.cfg.Outlier)
-	if st.bound.suspect || now.Before(st.avoidUntil) {
+	if st.rateState.suspect || now.Before(st.avoidUntil) {
 		v.Weight = 0
 	}
-	_, v.Bounded = st.bound.now(now, c, req)
-	v.Aside = st.bound.aside(now, req.ColdRate)
-	v.Unsure = st.bound.suspect
+	_, v.HasRateLimit = st.rateState.currentLimit(now, c, req)
+	v.ReducedCapacity = st.rateState.reducedCapacity(now, req.ColdRate)
+	v.Suspect = st.rateState.suspect
 	switch {
 	case st.leaving:
 		return draining
 	case !p.ready(now, st, c, req):
 		return atRateLimit
 	}
-	return takesWork
+	return accepting
 }
 
 func (p *Pool) speedsOf(group string) *engineSpeeds {
@@ -286,7 +286,7 @@
 func (p *Pool) Views(now time.Time, candidates []*bundle.Endpoint) []View {
 	views := make([]View, len(candidates))
 	for i, c := range candidates {
-		p.view(now, c, &views[i], Request{})
+		p.fillView(now, c, &views[i], Request{})
 	}
 	return views
 }
@@ -306,7 +306,7 @@
 	sh.mu.Lock()
 	sh.state(endpoint).recordReport(now, r, p.cfg.SeqHold)
 	sh.mu.Unlock()
-	p.detect(now, false)
+	p.detectOutliers(now, false)
 }
 
 // Done records the outcome of a request. firstToken is the time from sending to the first token,
@@ -315,10 +315,10 @@
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
 	st := sh.state(endpoint)
-	st.recordDone(now, res, firstToken, p.cfg.FirstTokenShare)
-	failing := res == ResultFailed && st.health.failures > p.cfg.Outlier.FailureShare
+	st.recordDone(now, res, firstToken, p.cfg.FirstTokenSmoothing)
+	failing := res == ResultFailed && st.health.failureShare > p.cfg.Outlier.FailureShare
 	sh.mu.Unlock()
-	p.detect(now, failing)
+	p.detectOutliers(now, failing)
 }
 
 // SetLeaving records whether membership lists an endpoint as leaving. A leaving endpoint isn't
@@ -332,16 +332,16 @@
 }
 
 // Usable reports whether an endpoint may be sent new requests and is neither suspect nor avoided.
-func (p *Pool) InUse(now time.Time, endpoint string) bool {
+func (p *Pool) Usable(now time.Time, endpoint string) bool {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	st, known := sh.states[endpoint]
-	return known && !st.leaving && !st.bound.suspect && !now.Before(st.avoidUntil)
+	return known && !st.leaving && !st.rateState.suspect && !now.Before(st.avoidUntil)
 }
 
 // Inflight returns the number of this router's requests at an endpoint.
-func (p *Pool) Open(endpoint string) int {
+func (p *Pool) Inflight(endpoint string) int {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -352,7 +352,7 @@
 }
 
 // AcceptsWork reports whether an endpoint is known and not leaving.
-func (p *Pool) TakesWork(endpoint string) bool {
+func (p *Pool) AcceptsWork(endpoint string) bool {
 	sh := p.shard(endpoint)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
--- a/internal/balance/pool_test.go
+++ b/internal/balance/pool_test.go
@@ -14,7 +14,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func endpoints(names ...string) []*bundle.Endpoint {
+func namedEndpoints(names ...string) []*bundle.Endpoint {
 	list := make([]*bundle.Endpoint, len(names))
 	for i, name := range names {
 		list[i] = &bundle.Endpoint{Name: name, FailureDomain: "fd-" + name, Slots: 4}
@@ -25,7 +25,7 @@
 func TestChooseExcludesSkippedAndLeaving(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{Seed: 1})
-	list := endpoints("a", "b", "c")
+	list := namedEndpoints("a", "b", "c")
 	p.Report(epoch, "a", load.Report{Seq: 2, Leaving: true})
 	p.Report(epoch, "a", load.Report{Seq: 1})
 	skipB := func(e string) bool { return e == "b" }
@@ -42,7 +42,7 @@
 func TestOlderSeqIsIgnoredDuringSeqHold(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{SeqHold: time.Second})
-	list := endpoints("a")
+	list := namedEndpoints("a")
 	p.Report(epoch, "a", load.Report{Seq: 9, DrainPerSecond: 9})
 	p.Report(epoch, "a", load.Report{Seq: 8, DrainPerSecond: 8})
 	g.Expect(p.Views(epoch, list)[0].Load.DrainPerSecond).To(gomega.Equal(9.0))
@@ -53,21 +53,21 @@
 func TestOwnRequestsCountUntilReported(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{})
-	list := endpoints("a")
+	list := namedEndpoints("a")
 	p.Sent(epoch, "a")
 	p.Sent(epoch, "a")
 	p.Done(epoch, "a", ResultOK, time.Second)
 	v := p.Views(epoch, list)[0]
-	g.Expect([]int{v.Inflight, v.SinceReport, v.Load.Slots}).To(gomega.Equal([]int{1, 1, 4}))
+	g.Expect([]int{v.Inflight, v.OwnUnreported, v.Load.Slots}).To(gomega.Equal([]int{1, 1, 4}))
 	p.Report(epoch, "a", load.Report{Seq: 1})
 	v = p.Views(epoch, list)[0]
-	g.Expect([]int{v.Inflight, v.SinceReport}).To(gomega.Equal([]int{1, 0}))
+	g.Expect([]int{v.Inflight, v.OwnUnreported}).To(gomega.Equal([]int{1, 0}))
 }
 
 func TestConcurrentUseLosesNoCount(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{})
-	list := endpoints("a", "b", "c")
+	list := namedEndpoints("a", "b", "c")
 	var wg sync.WaitGroup
 	for worker := range 8 {
 		wg.Go(func() {
@@ -92,7 +92,7 @@
 func TestChooseDoesNotAllocate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{})
-	list := endpoints("a", "b", "c")
+	list := namedEndpoints("a", "b", "c")
 	// Hold the scratch, since sync.Pool drops items under the race detector.
 	s := p.scratch.Get().(*scratch)
 	allocs := testing.AllocsPerRun(1000, func() { _, _ = p.choose(s, epoch, Request{Prefix: 7}, list, nil) })
@@ -121,7 +121,7 @@
 	for i := range 20 {
 		names = append(names, string(rune('a'+i)))
 	}
-	list := endpoints(names...)
+	list := namedEndpoints(names...)
 	b.ReportAllocs()
 	for b.Loop() {
 		_, _ = p.Choose(epoch, Request{Prefix: 7}, list, nil)
--- a/internal/balance/prompts.go
+++ b/internal/balance/prompts.go
@@ -26,7 +26,7 @@
 
 // SetPeerDemand sets the source of the demand that other routers see. It must be called before
 // the policy is used.
-func (p PromptAware) HearOthers(others func() Others) { p.demand.others = others }
+func (p PromptAware) SetPeerDemand(others func() PeerDemand) { p.demand.peerDemand = others }
 
 // Name implements Policy.
 func (PromptAware) Name() string { return "prompt-aware" }
@@ -34,7 +34,7 @@
 // Choose implements Policy.
 func (p PromptAware) Choose(now time.Time, req Request, views []View, rnd *rand.Rand) (int, bool) {
 	usable := usableViews(views)
-	if req.Again {
+	if req.Retry {
 		usable = slices.DeleteFunc(usable, func(i int) bool { return views[i].Full })
 	}
 	if len(usable) == 0 {
@@ -44,40 +44,40 @@
 		return leastLoadedOf(views, usable, rnd), true
 	}
 	regular, reduced := splitReducedCapacity(views, usable)
-	isolation := p.demand.separate(now, req.Service, summarizeEndpoints(req, views, regular))
-	tightGap := isolation.tightFor(req.MaxGap)
+	isolation := p.demand.decideIsolation(now, req.Service, summarizeEndpoints(req, views, regular))
+	tightGap := isolation.isolates(req.MaxGap)
 	share := p.demand.share()
-	group := groupFor(now, tightGap, isolation, share, views, regular)
+	group := endpointsFor(now, tightGap, isolation, share, views, regular)
 	preferred := preferredEndpoint(req, views, group)
-	sampled := looks(len(group), share)
-	countOthers(views, share, float64(sampled)/float64(len(group)))
+	sampled := sampleSize(len(group), share)
+	estimateOtherRouters(views, share, float64(sampled)/float64(len(group)))
 	chosen := lowestCostEndpoint(req, views, group, preferred, sampled, tightGap, rnd)
 	chosen = cheaperReducedCapacity(req, views, reduced, chosen, preferred, tightGap)
 	prefillTokens := req.Prompt.Own() + recomputedTokens(req, &views[chosen], chosen == preferred && !p.demand.cold())
-	p.demand.add(now, req.kind(), req.Tier, seconds(views[chosen].First+views[chosen].PerToken*float64(prefillTokens)))
+	p.demand.add(now, req.kind(), req.Tier, seconds(views[chosen].PrefillOverhead+views[chosen].SecondsPerPromptToken*float64(prefillTokens)))
 	return chosen, true
 }
 
 // StreamEnded implements StreamObserver.
-func (p PromptAware) Ended(now time.Time, service string, gap, held time.Duration, late bool) {
-	p.demand.ended(now, kindKey{service, gap.Milliseconds()}, held, late)
+func (p PromptAware) StreamEnded(now time.Time, service string, gap, held time.Duration, late bool) {
+	p.demand.recordEnded(now, kindKey{service, gap.Milliseconds()}, held, late)
 }
 
 // summarizeEndpoints returns the averages of the usable endpoints.
-func summarizeEndpoints(req Request, views []View, usable []int) fleet {
-	f := fleet{endpoints: len(usable)}
+func summarizeEndpoints(req Request, views []View, usable []int) serviceEndpoints {
+	f := serviceEndpoints{endpoints: len(usable)}
 	token := 0.0
 	for _, i := range usable {
 		f.slots += views[i].slots() / float64(len(usable))
-		token += views[i].Token / float64(len(usable))
+		token += views[i].SecondsPerOutputToken / float64(len(usable))
 	}
-	f.pause = seconds(token * float64(max(req.Stride, 1)))
+	f.gap = seconds(token * float64(max(req.Stride, 1)))
 	return f
 }
 
 // endpointsFor returns the endpoints that a kind of request uses. share is this router's share of
 // all requests.
-func groupFor(now time.Time, tight bool, isolation separation, share float64, views []View, usable []int) []int {
+func endpointsFor(now time.Time, tight bool, isolation isolation, share float64, views []View, usable []int) []int {
 	ranked := rankForTightGap(views, usable)
 	group := isolation.rankedGroup(tight, ranked)
 	if !tight {
@@ -105,9 +105,9 @@
 	case v.ReportedAt.IsZero():
 		return byShare
 	case now.Sub(v.ReportedAt) > reportFreshness:
-		return min(v.requests(), byShare)
+		return min(v.estimatedRequests(), byShare)
 	}
-	return v.requests()
+	return v.estimatedRequests()
 }
 
 // groupFull reports whether the slot utilization of a group has reached spillThreshold.
@@ -137,7 +137,7 @@
 // capacity they are used as regular ones.
 func splitReducedCapacity(views []View, usable []int) (regular, reduced []int) {
 	for _, i := range usable {
-		if views[i].Aside {
+		if views[i].ReducedCapacity {
 			reduced = append(reduced, i)
 		} else {
 			regular = append(regular, i)
--- a/internal/balance/prompts_test.go
+++ b/internal/balance/prompts_test.go
@@ -14,7 +14,7 @@
 )
 
 // newEndpoints returns n idle endpoints in three failure domains.
-func engines(n int) []*bundle.Endpoint {
+func newEndpoints(n int) []*bundle.Endpoint {
 	all := make([]*bundle.Endpoint, n)
 	for i := range all {
 		all[i] = &bundle.Endpoint{
@@ -24,14 +24,14 @@
 	return all
 }
 
-func long(key uint64) Request {
+func longRequest(key uint64) Request {
 	return Request{Prompt: prompt.Prompt{
 		Parts:  []prompt.Part{{ID: 1, Tokens: 2500}, {ID: key, Tokens: 3800}, {ID: key + 1000, Tokens: 2900}},
 		Tokens: 9200, Output: 50,
 	}, MaxGap: time.Second, Stride: 6}
 }
 
-func tight(key uint64) Request {
+func tightGapRequest(key uint64) Request {
 	return Request{MaxGap: 250 * time.Millisecond, Stride: 6, Prompt: prompt.Prompt{
 		Parts:  []prompt.Part{{ID: 2, Tokens: 100}, {ID: key, Tokens: 70}, {ID: key + 1000, Tokens: 540}},
 		Tokens: 710, Output: 280,
@@ -39,32 +39,32 @@
 }
 
 // chooseAndSend chooses an endpoint for the request and records it as sent.
-func send(p *Pool, now time.Time, req Request, all []*bundle.Endpoint) (string, *Account) {
-	c, err := p.ChooseExpecting(now, req, all, nil)
+func chooseAndSend(p *Pool, now time.Time, req Request, all []*bundle.Endpoint) (string, *TrackedRequest) {
+	c, err := p.ChooseWithEstimates(now, req, all, nil)
 	if err != nil {
 		panic(err)
 	}
-	return c.Endpoint.Name, p.SentWork(now, c.Endpoint.Name, Work{Tier: req.Tier, Prompt: req.Prompt, Tight: c.Tight, MaxGap: req.MaxGap, Stride: req.Stride})
+	return c.Endpoint.Name, p.Track(now, c.Endpoint.Name, Work{Tier: req.Tier, Prompt: req.Prompt, TightGap: c.TightGap, MaxGap: req.MaxGap, Stride: req.Stride})
 }
 
 // simulateTraffic sends mixed requests for the given number of seconds and returns the number of
 // requests of each kind by endpoint in the last second.
-func traffic(p *Pool, all []*bundle.Endpoint, seconds, longRate, tightRate int) (longAt, tightAt map[string]int) {
+func simulateTraffic(p *Pool, all []*bundle.Endpoint, seconds, longRate, tightRate int) (longAt, tightAt map[string]int) {
 	now := epoch
 	for s := range seconds {
 		longAt, tightAt = make(map[string]int), make(map[string]int)
 		for i := range 100 {
 			now = now.Add(10 * time.Millisecond)
 			if i%(100/longRate) == 0 {
-				name, a := send(p, now, long(uint64(10+(s*100+i)%50)), all)
+				name, a := chooseAndSend(p, now, longRequest(uint64(10+(s*100+i)%50)), all)
 				longAt[name]++
-				a.Ended()
+				a.Release()
 				p.Done(now, name, ResultOK, 0)
 			}
 			if i%(100/tightRate) == 0 {
-				name, a := send(p, now, tight(uint64(100+i%10)), all)
+				name, a := chooseAndSend(p, now, tightGapRequest(uint64(100+i%10)), all)
 				tightAt[name]++
-				a.Ended()
+				a.Release()
 				p.Done(now, name, ResultOK, 0)
 			}
 		}
@@ -76,7 +76,7 @@
 	for _, c := range []struct{ n, rate int }{{2, 20}, {3, 20}, {9, 20}, {55, 100}} {
 		g := NewWithT(t)
 		n := c.n
-		longAt, tightAt := traffic(NewPool(Config{Policy: NewPromptAware()}), engines(n), 6, c.rate, c.rate)
+		longAt, tightAt := simulateTraffic(NewPool(Config{Policy: NewPromptAware()}), newEndpoints(n), 6, c.rate, c.rate)
 		g.Expect(longAt).NotTo(BeEmpty())
 		g.Expect(tightAt).NotTo(BeEmpty())
 		for name := range tightAt {
@@ -87,15 +87,15 @@
 
 func TestDedicatedEndpointsFollowDemand(t *testing.T) {
 	g := NewWithT(t)
-	_, few := traffic(NewPool(Config{Policy: NewPromptAware()}), engines(6), 6, 20, 5)
-	_, many := traffic(NewPool(Config{Policy: NewPromptAware()}), engines(6), 6, 20, 100)
+	_, few := simulateTraffic(NewPool(Config{Policy: NewPromptAware()}), newEndpoints(6), 6, 20, 5)
+	_, many := simulateTraffic(NewPool(Config{Policy: NewPromptAware()}), newEndpoints(6), 6, 20, 100)
 	g.Expect(len(many)).To(BeNumerically(">", len(few)+1))
 }
 
 func TestRoutersDedicateTheSameEndpoints(t *testing.T) {
 	g := NewWithT(t)
-	_, a := traffic(NewPool(Config{Policy: NewPromptAware(), Seed: 1}), engines(9), 6, 20, 20)
-	_, b := traffic(NewPool(Config{Policy: NewPromptAware(), Seed: 2}), engines(9), 6, 20, 20)
+	_, a := simulateTraffic(NewPool(Config{Policy: NewPromptAware(), Seed: 1}), newEndpoints(9), 6, 20, 20)
+	_, b := simulateTraffic(NewPool(Config{Policy: NewPromptAware(), Seed: 2}), newEndpoints(9), 6, 20, 20)
 	for name := range a {
 		g.Expect(b).To(HaveKey(name))
 	}
@@ -104,26 +104,26 @@
 func TestDedicatedEndpointsFollowPeerDemand(t *testing.T) {
 	g := NewWithT(t)
 	alone, withPeers := NewPromptAware(), NewPromptAware()
-	withPeers.HearOthers(func() Others {
-		return Others{Demand: Demand{{GapMillis: 250, Requests: 600, Recent: 300, Held: 1200, Read: 6}}, Routers: 9}
+	withPeers.SetPeerDemand(func() PeerDemand {
+		return PeerDemand{Demand: Demand{{GapMillis: 250, Requests: 600, RecentRequests: 300, SlotSeconds: 1200, PrefillSeconds: 6}}, Routers: 9}
 	})
-	_, few := traffic(NewPool(Config{Policy: alone}), engines(12), 4, 20, 5)
-	_, many := traffic(NewPool(Config{Policy: withPeers}), engines(12), 4, 20, 5)
+	_, few := simulateTraffic(NewPool(Config{Policy: alone}), newEndpoints(12), 4, 20, 5)
+	_, many := simulateTraffic(NewPool(Config{Policy: withPeers}), newEndpoints(12), 4, 20, 5)
 	g.Expect(len(few)).To(BeNumerically("<", 4))
-	longs, _ := traffic(NewPool(Config{Policy: withPeers}), engines(12), 4, 20, 5)
+	longs, _ := simulateTraffic(NewPool(Config{Policy: withPeers}), newEndpoints(12), 4, 20, 5)
 	g.Expect(len(longs)).To(BeNumerically("<", 4), "%d endpoints are dedicated to tight-gap streams", len(many))
 }
 
 func TestPromptsWithSharedPartsUseTheSameEndpoint(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	all := engines(9)
+	all := newEndpoints(9)
 	preferred := make(map[uint64]string)
 	for i := range 200 {
 		now := epoch.Add(time.Duration(i) * 50 * time.Millisecond)
 		key := uint64(10 + i%20)
-		name, a := send(p, now, long(key), all)
-		a.Ended()
+		name, a := chooseAndSend(p, now, longRequest(key), all)
+		a.Release()
 		p.Done(now, name, ResultOK, 0)
 		if preferred[key] != "" && i > 100 {
 			g.Expect(name).To(Equal(preferred[key]), "request %d", i)
@@ -134,15 +134,15 @@
 
 func TestIndependentRoutersPreferTheSameEndpoint(t *testing.T) {
 	g := NewWithT(t)
-	all := engines(9)
+	all := newEndpoints(9)
 	a := NewPool(Config{Policy: NewPromptAware(), Seed: 1})
 	b := NewPool(Config{Policy: NewPromptAware(), Seed: 2})
 	for key := uint64(10); key < 40; key++ {
-		at, accountA := send(a, epoch, long(key), all)
-		bt, accountB := send(b, epoch, long(key), all)
+		at, accountA := chooseAndSend(a, epoch, longRequest(key), all)
+		bt, accountB := chooseAndSend(b, epoch, longRequest(key), all)
 		g.Expect(at).To(Equal(bt))
-		accountA.Ended()
-		accountB.Ended()
+		accountA.Release()
+		accountB.Release()
 		a.Done(epoch, at, ResultOK, 0)
 		b.Done(epoch, bt, ResultOK, 0)
 	}
@@ -151,41 +151,41 @@
 func TestBusyPreferredEndpointIsUsedAsCacheSource(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	all := engines(9)
-	first, _ := send(p, epoch, long(10), all)
+	all := newEndpoints(9)
+	first, _ := chooseAndSend(p, epoch, longRequest(10), all)
 	for range 20 { // prompts that the preferred endpoint still has to prefill
-		p.SentWork(epoch, first, Work{Prompt: long(900).Prompt})
+		p.Track(epoch, first, Work{Prompt: longRequest(900).Prompt})
 	}
-	c, err := p.ChooseExpecting(epoch, long(10), all, nil)
+	c, err := p.ChooseWithEstimates(epoch, longRequest(10), all, nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(c.Endpoint.Name).NotTo(Equal(first))
-	g.Expect(c.Source).NotTo(BeNil())
-	g.Expect(c.Source.Name).To(Equal(first))
+	g.Expect(c.FetchFrom).NotTo(BeNil())
+	g.Expect(c.FetchFrom.Name).To(Equal(first))
 }
 
 func TestCachedPromptNeedsNoSource(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	all := engines(9)
-	name, a := send(p, epoch, long(10), all)
-	a.Ended()
+	all := newEndpoints(9)
+	name, a := chooseAndSend(p, epoch, longRequest(10), all)
+	a.Release()
 	p.Done(epoch, name, ResultOK, 0)
-	c, err := p.ChooseExpecting(epoch.Add(time.Second), long(10), all, nil)
+	c, err := p.ChooseWithEstimates(epoch.Add(time.Second), longRequest(10), all, nil)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(c.Source).To(BeNil())
+	g.Expect(c.FetchFrom).To(BeNil())
 }
 
 func TestWaitCountsOwnAndHigherTiersOnly(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	all := engines(1)
+	all := newEndpoints(1)
 	for range 10 {
-		p.SentWork(epoch, "e0", Work{Tier: 2, Prompt: long(10).Prompt})
+		p.Track(epoch, "e0", Work{Tier: 2, Prompt: longRequest(10).Prompt})
 	}
 	wait := func(tier int) time.Duration {
-		req := long(10)
+		req := longRequest(10)
 		req.Tier = tier
-		c, err := p.ChooseExpecting(epoch, req, all, nil)
+		c, err := p.ChooseWithEstimates(epoch, req, all, nil)
 		g.Expect(err).NotTo(HaveOccurred())
 		return c.Wait
 	}
@@ -196,20 +196,20 @@
 func TestTrackedRequestIsReleasedOnce(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	all := engines(1)
-	a := p.SentWork(epoch, "e0", Work{Prompt: long(10).Prompt, Tight: true})
-	b := p.SentWork(epoch, "e0", Work{Prompt: long(11).Prompt, Tight: true})
-	a.Read()
-	a.Read()
-	a.Ended()
-	a.Ended()
+	all := newEndpoints(1)
+	a := p.Track(epoch, "e0", Work{Prompt: longRequest(10).Prompt, TightGap: true})
+	b := p.Track(epoch, "e0", Work{Prompt: longRequest(11).Prompt, TightGap: true})
+	a.PrefillDone()
+	a.PrefillDone()
+	a.Release()
+	a.Release()
 	v := p.Views(epoch, all)[0]
-	g.Expect(v.Tight).To(Equal(1))
-	g.Expect(v.Prefill[0]).To(Equal(9200 - 2500)) // the first part is cached from the first request
-	b.Ended()
+	g.Expect(v.TightGapStreams).To(Equal(1))
+	g.Expect(v.PendingPrefill[0]).To(Equal(9200 - 2500)) // the first part is cached from the first request
+	b.Release()
 	v = p.Views(epoch, all)[0]
-	g.Expect(v.Tight).To(BeZero())
-	g.Expect(v.Prefill[0]).To(BeZero())
+	g.Expect(v.TightGapStreams).To(BeZero())
+	g.Expect(v.PendingPrefill[0]).To(BeZero())
 }
 
 func TestSplitGivesEveryKindWithDemandAnEndpoint(t *testing.T) {
@@ -242,13 +242,13 @@
 func TestCacheOfLeavingEndpointIsUsed(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	all := engines(9)
-	preferred, a := send(p, epoch, long(10), all)
-	a.Ended()
+	all := newEndpoints(9)
+	preferred, a := chooseAndSend(p, epoch, longRequest(10), all)
+	a.Release()
 	p.Done(epoch, preferred, ResultOK, 0)
 	p.SetLeaving(preferred, true)
-	c, err := p.ChooseExpecting(epoch.Add(time.Second), long(10), all, nil)
+	c, err := p.ChooseWithEstimates(epoch.Add(time.Second), longRequest(10), all, nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(c.Endpoint.Name).NotTo(Equal(preferred))
-	g.Expect(c.Source.Name).To(Equal(preferred))
+	g.Expect(c.FetchFrom.Name).To(Equal(preferred))
 }
--- a/internal/balance/recent.go
+++ b/internal/balance/recent.go
@@ -32,8 +32,8 @@
 	return tokens
 }
 
-// use records the parts of a prompt, except for the last one, which no other prompt shares.
-func (r recentParts) use(now time.Time, p prompt.Prompt) {
+// record records the parts of a prompt, except for the last one, which no other prompt shares.
+func (r recentParts) record(now time.Time, p prompt.Prompt) {
 	if len(r) >= maxRecent {
 		r.evictOld(now)
 	}
--- a/internal/balance/refuse.go
+++ b/internal/balance/refuse.go
@@ -7,16 +7,16 @@
 )
 
 // MayRefuse says whether a router may refuse a request of the tier by itself: only if each usable
-// candidate reported, within Config.RefuseAge, that all its slots are in use and that it has no
-// work of a lower tier to preempt. An ejected endpoint still counts, since it can preempt work.
+// candidate reported, within Config.FullReportMaxAge, that all its slots are in use and that it has
+// no work of a lower tier to preempt. An ejected endpoint still counts, since it can preempt work.
 // With no usable candidate the result is true.
 func (p *Pool) MayRefuse(now time.Time, tier int, candidates []*bundle.Endpoint) bool {
 	var v View
 	for _, c := range candidates {
-		if p.view(now, c, &v, Request{}) != takesWork {
+		if p.fillView(now, c, &v, Request{}) != accepting {
 			continue
 		}
-		if v.canTake(now, tier, p.cfg.RefuseAge) {
+		if v.canTake(now, tier, p.cfg.FullReportMaxAge) {
 			return false
 		}
 	}
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -23,7 +23,7 @@
 	g := NewWithT(t)
 	p := NewPool(Config{})
 	viewOf(p, epoch, 1)
-	account := p.SentWork(epoch, "e0", Work{Prompt: longPrompt(), Tight: true})
+	account := p.Track(epoch, "e0", Work{Prompt: longPrompt(), TightGap: true})
 	p.Report(epoch, "e0", loadReport(60, 12))
 	p.SetLeaving("e0", true)
 	p.Restart(epoch, "e0")
@@ -32,18 +32,18 @@
 		fresh := NewPool(Config{})
 		return viewOf(fresh, epoch, 0)
 	}()))
-	c, err := p.ChooseExpecting(epoch, Request{Prompt: longPrompt()}, engines(1), nil)
+	c, err := p.ChooseWithEstimates(epoch, Request{Prompt: longPrompt()}, newEndpoints(1), nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(c.Endpoint.Name).To(Equal("e0"), "it no longer leaves")
 
 	// Late results of the first request belong to the previous process.
-	account.Heard(epoch)
-	account.Ended()
+	account.DataReceived(epoch)
+	account.Release()
 	account.Done(epoch.Add(time.Second), ResultFailed)
-	p.SentWork(epoch, "e0", Work{Prompt: longPrompt(), Tight: true})
+	p.Track(epoch, "e0", Work{Prompt: longPrompt(), TightGap: true})
 	v = viewOf(p, epoch, 0)
-	g.Expect([]int{v.Inflight, v.Tight, v.Prefill[0]}).To(Equal([]int{1, 1, 3000}))
-	g.Expect(p.FailureWords(epoch.Add(time.Second), 9)).To(BeEmpty())
+	g.Expect([]int{v.Inflight, v.TightGapStreams, v.PendingPrefill[0]}).To(Equal([]int{1, 1, 3000}))
+	g.Expect(p.RecentFailures(epoch.Add(time.Second), 9)).To(BeEmpty())
 }
 
 func TestPeerReportsOfPreviousProcessAreIgnored(t *testing.T) {
@@ -52,13 +52,13 @@
 	viewOf(p, epoch, 8)
 	now := epoch.Add(time.Minute)
 	p.Restart(now, "e8")
-	p.HearLoads(now.Add(time.Second), []LoadWord{{Endpoint: "e8", Running: 60, AgeMillis: 1100}})
+	p.ApplyPeerLoads(now.Add(time.Second), []LoadSummary{{Endpoint: "e8", Running: 60, AgeMillis: 1100}})
 	g.Expect(viewOf(p, now, 8).Load.TotalRunning()).To(BeZero())
-	p.HearLoads(now.Add(time.Second), []LoadWord{{Endpoint: "e8", Running: 5, AgeMillis: 100}})
+	p.ApplyPeerLoads(now.Add(time.Second), []LoadSummary{{Endpoint: "e8", Running: 5, AgeMillis: 100}})
 	g.Expect(viewOf(p, now, 8).Load.TotalRunning()).To(Equal(5))
 
 	viewOf(p, now, 8)
-	failures := []FailureWord{{Endpoint: "e8", Attempts: 9, Failed: 9, Witnesses: 3}}
-	g.Expect(p.HearFailures(now.Add(time.Second), failures)).To(BeEmpty())
-	g.Expect(p.HearFailures(now.Add(2*restartGracePeriod), failures)).To(HaveLen(1))
+	failures := []FailureSummary{{Endpoint: "e8", Attempts: 9, Failed: 9, Reporters: 3}}
+	g.Expect(p.ApplyPeerFailures(now.Add(time.Second), failures)).To(BeEmpty())
+	g.Expect(p.ApplyPeerFailures(now.Add(2*restartGracePeriod), failures)).To(HaveLen(1))
 }
--- a/internal/balance/separate.go
+++ b/internal/balance/separate.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// fleet describes the endpoints of a service for the isolation decision.
-type fleet struct {
+// serviceEndpoints describes the endpoints of a service for the isolation decision.
+type serviceEndpoints struct {
 	endpoints int
 	slots     float64 // of one endpoint
-	// pause is the time between two events of a stream while the endpoint reads no prompts.
-	pause time.Duration
+	// gap is the time between two events of a stream while the endpoint reads no prompts.
+	gap time.Duration
 }
 
-// separation is the isolation decision: which kinds of request are isolated from the others, and how
+// isolation is the isolation decision: which kinds of request are isolated from the others, and how
 // many endpoints are dedicated to them.
-type separation struct {
-	tight []int64 // gap limits of the isolated kinds, in milliseconds
-	kept  int
+type isolation struct {
+	gapLimits []int64 // gap limits of the isolated kinds, in milliseconds
+	dedicated int
 }
 
-// tightFor says whether streams with this gap limit are isolated.
-func (s separation) tightFor(gap time.Duration) bool {
-	return slices.Contains(s.tight, gap.Milliseconds())
+// isolates says whether streams with this gap limit are isolated.
+func (s isolation) isolates(gap time.Duration) bool {
+	return slices.Contains(s.gapLimits, gap.Milliseconds())
 }
 
 const (
@@ -45,16 +45,16 @@
 // next computes a new decision from the demand. It is pure; the last decision only adds hysteresis.
 // Kinds come in the order of their gap limits, so that the one with the tightest limit is considered
 // first and a later kind can't join if its prompts would make the earlier ones late.
-func (last separation) next(d Demand, f fleet) separation {
+func (last isolation) next(d Demand, f serviceEndpoints) isolation {
 	if f.endpoints < 2 {
-		return separation{}
+		return isolation{}
 	}
-	var next separation
+	var next isolation
 	var isolated Demand
 	rest := slices.Clone(d)
 	for i, k := range d {
 		threshold := isolateAbove
-		if slices.Contains(last.tight, k.GapMillis) {
+		if slices.Contains(last.gapLimits, k.GapMillis) {
 			threshold = rejoinBelow
 		}
 		if lateShareFromOthers(d, i, f) <= threshold {
@@ -62,26 +62,26 @@
 		}
 		with := append(slices.Clone(isolated), k)
 		without := slices.DeleteFunc(slices.Clone(rest), func(o Kind) bool { return o.key() == k.key() })
-		if !canJoin(k, isolated, divideEndpoints(last.kept, f, with, without), f) {
+		if !canJoin(k, isolated, divideEndpoints(last.dedicated, f, with, without), f) {
 			continue
 		}
 		isolated, rest = with, without
-		next.tight = append(next.tight, k.GapMillis)
+		next.gapLimits = append(next.gapLimits, k.GapMillis)
 	}
-	next.kept = divideEndpoints(last.kept, f, isolated, rest)
+	next.dedicated = divideEndpoints(last.dedicated, f, isolated, rest)
 	return next
 }
 
 // prefillSlowdown is how much longer a prompt takes to read beside running streams than alone.
 const prefillSlowdown = 1.5
 
-// canJoin says whether at most rejoinBelow of the streams of each other kind would be late because of
-// the kind's prompts, on the given number of dedicated endpoints.
-func canJoin(k Kind, others Demand, endpoints int, f fleet) bool {
+// canJoin says whether at most rejoinBelow of the streams of each other kind would be late because
+// of the kind's prompts, on the given number of dedicated endpoints.
+func canJoin(k Kind, others Demand, endpoints int, f serviceEndpoints) bool {
 	rate := k.rate() / float64(max(endpoints, 1))
-	prefill := prefillSlowdown * k.read()
+	prefill := prefillSlowdown * k.meanPrefillSeconds()
 	for _, o := range others {
-		if lateShare(rate*backlogProbability(o.gapSlack(f), prefill, rate*prefill), o.held()) > rejoinBelow {
+		if lateShare(rate*backlogProbability(o.slack(f), prefill, rate*prefill), o.meanSlotSeconds()) > rejoinBelow {
 			return false
 		}
 	}
@@ -91,7 +91,7 @@
 // divideEndpoints returns how many endpoints to dedicate to the isolated kinds. Each side gets
 // endpoints in proportion to its need, and at least its minimum if both minimums fit. In an overload
 // the more urgent side then gets some endpoints of the other one.
-func divideEndpoints(last int, f fleet, isolated, others Demand) int {
+func divideEndpoints(last int, f serviceEndpoints, isolated, others Demand) int {
 	isolatedNeed, othersNeed := needOf(isolated), needOf(others)
 	dedicated := split(last, f.endpoints, isolatedNeed.endpoints(f), othersNeed.endpoints(f))
 	isolatedMin, othersMin := int(math.Ceil(isolatedNeed.minEndpoints(f))), int(math.Ceil(othersNeed.minEndpoints(f)))
@@ -117,7 +117,7 @@
 // it has. Without this both sides get the same share of their need in an overload: with 1.5 to 2
 // times the usual long prompts, the streams with tight gap limits were left 6 of 180 endpoints and
 // half of them were late, while 4% more of the long prompts were on time.
-func yielded(own, others int, n capacityNeed, f fleet) int {
+func yielded(own, others int, n capacityNeed, f serviceEndpoints) int {
 	missing := int(math.Ceil(n.endpoints(f))) - own
 	return max(0, min(missing, int(maxYieldShare*float64(others))))
 }
@@ -125,29 +125,29 @@
 // lateShareFromOthers is the share of a kind's streams that would exceed their gap limit because of
 // other kinds' prompts if all kinds shared all endpoints evenly. Streams late because of their own
 // kind's prompts don't count: in an overload most are, and other kinds would still delay them.
-func lateShareFromOthers(d Demand, kind int, f fleet) float64 {
+func lateShareFromOthers(d Demand, kind int, f serviceEndpoints) float64 {
 	if d[kind].GapMillis == 0 {
 		return 0
 	}
 	busy := 0.0
 	for _, k := range d {
-		busy += k.rate() * k.read() / float64(f.endpoints)
+		busy += k.rate() * k.meanPrefillSeconds() / float64(f.endpoints)
 	}
 	rate := 0.0
 	for i, k := range d {
 		if i != kind {
-			rate += k.rate() / float64(f.endpoints) * backlogProbability(d[kind].gapSlack(f), k.read(), busy)
+			rate += k.rate() / float64(f.endpoints) * backlogProbability(d[kind].slack(f), k.meanPrefillSeconds(), busy)
 		}
 	}
-	return lateShare(rate, d[kind].held())
+	return lateShare(rate, d[kind].meanSlotSeconds())
 }
 
-// gapSlack is how many seconds of prefill fit into a gap of the stream without making it late.
-func (k Kind) gapSlack(f fleet) float64 { return float64(k.GapMillis)/1000 - f.pause.Seconds() }
+// slack is how many seconds of prefill fit into a gap of the stream without making it late.
+func (k Kind) slack(e serviceEndpoints) float64 { return float64(k.GapMillis)/1000 - e.gap.Seconds() }
 
 // backlogProbability is the share of prompts that bring an endpoint's prefill backlog above slack
-// seconds, where busy is the share of its time spent on prefill and a prompt takes prefill seconds on
-// average. It is the tail of a queue with highly variable service times.
+// seconds, where busy is the share of its time spent on prefill and a prompt takes prefill seconds
+// on average. It is the tail of a queue with highly variable service times.
 func backlogProbability(slack, prefill, busy float64) float64 {
 	switch {
 	case prefill <= 0:
@@ -176,12 +176,12 @@
 func needOf(kinds Demand) capacityNeed {
 	var n capacityNeed
 	for _, k := range kinds {
-		n.prefill += k.rate() * k.read()
-		n.slotUse += k.rate() * k.held()
+		n.prefill += k.rate() * k.meanPrefillSeconds()
+		n.slotUse += k.rate() * k.meanSlotSeconds()
 		n.ended += k.Ended
 		n.late += k.Late
 		n.requests += k.Requests
-		n.tiers += k.Ranks
+		n.tiers += k.TierSum
 	}
 	return n
 }
@@ -190,7 +190,7 @@
 func (n capacityNeed) meanTier() float64 { return perRequest(n.tiers, n.requests) }
 
 // endpoints is how many endpoints are needed, by prefill time or slots, whichever needs more.
-func (n capacityNeed) endpoints(f fleet) float64 {
+func (n capacityNeed) endpoints(f serviceEndpoints) float64 {
 	estimate := max(n.prefill/prefillTarget, n.slotUse/(slotTarget*max(f.slots, 1)))
 	return estimate * (1 + lateWeight*perRequest(n.late, n.ended))
 }
@@ -202,7 +202,7 @@
 )
 
 // minEndpoints is the number of endpoints below which these are overloaded.
-func (n capacityNeed) minEndpoints(f fleet) float64 {
+func (n capacityNeed) minEndpoints(f serviceEndpoints) float64 {
 	return max(n.prefill/maxPrefillShare, n.slotUse/(maxSlotShare*max(f.slots, 1)))
 }
 
--- a/internal/balance/separate_test.go
+++ b/internal/balance/separate_test.go
@@ -9,16 +9,17 @@
 	"pgregory.net/rapid"
 )
 
-// shape is an engine: seconds per output token and per prompt token read, slots and tokens per event.
-type shape struct {
+// engineShape is an engine: seconds per output token and per prompt token read, slots and tokens
+// per event.
+type engineShape struct {
 	name        string
 	token, read float64
 	slots       float64
 	stride      int
 }
 
-// shapes are engines of different makes. The last two don't model any real one.
-var shapes = []shape{
+// engineShapes are engines of different makes. The last two don't model any real one.
+var engineShapes = []engineShape{
 	{"small steps", 0.0031, 17.6e-6, 64, 6},
 	{"large steps", 0.0056, 23.5e-6, 64, 3},
 	{"few slots", 0.0056, 23.5e-6, 32, 5},
@@ -26,24 +27,24 @@
 	{"slow", 0.02, 200e-6, 8, 2},
 }
 
-// kindOf is a kind with the given rate a second, and prompt and output tokens per request, at engines
-// of a shape.
-func kindOf(s shape, gap time.Duration, rate, prompt, output float64) Kind {
+// kindOf is a kind with the given rate a second, and prompt and output tokens per request, at
+// engines of a shape.
+func kindOf(s engineShape, gap time.Duration, rate, prompt, output float64) Kind {
 	requests := rate * slowHalfLife.Seconds() / 0.6931
 	return Kind{
-		GapMillis: gap.Milliseconds(), Requests: requests, Recent: requests / 2,
-		Read: requests * prompt * s.read, Held: requests * output * s.token,
+		GapMillis: gap.Milliseconds(), Requests: requests, RecentRequests: requests / 2,
+		PrefillSeconds: requests * prompt * s.read, SlotSeconds: requests * output * s.token,
 	}
 }
 
-func (s shape) service(n int) fleet {
-	return fleet{endpoints: n, slots: s.slots, pause: seconds(s.token * float64(s.stride))}
+func (s engineShape) service(n int) serviceEndpoints {
+	return serviceEndpoints{endpoints: n, slots: s.slots, gap: seconds(s.token * float64(s.stride))}
 }
 
 // mixedDemand is short prompts with long answers, whose gap limit is three times the time to read an
 // average long prompt, beside long prompts with short answers. Each kind needs the given part of the
 // capacity of n endpoints.
-func (s shape) mixedDemand(n int, part float64) Demand {
+func (s engineShape) mixedDemand(n int, part float64) Demand {
 	const longTokens = 3000
 	gap := seconds(3*longTokens*s.read + s.token*float64(s.stride))
 	shortRate := part * float64(n) * s.slots / (300 * s.token)
@@ -52,34 +53,34 @@
 }
 
 func TestKindsMadeLateByOthersAreIsolatedForAnyEngine(t *testing.T) {
-	for _, s := range shapes {
+	for _, s := range engineShapes {
 		for _, n := range []int{2, 3, 9, 55, 300} {
 			g := NewWithT(t)
 			d := s.mixedDemand(n, 0.3)
-			got := separation{}.next(d, s.service(n))
-			g.Expect(got.tight).To(Equal([]int64{d[0].GapMillis}), "%s, %d", s.name, n)
-			g.Expect(got.kept).To(And(BeNumerically(">=", 1), BeNumerically("<", n)), "%s, %d", s.name, n)
+			got := isolation{}.next(d, s.service(n))
+			g.Expect(got.gapLimits).To(Equal([]int64{d[0].GapMillis}), "%s, %d", s.name, n)
+			g.Expect(got.dedicated).To(And(BeNumerically(">=", 1), BeNumerically("<", n)), "%s, %d", s.name, n)
 		}
 	}
 }
 
 func TestKindsWithLooseGapLimitsAreNotIsolated(t *testing.T) {
-	for _, s := range shapes {
+	for _, s := range engineShapes {
 		g := NewWithT(t)
 		d := s.mixedDemand(9, 0.3)
 		d[0].GapMillis *= 10
-		g.Expect(separation{}.next(d, s.service(9))).To(Equal(separation{}), s.name)
+		g.Expect(isolation{}.next(d, s.service(9))).To(Equal(isolation{}), s.name)
 		d = s.mixedDemand(9, 0.3)
 		d[0].GapMillis = 0 // no gap limit
-		g.Expect(separation{}.next(d, s.service(9))).To(Equal(separation{}), s.name)
+		g.Expect(isolation{}.next(d, s.service(9))).To(Equal(isolation{}), s.name)
 	}
 }
 
 func TestSingleKindIsNotIsolated(t *testing.T) {
-	for _, s := range shapes {
+	for _, s := range engineShapes {
 		d := s.mixedDemand(9, 0.3)
 		d[1].GapMillis = d[0].GapMillis
-		NewWithT(t).Expect(separation{}.next(d[1:], s.service(9))).To(Equal(separation{}), s.name)
+		NewWithT(t).Expect(isolation{}.next(d[1:], s.service(9))).To(Equal(isolation{}), s.name)
 	}
 }
 
@@ -87,31 +88,31 @@
 // tightest gap limit late.
 func TestKindDoesNotJoinIsolatedKindsItWouldMakeLate(t *testing.T) {
 	g := NewWithT(t)
-	s := shapes[0]
+	s := engineShapes[0]
 	d := Demand{
 		kindOf(s, 250*time.Millisecond, 12, 550, 280),
 		kindOf(s, 400*time.Millisecond, 15, 4500, 100),
 		kindOf(s, time.Second, 60, 9000, 50),
 	}
 	g.Expect(lateShareFromOthers(d, 1, s.service(9))).To(BeNumerically(">", isolateAbove))
-	g.Expect(separation{}.next(d, s.service(9)).tight).To(Equal([]int64{250}))
+	g.Expect(isolation{}.next(d, s.service(9)).gapLimits).To(Equal([]int64{250}))
 }
 
 func TestNeitherSideIsOverloadedIfBothFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := shapes[rapid.IntRange(0, len(shapes)-1).Draw(t, "shape")]
+		s := engineShapes[rapid.IntRange(0, len(engineShapes)-1).Draw(t, "shape")]
 		n := rapid.IntRange(4, 300).Draw(t, "n")
-		last := separation{kept: rapid.IntRange(0, n).Draw(t, "last")}
+		last := isolation{dedicated: rapid.IntRange(0, n).Draw(t, "last")}
 		d := s.mixedDemand(n, 0.3)
-		d[0].Requests, d[0].Held = d[0].Requests*2, d[0].Held*2
-		d[0].Recent *= 2
+		d[0].Requests, d[0].SlotSeconds = d[0].Requests*2, d[0].SlotSeconds*2
+		d[0].RecentRequests *= 2
 		got := last.next(d, s.service(n))
 		isolatedNeed, othersNeed := needOf(d[:1]), needOf(d[1:])
 		if math.Ceil(isolatedNeed.minEndpoints(s.service(n)))+math.Ceil(othersNeed.minEndpoints(s.service(n))) > float64(n) {
 			return // one of the sides has to be overloaded
 		}
-		if float64(got.kept) < isolatedNeed.minEndpoints(s.service(n)) || float64(n-got.kept) < othersNeed.minEndpoints(s.service(n)) {
-			t.Fatalf("%s: %d of %d are dedicated; %.1f and %.1f are needed", s.name, got.kept, n,
+		if float64(got.dedicated) < isolatedNeed.minEndpoints(s.service(n)) || float64(n-got.dedicated) < othersNeed.minEndpoints(s.service(n)) {
+			t.Fatalf("%s: %d of %d are dedicated; %.1f and %.1f are needed", s.name, got.dedicated, n,
 				isolatedNeed.minEndpoints(s.service(n)), othersNeed.minEndpoints(s.service(n)))
 		}
 	})
@@ -119,28 +120,28 @@
 
 func TestIsolationHasHysteresis(t *testing.T) {
 	g := NewWithT(t)
-	s := shapes[1]
+	s := engineShapes[1]
 	d := s.mixedDemand(9, 0.3)
 	for lateShareFromOthers(d, 0, s.service(9)) > (isolateAbove+rejoinBelow)/2 {
 		d[0].GapMillis++
 	}
-	g.Expect(separation{}.next(d, s.service(9)).tight).To(BeEmpty())
-	g.Expect(separation{tight: []int64{d[0].GapMillis}}.next(d, s.service(9)).tight).To(HaveLen(1))
+	g.Expect(isolation{}.next(d, s.service(9)).gapLimits).To(BeEmpty())
+	g.Expect(isolation{gapLimits: []int64{d[0].GapMillis}}.next(d, s.service(9)).gapLimits).To(HaveLen(1))
 }
 
 func TestSideWithMoreLateAnswersGetsMoreEndpoints(t *testing.T) {
 	g := NewWithT(t)
-	s := shapes[0]
+	s := engineShapes[0]
 	d := s.mixedDemand(30, 0.3)
-	before := separation{}.next(d, s.service(30)).kept
+	before := isolation{}.next(d, s.service(30)).dedicated
 	d[0].Ended, d[0].Late = 10, 3
-	g.Expect(separation{}.next(d, s.service(30)).kept).To(BeNumerically(">", before))
+	g.Expect(isolation{}.next(d, s.service(30)).dedicated).To(BeNumerically(">", before))
 	d[1].Ended, d[1].Late = 10, 3
-	g.Expect(separation{}.next(d, s.service(30)).kept).To(Equal(before), "both sides are as late")
+	g.Expect(isolation{}.next(d, s.service(30)).dedicated).To(Equal(before), "both sides are as late")
 }
 
-// fleetViews are views of n endpoints with 10 slots, whose load reports of the given time show so many
-// running requests.
+// fleetViews are views of n endpoints with 10 slots, whose load reports of the given time show so
+// many running requests.
 func fleetViews(n, running int, at time.Time) []View {
 	views := make([]View, n)
 	for i := range views {
@@ -155,7 +156,7 @@
 	g := NewWithT(t)
 	usable := []int{0, 1, 2, 3, 4}
 	group := func(views []View, share float64) int {
-		return len(groupFor(epoch, true, separation{kept: 2}, share, views, usable))
+		return len(endpointsFor(epoch, true, isolation{dedicated: 2}, share, views, usable))
 	}
 	g.Expect(group(fleetViews(5, 4, epoch), 1)).To(Equal(2))
 	g.Expect(group(fleetViews(5, 8, epoch), 1)).To(Equal(5), "some slots stay free for requests that routers don't know of yet")
@@ -178,14 +179,14 @@
 func TestIsolationIsDecidedPerService(t *testing.T) {
 	g := NewWithT(t)
 	d := &demand{}
-	s := shapes[0]
+	s := engineShapes[0]
 	for _, k := range s.mixedDemand(9, 0.3) {
 		k.Service = "a"
-		d.seen = append(d.seen, k)
+		d.observed = append(d.observed, k)
 	}
-	g.Expect(d.separate(epoch, "a", s.service(9)).kept).To(BeNumerically(">", 0))
-	g.Expect(d.separate(epoch, "b", s.service(9))).To(Equal(separation{}))
-	g.Expect(d.decided("a").kept).To(BeNumerically(">", 0))
+	g.Expect(d.decideIsolation(epoch, "a", s.service(9)).dedicated).To(BeNumerically(">", 0))
+	g.Expect(d.decideIsolation(epoch, "b", s.service(9))).To(Equal(isolation{}))
+	g.Expect(d.lastIsolation("a").dedicated).To(BeNumerically(">", 0))
 }
 
 func TestKindsBeyondMaxKindsAreNotCounted(t *testing.T) {
@@ -193,57 +194,58 @@
 	d := &demand{}
 	for gap := range int64(2 * maxKinds) {
 		d.add(epoch, kindKey{"s", gap}, 0, time.Millisecond)
-		d.ended(epoch, kindKey{"s", gap}, time.Second, true)
+		d.recordEnded(epoch, kindKey{"s", gap}, time.Second, true)
 	}
 	g.Expect(d.own(epoch)).To(HaveLen(maxKinds))
-	g.Expect(d.own(epoch).Plus(Demand{{Service: "t", Requests: 1}})).To(HaveLen(maxKinds))
+	g.Expect(d.own(epoch).Add(Demand{{Service: "t", Requests: 1}})).To(HaveLen(maxKinds))
 }
 
-// In a burst of streams with a tight gap limit most are late because of their own kind. They are still
-// the kind to isolate: the other kind would make them late too, and isolating the other kind instead
-// would make all routers swap the two groups of endpoints.
+// In a burst of streams with a tight gap limit most are late because of their own kind. They are
+// still the kind to isolate: the other kind would make them late too, and isolating the other kind
+// instead would make all routers swap the two groups of endpoints.
 func TestBurstOfIsolatedKindKeepsItIsolated(t *testing.T) {
 	g := NewWithT(t)
-	s := shapes[1]
+	s := engineShapes[1]
 	d := Demand{
 		kindOf(s, 200*time.Millisecond, 63, 2200, 900), kindOf(s, 300*time.Millisecond, 16, 3400, 50),
 	}
-	g.Expect(separation{tight: []int64{200}, kept: 4}.next(d, s.service(9)).tight).To(Equal([]int64{200}))
-	g.Expect(separation{}.next(d, s.service(9)).tight).To(Equal([]int64{200}))
+	g.Expect(isolation{gapLimits: []int64{200}, dedicated: 4}.next(d, s.service(9)).gapLimits).To(Equal([]int64{200}))
+	g.Expect(isolation{}.next(d, s.service(9)).gapLimits).To(Equal([]int64{200}))
 }
 
 // In an overload, with 1.5 to 2 times the usual long prompts and a fifth of 180 endpoints down, both
-// sides got the same share of their need. The most urgent streams, with tight gap limits, were left 6
-// endpoints: a third of them were late in seconds 6 to 9, and half when their number grew after that.
-// The figures are from the logs of 44 of 103 routers, by the number of dedicated endpoints in each.
+// sides got the same share of their need. The most urgent streams, with tight gap limits, were left
+// 6 endpoints: a third of them were late in seconds 6 to 9, and half when their number grew after
+// that. The figures are from the logs of 44 of 103 routers, by the number of dedicated endpoints in
+// each.
 //
 // Giving them all they need was worse at nine and at 58 endpoints that were already overloaded with
-// long prompts: these lost .09 to .16 of the points of the load test. Where each endpoint matters much, the gain
-// of one side isn't worth the loss of the other.
+// long prompts: these lost .09 to .16 of the points of the load test. Where each endpoint matters
+// much, the gain of one side isn't worth the loss of the other.
 func TestLessUrgentSideYieldsATenthInOverload(t *testing.T) {
-	for _, s := range shapes {
+	for _, s := range engineShapes {
 		for _, n := range []int{9, 55, 180} {
 			g := NewWithT(t)
 			d := s.mixedDemand(n, 0.2)
-			d[1].Requests, d[1].Recent, d[1].Read, d[1].Held = 8*d[1].Requests, 8*d[1].Recent, 8*d[1].Read, 8*d[1].Held
+			d[1].Requests, d[1].RecentRequests, d[1].PrefillSeconds, d[1].SlotSeconds = 8*d[1].Requests, 8*d[1].RecentRequests, 8*d[1].PrefillSeconds, 8*d[1].SlotSeconds
 			need := int(math.Ceil(needOf(d[:1]).endpoints(s.service(n))))
-			even := separation{}.next(d, s.service(n)).kept
+			even := isolation{}.next(d, s.service(n)).dedicated
 			g.Expect(even).To(BeNumerically("<", need), "%s, %d", s.name, n)
 
-			d[1].Ranks = 2 * d[1].Requests
-			urgent := separation{}.next(d, s.service(n)).kept
+			d[1].TierSum = 2 * d[1].Requests
+			urgent := isolation{}.next(d, s.service(n)).dedicated
 			g.Expect(urgent).To(Equal(min(need, even+(n-even)/10)), "%s, %d", s.name, n)
 
 			// The other side keeps nine tenths of its endpoints, whatever the urgent side needs.
-			d[0].Requests, d[0].Recent, d[0].Held = 40*d[0].Requests, 40*d[0].Recent, 40*d[0].Held
-			flooded := separation{}.next(d, s.service(n)).kept
-			d[1].Ranks = 0
-			unranked := separation{}.next(d, s.service(n)).kept
+			d[0].Requests, d[0].RecentRequests, d[0].SlotSeconds = 40*d[0].Requests, 40*d[0].RecentRequests, 40*d[0].SlotSeconds
+			flooded := isolation{}.next(d, s.service(n)).dedicated
+			d[1].TierSum = 0
+			unranked := isolation{}.next(d, s.service(n)).dedicated
 			g.Expect(float64(n-flooded)).To(BeNumerically(">=", 0.9*float64(n-unranked)), "%s, %d", s.name, n)
 
 			// If the long prompts are more urgent, the other side yields.
-			d[0].Ranks, d[1].Ranks = 3*d[0].Requests, d[1].Requests
-			reverse := separation{}.next(d, s.service(n)).kept
+			d[0].TierSum, d[1].TierSum = 3*d[0].Requests, d[1].Requests
+			reverse := isolation{}.next(d, s.service(n)).dedicated
 			g.Expect(reverse).To(BeNumerically("<=", unranked), "%s, %d", s.name, n)
 			g.Expect(reverse).To(BeNumerically(">=", unranked-unranked/10-1), "%s, %d", s.name, n)
 		}
@@ -251,26 +253,27 @@
 }
 
 // Isolated streams don't wait for the long prompts at other endpoints. In a burst of these, the mean
-// prefill backlog of all endpoints was also assumed at the stream's endpoint, and 44 routers refused 30
-// streams within half a second for a wait of over 1.5 s at endpoints with nothing to read.
+// prefill backlog of all endpoints was also assumed at the stream's endpoint, and 44 routers
+// refused 30 streams within half a second for a wait of over 1.5 s at endpoints with nothing to
+// read.
 func TestExpectedWaitIgnoresBacklogOfOtherEndpoints(t *testing.T) {
 	g := NewWithT(t)
-	all := engines(12)
+	all := newEndpoints(12)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	longAt, tightAt := traffic(p, all, 6, 20, 20)
+	longAt, tightAt := simulateTraffic(p, all, 6, 20, 20)
 	now := epoch.Add(6 * time.Second)
 	for name := range longAt {
 		p.Report(now, name, loadReport(60, 0)) // mostly requests of other routers
 		for range 6 {
-			p.SentWork(now, name, Work{Prompt: unseen(77).Prompt})
+			p.Track(now, name, Work{Prompt: unsharedRequest(77).Prompt})
 		}
 	}
-	c, err := p.ChooseExpecting(now, tight(101), all, nil)
+	c, err := p.ChooseWithEstimates(now, tightGapRequest(101), all, nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(tightAt).NotTo(BeEmpty())
 	g.Expect(longAt).NotTo(HaveKey(c.Endpoint.Name))
 	g.Expect(c.Wait).To(BeNumerically("<", 100*time.Millisecond))
-	busy, err := p.ChooseExpecting(now, unseen(78), all, nil)
+	busy, err := p.ChooseWithEstimates(now, unsharedRequest(78), all, nil)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(busy.Wait - busy.Read).To(BeNumerically(">", time.Second))
+	g.Expect(busy.Wait - busy.PrefillTime).To(BeNumerically(">", time.Second))
 }
--- a/internal/balance/silence.go
+++ b/internal/balance/silence.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// SilenceLimit is the time without any response data, over all open requests at an endpoint,
-	// after which the endpoint is health-checked regardless of the other endpoints. It is longer
-	// than an idle engine needs to read the longest prompts, and a third of the time after which
-	// the endpoint list drops an endpoint that has stopped reporting.
-	SilenceLimit = time.Second
-	// SilenceTick is the interval between two checks for unresponsive endpoints.
-	SilenceTick = 100 * time.Millisecond
+	// UnresponsiveTimeout is the time without any response data, over all open requests at an
+	// endpoint, after which the endpoint is health-checked regardless of the other endpoints. It is
+	// longer than an idle engine needs to read the longest prompts, and a third of the time after
+	// which the endpoint list drops an endpoint that has stopped reporting.
+	UnresponsiveTimeout = time.Second
+	// UnresponsiveCheckInterval is the interval between two checks for unresponsive endpoints.
+	UnresponsiveCheckInterval = 100 * time.Millisecond
 	// minResponseGap is the shortest response gap that counts. Network pauses, and pauses
 	// of routers that have a small part of a core, are shorter.
 	minResponseGap = 250 * time.Millisecond
@@ -50,13 +50,13 @@
 	domains        []*domainState
 }
 
-// Silent lists the endpoints that have open requests of this router and sent no response data for
-// longer than limit, or for longer than is usual in their group. An endpoint that is only busy still
-// responds to other requests. Gaps aren't compared if no endpoint of the group responded in the
-// meantime, since this router may then be slow or cut off. Silent also avoids unresponsive failure
-// domains, reports their changes to Config.OnDomainEvent, lists their endpoints with open requests too
-// and marks all endpoints listed for reports to peers.
-func (p *Pool) Silent(now time.Time, limit time.Duration) []string {
+// CheckUnresponsive lists the endpoints that have open requests of this router and sent no response
+// data for longer than limit, or for longer than is usual in their group. An endpoint that is only
+// busy still responds to other requests. Gaps aren't compared if no endpoint of the group responded
+// in the meantime, since this router may then be slow or cut off. CheckUnresponsive also avoids
+// unresponsive failure domains, reports their changes to Config.OnDomainEvent, lists their
+// endpoints with open requests too and marks all endpoints listed for reports to peers.
+func (p *Pool) CheckUnresponsive(now time.Time, limit time.Duration) []string {
 	var active []activeEndpoint
 	groups := make(map[string]*groupState)
 	for i := range p.shards {
@@ -85,19 +85,19 @@
 	for name, st := range sh.states {
 		g := groups[st.group]
 		if g == nil {
-			g = &groupState{speeds: st.engines}
+			g = &groupState{speeds: st.speeds}
 			groups[st.group] = g
 		}
 		if !st.leaving {
 			g.endpoints++
 		}
-		g.lastResponseAt = maxTime(g.lastResponseAt, st.heardAt)
+		g.lastResponseAt = maxTime(g.lastResponseAt, st.lastResponseAt)
 		g.domain(st.domain).add(now, name, st)
 		if st.inflight == 0 {
 			continue
 		}
-		gap := now.Sub(st.quietSince)
-		usual, known := st.engines.responseGapLimit()
+		gap := now.Sub(st.waitingSince)
+		usual, known := st.speeds.responseGapLimit()
 		// Without load reports a growing queue can't be told from an unresponsive endpoint.
 		unusual := known && gap > usual && !st.reportedAt.IsZero()
 		if unusual {
@@ -119,7 +119,7 @@
 				continue
 			}
 			all++
-			if st.bound.suspect {
+			if st.rateState.suspect {
 				suspect++
 			}
 		}
@@ -135,7 +135,7 @@
 		sh := p.shard(name)
 		sh.mu.Lock()
 		if st, known := sh.states[name]; known {
-			st.silentAt = now
+			st.foundUnresponsiveAt = now
 		}
 		sh.mu.Unlock()
 	}
@@ -144,18 +144,18 @@
 // isUnresponsive says whether this router found the endpoint unresponsive and got no response
 // since. The finding holds while the endpoint is suspect, or for two check intervals.
 func (st *state) isUnresponsive(now time.Time) bool {
-	return !st.silentAt.IsZero() && (st.bound.suspect || now.Sub(st.silentAt) <= 2*SilenceTick) && st.silentAt.After(st.heardAt)
+	return !st.foundUnresponsiveAt.IsZero() && (st.rateState.suspect || now.Sub(st.foundUnresponsiveAt) <= 2*UnresponsiveCheckInterval) && st.foundUnresponsiveAt.After(st.lastResponseAt)
 }
 
 // rejectsPeerReport says whether a peer's report that the endpoint is unresponsive isn't accepted:
-// too few routers found it so, if the endpoint sends no load reports, or it has responded or reported
-// its load since.
-func (st *state) rejectsPeerReport(now time.Time, w FailureWord) bool {
-	since := now.Add(-time.Duration(w.SilentMillis) * time.Millisecond)
-	if st.reportedAt.IsZero() && w.Silent < minUnresponsiveReporters {
+// too few routers found it so, if the endpoint sends no load reports, or it has responded or
+// reported its load since.
+func (st *state) rejectsPeerReport(now time.Time, w FailureSummary) bool {
+	since := now.Add(-time.Duration(w.UnresponsiveMillis) * time.Millisecond)
+	if st.reportedAt.IsZero() && w.Unresponsive < minUnresponsiveReporters {
 		return true
 	}
-	return st.heardAt.After(since) || st.reportedAt.After(since)
+	return st.lastResponseAt.After(since) || st.reportedAt.After(since)
 }
 
 // responseGapLimit is the response gap above which an endpoint's gap is unusual in its group; false
@@ -166,12 +166,12 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.quiet.gapLimit()
+	return e.responseGap.gapLimit()
 }
 
-// sawQuiet records a response gap of an endpoint with open requests.
-func (e *engineSpeeds) sawQuiet(gap time.Duration) {
+// recordResponseGap records a response gap of an endpoint with open requests.
+func (e *engineSpeeds) recordResponseGap(gap time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.quiet.add(gap.Seconds(), responseGapQuantile)
+	e.responseGap.add(gap.Seconds(), responseGapQuantile)
 }
--- a/internal/balance/silence_kinds_play_test.go
+++ b/internal/balance/silence_kinds_play_test.go
@@ -80,8 +80,8 @@
 	}}},
 }
 
-// slowDetectionCases are cases that a router with requests at only one of the endpoints detects after
-// a second.
+// slowDetectionCases are cases that a router with requests at only one of the endpoints detects
+// after a second.
 var slowDetectionCases = []silenceCase{
 	{"a failure domain that tells no load", silenceScenario{noLoadReports: true, injectFault: silenceDomain}},
 	{"a failure domain under twice the load", silenceScenario{loadFactor: 2, injectFault: silenceDomain}},
@@ -170,7 +170,8 @@
 	}
 }
 
-// Each of three routers has few requests at an endpoint, and urgent requests at one or two endpoints.
+// Each of three routers has few requests at an endpoint, and urgent requests at one or two
+// endpoints.
 func TestUrgentRequestsOfASmallFleetAreServedThroughSilences(t *testing.T) {
 	for _, kind := range slowDetectionCases {
 		runCase(t, kind, fleetSize{3, 9})
--- a/internal/balance/silence_play_test.go
+++ b/internal/balance/silence_play_test.go
@@ -1,10 +1,10 @@
 package balance_test
 
-// A third of a model's endpoints stops responding at once without closing connections. Before routers
-// exchanged and compared response gaps, each found out by itself, a second after it had sent requests
-// there, and sent the next request there a second after the clients had cancelled: of 369 of the most
-// urgent requests 25 got no response. With many routers, each of which sends few requests to an
-// endpoint, hardly any found out before the outage ended.
+// A third of a model's endpoints stops responding at once without closing connections. Before
+// routers exchanged and compared response gaps, each found out by itself, a second after it had
+// sent requests there, and sent the next request there a second after the clients had cancelled: of
+// 369 of the most urgent requests 25 got no response. With many routers, each of which sends few
+// requests to an endpoint, hardly any found out before the outage ended.
 
 import (
 	"container/heap"
@@ -148,7 +148,7 @@
 			d.every(time.Second, peerReportInterval, func(now time.Time) { d.demand = policy.Demand(now) })
 		}
 		d.routers = append(d.routers, r)
-		d.every(100*time.Millisecond+time.Duration(i)*time.Millisecond, balance.SilenceTick, func(now time.Time) { d.checkUnresponsive(now, r) })
+		d.every(100*time.Millisecond+time.Duration(i)*time.Millisecond, balance.UnresponsiveCheckInterval, func(now time.Time) { d.checkUnresponsive(now, r) })
 		d.every(130*time.Millisecond+time.Duration(i)*time.Millisecond, 250*time.Millisecond, func(now time.Time) { d.probe(now, r) })
 	}
 	for i, k := range simKinds {
@@ -175,8 +175,8 @@
 // startRouter starts the i-th router without any state.
 func (d *silenceSim) startRouter(r *simRouter, i int) balance.PromptAware {
 	policy := balance.NewPromptAware()
-	policy.HearOthers(func() balance.Others {
-		return balance.Others{Demand: d.demand.Times(float64(d.fleetSize.routers - 1)), Routers: d.fleetSize.routers - 1}
+	policy.SetPeerDemand(func() balance.PeerDemand {
+		return balance.PeerDemand{Demand: d.demand.Scale(float64(d.fleetSize.routers - 1)), Routers: d.fleetSize.routers - 1}
 	})
 	r.pool = balance.NewPool(balance.Config{Policy: policy, Seed: uint64(i + 1)})
 	r.core = membership.NewCore(membership.Tuning{Seed: uint64(i)})
@@ -229,7 +229,7 @@
 	if now.Before(r.pausedUntil) {
 		return
 	}
-	for _, name := range r.pool.Silent(now, balance.SilenceLimit) {
+	for _, name := range r.pool.CheckUnresponsive(now, balance.UnresponsiveTimeout) {
 		d.apply(r, r.core.Apply(now, membership.Silence{Endpoint: name}))
 	}
 	d.apply(r, r.core.Tick(now))
@@ -250,43 +250,43 @@
 // polls for their failure domain.
 func (d *silenceSim) exchangeReports(now time.Time) {
 	for domain := range 3 {
-		total := make(map[string]balance.FailureWord)
+		total := make(map[string]balance.FailureSummary)
 		var routers []*simRouter
-		own := make(map[*simRouter]map[string]balance.FailureWord)
+		own := make(map[*simRouter]map[string]balance.FailureSummary)
 		for _, r := range d.routers {
 			if r.domain != domain || now.Before(r.pausedUntil) {
 				continue
 			}
 			routers = append(routers, r)
-			own[r] = make(map[string]balance.FailureWord)
-			for _, w := range r.pool.FailureWords(now, 32) {
+			own[r] = make(map[string]balance.FailureSummary)
+			for _, w := range r.pool.RecentFailures(now, 32) {
 				own[r][w.Endpoint] = w
-				sum := total[w.Endpoint].Plus(w)
+				sum := total[w.Endpoint].Add(w)
 				sum.Endpoint = w.Endpoint
 				total[w.Endpoint] = sum
 			}
 		}
-		newest := make(map[string]balance.LoadWord)
+		newest := make(map[string]balance.LoadSummary)
 		for _, r := range routers {
-			for _, w := range r.pool.LoadWords(now, 500*time.Millisecond, 64, true) {
+			for _, w := range r.pool.RecentLoads(now, 500*time.Millisecond, 64, true) {
 				if old, known := newest[w.Endpoint]; !known || w.AgeMillis < old.AgeMillis {
 					newest[w.Endpoint] = w
 				}
 			}
 		}
-		var loads []balance.LoadWord
+		var loads []balance.LoadSummary
 		for _, w := range newest {
 			loads = append(loads, w)
 		}
 		for _, r := range routers {
-			r.pool.HearLoads(now, loads)
-			var others []balance.FailureWord
+			r.pool.ApplyPeerLoads(now, loads)
+			var others []balance.FailureSummary
 			for name, w := range total {
 				o := own[r][name]
-				w.Attempts, w.Failed, w.Witnesses, w.Silent = w.Attempts-o.Attempts, w.Failed-o.Failed, w.Witnesses-o.Witnesses, w.Silent-o.Silent
+				w.Attempts, w.Failed, w.Reporters, w.Unresponsive = w.Attempts-o.Attempts, w.Failed-o.Failed, w.Reporters-o.Reporters, w.Unresponsive-o.Unresponsive
 				others = append(others, w)
 			}
-			r.pool.HearFailures(now, others)
+			r.pool.ApplyPeerFailures(now, others)
 		}
 	}
 }
--- a/internal/balance/silence_run_test.go
+++ b/internal/balance/silence_run_test.go
@@ -31,7 +31,7 @@
 	}
 	p := prompt.Prompt{Tokens: k.tokens, Output: 5 * k.eventCount, Parts: []prompt.Part{{ID: d.rnd.Uint64(), Tokens: k.tokens}}}
 	req := balance.Request{Service: "llm", Tier: k.rank, Prompt: p, MaxGap: k.gap, Stride: 5}
-	c, err := r.pool.ChooseExpecting(now, req, candidates, nil)
+	c, err := r.pool.ChooseWithEstimates(now, req, candidates, nil)
 	if err != nil {
 		return
 	}
@@ -39,8 +39,8 @@
 	if e.silent {
 		d.sentToSilent = append(d.sentToSilent, now)
 	}
-	work := balance.Work{Service: "llm", Tier: k.rank, Prompt: p, Tight: c.Tight, MaxGap: k.gap, Stride: 5}
-	run := &simRun{d: d, r: r, engine: e, account: r.pool.SentWork(now, e.Name, work), eventsLeft: k.eventCount, request: outcome, counts: counts}
+	work := balance.Work{Service: "llm", Tier: k.rank, Prompt: p, TightGap: c.TightGap, MaxGap: k.gap, Stride: 5}
+	run := &simRun{d: d, r: r, engine: e, account: r.pool.Track(now, e.Name, work), eventsLeft: k.eventCount, request: outcome, counts: counts}
 	e.freeAt = laterOf(e.freeAt, now).Add(time.Duration(float64(k.tokens) * float64(prefillPerToken) * cmp.Or(e.slowdown, 1)))
 	e.load++
 	if outcome.rank == 0 {
@@ -62,7 +62,7 @@
 	d              *silenceSim
 	r              *simRouter
 	engine         *simEngine
-	account        *balance.Account
+	account        *balance.TrackedRequest
 	eventsLeft     int
 	request        *simRequest
 	counts         bool
@@ -80,8 +80,8 @@
 		return
 	}
 	run.request.gotResponse = true
-	run.account.Heard(now)
-	run.account.Event(now)
+	run.account.DataReceived(now)
+	run.account.EventReceived(now)
 	run.d.apply(run.r, run.r.core.Apply(now, membership.OwnWord{Endpoint: run.engine.Name, Incarnation: "a", Via: membership.ReasonReport}))
 	run.lastResponseAt = now
 	if run.eventsLeft--; run.eventsLeft > 0 {
@@ -101,7 +101,7 @@
 	if run.request.rank == 0 {
 		run.engine.urgent--
 	}
-	run.account.Ended()
+	run.account.Release()
 	run.account.Done(now, result)
 	report := load.Report{Slots: 64, Seq: uint64(now.Sub(simEpoch))}
 	report.Running[0] = run.engine.load
--- a/internal/balance/silentdomain.go
+++ b/internal/balance/silentdomain.go
@@ -24,7 +24,7 @@
 	minReportedDomainGap = 500 * time.Millisecond
 	// domainAvoidFor is how long one check has a failure domain avoided: until the next check,
 	// with some slack.
-	domainAvoidFor = 2 * SilenceTick
+	domainAvoidFor = 2 * UnresponsiveCheckInterval
 	// maxCheckGap is the longest interval between two checks of a router that runs steadily.
 	// After a longer pause it has read the responses of some endpoints and not yet of others.
 	maxCheckGap = minResponseGap
@@ -49,8 +49,8 @@
 	unresponsive bool      // by this router or its peers
 }
 
-// domainWatch is the state kept between two checks for unresponsive failure domains.
-type domainWatch struct {
+// domainMonitor is the state kept between two checks for unresponsive failure domains.
+type domainMonitor struct {
 	mu           sync.Mutex
 	lastCheck    time.Time
 	steadySince  time.Time // no long pause between checks since
@@ -63,16 +63,16 @@
 // groupDomain names the endpoints of a group in one failure domain.
 type groupDomain struct{ group, domain string }
 
-// SilentDomain is the event that a failure domain became unresponsive, or responds again.
-type SilentDomain struct {
+// DomainEvent is the event that a failure domain became unresponsive, or responds again.
+type DomainEvent struct {
 	Group, FailureDomain string
 	Endpoints            int // of the group in the failure domain
-	Silent               bool
+	Unresponsive         bool
 }
 
 // recordCheck records a check and says whether the checks have come without a long pause for at
 // least maxCheckGap.
-func (w *domainWatch) recordCheck(now time.Time) bool {
+func (w *domainMonitor) recordCheck(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if now.Sub(w.lastCheck) > maxCheckGap {
@@ -84,19 +84,19 @@
 
 // update stores the unresponsive domains and the endpoints presumed down, and returns an event for
 // each domain that became unresponsive or responds again.
-func (w *domainWatch) update(unresponsive map[groupDomain]int, presumedDown []string) []SilentDomain {
+func (w *domainMonitor) update(unresponsive map[groupDomain]int, presumedDown []string) []DomainEvent {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.presumedDown = presumedDown
-	var events []SilentDomain
+	var events []DomainEvent
 	for k, endpoints := range unresponsive {
 		if !w.unresponsive[k] {
-			events = append(events, SilentDomain{k.group, k.domain, endpoints, true})
+			events = append(events, DomainEvent{k.group, k.domain, endpoints, true})
 		}
 	}
 	for k := range w.unresponsive {
 		if _, found := unresponsive[k]; !found {
-			events = append(events, SilentDomain{Group: k.group, FailureDomain: k.domain})
+			events = append(events, DomainEvent{Group: k.group, FailureDomain: k.domain})
 		}
 	}
 	w.unresponsive = make(map[groupDomain]bool, len(unresponsive))
@@ -106,19 +106,19 @@
 	return events
 }
 
-// Lost lists the endpoints that the last check presumed down: they sent nothing for
+// PresumedDown lists the endpoints that the last check presumed down: they sent nothing for
 // UnresponsiveTimeout while requests were open, and their failure domain is unresponsive, with at
-// least minPresumedDown such endpoints. An endpoint that is only slow must not be listed, since a run
-// must not be resumed elsewhere while its endpoint still works on it.
-func (p *Pool) Lost() []string {
+// least minPresumedDown such endpoints. An endpoint that is only slow must not be listed, since a
+// run must not be resumed elsewhere while its endpoint still works on it.
+func (p *Pool) PresumedDown() []string {
 	p.domains.mu.Lock()
 	defer p.domains.mu.Unlock()
 	return p.domains.presumedDown
 }
 
-// SilentDomains counts the failure domains, per group of endpoints, that this router avoids as
-// unresponsive.
-func (p *Pool) SilentDomains() int {
+// UnresponsiveDomainCount counts the failure domains, per group of endpoints, that this router
+// avoids as unresponsive.
+func (p *Pool) UnresponsiveDomainCount() int {
 	p.domains.mu.Lock()
 	defer p.domains.mu.Unlock()
 	return len(p.domains.unresponsive)
@@ -139,18 +139,18 @@
 
 // add adds an endpoint to its failure domain. The caller holds the lock of its shard.
 func (d *domainState) add(now time.Time, name string, st *state) {
-	d.lastResponseAt = maxTime(d.lastResponseAt, maxTime(st.heardAt, st.reportedAt))
+	d.lastResponseAt = maxTime(d.lastResponseAt, maxTime(st.lastResponseAt, st.reportedAt))
 	if st.leaving {
 		return
 	}
 	d.endpoints++
 	d.reportsLoad = d.reportsLoad || !st.reportedAt.IsZero()
-	unresponsive := st.isUnresponsive(now) || now.Sub(st.toldAt) <= unresponsiveReportTTL
+	unresponsive := st.isUnresponsive(now) || now.Sub(st.peersFoundUnresponsiveAt) <= unresponsiveReportTTL
 	if unresponsive {
 		d.unresponsive++
 	}
 	if st.inflight > 0 {
-		d.active = append(d.active, domainEndpoint{name, st.quietSince, unresponsive})
+		d.active = append(d.active, domainEndpoint{name, st.waitingSince, unresponsive})
 	}
 }
 
@@ -160,7 +160,7 @@
 	var names []string
 	unresponsive := d.unresponsive
 	for _, e := range d.active {
-		if now.Sub(e.waitingSince) < SilenceLimit {
+		if now.Sub(e.waitingSince) < UnresponsiveTimeout {
 			continue
 		}
 		names = append(names, e.name)
@@ -191,7 +191,7 @@
 		return true
 	}
 	if !d.reportsLoad {
-		return d.responseGap(now, endpoints) > SilenceLimit // shorter gaps may be growing queues
+		return d.responseGap(now, endpoints) > UnresponsiveTimeout // shorter gaps may be growing queues
 	}
 	limit, known := e.domainGapLimit()
 	return known && d.responseGap(now, endpoints) > limit
@@ -214,8 +214,8 @@
 		}
 	}
 	for _, event := range p.domains.update(unresponsive, presumedDown) {
-		if p.cfg.OnSilentDomain != nil {
-			p.cfg.OnSilentDomain(event)
+		if p.cfg.OnDomainEvent != nil {
+			p.cfg.OnDomainEvent(event)
 		}
 	}
 	return active
@@ -281,7 +281,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.domainQuiet.gapLimit()
+	return e.domainResponseGap.gapLimit()
 }
 
 // recordDomainGap records a response gap of a failure domain.
@@ -291,12 +291,12 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.domainQuiet.add(gap.Seconds(), responseGapQuantile)
+	e.domainResponseGap.add(gap.Seconds(), responseGapQuantile)
 }
 
 // gapLimit is the response gap above which a gap is unusual; false while there are too few samples.
 func (m *quantile) gapLimit() (time.Duration, bool) {
-	if m.samples < leastSamples {
+	if m.samples < minSamples {
 		return 0, false
 	}
 	return max(minResponseGap, seconds(responseGapFactor*m.value)), true
--- a/internal/balance/silentdomain_test.go
+++ b/internal/balance/silentdomain_test.go
@@ -22,18 +22,18 @@
 	p    *Pool
 	now  time.Time
 	all  []*bundle.Endpoint
-	open []*Account
+	open []*TrackedRequest
 }
 
 // newDomainHarness has two endpoints in each failure domain.
 func newDomainHarness() *domainHarness { return newDomainHarnessOf(6) }
 
 func newDomainHarnessOf(endpoints int) *domainHarness {
-	l := &domainHarness{p: NewPool(Config{Policy: NewPromptAware()}), now: epoch, all: engines(endpoints)}
+	l := &domainHarness{p: NewPool(Config{Policy: NewPromptAware()}), now: epoch, all: newEndpoints(endpoints)}
 	l.p.Views(epoch, l.all)
 	for _, e := range l.all {
 		l.p.Report(epoch, e.Name, loadReport(1, 0))
-		l.open = append(l.open, l.p.SentWork(epoch, e.Name, Work{Service: "llm"}))
+		l.open = append(l.open, l.p.Track(epoch, e.Name, Work{Service: "llm"}))
 	}
 	l.run(2 * time.Second)
 	return l
@@ -50,11 +50,11 @@
 		l.now = l.now.Add(interval)
 		for i, a := range l.open {
 			if a != nil && !slices.Contains(silent, i) {
-				a.Heard(l.now)
+				a.DataReceived(l.now)
 			}
 		}
-		if l.now.Sub(epoch)%SilenceTick == 0 {
-			l.p.Silent(l.now.Add(offset), SilenceLimit)
+		if l.now.Sub(epoch)%UnresponsiveCheckInterval == 0 {
+			l.p.CheckUnresponsive(l.now.Add(offset), UnresponsiveTimeout)
 		}
 	}
 }
@@ -73,17 +73,17 @@
 func TestUnresponsiveFailureDomainIsAvoidedAsAWhole(t *testing.T) {
 	g := NewWithT(t)
 	l := newDomainHarness()
-	var events []SilentDomain
-	l.p.cfg.OnSilentDomain = func(e SilentDomain) { events = append(events, e) }
+	var events []DomainEvent
+	l.p.cfg.OnDomainEvent = func(e DomainEvent) { events = append(events, e) }
 	l.run(200*time.Millisecond, 0, 3)
 	g.Expect(l.avoided()).To(BeEmpty())
 	l.run(160*time.Millisecond, 0, 3)
 	g.Expect(l.avoided()).To(Equal([]string{"e0", "e3"}), "before either endpoint alone is found unresponsive")
-	g.Expect(l.p.SilentDomains()).To(Equal(1))
+	g.Expect(l.p.UnresponsiveDomainCount()).To(Equal(1))
 	l.run(time.Second)
 	g.Expect(l.avoided()).To(BeEmpty(), "it responds again")
-	g.Expect(events).To(Equal([]SilentDomain{
-		{Group: "service llm", FailureDomain: "0", Endpoints: 2, Silent: true},
+	g.Expect(events).To(Equal([]DomainEvent{
+		{Group: "service llm", FailureDomain: "0", Endpoints: 2, Unresponsive: true},
 		{Group: "service llm", FailureDomain: "0"},
 	}))
 }
@@ -105,9 +105,9 @@
 	g.Expect(l.avoided()).To(BeEmpty(), "none responds")
 }
 
-// The router avoids two of three failure domains if several endpoints of each don't respond while the
-// third domain does, whichever side is cut off. When it avoided none, 276 of 408 urgent requests got
-// no response.
+// The router avoids two of three failure domains if several endpoints of each don't respond while
+// the third domain does, whichever side is cut off. When it avoided none, 276 of 408 urgent
+// requests got no response.
 func TestTwoOfThreeFailureDomainsAreAvoidedBySeveralEndpointsEach(t *testing.T) {
 	g := NewWithT(t)
 	l := newDomainHarnessOf(9)
@@ -131,7 +131,7 @@
 	}
 	l.run(300 * time.Millisecond)
 	l.run(600*time.Millisecond, 0, 3)
-	g.Expect(l.p.SilentDomains()).To(BeZero())
+	g.Expect(l.p.UnresponsiveDomainCount()).To(BeZero())
 }
 
 // After a pause the router has read the responses of some endpoints and not yet of others.
@@ -143,14 +143,14 @@
 	g.Expect(l.avoided()).To(BeEmpty())
 }
 
-// A router without requests in the failure domain relies on reports from peers until an endpoint there
-// responds or reports to any router.
+// A router without requests in the failure domain relies on reports from peers until an endpoint
+// there responds or reports to any router.
 func TestFailureDomainIsAvoidedByPeerReports(t *testing.T) {
 	g := NewWithT(t)
-	peerReports := func(endpoints ...string) []FailureWord {
-		var reports []FailureWord
+	peerReports := func(endpoints ...string) []FailureSummary {
+		var reports []FailureSummary
 		for _, e := range endpoints {
-			reports = append(reports, FailureWord{Endpoint: e, Silent: 2, SilentMillis: 600})
+			reports = append(reports, FailureSummary{Endpoint: e, Unresponsive: 2, UnresponsiveMillis: 600})
 		}
 		return reports
 	}
@@ -164,19 +164,19 @@
 		return l
 	}
 	l := idle()
-	l.p.HearFailures(l.now, peerReports("e0", "e3"))
-	l.run(SilenceTick)
+	l.p.ApplyPeerFailures(l.now, peerReports("e0", "e3"))
+	l.run(UnresponsiveCheckInterval)
 	g.Expect(l.avoided()).To(Equal([]string{"e0", "e3"}))
-	g.Expect(l.p.SilentDomains()).To(Equal(1))
+	g.Expect(l.p.UnresponsiveDomainCount()).To(Equal(1))
 	l = idle()
-	l.p.HearFailures(l.now, peerReports("e3"))
-	l.run(SilenceTick)
-	g.Expect(l.p.SilentDomains()).To(BeZero(), "one endpoint may have ended alone")
+	l.p.ApplyPeerFailures(l.now, peerReports("e3"))
+	l.run(UnresponsiveCheckInterval)
+	g.Expect(l.p.UnresponsiveDomainCount()).To(BeZero(), "one endpoint may have ended alone")
 	l = idle()
-	l.p.HearFailures(l.now, peerReports("e0", "e3"))
-	l.p.HearLoads(l.now, []LoadWord{{Endpoint: "e0"}})
-	l.run(SilenceTick)
-	g.Expect(l.p.SilentDomains()).To(BeZero(), "it reported its load since")
+	l.p.ApplyPeerFailures(l.now, peerReports("e0", "e3"))
+	l.p.ApplyPeerLoads(l.now, []LoadSummary{{Endpoint: "e0"}})
+	l.run(UnresponsiveCheckInterval)
+	g.Expect(l.p.UnresponsiveDomainCount()).To(BeZero(), "it reported its load since")
 }
 
 func TestEndpointIsPresumedDownAfterASecondOfUnresponsiveDomain(t *testing.T) {
@@ -184,17 +184,17 @@
 	l := newDomainHarnessOf(9)
 	l.run(900*time.Millisecond, 0, 3, 6)
 	g.Expect(l.avoided()).To(Equal([]string{"e0", "e3", "e6"}))
-	g.Expect(l.p.Lost()).To(BeEmpty())
+	g.Expect(l.p.PresumedDown()).To(BeEmpty())
 	l.run(200*time.Millisecond, 0, 3, 6)
-	g.Expect(l.p.Lost()).To(ConsistOf("e0", "e3", "e6"))
-	g.Expect(l.p.InUse(l.now, "e0")).To(BeFalse())
-	g.Expect(l.p.InUse(l.now, "e1")).To(BeTrue())
+	g.Expect(l.p.PresumedDown()).To(ConsistOf("e0", "e3", "e6"))
+	g.Expect(l.p.Usable(l.now, "e0")).To(BeFalse())
+	g.Expect(l.p.Usable(l.now, "e1")).To(BeTrue())
 	l.run(200 * time.Millisecond)
-	g.Expect(l.p.Lost()).To(BeEmpty())
+	g.Expect(l.p.PresumedDown()).To(BeEmpty())
 	l.run(2*time.Second, 0, 3)
-	g.Expect(l.p.Lost()).To(BeEmpty(), "the third endpoint responds")
+	g.Expect(l.p.PresumedDown()).To(BeEmpty(), "the third endpoint responds")
 	l = newDomainHarness()
 	l.run(2*time.Second, 0, 3)
-	g.Expect(l.p.SilentDomains()).To(Equal(1))
-	g.Expect(l.p.Lost()).To(BeEmpty(), "two endpoints may be slow at once")
+	g.Expect(l.p.UnresponsiveDomainCount()).To(Equal(1))
+	g.Expect(l.p.PresumedDown()).To(BeEmpty(), "two endpoints may be slow at once")
 }
--- a/internal/balance/slots_test.go
+++ b/internal/balance/slots_test.go
@@ -34,7 +34,7 @@
 	sentAt    time.Time
 	remaining time.Duration // slot time
 	startedAt time.Time     // zero while it is queued
-	account   *Account
+	account   *TrackedRequest
 	cancelled bool
 	// onTime is set if it started in time and was never preempted.
 	onTime bool
@@ -48,7 +48,7 @@
 
 // overload is a simulation of routers in front of slotted endpoints.
 type overload struct {
-	events      happenings
+	events      eventQueue
 	endpoints   []*slottedEndpoint
 	preemptions int
 	sent        [2]int
@@ -64,8 +64,8 @@
 	for i := range routers {
 		policy := NewPromptAware()
 		peerRequests := load * endpoints * slotsPerEndpoint / slotTimePerRequest.Seconds() * slowHalfLife.Seconds() * float64(routers-1) / float64(routers)
-		policy.HearOthers(func() Others {
-			return Others{Demand: Demand{{Service: "llm", Requests: peerRequests, Recent: peerRequests / 2, Held: peerRequests * slotTimePerRequest.Seconds()}}, Routers: routers - 1}
+		policy.SetPeerDemand(func() PeerDemand {
+			return PeerDemand{Demand: Demand{{Service: "llm", Requests: peerRequests, RecentRequests: peerRequests / 2, SlotSeconds: peerRequests * slotTimePerRequest.Seconds()}}, Routers: routers - 1}
 		})
 		pools = append(pools, NewPool(Config{Policy: policy, Seed: uint64(i + 1)}))
 	}
@@ -84,18 +84,18 @@
 		r.runAt(epoch.Add(at), func(now time.Time) {
 			r.sent[tier]++
 			req := Request{Service: "llm", Tier: tier, Prompt: prompt.Prompt{Tokens: 100, Output: 50}}
-			choice, err := pool.ChooseExpecting(now, req, candidates, nil)
+			choice, err := pool.ChooseWithEstimates(now, req, candidates, nil)
 			if err != nil || rejectByWait && choice.Wait > startTimeout {
 				return
 			}
 			i := slices.Index(candidates, choice.Endpoint)
 			s := &stream{tier: tier, sentAt: now, remaining: slotTimePerRequest}
-			s.account = pool.SentWork(now, choice.Endpoint.Name, Work{Service: req.Service, Tier: tier, Prompt: req.Prompt})
+			s.account = pool.Track(now, choice.Endpoint.Name, Work{Service: req.Service, Tier: tier, Prompt: req.Prompt})
 			r.endpoints[i].queued = append(r.endpoints[i].queued, s)
 			r.runAt(now.Add(startTimeout), func(now time.Time) {
 				if s.remaining == slotTimePerRequest && s.startedAt.IsZero() {
 					s.cancelled = true
-					s.account.Ended()
+					s.account.Release()
 					s.account.Done(now, ResultCancelled)
 				}
 			})
@@ -103,13 +103,13 @@
 		})
 	}
 	for len(r.events) > 0 {
-		ev := heap.Pop(&r.events).(happening)
+		ev := heap.Pop(&r.events).(simEvent)
 		ev.do(ev.at)
 	}
 	return r
 }
 
-func (r *overload) runAt(at time.Time, do func(time.Time)) { heap.Push(&r.events, happening{at, do}) }
+func (r *overload) runAt(at time.Time, do func(time.Time)) { heap.Push(&r.events, simEvent{at, do}) }
 
 // schedule starts queued requests, the most urgent first, while there are free slots or requests
 // to preempt.
@@ -142,13 +142,13 @@
 func (r *overload) start(e *slottedEndpoint, s *stream, now time.Time) {
 	s.onTime = s.remaining == slotTimePerRequest && now.Sub(s.sentAt) <= startTimeout
 	s.startedAt = now
-	s.account.Event(now)
+	s.account.EventReceived(now)
 	e.running = append(e.running, s)
 	r.runAt(now.Add(s.remaining), func(end time.Time) {
 		if s.startedAt != now {
 			return // preempted meanwhile
 		}
-		s.account.Ended()
+		s.account.Release()
 		s.account.Done(end, ResultOK)
 		if s.onTime {
 			r.inTime[s.tier]++
--- a/internal/balance/speed.go
+++ b/internal/balance/speed.go
@@ -51,7 +51,7 @@
 	// dominates the time to first token.
 	minPrefillTokens = 1024
 	// minSamples is the number of samples from which an estimate is used.
-	leastSamples = 20
+	minSamples = 20
 	// maxSpeedRatio limits the estimated speed ratio of an endpoint to its group.
 	maxSpeedRatio = 4.0
 	// defaultSecondsPerPromptToken is assumed until there are enough samples, which takes a
@@ -65,9 +65,9 @@
 	outputToken quantile // seconds per output token
 	promptToken quantile // seconds per prompt token
 	firstToken  quantile // seconds to the first token of prompts with little to prefill
-	quiet       quantile // seconds without a response while requests are inflight
+	responseGap quantile // seconds without a response while requests are inflight
 	// domainResponseGap is the same over all endpoints of a failure domain.
-	domainQuiet quantile
+	domainResponseGap quantile
 }
 
 // speedEstimate is the expected speed of an endpoint.
@@ -98,7 +98,7 @@
 
 // secondsPerPromptToken returns the prefill time of a token. e.mu is held.
 func (e *engineSpeeds) secondsPerPromptToken() float64 {
-	if e.promptToken.samples < leastSamples {
+	if e.promptToken.samples < minSamples {
 		return defaultSecondsPerPromptToken
 	}
 	return e.promptToken.value
@@ -110,15 +110,15 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	est := speedEstimate{SecondsPerPromptToken: e.secondsPerPromptToken()}
-	if e.outputToken.samples < leastSamples {
+	if e.outputToken.samples < minSamples {
 		return est
 	}
 	est.SecondsPerOutputToken = e.outputToken.value
-	if e.firstToken.samples >= leastSamples {
+	if e.firstToken.samples >= minSamples {
 		// A fully cached prompt has its first token after one decoding step.
 		est.PrefillOverhead = max(0, e.firstToken.value-est.SecondsPerOutputToken)
 	}
-	if own.samples < leastSamples {
+	if own.samples < minSamples {
 		return est
 	}
 	ratio := min(max(own.value/e.outputToken.value, 1/maxSpeedRatio), maxSpeedRatio)
--- a/internal/balance/speed_test.go
+++ b/internal/balance/speed_test.go
@@ -24,32 +24,32 @@
 
 // engine simulates an endpoint with the speeds of a shape and a delay before prefill.
 type engine struct {
-	shape
+	engineShape
 	queueDelay time.Duration
 }
 
 // simulateStream simulates a stream of a few events at an endpoint and returns when it ended.
 func (e engine) simulateStream(p *Pool, at time.Time, name string, pr prompt.Prompt) time.Time {
-	a := p.SentWork(at, name, Work{Prompt: pr, MaxGap: time.Second, Stride: e.stride})
+	a := p.Track(at, name, Work{Prompt: pr, MaxGap: time.Second, Stride: e.stride})
 	at = at.Add(e.queueDelay).Add(seconds(e.read * float64(pr.Tokens)))
 	for range 10 {
-		a.Event(at)
+		a.EventReceived(at)
 		at = at.Add(seconds(e.token * float64(e.stride)))
 	}
-	a.Ended()
+	a.Release()
 	p.Done(at, name, ResultOK, 0)
 	return at
 }
 
 func TestSpeedsAreEstimatedForAnyEngine(t *testing.T) {
-	for _, s := range shapes {
+	for _, s := range engineShapes {
 		g := NewWithT(t)
 		p := NewPool(Config{Policy: NewPromptAware()})
-		all := registerGroup(p, engines(3))
+		all := registerGroup(p, newEndpoints(3))
 		now := epoch
 		for i := range 400 {
 			name := all[i%3].Name
-			e := engine{shape: s}
+			e := engine{engineShape: s}
 			if i%3 == 2 { // a slower endpoint
 				e.token, e.read = 1.5*e.token, 1.5*e.read
 			}
@@ -59,21 +59,21 @@
 			now = e.simulateStream(p, now, name, prompt.Prompt{Tokens: 4000})
 		}
 		views := p.Views(now, all)
-		g.Expect(views[0].Token).To(BeNumerically("~", s.token, 0.15*s.token), s.name)
-		g.Expect(views[2].Token/views[0].Token).To(BeNumerically("~", 1.5, 0.1), s.name)
-		g.Expect(views[0].PerToken).To(BeNumerically("~", s.read, 0.2*s.read), s.name)
-		g.Expect(views[2].PerToken/views[0].PerToken).To(BeNumerically("~", 1.5, 0.1), s.name)
+		g.Expect(views[0].SecondsPerOutputToken).To(BeNumerically("~", s.token, 0.15*s.token), s.name)
+		g.Expect(views[2].SecondsPerOutputToken/views[0].SecondsPerOutputToken).To(BeNumerically("~", 1.5, 0.1), s.name)
+		g.Expect(views[0].SecondsPerPromptToken).To(BeNumerically("~", s.read, 0.2*s.read), s.name)
+		g.Expect(views[2].SecondsPerPromptToken/views[0].SecondsPerPromptToken).To(BeNumerically("~", 1.5, 0.1), s.name)
 	}
 }
 
 func TestPrefillOverheadIsEstimated(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	all := registerGroup(p, engines(3))
+	all := registerGroup(p, newEndpoints(3))
 	now := epoch
 	fixed := 30 * time.Millisecond
 	for i := range 300 {
-		e := engine{shape: shapes[1], queueDelay: fixed + seconds(shapes[1].token)}
+		e := engine{engineShape: engineShapes[1], queueDelay: fixed + seconds(engineShapes[1].token)}
 		tokens := 100
 		if i%3 == 0 {
 			tokens = 4000
@@ -81,35 +81,35 @@
 		now = e.simulateStream(p, now, "e0", prompt.Prompt{Tokens: tokens})
 	}
 	// For long prompts the overhead is spread over their tokens.
-	g.Expect(p.Views(now, all)[0].First).To(BeNumerically("~", fixed.Seconds(), 0.3*fixed.Seconds()))
+	g.Expect(p.Views(now, all)[0].PrefillOverhead).To(BeNumerically("~", fixed.Seconds(), 0.3*fixed.Seconds()))
 }
 
 // Queueing in an overload must not be mistaken for slow prefill.
 func TestQueueingIsNotCountedAsPrefill(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	all := registerGroup(p, engines(3))
+	all := registerGroup(p, newEndpoints(3))
 	now := epoch
 	run := func(n int, queueDelay time.Duration) {
 		for range n {
-			now = engine{shape: shapes[0], queueDelay: queueDelay}.simulateStream(p, now, "e0", prompt.Prompt{Tokens: 4000})
+			now = engine{engineShape: engineShapes[0], queueDelay: queueDelay}.simulateStream(p, now, "e0", prompt.Prompt{Tokens: 4000})
 		}
 	}
 	run(60, 0)
 	run(60, 2*time.Second)
-	g.Expect(p.Views(now, all)[0].PerToken).To(BeNumerically("<", 2*shapes[0].read))
+	g.Expect(p.Views(now, all)[0].SecondsPerPromptToken).To(BeNumerically("<", 2*engineShapes[0].read))
 	run(30, 0)
-	g.Expect(p.Views(now, all)[0].PerToken).To(BeNumerically("~", shapes[0].read, 0.2*shapes[0].read))
+	g.Expect(p.Views(now, all)[0].SecondsPerPromptToken).To(BeNumerically("~", engineShapes[0].read, 0.2*engineShapes[0].read))
 }
 
 func TestFewSamplesGiveNoEstimate(t *testing.T) {
 	g := NewWithT(t)
 	p := NewPool(Config{Policy: NewPromptAware()})
-	all := registerGroup(p, engines(3))
-	engine{shape: shapes[4]}.simulateStream(p, epoch, "e0", prompt.Prompt{Tokens: 4000})
+	all := registerGroup(p, newEndpoints(3))
+	engine{engineShape: engineShapes[4]}.simulateStream(p, epoch, "e0", prompt.Prompt{Tokens: 4000})
 	v := p.Views(epoch, all)[0]
-	g.Expect(v.Token).To(BeZero())
-	g.Expect(v.PerToken).To(Equal(defaultSecondsPerPromptToken))
+	g.Expect(v.SecondsPerOutputToken).To(BeZero())
+	g.Expect(v.SecondsPerPromptToken).To(Equal(defaultSecondsPerPromptToken))
 }
 
 // registerGroup registers endpoints of one group with a pool.
--- a/internal/balance/start_test.go
+++ b/internal/balance/start_test.go
@@ -15,8 +15,8 @@
 
 const fleetRouters = 103
 
-// addArrivals adds the requests of one router of the fleet at equal intervals: long prompts, and half
-// as many streams with a tight gap limit.
+// addArrivals adds the requests of one router of the fleet at equal intervals: long prompts, and
+// half as many streams with a tight gap limit.
 func addArrivals(d *demand, from, to time.Duration) {
 	long, tight := kindKey{"s", 1500}, kindKey{"s", 400}
 	const every = 250 * time.Millisecond
@@ -31,40 +31,40 @@
 
 func fleetDemand() *demand {
 	d := &demand{}
-	d.others = func() Others {
-		return Others{Demand: d.whole().Times(fleetRouters - 1), Routers: fleetRouters - 1}
+	d.peerDemand = func() PeerDemand {
+		return PeerDemand{Demand: d.extrapolated().Scale(fleetRouters - 1), Routers: fleetRouters - 1}
 	}
 	return d
 }
 
 func TestNewFleetEstimatesItsDemandSoon(t *testing.T) {
 	g := NewWithT(t)
-	f := fleet{endpoints: 180, slots: 64, pause: 40 * time.Millisecond}
+	f := serviceEndpoints{endpoints: 180, slots: 64, gap: 40 * time.Millisecond}
 	d := fleetDemand()
 	addArrivals(d, 0, 600*time.Millisecond)
-	soon := d.separate(epoch.Add(600*time.Millisecond), "s", f)
+	soon := d.decideIsolation(epoch.Add(600*time.Millisecond), "s", f)
 	addArrivals(d, 600*time.Millisecond, 10*time.Second)
-	late := d.separate(epoch.Add(10*time.Second), "s", f)
-	g.Expect(late.kept).To(BeNumerically(">", 0))
-	g.Expect(soon.kept).To(BeNumerically("~", late.kept, 0.35*float64(late.kept)))
-	g.Expect(soon.tight).To(Equal(late.tight))
+	late := d.decideIsolation(epoch.Add(10*time.Second), "s", f)
+	g.Expect(late.dedicated).To(BeNumerically(">", 0))
+	g.Expect(soon.dedicated).To(BeNumerically("~", late.dedicated, 0.35*float64(late.dedicated)))
+	g.Expect(soon.gapLimits).To(Equal(late.gapLimits))
 }
 
 // A router that joins under load has seen hardly any requests of its own.
 func TestJoiningRouterAssumesAnAverageShare(t *testing.T) {
 	g := NewWithT(t)
 	d := &demand{}
-	d.others = func() Others {
-		return Others{Demand: Demand{{Service: "s", GapMillis: 400, Requests: 2500, Recent: 1250, Held: 2500}}, Routers: fleetRouters - 1}
+	d.peerDemand = func() PeerDemand {
+		return PeerDemand{Demand: Demand{{Service: "s", GapMillis: 400, Requests: 2500, RecentRequests: 1250, SlotSeconds: 2500}}, Routers: fleetRouters - 1}
 	}
-	f := fleet{endpoints: 180, slots: 64}
-	d.separate(epoch, "s", f)
+	f := serviceEndpoints{endpoints: 180, slots: 64}
+	d.decideIsolation(epoch, "s", f)
 	g.Expect(d.share()).To(BeNumerically("~", 1.0/fleetRouters, 0.01))
 	// A router with most of the traffic finds a larger share.
 	for i := range 4000 {
 		d.add(epoch.Add(time.Duration(i)*time.Millisecond), kindKey{"s", 400}, 0, 0)
 	}
-	d.separate(epoch.Add(4*time.Second), "s", f)
+	d.decideIsolation(epoch.Add(4*time.Second), "s", f)
 	g.Expect(d.share()).To(BeNumerically(">", 0.4))
 }
 
@@ -83,21 +83,21 @@
 	g := NewWithT(t)
 	policy := NewPromptAware()
 	p := NewPool(Config{Policy: policy})
-	all := engines(9)
+	all := newEndpoints(9)
 	mean := func(now time.Time) float64 {
 		d := policy.Demand(now)
-		return d[len(d)-1].read()
+		return d[len(d)-1].meanPrefillSeconds()
 	}
 	sendOne := func(now time.Time, key int) {
-		_, a := send(p, now, unseen(uint64(key)), all)
-		a.Ended()
+		_, a := chooseAndSend(p, now, unsharedRequest(uint64(key)), all)
+		a.Release()
 	}
 	for i := range 4 {
 		sendOne(epoch.Add(time.Duration(i)*100*time.Millisecond), 100+i)
 	}
 	first := mean(epoch.Add(400 * time.Millisecond))
 	for i := range 100 {
-		sendOne(epoch.Add(coldFor+time.Duration(i)*100*time.Millisecond), 200+i)
+		sendOne(epoch.Add(coldStartPeriod+time.Duration(i)*100*time.Millisecond), 200+i)
 	}
-	g.Expect(first).To(BeNumerically(">", 2*mean(epoch.Add(coldFor+10*time.Second))))
+	g.Expect(first).To(BeNumerically(">", 2*mean(epoch.Add(coldStartPeriod+10*time.Second))))
 }
--- a/internal/balance/state.go
+++ b/internal/balance/state.go
@@ -42,38 +42,38 @@
 	inflight int
 	// unreportedSends are the send times, oldest first, of this router's requests that the last
 	// report doesn't include.
-	sends           []time.Time
-	inflightByTier  [maxTiers]int // tracked requests by tier
-	tightGapStreams int           // running streams with a tight gap limit
-	quietSince      time.Time     // start of the current wait for a response while requests are inflight
-	heardAt         time.Time     // of any part of a response to this router
-	silentAt        time.Time     // when this router last found it unresponsive; zero if never
-	toldAt          time.Time     // when other routers last found it unresponsive and none has had a response since
-	cachedParts     recentParts
-	pendingPrefill  [maxTiers]int // prompt tokens sent, by tier, that may not be prefilled yet
-	load            load.Report
-	reportedAt      time.Time
-	heard           bool // the last report was received from another router
-	firstToken      time.Duration
-	running         float64 // moving average of running requests
-	drain           float64 // moving average in requests a second
-	leaving         bool
-	group           string // endpoint group for outlier detection and speed estimates
-	domain          string
-	health          health
+	unreportedSends          []time.Time
+	inflightByTier           [maxTiers]int // tracked requests by tier
+	tightGapStreams          int           // running streams with a tight gap limit
+	waitingSince             time.Time     // start of the current wait for a response while requests are inflight
+	lastResponseAt           time.Time     // of any part of a response to this router
+	foundUnresponsiveAt      time.Time     // when this router last found it unresponsive; zero if never
+	peersFoundUnresponsiveAt time.Time     // when other routers last found it unresponsive and none has had a response since
+	cachedParts              recentParts
+	pendingPrefill           [maxTiers]int // prompt tokens sent, by tier, that may not be prefilled yet
+	load                     load.Report
+	reportedAt               time.Time
+	reportFromPeer           bool // the last report was received from another router
+	firstToken               time.Duration
+	avgRunning               float64 // moving average of running requests
+	avgDrainRate             float64 // moving average in requests a second
+	leaving                  bool
+	group                    string // endpoint group for outlier detection and speed estimates
+	domain                   string
+	health                   health
 	// attempts holds this router's recent attempts, nil before the first. The endpoint is avoided
 	// until avoidUntil because it fails for several routers.
 	attempts *window.Ring
 	// outputToken estimates the seconds per output token at this endpoint, and speeds holds the
 	// estimates of its group.
 	outputToken quantile
-	engines     *engineSpeeds
+	speeds      *engineSpeeds
 	avoidUntil  time.Time
 	// refusedAt is when the endpoint last refused a request of this router for lack of capacity,
 	// and requestsAtRefusal the number of requests it had then.
 	refusedAt         time.Time
 	requestsAtRefusal int
-	bound             bound
+	rateState         rateState
 	// restartedAt is when this router learned that the endpoint's process was replaced; zero if
 	// it hasn't been.
 	restartedAt time.Time
@@ -81,17 +81,17 @@
 
 func (st *state) fillView(c *bundle.Endpoint, v *View) {
 	*v = View{
-		Endpoint:      c.Name,
-		FailureDomain: c.FailureDomain,
-		Inflight:      st.inflight,
-		Prefill:       st.pendingPrefill,
-		Open:          st.inflightByTier,
-		Tight:         st.tightGapStreams,
-		SinceReport:   len(st.sends),
-		Load:          st.load,
-		ReportedAt:    st.reportedAt,
-		FirstToken:    st.firstToken,
-		Service:       st.service(),
+		Endpoint:         c.Name,
+		FailureDomain:    c.FailureDomain,
+		Inflight:         st.inflight,
+		PendingPrefill:   st.pendingPrefill,
+		InflightByTier:   st.inflightByTier,
+		TightGapStreams:  st.tightGapStreams,
+		OwnUnreported:    len(st.unreportedSends),
+		Load:             st.load,
+		ReportedAt:       st.reportedAt,
+		TimeToFirstToken: st.firstToken,
+		SlotTime:         st.slotTime(),
 	}
 	if v.Load.Slots == 0 {
 		v.Load.Slots = c.Slots
@@ -100,10 +100,10 @@
 
 func (st *state) recordSent(now time.Time) {
 	if st.inflight == 0 {
-		st.quietSince = now
+		st.waitingSince = now
 	}
 	st.inflight++
-	st.noteSend(now)
+	st.recordSend(now)
 }
 
 func (st *state) recordReport(now time.Time, r load.Report, hold time.Duration) {
@@ -112,23 +112,23 @@
 		return
 	}
 	st.updateAverages(r)
-	st.health.sample(now)
+	st.health.recordSample(now)
 	st.load = r
 	st.reportedAt = now
-	st.heard = false
-	st.sends = st.sends[:0]
+	st.reportFromPeer = false
+	st.unreportedSends = st.unreportedSends[:0]
 	st.leaving = st.leaving || r.Leaving
 }
 
 func (st *state) recordDone(now time.Time, res Result, firstToken time.Duration, smoothing float64) {
 	st.inflight = max(st.inflight-1, 0)
-	st.sends = st.sends[max(0, len(st.sends)-st.inflight):]
-	st.health.result(res)
-	st.noteResult(now, res)
+	st.unreportedSends = st.unreportedSends[max(0, len(st.unreportedSends)-st.inflight):]
+	st.health.recordResult(res)
+	st.recordResult(now, res)
 	if firstToken <= 0 {
 		return
 	}
-	st.health.sample(now)
+	st.health.recordSample(now)
 	if st.firstToken == 0 {
 		st.firstToken = firstToken
 		return
@@ -143,24 +143,24 @@
 	if st.reportedAt.IsZero() {
 		smoothing = 1
 	}
-	st.running += smoothing * (float64(r.TotalRunning()) - st.running)
-	st.drain += smoothing * (r.DrainPerSecond - st.drain)
+	st.avgRunning += smoothing * (float64(r.TotalRunning()) - st.avgRunning)
+	st.avgDrainRate += smoothing * (r.DrainPerSecond - st.avgDrainRate)
 }
 
-func (st *state) service() time.Duration {
-	if st.drain <= 0 {
+func (st *state) slotTime() time.Duration {
+	if st.avgDrainRate <= 0 {
 		return 0
 	}
-	return time.Duration(st.running / st.drain * float64(time.Second))
+	return time.Duration(st.avgRunning / st.avgDrainRate * float64(time.Second))
 }
 
 // fullRetention is how long an endpoint counts as full after it refused a request, unless a
 // report shows fewer requests. After that time other routers have reported its load.
-const fullFor = 250 * time.Millisecond
+const fullRetention = 250 * time.Millisecond
 
 // full reports whether the endpoint recently refused a request and has no fewer requests since.
 func (st *state) full(now time.Time) bool {
-	if st.refusedAt.IsZero() || now.Sub(st.refusedAt) > fullFor {
+	if st.refusedAt.IsZero() || now.Sub(st.refusedAt) > fullRetention {
 		return false
 	}
 	requests := st.load.TotalRunning() + st.load.TotalQueued()
--- a/internal/balance/suspect_test.go
+++ b/internal/balance/suspect_test.go
@@ -1,8 +1,8 @@
 package balance
 
 // An endpoint's process ends and restarts cold under the same name, behind a proxy that accepts
-// connections and resets them. The three other endpoints accept no requests at that time, so that all
-// go to the restarted one: it got 13 to 17 within a second and tolerated 12. Each router took
+// connections and resets them. The three other endpoints accept no requests at that time, so that
+// all go to the restarted one: it got 13 to 17 within a second and tolerated 12. Each router took
 // its first response for one of the previous process and sent it everything.
 
 import (
@@ -33,9 +33,9 @@
 					near = append(near, fmt.Sprint("r", j))
 				}
 			}
-			return endpointrate.Fleet{Known: true, Near: near, Domains: domains[:min(3, routers)]}
+			return endpointrate.Fleet{Known: true, OwnDomainRouters: near, Domains: domains[:min(3, routers)]}
 		}}
-		pools[i] = NewPool(Config{Policy: NewPromptAware(), Seed: uint64(i + 1), Part: share.Of})
+		pools[i] = NewPool(Config{Policy: NewPromptAware(), Seed: uint64(i + 1), RateShare: share.Rate})
 		pools[i].Views(epoch, all)
 		limitToZero(pools[i], epoch, all[1:])
 		pools[i].SetSuspect("e0", true)
@@ -47,7 +47,7 @@
 // tolerates 24 requests within a second.
 func TestRoutersTogetherLimitSuspectEndpointToColdRate(t *testing.T) {
 	const perSecond = 400
-	all := engines(4)
+	all := newEndpoints(4)
 	for _, routers := range []int{1, 3, 12, 31, 103, 300, 880} {
 		g := NewWithT(t)
 		pools := suspectFleet(routers, all)
@@ -88,13 +88,13 @@
 // limitToZero has the endpoints state that they accept no requests.
 func limitToZero(p *Pool, now time.Time, endpoints []*bundle.Endpoint) {
 	for _, e := range endpoints {
-		p.HearLimit(now, now, e.Name, upstream.RateLimit{Statement: upstream.LimitNamed})
+		p.ApplyLimit(now, now, e.Name, upstream.RateLimit{Statement: upstream.LimitNamed})
 	}
 }
 
 func TestSuspectEndpointIsLimitedToColdRate(t *testing.T) {
 	g := NewWithT(t)
-	all := engines(4)
+	all := newEndpoints(4)
 	p := NewPool(Config{Policy: NewPromptAware()})
 	p.Views(epoch, all)
 	limitToZero(p, epoch, all[1:])
@@ -106,7 +106,7 @@
 
 func TestRouterWithMostEndpointsSuspectDoesNotLimitThem(t *testing.T) {
 	g := NewWithT(t)
-	all := engines(4)
+	all := newEndpoints(4)
 	p := NewPool(Config{Policy: NewPromptAware()})
 	p.Views(epoch, all)
 	for _, e := range all[1:] {
@@ -118,11 +118,11 @@
 
 func TestMajoritySuspectIsTrueAboveHalf(t *testing.T) {
 	g := NewWithT(t)
-	all := engines(4)
+	all := newEndpoints(4)
 	p := NewPool(Config{Policy: NewPromptAware()})
 	p.Views(epoch, all)
 	for i, want := range []bool{false, false, true, true} {
 		p.SetSuspect(all[i].Name, true)
-		g.Expect(p.MostUnsure("e0")).To(Equal(want), "%d of 4", i+1)
+		g.Expect(p.MajoritySuspect("e0")).To(Equal(want), "%d of 4", i+1)
 	}
 }
--- a/internal/balance/unequal_play_test.go
+++ b/internal/balance/unequal_play_test.go
@@ -69,7 +69,7 @@
 type unequalStream struct {
 	kind        *unequalKind
 	prompt      prompt.Prompt
-	account     *Account
+	account     *TrackedRequest
 	router      int
 	sent        time.Time
 	unprefilled int
@@ -82,7 +82,7 @@
 // unequal is a simulation of routers in front of engines of which every third is slower.
 type unequal struct {
 	now     time.Time
-	events  happenings
+	events  eventQueue
 	rnd     *rand.Rand
 	pools   []*Pool
 	engines []*unequalEngine
@@ -119,8 +119,8 @@
 		if i == 0 {
 			first = policy
 		}
-		policy.HearOthers(func() Others {
-			return Others{Demand: demand.Times(float64(routers - 1)), Routers: routers - 1}
+		policy.SetPeerDemand(func() PeerDemand {
+			return PeerDemand{Demand: demand.Scale(float64(routers - 1)), Routers: routers - 1}
 		})
 		u.pools = append(u.pools, NewPool(Config{Policy: policy, Seed: uint64(i + 1)}))
 	}
@@ -153,14 +153,14 @@
 		})
 	}
 	for len(u.events) > 0 {
-		ev := heap.Pop(&u.events).(happening)
+		ev := heap.Pop(&u.events).(simEvent)
 		u.now = ev.at
 		ev.do(ev.at)
 	}
 	return u
 }
 
-func (u *unequal) runAt(at time.Time, do func(time.Time)) { heap.Push(&u.events, happening{at, do}) }
+func (u *unequal) runAt(at time.Time, do func(time.Time)) { heap.Push(&u.events, simEvent{at, do}) }
 
 func (u *unequal) randomKind() *unequalKind {
 	x := u.rnd.Float64()
@@ -176,15 +176,15 @@
 // exchangeReports exchanges load reports between the routers of each failure domain.
 func (u *unequal) exchangeReports(now time.Time) {
 	for domain := range unequalDomains {
-		var reports []LoadWord
+		var reports []LoadSummary
 		for i, p := range u.pools {
 			if i%unequalDomains == domain {
-				reports = append(reports, p.LoadWords(now, unequalMaxReportAge, 64, true)...)
+				reports = append(reports, p.RecentLoads(now, unequalMaxReportAge, 64, true)...)
 			}
 		}
 		for i, p := range u.pools {
 			if i%unequalDomains == domain {
-				p.HearLoads(now, reports)
+				p.ApplyPeerLoads(now, reports)
 			}
 		}
 	}
@@ -199,14 +199,14 @@
 		Tokens: k.sharedTokens + k.ownTokens, Output: unequalStride * k.events,
 	}
 	req := Request{Service: "llm", Tier: k.tier, Prompt: requestPrompt, MaxGap: k.gap, Stride: unequalStride, Objective: k.objective}
-	choice, err := u.pools[router].ChooseExpecting(now, req, candidates, nil)
-	if err != nil || choice.Wait-choice.Read > u.kinds[0].objective {
+	choice, err := u.pools[router].ChooseWithEstimates(now, req, candidates, nil)
+	if err != nil || choice.Wait-choice.PrefillTime > u.kinds[0].objective {
 		k.rejected++
 		return
 	}
 	r := &unequalStream{kind: k, prompt: requestPrompt, router: router, sent: now}
-	r.account = u.pools[router].SentWork(now, choice.Endpoint.Name, Work{
-		Service: req.Service, Tier: k.tier, Prompt: requestPrompt, Tight: choice.Tight, MaxGap: k.gap, Stride: unequalStride, Objective: k.objective,
+	r.account = u.pools[router].Track(now, choice.Endpoint.Name, Work{
+		Service: req.Service, Tier: k.tier, Prompt: requestPrompt, TightGap: choice.TightGap, MaxGap: k.gap, Stride: unequalStride, Objective: k.objective,
 	})
 	e := u.engines[slices.Index(candidates, choice.Endpoint)]
 	e.queued = append(e.queued, r)
@@ -222,7 +222,7 @@
 		case now.Sub(r.sent) >= unequalDeadline, r.lastEventAt.IsZero(), now.Sub(r.lastEventAt) >= r.kind.patience:
 			r.done = true
 			r.kind.timedOut++
-			r.account.Ended()
+			r.account.Release()
 			r.account.Done(now, ResultCancelled)
 		default:
 			u.cancelAfter(now, e, r)
@@ -308,8 +308,8 @@
 				r.longestGap = max(r.longestGap, now.Sub(r.lastEventAt))
 			}
 			r.lastEventAt = now
-			r.account.Heard(now)
-			r.account.Event(now)
+			r.account.DataReceived(now)
+			r.account.EventReceived(now)
 		}
 		if r.tokens >= r.prompt.Output {
 			r.finish(now)
@@ -330,7 +330,7 @@
 
 func (r *unequalStream) finish(now time.Time) {
 	r.done = true
-	r.account.Ended()
+	r.account.Release()
 	r.account.Done(now, ResultOK)
 	if r.longestGap > r.kind.gap {
 		r.kind.late++
