--- a/internal/balance/words_test.go
+++ b/internal/balance/words_test.go
@@ -16,7 +16,7 @@
 }
 
 // viewOf is the pool's view of the i-th endpoint.
-func viewOf(p *Pool, now time.Time, i int) View { return p.Views(now, engines(i+1))[i] }
+func viewOf(p *Pool, now time.Time, i int) View { return p.Views(now, newEndpoints(i+1))[i] }
 
 func TestNewestLoadReportWins(t *testing.T) {
 	g := NewWithT(t)
@@ -24,15 +24,15 @@
 	viewOf(p, epoch, 1) // adds both endpoints to the pool
 	p.Report(epoch, "e0", loadReport(10, 0))
 	at := epoch.Add(time.Second)
-	p.HearLoads(at, []LoadWord{{Endpoint: "e0", Running: 50, Queued: 7, AgeMillis: 100}, {Endpoint: "e9", Running: 3}})
+	p.ApplyPeerLoads(at, []LoadSummary{{Endpoint: "e0", Running: 50, Queued: 7, AgeMillis: 100}, {Endpoint: "e9", Running: 3}})
 	v := viewOf(p, at, 0)
 	g.Expect(v.Load.TotalRunning()).To(Equal(50))
 	g.Expect(v.Load.TotalQueued()).To(Equal(7))
 	g.Expect(v.Load.Slots).To(Equal(64))
 	g.Expect(v.ReportedAt).To(Equal(at.Add(-100 * time.Millisecond)))
-	p.HearLoads(at, []LoadWord{{Endpoint: "e0", Running: 1, AgeMillis: 400}})
+	p.ApplyPeerLoads(at, []LoadSummary{{Endpoint: "e0", Running: 1, AgeMillis: 400}})
 	g.Expect(viewOf(p, at, 0).Load.TotalRunning()).To(Equal(50), "an older report changes nothing")
-	g.Expect(p.LoadWords(at, time.Minute, 10, false)).To(HaveLen(1), "the pool doesn't know an endpoint it wasn't asked about")
+	g.Expect(p.RecentLoads(at, time.Minute, 10, false)).To(HaveLen(1), "the pool doesn't know an endpoint it wasn't asked about")
 }
 
 func TestPeerReportIncludesOnlyRequestsSentBeforeIt(t *testing.T) {
@@ -42,12 +42,12 @@
 		p.Sent(epoch.Add(time.Duration(i)*100*time.Millisecond), "e0")
 	}
 	now := epoch.Add(500 * time.Millisecond)
-	p.HearLoads(now, []LoadWord{{Endpoint: "e0", Running: 3, AgeMillis: 250}}) // at 250 ms
-	g.Expect(viewOf(p, now, 0).SinceReport).To(Equal(2))
+	p.ApplyPeerLoads(now, []LoadSummary{{Endpoint: "e0", Running: 3, AgeMillis: 250}}) // at 250 ms
+	g.Expect(viewOf(p, now, 0).OwnUnreported).To(Equal(2))
 	own := loadReport(5, 0)
 	own.Seq = 1
 	p.Report(now, "e0", own)
-	g.Expect(viewOf(p, now, 0).SinceReport).To(BeZero())
+	g.Expect(viewOf(p, now, 0).OwnUnreported).To(BeZero())
 }
 
 func TestRoutersReportTheNewestLoads(t *testing.T) {
@@ -58,10 +58,10 @@
 		p.Report(epoch.Add(time.Duration(i)*100*time.Millisecond), name, loadReport(i, 0))
 	}
 	now := epoch.Add(300 * time.Millisecond)
-	p.HearLoads(now, []LoadWord{{Endpoint: "e3", Running: 9, AgeMillis: 1}})
-	loads := p.LoadWords(now, 250*time.Millisecond, 10, true)
-	g.Expect(loads).To(Equal([]LoadWord{{Endpoint: "e2", Running: 2, AgeMillis: 100}, {Endpoint: "e1", Running: 1, AgeMillis: 200}}))
-	loads = p.LoadWords(now, time.Second, 2, false)
+	p.ApplyPeerLoads(now, []LoadSummary{{Endpoint: "e3", Running: 9, AgeMillis: 1}})
+	loads := p.RecentLoads(now, 250*time.Millisecond, 10, true)
+	g.Expect(loads).To(Equal([]LoadSummary{{Endpoint: "e2", Running: 2, AgeMillis: 100}, {Endpoint: "e1", Running: 1, AgeMillis: 200}}))
+	loads = p.RecentLoads(now, time.Second, 2, false)
 	g.Expect(loads).To(HaveLen(2))
 	g.Expect(loads[0].Endpoint).To(Equal("e3"))
 }
@@ -72,11 +72,11 @@
 	// the emptier endpoint.
 	views := []View{
 		{Endpoint: "full", Inflight: 1, Load: loadReport(60, 0), Weight: 1},
-		{Endpoint: "empty", Inflight: 1, SinceReport: 1, Load: loadReport(38, 0), Weight: 1},
+		{Endpoint: "empty", Inflight: 1, OwnUnreported: 1, Load: loadReport(38, 0), Weight: 1},
 	}
-	countOthers(views, 1, 1)
-	g.Expect(views[1].Since).To(BeNumerically("~", 33, 2), "extrapolated from one own request")
-	g.Expect(views[1].requests()).To(BeNumerically(">", views[0].requests()))
+	estimateOtherRouters(views, 1, 1)
+	g.Expect(views[1].EstimatedUnreported).To(BeNumerically("~", 33, 2), "extrapolated from one own request")
+	g.Expect(views[1].estimatedRequests()).To(BeNumerically(">", views[0].estimatedRequests()))
 }
 
 // Without load reports, the requests of all routers are extrapolated from this router's, with less
@@ -84,13 +84,13 @@
 func TestUnreportedLoadIsExtrapolated(t *testing.T) {
 	g := NewWithT(t)
 	heavy := []View{{Inflight: 30}, {Inflight: 10}}
-	countOthers(heavy, 0.2, 1)
-	g.Expect(heavy[0].Expected).To(BeNumerically("~", 150, 8))
-	g.Expect(heavy[1].Expected).To(BeNumerically("~", 50, 8))
+	estimateOtherRouters(heavy, 0.2, 1)
+	g.Expect(heavy[0].EstimatedInflight).To(BeNumerically("~", 150, 8))
+	g.Expect(heavy[1].EstimatedInflight).To(BeNumerically("~", 50, 8))
 	light := []View{{Inflight: 2}, {}, {}, {}, {}}
-	countOthers(light, 0.05, 1)
-	g.Expect(light[0].Expected).To(BeNumerically("<", 20))
+	estimateOtherRouters(light, 0.05, 1)
+	g.Expect(light[0].EstimatedInflight).To(BeNumerically("<", 20))
 	reported := []View{{Inflight: 30, ReportedAt: epoch}}
-	countOthers(reported, 0.2, 1)
-	g.Expect(reported[0].Expected).To(BeZero())
+	estimateOtherRouters(reported, 0.2, 1)
+	g.Expect(reported[0].EstimatedInflight).To(BeZero())
 }
--- a/internal/balance/work.go
+++ b/internal/balance/work.go
@@ -13,7 +13,7 @@
 	Tier    int    // as in Request
 	Prompt  prompt.Prompt
 	// TightGap is set if long prompts beside the stream make it exceed its gap limit.
-	Tight bool
+	TightGap bool
 	// MaxGap and Stride are as in Request.
 	MaxGap time.Duration
 	Stride int
@@ -23,7 +23,7 @@
 
 // TrackedRequest tracks a request in the pool's state of its endpoint. Release and PrefillDone
 // take effect once.
-type Account struct {
+type TrackedRequest struct {
 	pool     *Pool
 	endpoint string
 	// state belongs to the process to which the request was sent. Later results aren't attributed
@@ -53,9 +53,9 @@
 }
 
 // Track is Sent for a request with known work, and returns the TrackedRequest.
-func (p *Pool) SentWork(now time.Time, endpoint string, w Work) *Account {
-	a := &Account{
-		pool: p, endpoint: endpoint, tier: min(w.Tier, maxTiers-1), tightGap: w.Tight,
+func (p *Pool) Track(now time.Time, endpoint string, w Work) *TrackedRequest {
+	a := &TrackedRequest{
+		pool: p, endpoint: endpoint, tier: min(w.Tier, maxTiers-1), tightGap: w.TightGap,
 		sent: now, service: w.Service, maxGap: w.MaxGap, objective: w.Objective, pace: eventPace{stride: float64(w.Stride)},
 	}
 	sh := p.shard(endpoint)
@@ -66,15 +66,15 @@
 }
 
 // register adds the request to the state of its endpoint, whose shard is locked.
-func (a *Account) register(st *state, w Work) {
+func (a *TrackedRequest) register(st *state, w Work) {
 	a.state = st
-	a.statedLimit = st.bound.limit.named
-	if !a.statedLimit && !a.sent.Before(st.bound.coldUntil) {
-		a.speeds = st.engines // a cold endpoint or one with a stated rate limit isn't typical of its group
+	a.statedLimit = st.rateState.limit.active
+	if !a.statedLimit && !a.sent.Before(st.rateState.coldUntil) {
+		a.speeds = st.speeds // a cold endpoint or one with a stated rate limit isn't typical of its group
 	}
 	st.recordSent(a.sent)
 	st.inflightByTier[a.tier]++
-	if w.Tight {
+	if w.TightGap {
 		st.tightGapStreams++
 	}
 	if w.Prompt.Tokens > 0 {
@@ -90,7 +90,7 @@
 	if st.cachedParts == nil {
 		st.cachedParts = make(recentParts)
 	}
-	st.cachedParts.use(now, p)
+	st.cachedParts.record(now, p)
 	return tokens
 }
 
@@ -105,20 +105,20 @@
 }
 
 // DataReceived records that any part of a response arrived from the endpoint.
-func (a *Account) Heard(now time.Time) {
+func (a *TrackedRequest) DataReceived(now time.Time) {
 	a.update(func(st *state) {
 		if a.speeds != nil {
-			a.speeds.sawQuiet(now.Sub(st.quietSince))
+			a.speeds.recordResponseGap(now.Sub(st.waitingSince))
 		}
-		st.quietSince, st.heardAt = now, now
+		st.waitingSince, st.lastResponseAt = now, now
 	})
 }
 
 // EventReceived records an event of the response. It isn't safe for concurrent use.
-func (a *Account) Event(now time.Time) {
+func (a *TrackedRequest) EventReceived(now time.Time) {
 	if a.firstEventAt.IsZero() {
 		a.firstEventAt = now
-		a.Read()
+		a.PrefillDone()
 		if a.measuresPrefill && a.speeds != nil {
 			a.speeds.recordFirstToken(now.Sub(a.sent).Seconds(), a.promptTokens)
 		}
@@ -133,7 +133,7 @@
 
 // PrefillDone records that the prompt is prefilled or no longer needs to be. Further calls have
 // no effect.
-func (a *Account) Read() {
+func (a *TrackedRequest) PrefillDone() {
 	a.prefillOnce.Do(func() {
 		a.update(func(st *state) { st.pendingPrefill[a.tier] = max(0, st.pendingPrefill[a.tier]-a.promptTokens) })
 	})
@@ -141,8 +141,8 @@
 
 // Release records that the request no longer holds a slot at its endpoint. Further calls have no
 // effect.
-func (a *Account) Ended() {
-	a.Read()
+func (a *TrackedRequest) Release() {
+	a.PrefillDone()
 	a.releaseOnce.Do(func() {
 		a.update(func(st *state) {
 			st.inflightByTier[a.tier] = max(0, st.inflightByTier[a.tier]-1)
@@ -150,21 +150,21 @@
 				st.tightGapStreams = max(0, st.tightGapStreams-1)
 			}
 		})
-		if learner, ok := a.pool.cfg.Policy.(Learner); ok && !a.firstEventAt.IsZero() && !a.statedLimit {
-			learner.Ended(a.pace.last, a.service, a.maxGap, a.pace.last.Sub(a.sent), a.late())
+		if learner, ok := a.pool.cfg.Policy.(StreamObserver); ok && !a.firstEventAt.IsZero() && !a.statedLimit {
+			learner.StreamEnded(a.pace.last, a.service, a.maxGap, a.pace.last.Sub(a.sent), a.late())
 		}
 	})
 }
 
 // late reports whether the response exceeded its objective or maximum gap.
-func (a *Account) late() bool {
+func (a *TrackedRequest) late() bool {
 	firstEventLate := a.objective > 0 && a.firstEventAt.Sub(a.sent) > a.objective
 	gapExceeded := a.maxGap > 0 && a.pace.longestGap > a.maxGap
 	return firstEventLate || gapExceeded
 }
 
 // Refused records that the endpoint refused the request for lack of capacity.
-func (a *Account) Refused(now time.Time) {
+func (a *TrackedRequest) Refused(now time.Time) {
 	a.update(func(st *state) {
 		st.refusedAt, st.requestsAtRefusal = now, st.load.TotalRunning()+st.load.TotalQueued()
 	})
@@ -172,19 +172,19 @@
 
 // Done records the outcome of the request. Times to first token depend on the prompts rather than
 // the endpoints, so that they aren't compared between endpoints.
-func (a *Account) Done(now time.Time, res Result) {
+func (a *TrackedRequest) Done(now time.Time, res Result) {
 	if a.statedLimit {
 		res = ResultCancelled // doesn't affect the endpoint's health
 	}
 	failing := false
 	a.update(func(st *state) {
-		st.recordDone(now, res, 0, a.pool.cfg.FirstTokenShare)
-		failing = res == ResultFailed && st.health.failures > a.pool.cfg.Outlier.FailureShare
+		st.recordDone(now, res, 0, a.pool.cfg.FirstTokenSmoothing)
+		failing = res == ResultFailed && st.health.failureShare > a.pool.cfg.Outlier.FailureShare
 	})
-	a.pool.detect(now, failing)
+	a.pool.detectOutliers(now, failing)
 }
 
-func (a *Account) update(f func(*state)) {
+func (a *TrackedRequest) update(f func(*state)) {
 	sh := a.pool.shard(a.endpoint)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
--- a/internal/cli/rolloutcmd/bench.go
+++ b/internal/cli/rolloutcmd/bench.go
@@ -44,7 +44,7 @@
 }
 
 // Run measures with a service that is up.
-func (c *RolloutCmd) Run(env *cli.Env) error { return c.measure(env, measure.TroubleNone) }
+func (c *RolloutCmd) Run(env *cli.Env) error { return c.measure(env, measure.FaultNone) }
 
 // StaleCmd is the command "bench stale-config".
 type StaleCmd struct {
@@ -58,7 +58,7 @@
 }
 
 // Run measures with a service that is stale for some and dead for others.
-func (c *StaleCmd) Run(env *cli.Env) error { return c.measure(env, measure.TroubleStale) }
+func (c *StaleCmd) Run(env *cli.Env) error { return c.measure(env, measure.FaultStaleAndDown) }
 
 // result is what is printed as JSON.
 type result struct {
@@ -66,7 +66,7 @@
 	Slopes []measure.Slope `json:"slopes"`
 }
 
-func (s *sizes) measure(env *cli.Env, trouble measure.Trouble) error {
+func (s *sizes) measure(env *cli.Env, trouble measure.ServiceFault) error {
 	if err := s.check(); err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 		for _, mode := range modes {
 			fmt.Fprintf(env.Stderr, "%d processes, %s ...\n", nodes, mode)
 			p, err := measure.Run(env.Ctx, measure.Scenario{
-				Nodes: nodes, Domains: s.Domains, Mode: mode, Trouble: trouble,
+				Nodes: nodes, Domains: s.Domains, Mode: mode, Fault: trouble,
 				Changes: s.Changes, Every: s.Every, RestartShare: s.Restart,
 			})
 			if err != nil {
@@ -132,7 +132,7 @@
 			fmt.Sprintf("%.0f", p.BytesPerSecond), fmt.Sprintf("%.0f", p.MaxBytesPerSecond), fmt.Sprintf("%.2f%%", 100*p.CPUShare),
 			fmt.Sprintf("%.3fs", p.InForce.P50), fmt.Sprintf("%.3fs", p.InForce.P99), fmt.Sprintf("%.3fs", p.InForce.Max),
 			fmt.Sprintf("%.1f%%", 100*p.NeverInForce), fmt.Sprintf("%.3fs", p.Ready.P50), fmt.Sprintf("%.3fs", p.Ready.Max),
-			p.ReadyBelow, p.SureBelow, p.Backwards})
+			p.ReadyBelow, p.ConfirmedBelow, p.Backwards})
 	}
 	return t.Render()
 }
--- a/internal/cli/rolloutcmd/status.go
+++ b/internal/cli/rolloutcmd/status.go
@@ -60,7 +60,7 @@
 	}
 	pool := control.NewPool(control.ClientConfig{Identity: id}, 0)
 	defer pool.Close()
-	surveyor := rollout.NewSurveyor(pool)
+	surveyor := rollout.NewStatusClient(pool)
 	if c.Watch == 0 {
 		return c.show(env, surveyor)
 	}
@@ -80,7 +80,7 @@
 }
 
 // watch shows the status at each interval; failures are told and tried again.
-func (c *StatusCmd) watch(env *cli.Env, s *rollout.Surveyor) error {
+func (c *StatusCmd) watch(env *cli.Env, s *rollout.StatusClient) error {
 	tick := time.NewTicker(c.Watch)
 	defer tick.Stop()
 	for {
@@ -98,8 +98,8 @@
 // errLags is the verdict of --strict.
 var errLags = errors.New("not every process has the highest version in force")
 
-func (c *StatusCmd) show(env *cli.Env, s *rollout.Surveyor) error {
-	survey, err := s.Ask(env.Ctx, c.Router)
+func (c *StatusCmd) show(env *cli.Env, s *rollout.StatusClient) error {
+	survey, err := s.Query(env.Ctx, c.Router)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/rolloutcmd/table.go
+++ b/internal/cli/rolloutcmd/table.go
@@ -17,7 +17,7 @@
 )
 
 // render draws a survey for a terminal.
-func render(s *rollout.Survey, now time.Time, all bool) string {
+func render(s *rollout.FleetStatus, now time.Time, all bool) string {
 	lagging := s.Lagging()
 	list := lagging
 	if all || len(s.Processes) <= listAll {
@@ -40,7 +40,7 @@
 	return strings.TrimSuffix(out.String(), "\n")
 }
 
-func processTable(s *rollout.Survey, list []rollout.ProcessStatus) string {
+func processTable(s *rollout.FleetStatus, list []rollout.ProcessStatus) string {
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
 	t.Style().Format.Header = text.FormatDefault
@@ -54,7 +54,7 @@
 }
 
 func heard(p rollout.ProcessStatus) string {
-	if p.AgeMillis == rollout.NeverHeard {
+	if p.AgeMillis == rollout.NeverReported {
 		return "never"
 	}
 	return age(p.AgeMillis) + " ago"
@@ -66,15 +66,15 @@
 }
 
 // note says what is wrong with a process.
-func note(s *rollout.Survey, p rollout.ProcessStatus) string {
+func note(s *rollout.FleetStatus, p rollout.ProcessStatus) string {
 	var notes []string
 	switch {
-	case p.AgeMillis == rollout.NeverHeard:
+	case p.AgeMillis == rollout.NeverReported:
 		notes = append(notes, "not heard of")
 	case s.Lags(p):
 		notes = append(notes, "lags")
 	}
-	if p.NoService {
+	if p.ServiceUnusable {
 		notes = append(notes, "reads the service in vain")
 	}
 	return strings.Join(notes, ", ")
--- a/internal/daemon/bundles.go
+++ b/internal/daemon/bundles.go
@@ -29,7 +29,7 @@
 // bundles keeps a process's bundle up to date.
 type bundles struct {
 	node     *rollout.Node
-	services []*rollout.Service
+	services []*rollout.ServiceClient
 	log      zerolog.Logger
 	ready    chan struct{} // closed when there is a bundle to serve by
 	stop     context.CancelFunc
@@ -51,7 +51,7 @@
 		if err != nil {
 			return nil, cli.BadInput(errors.Wrap(err, "config_service"))
 		}
-		b.services = append(b.services, rollout.NewService(base, nil))
+		b.services = append(b.services, rollout.NewServiceClient(base, nil))
 	}
 	var once sync.Once
 	b.node = rollout.New(rollout.Config{
@@ -97,7 +97,7 @@
 	if err != nil {
 		return cli.BadInput(err)
 	}
-	err = b.node.Begin(file)
+	err = b.node.AcceptFile(file)
 	if errors.Is(err, bundle.ErrExpired) {
 		b.log.Warn().Err(err).Msg("the bundle file only tells which other processes there are")
 		return nil
@@ -108,16 +108,16 @@
 	return nil
 }
 
-func readBundle(file string) (rollout.WholeFile, error) {
+func readBundle(file string) (rollout.BundleFile, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
-		return rollout.WholeFile{}, errors.Wrap(err, "bundle")
+		return rollout.BundleFile{}, errors.Wrap(err, "bundle")
 	}
 	sig, err := os.ReadFile(file + bundle.SignatureSuffix)
 	if err != nil {
-		return rollout.WholeFile{}, errors.Wrap(err, "bundle's signature")
+		return rollout.BundleFile{}, errors.Wrap(err, "bundle's signature")
 	}
-	return rollout.WholeFile{Source: string(src), Signature: string(sig)}, nil
+	return rollout.BundleFile{Source: string(src), Signature: string(sig)}, nil
 }
 
 // first waits for a bundle to serve by: one that others confirm, or the one at
--- a/internal/daemon/direct.go
+++ b/internal/daemon/direct.go
@@ -145,8 +145,8 @@
 	d.ready = telemetry.NewReadiness(gateServing)
 	policy := balance.NewPromptAware()
 	d.pool = balance.NewPool(balance.Config{
-		Policy: policy, Seed: membership.SeedOf(cfg.VM), Part: d.part, OnLimit: d.logLimit,
-		OnSilentDomain: d.logSilentDomain,
+		Policy: policy, Seed: membership.SeedOf(cfg.VM), RateShare: d.part, OnLimit: d.logLimit,
+		OnDomainEvent: d.logSilentDomain,
 	})
 	d.registerLimits()
 	d.registerSilences()
@@ -162,9 +162,9 @@
 		OnConfig:    d.logNowhere,
 	})
 	if d.peers != nil {
-		d.peers.Tell(d.follower)
+		d.peers.SetState(d.follower)
 		d.peers.ShareDemand(func() balance.Demand { return policy.Demand(time.Now()) })
-		policy.HearOthers(d.peers.OthersDemand)
+		policy.SetPeerDemand(d.peers.PeerDemand)
 		d.peers.ShareLoads(d.pool)
 		d.peers.ShareFailures(d.pool)
 		d.peers.SharePoison(d.poison)
@@ -231,13 +231,13 @@
 func (d *directRouter) table() *route.Table {
 	t := d.follower.Table()
 	if t == nil && d.peers != nil {
-		d.peers.Hurry()
+		d.peers.SkipPeerWait()
 	}
 	return t
 }
 
 func (d *directRouter) endpoints(service string) []*bundle.Endpoint {
-	return d.follower.Directory().For(service)
+	return d.follower.Directory().ByService(service)
 }
 
 // regionOf is the region of an endpoint's failure domain, empty if the settings don't name it.
--- a/internal/daemon/directlimits.go
+++ b/internal/daemon/directlimits.go
@@ -9,7 +9,7 @@
 // logLimit writes a line when an endpoint names a limit, another one, or none any more.
 func (d *directRouter) logLimit(e balance.LimitEvent) {
 	line := d.log.Info().Str("endpoint", e.Endpoint).Bool("from_router", e.FromPeer)
-	if !e.Named {
+	if !e.Limited {
 		line.Msg("endpoint no longer limits its requests")
 		return
 	}
@@ -19,17 +19,17 @@
 // registerLimits has metrics tell of the limits that endpoints name. Summed over the routers,
 // parts are what may be sent and requests what is; the limits are the same at each.
 func (d *directRouter) registerLimits() {
-	gauge := func(name, help string, value func(balance.LimitSum) float64) {
+	gauge := func(name, help string, value func(balance.LimitTotals) float64) {
 		d.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 {
 			return value(d.pool.Limits())
 		}))
 	}
 	gauge("coveferry_limited_endpoints", "Endpoints that limit how many requests a second they take from all routers.",
-		func(s balance.LimitSum) float64 { return float64(s.Endpoints) })
+		func(s balance.LimitTotals) float64 { return float64(s.Endpoints) })
 	gauge("coveferry_limited_endpoints_requests_per_second", "What these endpoints take together from all routers.",
-		func(s balance.LimitSum) float64 { return s.PerSecond })
+		func(s balance.LimitTotals) float64 { return s.PerSecond })
 	gauge("coveferry_limited_endpoints_part_requests_per_second", "This router's part of what these endpoints take.",
-		func(s balance.LimitSum) float64 { return s.Part })
+		func(s balance.LimitTotals) float64 { return s.Share })
 	d.reg.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "coveferry_limited_endpoints_requests_total",
 		Help: "Requests and health checks that this router sent to endpoints while they limited them.",
--- a/internal/daemon/directlist.go
+++ b/internal/daemon/directlist.go
@@ -45,7 +45,7 @@
 // itself.
 func (l *endpointList) returning(name string) {
 	entry, ok := l.d.follower.Directory().Entry(name)
-	if !ok || l.d.pool.MostUnsure(name) {
+	if !ok || l.d.pool.MajoritySuspect(name) {
 		return
 	}
 	cold := l.service(entry.Endpoint.Services).Cold
@@ -62,7 +62,7 @@
 	last := l.last
 	l.last = dir
 	entries := dir.Entries()
-	l.d.log.Info().Int("endpoints", len(entries)).Int("kept", dir.Kept()).Strs("evacuated", dir.Evacuated()).
+	l.d.log.Info().Int("endpoints", len(entries)).Int("kept", dir.KeptCount()).Strs("evacuated", dir.Evacuated()).
 		Uint64("revision", dir.Revision()).Msg("list of endpoints changed")
 	l.logEvacuations(last, dir)
 	places := make([]membership.Place, len(entries))
@@ -71,7 +71,7 @@
 		places[i] = membership.Place{
 			Endpoint: e.Endpoint.Name, VM: e.Endpoint.VM, Address: e.Endpoint.Address, Incarnation: e.Endpoint.Process(),
 		}
-		vms[i] = membership.VM{Name: e.Endpoint.VM, Leaving: !dir.TakesWork(e.Endpoint.Name)}
+		vms[i] = membership.VM{Name: e.Endpoint.VM, Leaving: !dir.AcceptsWork(e.Endpoint.Name)}
 	}
 	l.d.members.Learn(membership.Bundle{Places: places})
 	// What is cold is known before it takes work again.
@@ -147,7 +147,7 @@
 func (l *endpointList) evacuatedRequests() int {
 	open := 0
 	for _, e := range l.evacuatedEndpoints() {
-		open += l.d.pool.Open(e.Endpoint.Name)
+		open += l.d.pool.Inflight(e.Endpoint.Name)
 	}
 	return open
 }
@@ -173,7 +173,7 @@
 	}
 	if health.RateLimit.Statement == upstream.LimitNamed {
 		// That a check names none says little: answers to requests do.
-		l.d.pool.HearLimit(time.Now(), sent, name, health.RateLimit)
+		l.d.pool.ApplyLimit(time.Now(), sent, name, health.RateLimit)
 	}
 	return health.Sent, err
 }
--- a/internal/daemon/directlist_test.go
+++ b/internal/daemon/directlist_test.go
@@ -21,8 +21,8 @@
 // oneEndpoint is a store with an endpoint in a failure domain that is evacuated.
 type oneEndpoint struct{ follow.Store }
 
-func (oneEndpoint) Orders(context.Context) (follow.Orders, error) {
-	return follow.Orders{Config: &route.Config{Version: 1}, Evacuated: []string{"x"}, Revision: 1}, nil
+func (oneEndpoint) OperatorState(context.Context) (follow.OperatorState, error) {
+	return follow.OperatorState{Config: &route.Config{Version: 1}, Evacuated: []string{"x"}, Revision: 1}, nil
 }
 
 func (oneEndpoint) Page(context.Context, string, bool) (follow.Page, error) {
@@ -54,7 +54,7 @@
 	_, err = d.list.health(ctx, "e")
 	g.Expect(err).To(MatchError(membership.ErrNotAsked))
 	g.Expect(asked).To(BeZero())
-	g.Expect(d.pool.TakesWork("e")).To(BeFalse())
+	g.Expect(d.pool.AcceptsWork("e")).To(BeFalse())
 }
 
 // One that limits its requests gets no more checks than requests.
@@ -89,6 +89,6 @@
 // endpointInUse is a store with an endpoint that may be sent work.
 type endpointInUse struct{ oneEndpoint }
 
-func (endpointInUse) Orders(context.Context) (follow.Orders, error) {
-	return follow.Orders{Config: &route.Config{Version: 1}, Revision: 1}, nil
+func (endpointInUse) OperatorState(context.Context) (follow.OperatorState, error) {
+	return follow.OperatorState{Config: &route.Config{Version: 1}, Revision: 1}, nil
 }
--- a/internal/daemon/directpeers.go
+++ b/internal/daemon/directpeers.go
@@ -50,15 +50,15 @@
 			VM: d.cfg.VM, FailureDomain: d.cfg.FailureDomain, Address: d.cfg.Control,
 			Cores: d.cfg.Cores, LinkMbps: d.cfg.LinkMbps,
 		},
-		FailureDomains: slices.Sorted(maps.Keys(d.cfg.Regions)),
-		Seeds:          d.cfg.Seeds,
-		Source:         reader,
-		Pool:           control.NewPool(control.ClientConfig{Log: d.log}, 0),
-		Every:          peerEvery,
-		MaxAge:         peerAge(d.cfg.Bounds),
-		Outage:         timing(d.cfg.Bounds).Outage,
-		Log:            d.log,
-		Metrics:        d.reg,
+		FailureDomains:  slices.Sorted(maps.Keys(d.cfg.Regions)),
+		Seeds:           d.cfg.Seeds,
+		Origin:          reader,
+		Pool:            control.NewPool(control.ClientConfig{Log: d.log}, 0),
+		PollInterval:    peerEvery,
+		MaxAge:          peerAge(d.cfg.Bounds),
+		OutageThreshold: timing(d.cfg.Bounds).OutageThreshold,
+		Log:             d.log,
+		Metrics:         d.reg,
 	})
 	d.peers.Register(d.control)
 	d.share = endpointrate.Share{Self: d.cfg.VM, Domain: d.cfg.FailureDomain, Fleet: d.peers.Fleet}
@@ -81,17 +81,17 @@
 	if d.peers == nil {
 		return 0
 	}
-	return d.peers.SourceLost()
+	return d.peers.OriginUnavailableFor()
 }
 
 // routers is how many routers there are, as far as this one has heard.
 func (d *directRouter) routers() int {
 	if d.peers == nil {
-		return peers.LargestFleet
+		return peers.AssumedFleetSize
 	}
-	others := d.peers.Others()
+	others := d.peers.PeerCount()
 	if others == 0 {
-		return peers.LargestFleet
+		return peers.AssumedFleetSize
 	}
 	return 1 + others
 }
@@ -99,7 +99,7 @@
 // part is this router's part, in requests a second, of what an endpoint takes from all routers.
 func (d *directRouter) part(now time.Time, b endpointrate.Bound) float64 {
 	if d.peers == nil {
-		return b.PerSecond / peers.LargestFleet // it hears of no other
+		return b.PerSecond / peers.AssumedFleetSize // it hears of no other
 	}
-	return d.share.Of(now, b)
+	return d.share.Rate(now, b)
 }
--- a/internal/daemon/directreading.go
+++ b/internal/daemon/directreading.go
@@ -51,13 +51,13 @@
 
 // timing is how the source is asked so that the operator's bounds hold.
 func timing(b DirectBounds) follow.Timing {
-	t := follow.Timing{Wait: waitFor(b), Slack: watchSlack, Pace: defaultPace, Return: listReturn}
+	t := follow.Timing{Wait: waitFor(b), Slack: watchSlack, MinInterval: defaultPace, EntryReturnTime: listReturn}
 	if b.DrainWithin > 0 {
 		spare := b.DrainWithin - (t.Wait + t.Slack + readTimeout)
 		pace := max(time.Duration(paceShare*float64(b.DrainWithin)), min(t.Wait, time.Duration(spareShare*float64(spare))))
-		t.Pace = max(minPace, pace)
+		t.MinInterval = max(minPace, pace)
 	}
-	t.Outage = peerWaits*t.Wait + outageSlacks*t.Slack
+	t.OutageThreshold = peerWaits*t.Wait + outageSlacks*t.Slack
 	return t
 }
 
--- a/internal/daemon/directreading_test.go
+++ b/internal/daemon/directreading_test.go
@@ -33,10 +33,10 @@
 			g := NewWithT(t)
 			got := timing(c.bounds)
 			g.Expect(got.Wait.Round(time.Microsecond)).To(Equal(c.wait))
-			g.Expect(got.Pace).To(Equal(c.pace))
+			g.Expect(got.MinInterval).To(Equal(c.pace))
 			// A router that asks another one sees knowledge that is two waits old
 			// become fresh from one question to the next.
-			g.Expect(got.Outage).To(BeNumerically(">", 2*got.Wait+peerEvery+got.Slack))
+			g.Expect(got.OutageThreshold).To(BeNumerically(">", 2*got.Wait+peerEvery+got.Slack))
 			// What a reader knows in calm times has to be good enough for others,
 			// whichever bounds are in force.
 			g.Expect(peerAge(c.bounds)).To(BeNumerically(">=", 2*got.Wait+peerEvery))
@@ -49,7 +49,7 @@
 		for _, b := range []DirectBounds{{DrainWithin: within}, {ConfigWithin: within}, {DrainWithin: within, ConfigWithin: 2 * within}} {
 			got := timing(b)
 			NewWithT(t).Expect(got.Wait+got.Slack+readTimeout).To(BeNumerically("<", within), "%+v", b)
-			if spare := got.Wait + got.Slack + readTimeout + got.Pace; b.DrainWithin >= 3*time.Second {
+			if spare := got.Wait + got.Slack + readTimeout + got.MinInterval; b.DrainWithin >= 3*time.Second {
 				NewWithT(t).Expect(spare).To(BeNumerically("<", within), "after a pause, %+v", b)
 			}
 		}
--- a/internal/daemon/directretries.go
+++ b/internal/daemon/directretries.go
@@ -25,7 +25,7 @@
 func directRetries(b DirectBounds, routers func() int, seed uint64) *retry.Policy {
 	ratio, floor := retryShares(b)
 	return &retry.Policy{ChargeAll: true, Budget: retry.NewBudget(retry.BudgetConfig{
-		Ratio: ratio, Window: b.RetryWindow, Floor: floor, Routers: routers, Began: time.Now(), Seed: seed,
+		Ratio: ratio, Window: b.RetryWindow, Floor: floor, Routers: routers, Started: time.Now(), Seed: seed,
 	})}
 }
 
@@ -33,7 +33,7 @@
 func retryShares(b DirectBounds) (ratio, floor float64) {
 	ratio, floor = budgetShare*b.RetryRatio, retryFloor
 	if b.RetryBounded && b.RetryRatio == 0 {
-		ratio = retry.None
+		ratio = retry.ExplicitZero
 	}
 	if b.RetrySlack > 0 && b.RetryWindow > 0 {
 		floor = slackShare * b.RetrySlack / b.RetryWindow.Seconds()
@@ -67,7 +67,7 @@
 
 // Collect implements prometheus.Collector.
 func (u retryUsage) Collect(metrics chan<- prometheus.Metric) {
-	for service, usage := range u.budget.UsageOfAll(time.Now()) {
+	for service, usage := range u.budget.UsageByTarget(time.Now()) {
 		metrics <- prometheus.MustNewConstMetric(u.retries, prometheus.GaugeValue, float64(usage.Retries), service)
 		metrics <- prometheus.MustNewConstMetric(u.allowed, prometheus.GaugeValue, usage.Allowed, service)
 	}
--- a/internal/daemon/directretries_test.go
+++ b/internal/daemon/directretries_test.go
@@ -17,7 +17,7 @@
 	g := NewWithT(t)
 	policy := directRetries(DirectBounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 52}, func() int { return 3 }, 1)
 	for range 20 {
-		policy.First(time.Now(), "s", 0)
+		policy.RecordFirst(time.Now(), "s", 0)
 	}
 	g.Expect(policy.Decide(retry.Attempt{Number: 1, Target: "s", Outcome: retry.OutcomeNotRun}, time.Now(), 0).Action).To(Equal(retry.ActionRetry))
 	reg := prometheus.NewRegistry()
@@ -44,8 +44,8 @@
 		now := time.Now().Add(time.Minute) // they have run for a while
 		for i := range routers {
 			policy := directRetries(DirectBounds{RetryRatio: ratio, RetryWindow: 10 * time.Second}, func() int { return routers }, uint64(i+1))
-			policy.First(now, "s", 0)
-			parts += policy.Budget.UsageOfAll(now)["s"].Allowed
+			policy.RecordFirst(now, "s", 0)
+			parts += policy.Budget.UsageByTarget(now)["s"].Allowed
 		}
 		NewWithT(t).Expect(parts).To(BeNumerically("<=", ratio*float64(routers)+floor), "%d routers", routers)
 	}
@@ -59,7 +59,7 @@
 	now := time.Now().Add(time.Minute)
 	made := func(policy *retry.Policy) (n int) {
 		for range 1000 {
-			policy.First(now, "s", 0)
+			policy.RecordFirst(now, "s", 0)
 		}
 		for policy.Budget.TryRetry(now, "s", 0) {
 			n++
@@ -83,9 +83,9 @@
 	d.retries = directRetries(bounds, func() int { return 1 }, 1).Budget
 	now := time.Now().Add(time.Minute)
 	for range 100 {
-		d.retries.First(now, "s", 0)
+		d.retries.RecordFirst(now, "s", 0)
 	}
-	allowed := func() float64 { return d.retries.UsageOfAll(now)["s"].Allowed }
+	allowed := func() float64 { return d.retries.UsageByTarget(now)["s"].Allowed }
 	g.Expect(allowed()).To(BeNumerically("~", 0.15*100+26, 1e-9))
 	for _, c := range []struct{ ratio, slack, want float64 }{{0.1, 20, 0.075*100 + 10}, {0, 20, 10}, {0, 0, 1}, {0.4, 100, 0.3*100 + 50}} {
 		bounds.RetryRatio, bounds.RetrySlack = c.ratio, c.slack
--- a/internal/daemon/directsettings.go
+++ b/internal/daemon/directsettings.go
@@ -45,7 +45,7 @@
 	}
 	changed := bounds != *d.bounds.Load()
 	d.bounds.Store(&bounds)
-	d.retries.Allow(retryShares(bounds))
+	d.retries.SetLimits(retryShares(bounds))
 	if asked || changed {
 		d.log.Info().Bool("changed", changed).Dur("max_key_age", d.maxKeyAge()).Msg("settings read again")
 	}
--- a/internal/daemon/directsilence.go
+++ b/internal/daemon/directsilence.go
@@ -14,26 +14,26 @@
 // though requests are open there. The requests themselves wait on, but for streams
 // that go on from copies once the endpoint is taken for lost.
 func (d *directRouter) watchSilence(ctx context.Context) {
-	tick := time.NewTicker(balance.SilenceTick)
+	tick := time.NewTicker(balance.UnresponsiveCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-tick.C:
-			for _, endpoint := range d.pool.Silent(now, balance.SilenceLimit) {
+			for _, endpoint := range d.pool.CheckUnresponsive(now, balance.UnresponsiveTimeout) {
 				d.members.Learn(membership.Silence{Endpoint: endpoint})
 			}
-			d.router.LeaveSilent(d.pool.Lost())
+			d.router.LeaveSilent(d.pool.PresumedDown())
 		}
 	}
 }
 
 // logSilentDomain writes a line when nothing is heard of a failure domain any more, and when
 // something is again.
-func (d *directRouter) logSilentDomain(e balance.SilentDomain) {
+func (d *directRouter) logSilentDomain(e balance.DomainEvent) {
 	line := d.log.Warn().Str("failure_domain", e.FailureDomain).Str("of", e.Group)
-	if !e.Silent {
+	if !e.Unresponsive {
 		line.Msg("failure domain is no longer avoided for its silence")
 		return
 	}
@@ -45,5 +45,5 @@
 	d.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "coveferry_silent_failure_domains",
 		Help: "Failure domains of a service that get no new work, as nothing is heard of their endpoints.",
-	}, func() float64 { return float64(d.pool.SilentDomains()) }))
+	}, func() float64 { return float64(d.pool.UnresponsiveDomainCount()) }))
 }
--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -38,5 +38,5 @@
 
 // place has the runner act by a bundle.
 func place(r *placement.Runner) func(*bundle.Snapshot) {
-	return func(s *bundle.Snapshot) { r.Follow(s.Bundle()) }
+	return func(s *bundle.Snapshot) { r.SetBundle(s.Bundle()) }
 }
--- a/internal/daemon/poison.go
+++ b/internal/daemon/poison.go
@@ -20,10 +20,10 @@
 func newPoison(vm string, reg prometheus.Registerer, log zerolog.Logger, check func(endpoints []string)) *poison.Table {
 	t := poison.NewTable(poison.Config{Router: vm, OnEvent: func(e poison.Event) {
 		line, text := log.Warn(), "request is held back: endpoints end under it"
-		if !e.Held {
+		if !e.Quarantined {
 			line, text = log.Info(), "request is no longer held back: it was answered, or its endpoints live on"
 		}
-		if e.Held && e.Own {
+		if e.Quarantined && e.Local {
 			check(e.Endpoints)
 		}
 		line.Stringer(logging.FieldIdentity, e.Identity).Strs("endpoints", e.Endpoints).Msg(text)
@@ -31,7 +31,7 @@
 	promauto.With(reg).NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "coveferry_router_requests_quarantined",
 		Help: "Requests, by their content, that are held back since endpoints ended while they ran them.",
-	}, func() float64 { return float64(t.Held()) })
+	}, func() float64 { return float64(t.QuarantinedCount()) })
 	return t
 }
 
@@ -53,7 +53,7 @@
 			defer cancel()
 			sent := clock.Boot()
 			if _, err := d.list.health(ctx, name); err == nil {
-				d.poison.Survived(process, sent)
+				d.poison.RecordResponse(process, sent)
 			}
 		}()
 	}
--- a/internal/daemon/policies.go
+++ b/internal/daemon/policies.go
@@ -31,7 +31,7 @@
 func retryPolicy(s settings.Retry) attempts.Policy {
 	budget := retry.BudgetConfig{Ratio: s.BudgetRatio}
 	if s.BudgetRatio == 0 { // the operator wants none
-		budget.Ratio, budget.Floor = retry.None, retry.None
+		budget.Ratio, budget.Floor = retry.ExplicitZero, retry.ExplicitZero
 	}
 	return &retry.Policy{MaxAttempts: s.MaxAttempts, Budget: retry.NewBudget(budget)}
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -32,9 +32,9 @@
 type Reading struct {
 	// Full reports that Entries is the whole list; otherwise Entries are those that changed
 	// since the earlier reading, and Removed the names of those that were removed.
-	Whole   bool
+	Full    bool
 	Entries []Entry
-	Gone    []string
+	Removed []string
 	// Unreadable lists the unreadable entries. They don't affect other entries; an
 	// endpoint that was listed under such a name counts as removed.
 	Unreadable []Unreadable
@@ -48,9 +48,9 @@
 type Evacuations struct {
 	// Full reports that Active lists all evacuated domains; otherwise it lists those whose
 	// evacuation began, and Ended those whose evacuation ended.
-	Whole   bool
-	Ordered []string
-	Lifted  []string
+	Full   bool
+	Active []string
+	Ended  []string
 }
 
 // Unreadable is an entry that can't be decoded or is invalid, and why.
@@ -91,7 +91,7 @@
 }
 
 // ByService returns the endpoints of a service sorted by name, including draining ones.
-func (d *Directory) For(service string) []*bundle.Endpoint { return d.byService[service] }
+func (d *Directory) ByService(service string) []*bundle.Endpoint { return d.byService[service] }
 
 // Entry returns the entry of an endpoint; false if there is none.
 func (d *Directory) Entry(endpoint string) (Entry, bool) {
@@ -146,13 +146,13 @@
 func (d *Directory) IsEvacuated(domain string) bool { return d.evacuated[domain] }
 
 // AcceptsWork reports whether an endpoint is listed and may get new work.
-func (d *Directory) TakesWork(endpoint string) bool {
+func (d *Directory) AcceptsWork(endpoint string) bool {
 	e, listed := d.entries[endpoint]
 	return listed && !e.Draining && !d.evacuated[e.Endpoint.FailureDomain]
 }
 
 // KeptCount returns the number of endpoints that the list lacks.
-func (d *Directory) Kept() int { return d.kept }
+func (d *Directory) KeptCount() int { return d.kept }
 
 // Len returns the number of endpoints.
 func (d *Directory) Len() int { return len(d.entries) }
@@ -188,23 +188,23 @@
 }
 
 func (r *Reading) changesNoEntry() bool {
-	return !r.Whole && len(r.Entries) == 0 && len(r.Gone) == 0 && len(r.Unreadable) == 0
+	return !r.Full && len(r.Entries) == 0 && len(r.Removed) == 0 && len(r.Unreadable) == 0
 }
 
 // evacuatedAfter returns the failure domains that are evacuated after a reading. An evacuation
 // lasts until a reading reports its end.
 func (d *Directory) evacuatedAfter(e Evacuations) map[string]bool {
-	if !e.Whole && len(e.Ordered) == 0 && len(e.Lifted) == 0 {
+	if !e.Full && len(e.Active) == 0 && len(e.Ended) == 0 {
 		return d.evacuated
 	}
-	next := make(map[string]bool, len(d.evacuated)+len(e.Ordered))
-	if !e.Whole {
+	next := make(map[string]bool, len(d.evacuated)+len(e.Active))
+	if !e.Full {
 		maps.Copy(next, d.evacuated)
 	}
-	for _, domain := range e.Ordered {
+	for _, domain := range e.Active {
 		next[domain] = true
 	}
-	for _, domain := range e.Lifted {
+	for _, domain := range e.Ended {
 		delete(next, domain)
 	}
 	return next
@@ -220,7 +220,7 @@
 // entriesAfter returns the entries of the list after a reading.
 func (d *Directory) entriesAfter(r Reading) map[string]Entry {
 	next := make(map[string]Entry, max(len(r.Entries), len(d.entries)))
-	if !r.Whole {
+	if !r.Full {
 		for name, e := range d.entries {
 			if !e.kept {
 				next[name] = e
@@ -231,7 +231,7 @@
 		e.Endpoint.Incarnation = e.Incarnation
 		next[e.Endpoint.Name] = e
 	}
-	for _, name := range r.Gone {
+	for _, name := range r.Removed {
 		delete(next, name)
 	}
 	return next
--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -24,31 +24,31 @@
 		d = next
 		return changed
 	}
-	g.Expect(read(directory.Reading{Revision: 2, Evacuations: directory.Evacuations{Ordered: []string{"x", "nowhere"}}})).To(BeTrue())
+	g.Expect(read(directory.Reading{Revision: 2, Evacuations: directory.Evacuations{Active: []string{"x", "nowhere"}}})).To(BeTrue())
 	g.Expect(d.Evacuated()).To(Equal([]string{"nowhere", "x"}))
-	g.Expect(d.TakesWork("a")).To(BeFalse())
-	g.Expect(d.TakesWork("b")).To(BeTrue())
-	g.Expect(d.For("s")).To(HaveLen(2), "data cached there can still be fetched")
+	g.Expect(d.AcceptsWork("a")).To(BeFalse())
+	g.Expect(d.AcceptsWork("b")).To(BeTrue())
+	g.Expect(d.ByService("s")).To(HaveLen(2), "data cached there can still be fetched")
 
 	// Changes and full lists without evacuations don't end one, nor does an older reading.
 	read(directory.Reading{Revision: 3, Entries: []directory.Entry{inDomain("x", entry("c", "3"))}})
-	g.Expect(d.TakesWork("c")).To(BeFalse(), "an endpoint that joins an evacuated domain")
-	read(directory.Reading{Whole: true, Revision: 4, Entries: d.Entries()})
-	read(directory.Reading{Revision: 3, Evacuations: directory.Evacuations{Whole: true}})
+	g.Expect(d.AcceptsWork("c")).To(BeFalse(), "an endpoint that joins an evacuated domain")
+	read(directory.Reading{Full: true, Revision: 4, Entries: d.Entries()})
+	read(directory.Reading{Revision: 3, Evacuations: directory.Evacuations{Full: true}})
 	g.Expect(d.IsEvacuated("x")).To(BeTrue())
 	g.Expect(d.Listed().IsEvacuated("x")).To(BeTrue())
 
-	g.Expect(read(directory.Reading{Revision: 5, Evacuations: directory.Evacuations{Lifted: []string{"x"}}})).To(BeTrue())
-	g.Expect(d.TakesWork("a")).To(BeTrue())
-	g.Expect(read(directory.Reading{Revision: 6, Evacuations: directory.Evacuations{Whole: true, Ordered: []string{"nowhere"}}})).To(BeFalse())
-	g.Expect(read(directory.Reading{Revision: 7, Evacuations: directory.Evacuations{Whole: true}})).To(BeTrue())
+	g.Expect(read(directory.Reading{Revision: 5, Evacuations: directory.Evacuations{Ended: []string{"x"}}})).To(BeTrue())
+	g.Expect(d.AcceptsWork("a")).To(BeTrue())
+	g.Expect(read(directory.Reading{Revision: 6, Evacuations: directory.Evacuations{Full: true, Active: []string{"nowhere"}}})).To(BeFalse())
+	g.Expect(read(directory.Reading{Revision: 7, Evacuations: directory.Evacuations{Full: true}})).To(BeTrue())
 	g.Expect(d.Evacuated()).To(BeEmpty())
 }
 
 func TestDigestIncludesEvacuationsAndCold(t *testing.T) {
 	g := NewWithT(t)
 	d := merge(directory.Empty(), 1, time.Time{}, entry("a", "1"))
-	evacuated, _ := d.Merge(directory.Reading{Revision: 2, Evacuations: directory.Evacuations{Ordered: []string{"x"}}}, now, time.Time{})
+	evacuated, _ := d.Merge(directory.Reading{Revision: 2, Evacuations: directory.Evacuations{Active: []string{"x"}}}, now, time.Time{})
 	g.Expect(evacuated.Digest()).NotTo(Equal(d.Digest()))
 	warm := entry("a", "1")
 	warm.Cold = time.Second
--- a/internal/endpointrate/limit_test.go
+++ b/internal/endpointrate/limit_test.go
@@ -25,7 +25,7 @@
 
 var fleetShapes = []fleetShape{{1, 1}, {3, 3}, {12, 3}, {31, 3}, {103, 5}, {300, 3}, {880, 27}}
 
-func limitOf(perSecond float64) Bound { return Limited("e", "domain0", perSecond) }
+func limitOf(perSecond float64) Bound { return StatedBound("e", "domain0", perSecond) }
 
 // simResult is what an endpoint received in a simulation.
 type simResult struct {
@@ -101,7 +101,7 @@
 			demandRate := max(5*perSecond, callersPerRouter*float64(s.routers))
 			run := func(may admitFunc) simResult { return simulate(s, demandRate, lasts, rand.New(rand.NewPCG(3, 2)), may) }
 			equalShares := run(byEqualShares(s.routers, perSecond, rand.New(rand.NewPCG(3, 1))))
-			pacers := make([]Pace, s.routers)
+			pacers := make([]Pacer, s.routers)
 			wholeLimits := run(func(router int, at time.Duration) bool { return pacers[router].Take(epoch.Add(at), perSecond, 0) })
 			owners := run(byOwners(s.routers, s.domains, limitOf(perSecond), allRouters))
 			t.Logf("%3d routers, limit %2g: maximum in 4 s %d of %.0f allowed, used %.2f with owners; %d, %.2f with equal shares; %d with the whole limit each",
@@ -160,9 +160,9 @@
 		sum := 0.0
 		for i := range routers {
 			s := Share{Self: fmt.Sprint("r", i), Domain: "domain0", Fleet: func(time.Time) Fleet {
-				return Fleet{Known: true, Domains: []string{"domain0"}, CutOffFrom: routers - 1}
+				return Fleet{Known: true, Domains: []string{"domain0"}, LostRouters: routers - 1}
 			}}
-			part := s.Of(epoch, limitOf(1))
+			part := s.Rate(epoch, limitOf(1))
 			g.Expect(part).To(BeNumerically(">", 0), "a sole survivor keeps a share")
 			sum += part
 		}
@@ -179,15 +179,15 @@
 			near = append(near, fmt.Sprint("r", j))
 		}
 		s := Share{Self: near[i], Domain: "domain0", Fleet: func(time.Time) Fleet {
-			return Fleet{Known: true, Near: near, Domains: []string{"domain0"}}
+			return Fleet{Known: true, OwnDomainRouters: near, Domains: []string{"domain0"}}
 		}}
-		part := s.Of(epoch, limitOf(1e300))
+		part := s.Rate(epoch, limitOf(1e300))
 		g.Expect(part).To(BeNumerically(">", 0))
 		parts += part
 	}
 	g.Expect(parts).To(BeNumerically("~", 1e300, 1e290))
-	g.Expect(Gap(1e300)).To(BeZero())
-	g.Expect(Gap(1e-300)).To(Equal(maxInterval))
+	g.Expect(Interval(1e300)).To(BeZero())
+	g.Expect(Interval(1e-300)).To(Equal(maxInterval))
 }
 
 // Two tiers together request five times the limits of four endpoints. The urgent tier alone
@@ -208,7 +208,7 @@
 func simulateTiers(urgentPerSecond, otherPerSecond float64) (urgent, other, used float64) {
 	const perSecond, lasts = 4.0, 60 * time.Second
 	rnd := rand.New(rand.NewPCG(1, 1))
-	var pacers [4]Pace
+	var pacers [4]Pacer
 	var requested, sent [2]float64
 	rates := [2]float64{urgentPerSecond, max(otherPerSecond, 1e-9)}
 	var next [2]time.Duration
@@ -231,15 +231,15 @@
 }
 
 // sendToFirst sends a request to the first endpoint that admits it.
-func sendToFirst(pacers []Pace, now time.Time, perSecond float64, tier int) bool {
+func sendToFirst(pacers []Pacer, now time.Time, perSecond float64, tier int) bool {
 	for i := range pacers {
 		if pacers[i].Take(now, perSecond, tier) {
 			return true
 		}
-		pacers[i].TurnAway(now)
+		pacers[i].RecordRejected(now)
 	}
 	for i := range pacers {
-		pacers[i].Refuse(now, tier)
+		pacers[i].RecordUnserved(now, tier)
 	}
 	return false
 }
--- a/internal/endpointrate/pace.go
+++ b/internal/endpointrate/pace.go
@@ -25,7 +25,7 @@
 )
 
 // Pacer spaces a router's requests to an endpoint. The zero value admits the first one.
-type Pace struct {
+type Pacer struct {
 	due time.Time // when the next request is due
 	// rejectedAt is when a request was last rejected, and unservedAt when no other endpoint
 	// admitted one either.
@@ -43,33 +43,33 @@
 
 // FreeAt returns when a request of a tier, 0 for the most urgent, may be sent at the given rate,
 // which must be above 0.
-func (p *Pace) FreeAt(now time.Time, perSecond float64, tier int) time.Time {
+func (p *Pacer) FreeAt(now time.Time, perSecond float64, tier int) time.Time {
 	if p.yields(now, tier) {
-		return p.due.Add(scale(Gap(perSecond), yieldDelayFraction))
+		return p.due.Add(scale(Interval(perSecond), yieldDelayFraction))
 	}
-	return p.due.Add(-scale(Gap(perSecond), earlyFraction))
+	return p.due.Add(-scale(Interval(perSecond), earlyFraction))
 }
 
 // yields reports whether a request of a tier waits for more urgent ones: there were such requests
 // recently, and some stayed unserved.
-func (p *Pace) yields(now time.Time, tier int) bool {
+func (p *Pacer) yields(now time.Time, tier int) bool {
 	return now.Sub(p.unservedAt) < p.recentPeriod && tier > p.topTier && now.Sub(p.topTierAt) < p.recentPeriod
 }
 
 // recordTier records the tier of a request.
-func (p *Pace) recordTier(now time.Time, tier int) {
+func (p *Pacer) recordTier(now time.Time, tier int) {
 	if tier <= p.topTier || now.Sub(p.topTierAt) >= p.recentPeriod {
 		p.topTier, p.topTierAt = tier, now
 	}
 }
 
 // Ready reports whether a request of a tier may be sent now at the given rate.
-func (p *Pace) Ready(now time.Time, perSecond float64, tier int) bool {
+func (p *Pacer) Ready(now time.Time, perSecond float64, tier int) bool {
 	return perSecond > 0 && !now.Before(p.FreeAt(now, perSecond, tier))
 }
 
 // Take is Ready and counts the request if it is admitted.
-func (p *Pace) Take(now time.Time, perSecond float64, tier int) bool {
+func (p *Pacer) Take(now time.Time, perSecond float64, tier int) bool {
 	if !p.Ready(now, perSecond, tier) {
 		return false
 	}
@@ -77,37 +77,37 @@
 	if now.After(p.due) {
 		p.due = now
 	}
-	p.due = p.due.Add(Gap(perSecond))
-	p.recentPeriod = max(minYieldPeriod, yieldIntervals*Gap(perSecond))
+	p.due = p.due.Add(Interval(perSecond))
+	p.recentPeriod = max(minYieldPeriod, yieldIntervals*Interval(perSecond))
 	p.recentRequests = p.count(now) + 1
 	p.recentRequestsAt = now
 	return true
 }
 
 // RateChanged adapts to a new rate: a request that was due late at a lower rate comes due sooner.
-func (p *Pace) Change(now time.Time, perSecond float64) {
-	if latest := now.Add(scale(Gap(perSecond), 1+earlyFraction)); p.due.After(latest) {
+func (p *Pacer) RateChanged(now time.Time, perSecond float64) {
+	if latest := now.Add(scale(Interval(perSecond), 1+earlyFraction)); p.due.After(latest) {
 		p.due = latest
 	}
 }
 
 // RecordRejected records that a request wasn't admitted.
-func (p *Pace) TurnAway(now time.Time) { p.rejectedAt = now }
+func (p *Pacer) RecordRejected(now time.Time) { p.rejectedAt = now }
 
 // RecordUnserved records that no other endpoint admitted a request of a tier either.
-func (p *Pace) Refuse(now time.Time, tier int) {
+func (p *Pacer) RecordUnserved(now time.Time, tier int) {
 	p.recordTier(now, tier)
 	p.unservedAt = now
 }
 
 // Limiting reports whether a request was rejected recently.
-func (p *Pace) Binds(now time.Time) bool { return now.Sub(p.rejectedAt) < limitingPeriod }
+func (p *Pacer) Limiting(now time.Time) bool { return now.Sub(p.rejectedAt) < limitingPeriod }
 
 // Admitted returns the requests a second that were admitted recently.
-func (p *Pace) Used(now time.Time) float64 { return math.Ln2 * p.count(now) / halfLife.Seconds() }
+func (p *Pacer) Admitted(now time.Time) float64 { return math.Ln2 * p.count(now) / halfLife.Seconds() }
 
 // count returns recentRequests, decayed until now.
-func (p *Pace) count(now time.Time) float64 {
+func (p *Pacer) count(now time.Time) float64 {
 	return p.recentRequests * math.Exp2(-now.Sub(p.recentRequestsAt).Seconds()/halfLife.Seconds())
 }
 
@@ -115,7 +115,7 @@
 const maxInterval = 24 * time.Hour
 
 // Interval returns the time between two requests at the given rate.
-func Gap(perSecond float64) time.Duration {
+func Interval(perSecond float64) time.Duration {
 	return scale(time.Second, min(1/perSecond, maxInterval.Seconds()))
 }
 
--- a/internal/endpointrate/share.go
+++ b/internal/endpointrate/share.go
@@ -48,13 +48,13 @@
 }
 
 // ColdBound returns the limit of a cold endpoint.
-func Cold(endpoint, domain string, perSecond float64) Bound {
+func ColdBound(endpoint, domain string, perSecond float64) Bound {
 	owners := int(min(perSecond/minColdShare, coldOwners))
 	return Bound{Endpoint: endpoint, FailureDomain: domain, PerSecond: perSecond, Owners: max(owners, 1)}
 }
 
 // StatedBound returns the limit of an endpoint that states one.
-func Limited(endpoint, domain string, perSecond float64) Bound {
+func StatedBound(endpoint, domain string, perSecond float64) Bound {
 	owners := int(min(perSecond, maxOwners)) + spareOwners
 	return Bound{Endpoint: endpoint, FailureDomain: domain, PerSecond: perSecond, Owners: owners}
 }
@@ -65,10 +65,10 @@
 	Known bool
 	// OwnDomainRouters are the routers of its failure domain, with or without itself, and Domains
 	// all failure domains that have routers.
-	Near, Domains []string
+	OwnDomainRouters, Domains []string
 	// LostRouters is the number of other routers last known if none has been heard from for long,
 	// else 0. They may still be running and hear as little.
-	CutOffFrom int
+	LostRouters int
 }
 
 // Share computes a router's share of endpoint rate limits.
@@ -79,22 +79,22 @@
 }
 
 // Rate returns this router's share of a limit, in requests a second; 0 for most routers.
-func (s *Share) Of(now time.Time, b Bound) float64 {
+func (s *Share) Rate(now time.Time, b Bound) float64 {
 	fleet := s.Fleet(now)
 	switch {
 	case !fleet.Known:
 		return 0
-	case fleet.CutOffFrom > 0:
+	case fleet.LostRouters > 0:
 		// Divide by the number of routers there may be, so that disconnected routers keep to the
 		// limit together, and a sole survivor continues.
-		return b.PerSecond / float64(fleet.CutOffFrom+1)
+		return b.PerSecond / float64(fleet.LostRouters+1)
 	}
 	owners := b.ownerDomains(fleet.Domains)
 	if !slices.Contains(owners, s.Domain) {
 		return 0
 	}
-	perDomain := min(b.Owners/len(owners), s.domainRouters(fleet.Near))
-	if s.position(b.Endpoint, fleet.Near) >= perDomain {
+	perDomain := min(b.Owners/len(owners), s.domainRouters(fleet.OwnDomainRouters))
+	if s.position(b.Endpoint, fleet.OwnDomainRouters) >= perDomain {
 		return 0
 	}
 	return b.PerSecond / float64(len(owners)*perDomain)
--- a/internal/endpointrate/share_test.go
+++ b/internal/endpointrate/share_test.go
@@ -20,14 +20,14 @@
 	maxArrivals = 24.5 // arrivals in any second above which it crashes
 )
 
-var coldEndpoint = Cold("e", "domain0", coldRate)
+var coldEndpoint = ColdBound("e", "domain0", coldRate)
 
 var epoch = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
 // admitFunc is a way to share a limit: it reports whether a router may send a request at a time.
 type admitFunc func(router int, at time.Duration) bool
 
-// byOwners shares a limit with Share and Pace. Each router knows those routers for which sees
+// byOwners shares a limit with Share and Pacer. Each router knows those routers for which sees
 // returns true.
 func byOwners(routers, domains int, bound Bound, sees func(router, other int) bool) admitFunc {
 	var names []string
@@ -43,11 +43,11 @@
 					others = append(others, fmt.Sprint("r", j))
 				}
 			}
-			return Fleet{Known: true, Near: others, Domains: names}
+			return Fleet{Known: true, OwnDomainRouters: others, Domains: names}
 		}}
-		parts[i] = share.Of(epoch, bound)
+		parts[i] = share.Rate(epoch, bound)
 	}
-	paces := make([]Pace, routers)
+	paces := make([]Pacer, routers)
 	return func(router int, at time.Duration) bool {
 		return paces[router].Take(epoch.Add(at), parts[router], 0)
 	}
@@ -145,7 +145,7 @@
 func TestRouterWithUnknownFleetHasNoShare(t *testing.T) {
 	g := NewWithT(t)
 	s := Share{Self: "r", Domain: "d", Fleet: func(time.Time) Fleet { return Fleet{Domains: []string{"d"}} }}
-	g.Expect(s.Of(epoch, coldEndpoint)).To(BeZero())
+	g.Expect(s.Rate(epoch, coldEndpoint)).To(BeZero())
 }
 
 func TestLowColdLimitIsOwnedInTheEndpointsDomain(t *testing.T) {
@@ -157,7 +157,7 @@
 		parts := 0.0
 		for _, domain := range domains {
 			s := Share{Self: "r", Domain: domain, Fleet: alone}
-			part := s.Of(epoch, Cold(endpoint, "b", 1.5))
+			part := s.Rate(epoch, ColdBound(endpoint, "b", 1.5))
 			g.Expect(part > 0).To(Equal(domain == "b"), "%s in %s", endpoint, domain)
 			parts += part
 		}
--- a/internal/filters/attempts/attempts.go
+++ b/internal/filters/attempts/attempts.go
@@ -65,7 +65,7 @@
 // Policy decides whether and how to retry after an attempt. Production uses *retry.Policy.
 type Policy interface {
 	// RecordFirst counts the first attempt of a request at a target.
-	First(now time.Time, target string, tier int)
+	RecordFirst(now time.Time, target string, tier int)
 	Decide(a retry.Attempt, now time.Time, jitter float64) retry.Decision
 	// DecideRevisit decides whether to retry at endpoints that were already tried.
 	// revisits is how often the request has done so.
@@ -81,7 +81,7 @@
 // ResumeOnlyAt restricts resuming from KV cache copies to endpoints for which acceptsWork
 // returns true. Endpoints that are draining or evacuated get no resumed streams. It must
 // be called before the filter is used.
-func (f *Filter) CopiesAt(acceptsWork func(endpoint string) bool) *Filter {
+func (f *Filter) ResumeOnlyAt(acceptsWork func(endpoint string) bool) *Filter {
 	f.acceptsWork = acceptsWork
 	return f
 }
@@ -108,7 +108,7 @@
 }
 
 func (f *Filter) retryLoop(ctx context.Context, r *request.Request, next pipeline.Next) error {
-	f.policy.First(time.Now(), r.Service, r.Tier)
+	f.policy.RecordFirst(time.Now(), r.Service, r.Tier)
 	h := newHistory()
 	for r.Epoch = 1; ; r.Epoch++ {
 		r.RateLimit, r.LimitPart, r.Connections = upstream.RateLimit{}, "", 0
--- a/internal/filters/attempts/classify.go
+++ b/internal/filters/attempts/classify.go
@@ -37,11 +37,11 @@
 	var refused *dispatch.RefusedError
 	var noResponse *dispatch.NoResponseError
 	var broken *relay.BrokenError
-	var endpointErr *relay.AnswerError
+	var endpointErr *relay.EndpointError
 	var expired *dispatch.ExpiredError
 	var pinned *choose.PinnedError
 	var late *choose.LateError
-	var quarantined *quarantine.HeldError
+	var quarantined *quarantine.QuarantinedError
 	switch {
 	case err == nil:
 		return classification{outcome: retry.OutcomeCompleted}
--- a/internal/filters/choose/choose.go
+++ b/internal/filters/choose/choose.go
@@ -40,7 +40,7 @@
 		Code: "no_endpoint", Message: "no endpoint can take the request now",
 		Run: wire.RunNot, RetryAfter: retryAfterNoEndpoint,
 	}
-	if delay, limited := e.FreeIn(); limited {
+	if delay, limited := e.AvailableIn(); limited {
 		out.Type, out.Code = api.TypeOverloaded, "limited"
 		out.Message = "overloaded: all endpoints have had the requests that they take a second"
 		out.RetryAfter = max(minRetryAfter, delay)
@@ -50,12 +50,12 @@
 
 // AvailableIn returns the time until an endpoint accepts the next request, if rate limits
 // of the endpoints are the only reason for the error. Otherwise it returns false.
-func (e *Error) FreeIn() (time.Duration, bool) {
+func (e *Error) AvailableIn() (time.Duration, bool) {
 	var noEndpoint *balance.NoEndpointError
-	if !errors.As(e.Cause, &noEndpoint) || noEndpoint.Bounded == 0 || noEndpoint.Bounded < noEndpoint.Candidates-noEndpoint.Leaving {
+	if !errors.As(e.Cause, &noEndpoint) || noEndpoint.RateLimited == 0 || noEndpoint.RateLimited < noEndpoint.Candidates-noEndpoint.Leaving {
 		return 0, false
 	}
-	return noEndpoint.FreeIn, true
+	return noEndpoint.AvailableIn, true
 }
 
 // Filter implements pipeline.Filter.
@@ -87,12 +87,12 @@
 	// the longest objective of its service times this factor; 0 refuses none. If all
 	// requests wait in an overload, all of them miss the objective. Refusing some early
 	// keeps the others on time.
-	RefuseLate float64
+	RefuseLateFactor float64
 }
 
 // New returns a filter that selects endpoints from the pool.
 func New(cfg Config) *Filter {
-	f := &Filter{pool: cfg.Pool, latest: cfg.Latest, lateBinding: cfg.LateBinding, refuseLateFactor: cfg.RefuseLate}
+	f := &Filter{pool: cfg.Pool, latest: cfg.Latest, lateBinding: cfg.LateBinding, refuseLateFactor: cfg.RefuseLateFactor}
 	if !cfg.IgnoreKeys {
 		f.homeResolver = &homeResolver{}
 	}
@@ -121,7 +121,7 @@
 	if r.Resume != nil {
 		return f.resumeFromCopy(r)
 	}
-	query := balance.Request{Service: r.Service, Tier: r.Tier, Prefix: r.Prefix, Prompt: r.Prompt, Once: r.NonIdempotent, Again: len(r.Tried) > 0}
+	query := balance.Request{Service: r.Service, Tier: r.Tier, Prefix: r.Prefix, Prompt: r.Prompt, AtMostOnce: r.NonIdempotent, Retry: len(r.Tried) > 0}
 	if r.Route != nil {
 		r.Stride = tokensPerEvent(r)
 		query.MaxGap, query.Stride, query.Objective = r.Route.MaxGap, r.Stride, r.Route.Objective
@@ -194,11 +194,11 @@
 	if f.lateBinding && r.Kind != wire.KindService && r.Kind != wire.KindRouted {
 		return f.pool.ChoosePair(time.Now(), query, r.Candidates, r.TriedEndpoint)
 	}
-	c, err := f.pool.ChooseExpecting(time.Now(), query, r.Candidates, r.TriedEndpoint)
-	r.Read, r.Wait, r.Source, r.Copy, r.Tight = c.Read, c.Wait, c.Source, nil, c.Tight
-	r.Kept = c.Kept
+	c, err := f.pool.ChooseWithEstimates(time.Now(), query, r.Candidates, r.TriedEndpoint)
+	r.Read, r.Wait, r.Source, r.Copy, r.Tight = c.PrefillTime, c.Wait, c.FetchFrom, nil, c.TightGap
+	r.Kept = c.DedicatedEndpoints
 	if copiesKVCache(r) {
-		r.Copy = c.Copy
+		r.Copy = c.CopyTo
 	}
 	return balance.Pair{First: c.Endpoint}, err
 }
--- a/internal/filters/choose/late_test.go
+++ b/internal/filters/choose/late_test.go
@@ -38,7 +38,7 @@
 func chooseAfter(t *testing.T, queued int, path string, tried ...string) error {
 	pool := balance.NewPool(balance.Config{Policy: balance.NewPromptAware()})
 	for range queued {
-		pool.SentWork(time.Now(), "e", balance.Work{Prompt: prompt.Prompt{Tokens: 10_000}})
+		pool.Track(time.Now(), "e", balance.Work{Prompt: prompt.Prompt{Tokens: 10_000}})
 	}
 	tab := newRouteTable(t)
 	r := &request.Request{
@@ -47,7 +47,7 @@
 		Candidates: []*bundle.Endpoint{{Name: "e", Slots: 64}, {Name: "gone", Slots: 64}},
 	}
 	pool.SetLeaving("gone", true)
-	f := choose.New(choose.Config{Pool: pool, IgnoreKeys: true, RefuseLate: 1})
+	f := choose.New(choose.Config{Pool: pool, IgnoreKeys: true, RefuseLateFactor: 1})
 	return f.Do(context.Background(), r, func(context.Context, *request.Request) error { return nil })
 }
 
@@ -88,7 +88,7 @@
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	pool := balance.NewPool(balance.Config{Policy: balance.NewPromptAware()})
-	f := choose.New(choose.Config{Pool: pool, IgnoreKeys: true, RefuseLate: 1})
+	f := choose.New(choose.Config{Pool: pool, IgnoreKeys: true, RefuseLateFactor: 1})
 	newRequest := func(path string) *request.Request {
 		return &request.Request{
 			Kind: wire.KindRouted, Table: tab, Route: tab.Match("h", path), Service: "s", Epoch: 1, Tier: tier,
@@ -96,7 +96,7 @@
 		}
 	}
 	recordSent := func(_ context.Context, r *request.Request) error {
-		pool.SentWork(time.Now(), r.Endpoint.Name, dispatch.WorkOf(r))
+		pool.Track(time.Now(), r.Endpoint.Name, dispatch.WorkOf(r))
 		return nil
 	}
 	for range 7 {
--- a/internal/filters/dispatch/direct.go
+++ b/internal/filters/dispatch/direct.go
@@ -33,17 +33,17 @@
 // EnableDirect makes the filter send requests of kind KindRouted straight to their
 // endpoints, by the given protocol and client. It must be called before the filter is
 // used.
-func (f *Filter) Direct(p upstream.Protocol, client *http.Client) {
+func (f *Filter) EnableDirect(p upstream.Protocol, client *http.Client) {
 	f.direct = direct{protocol: p, client: client}
 }
 
 // sendDirect sends an attempt and updates the pool's outstanding work for the endpoint.
 func (f *Filter) sendDirect(ctx context.Context, r *request.Request, sent time.Time, next pipeline.Next) error {
-	account := f.pool.SentWork(sent, r.Endpoint.Name, WorkOf(r))
-	r.Began, r.Heard, r.HeardEvent = account.Read, account.Heard, account.Event
+	account := f.pool.Track(sent, r.Endpoint.Name, WorkOf(r))
+	r.Began, r.Heard, r.HeardEvent = account.PrefillDone, account.DataReceived, account.EventReceived
 	err := f.exchangeDirect(ctx, r, sent, next)
 	r.Began, r.Heard, r.HeardEvent = nil, nil, nil
-	account.Ended()
+	account.Release()
 	if isQueueFull(err) {
 		account.Refused(time.Now())
 	}
@@ -114,13 +114,13 @@
 	}
 	if current && (reply.Signed || reply.RateLimit.Statement == upstream.LimitNamed) {
 		// A queue-full refusal that names no limit doesn't clear a known limit.
-		f.pool.HearLimit(now, sent, e.Name, reply.RateLimit)
+		f.pool.ApplyLimit(now, sent, e.Name, reply.RateLimit)
 	}
 }
 
 // WorkOf returns the work that a routed request causes at its endpoint.
 func WorkOf(r *request.Request) balance.Work {
-	work := balance.Work{Service: r.Service, Tier: r.Tier, Prompt: r.Prompt, Tight: r.Tight, Stride: r.Stride}
+	work := balance.Work{Service: r.Service, Tier: r.Tier, Prompt: r.Prompt, TightGap: r.Tight, Stride: r.Stride}
 	if r.Route != nil {
 		work.MaxGap, work.Objective = r.Route.MaxGap, r.Route.Objective
 		work.Tier = r.Table.Rank(r.Tier, r.Route.Tier)
--- a/internal/filters/dispatch/observe.go
+++ b/internal/filters/dispatch/observe.go
@@ -27,7 +27,7 @@
 
 // SetObserver sets the observer of all further attempts. It must be called before the
 // filter is used.
-func (f *Filter) Observe(o Observer) { f.observer = o }
+func (f *Filter) SetObserver(o Observer) { f.observer = o }
 
 // nopObserver is the default Observer.
 type nopObserver struct{}
--- a/internal/filters/dispatch/observe_test.go
+++ b/internal/filters/dispatch/observe_test.go
@@ -37,7 +37,7 @@
 	} {
 		observer := &recordingObserver{}
 		f := &Filter{}
-		f.Observe(observer)
+		f.SetObserver(observer)
 		f.reportConnectionFailure(c.ctx, &bundle.Endpoint{Name: "e0"}, c.err)
 		NewWithT(t).Expect(observer.failed).To(Equal(c.want), "%v", c.err)
 	}
--- a/internal/filters/dispatch/silent.go
+++ b/internal/filters/dispatch/silent.go
@@ -68,7 +68,7 @@
 // endpoint in use. Other attempts keep waiting: the endpoint may recover, and a request
 // that may run only once can't be retried elsewhere. It returns the number of canceled
 // attempts.
-func (f *Filter) LeaveSilent(endpoint string, inUse func(endpoint string) bool) int {
+func (f *Filter) CancelCopiedRuns(endpoint string, inUse func(endpoint string) bool) int {
 	f.copiedRuns.mu.Lock()
 	defer f.copiedRuns.mu.Unlock()
 	canceled := 0
--- a/internal/filters/limit/limit.go
+++ b/internal/filters/limit/limit.go
@@ -54,10 +54,10 @@
 type Filter struct{ limits *limits.Limiter }
 
 // New returns a filter whose limits apply to this router alone.
-func New() *Filter { return With(limits.New(limits.Config{})) }
+func New() *Filter { return NewWithLimiter(limits.New(limits.Config{})) }
 
 // NewWithLimiter returns a filter that uses the limiter l.
-func With(l *limits.Limiter) *Filter { return &Filter{limits: l} }
+func NewWithLimiter(l *limits.Limiter) *Filter { return &Filter{limits: l} }
 
 // Name implements pipeline.Filter.
 func (*Filter) Name() string { return "limit" }
--- a/internal/filters/narrow/narrow.go
+++ b/internal/filters/narrow/narrow.go
@@ -39,5 +39,5 @@
 
 // Candidates returns this router's subset of a snapshot's endpoints for the request.
 func (f *Filter) Candidates(s *bundle.Snapshot, r *request.Request) []*bundle.Endpoint {
-	return f.selector.Of(s, string(r.Kind)+"/"+r.Model+r.Service, r.EndpointsIn(s))
+	return f.selector.Select(s, string(r.Kind)+"/"+r.Model+r.Service, r.EndpointsIn(s))
 }
--- a/internal/filters/quarantine/loss.go
+++ b/internal/filters/quarantine/loss.go
@@ -46,7 +46,7 @@
 // responded reports whether the attempt ended with a response of the endpoint's own
 // process, including error responses.
 func responded(err error) bool {
-	var endpointErr *relay.AnswerError
+	var endpointErr *relay.EndpointError
 	var refused *dispatch.RefusedError
 	switch {
 	case err == nil, errors.As(err, &endpointErr):
--- a/internal/filters/quarantine/quarantine.go
+++ b/internal/filters/quarantine/quarantine.go
@@ -19,7 +19,7 @@
 
 // QuarantinedError is a request that isn't sent because endpoints were lost while running
 // it.
-type HeldError struct {
+type QuarantinedError struct {
 	Identity poison.Identity
 	// LossCount is how many endpoints were recently lost while running the request.
 	// RetryAfter is the time until it may be retried.
@@ -28,13 +28,13 @@
 }
 
 // Error implements error.
-func (e *HeldError) Error() string {
+func (e *QuarantinedError) Error() string {
 	return fmt.Sprintf("quarantine: %d endpoints ended under this request; it is held back for %s", e.LossCount, e.RetryAfter)
 }
 
 // API implements api.Convertible. The status promises that the request didn't run.
 // Retry-After keeps callers from retrying while the request is quarantined.
-func (e *HeldError) API() *api.Error {
+func (e *QuarantinedError) API() *api.Error {
 	return &api.Error{
 		Status: http.StatusServiceUnavailable, Type: api.TypeUnavailable, Code: "quarantined",
 		Message: "endpoints ended while they ran this same request; it is held back for a while",
@@ -68,14 +68,14 @@
 	sent := f.clock()
 	err := next(ctx, r)
 	if responded(err) && r.Endpoint != nil {
-		f.table.Survived(processName(r), sent)
+		f.table.RecordResponse(processName(r), sent)
 	}
 	switch {
 	case err == nil && !f.table.Empty():
-		f.table.Completed(r.Identity())
+		f.table.RecordCompletion(r.Identity())
 	case ctx.Err() == nil && endpointLost(err):
 		r.Lost++
-		f.table.Lost(r.Identity(), poison.Loss{
+		f.table.RecordLoss(r.Identity(), poison.Loss{
 			Endpoint: processName(r), Sent: sent, At: f.clock(), Early: r.Delivered.Tokens == 0,
 		})
 	}
@@ -96,9 +96,9 @@
 	if f.table.Empty() {
 		return nil // avoids computing the request's identity
 	}
-	verdict := f.table.Ask(r.Identity())
-	if verdict.Held {
-		return &HeldError{Identity: r.Identity(), LossCount: verdict.LossCount, RetryAfter: verdict.RetryAfter}
+	verdict := f.table.Check(r.Identity())
+	if verdict.Refused {
+		return &QuarantinedError{Identity: r.Identity(), LossCount: verdict.LossCount, RetryAfter: verdict.RetryAfter}
 	}
 	if verdict.Trial {
 		f.log.Warn().Stringer(logging.FieldIdentity, r.Identity()).Int("lost", verdict.LossCount).
--- a/internal/filters/quarantine/quarantine_test.go
+++ b/internal/filters/quarantine/quarantine_test.go
@@ -27,7 +27,7 @@
 	for i := range times {
 		r := &request.Request{Kind: kind, ID: string(rune('a' + i)), Epoch: 1, Body: []byte("same"), Endpoint: &bundle.Endpoint{Name: "e", Address: "a"}}
 		got := f.Do(context.Background(), r, func(context.Context, *request.Request) error { return err })
-		var quarantined *quarantine.HeldError
+		var quarantined *quarantine.QuarantinedError
 		refused = errors.As(got, &quarantined)
 	}
 	return refused
@@ -60,7 +60,7 @@
 		alive  bool
 	}{
 		"complete response": {nil, true},
-		"error response":    {&relay.AnswerError{}, true},
+		"error response":    {&relay.EndpointError{}, true},
 		"refusal":           {&dispatch.RefusedError{Refusal: wire.Refusal{Reason: "queue_full"}}, true},
 		"another instance":  {&dispatch.RefusedError{Refusal: wire.Refusal{Reason: wire.ReasonNotHere}}, false},
 		"broken connection": {&dispatch.NoResponseError{Sent: true, Cause: io.EOF}, false},
@@ -75,7 +75,7 @@
 			_ = send(e, "popular", &dispatch.NoResponseError{Sent: true, Cause: io.EOF})
 		}
 		_ = send("e2", "another", c.answer)
-		var quarantined *quarantine.HeldError
+		var quarantined *quarantine.QuarantinedError
 		NewWithT(t).Expect(errors.As(send("e3", "popular", nil), &quarantined)).To(Equal(!c.alive), name)
 	}
 }
--- a/internal/filters/relay/routed.go
+++ b/internal/filters/relay/routed.go
@@ -32,19 +32,19 @@
 // EndpointError is an endpoint's own error response. The request ran. If it is idempotent,
 // it may be retried at another endpoint; otherwise the response is passed to the caller
 // unchanged.
-type AnswerError struct {
+type EndpointError struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
 // Error implements error.
-func (e *AnswerError) Error() string {
+func (e *EndpointError) Error() string {
 	return fmt.Sprintf("relay: the endpoint answered that it failed: status %d", e.Status)
 }
 
 // Write writes the response to the caller.
-func (e *AnswerError) Write(w http.ResponseWriter) error {
+func (e *EndpointError) Write(w http.ResponseWriter) error {
 	copyHeader(w.Header(), e.Header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(e.Body)))
 	api.GiveTime(w)
@@ -55,7 +55,7 @@
 
 // API implements api.Convertible, for code that needs to know whether the request ran. The
 // caller receives the response itself.
-func (e *AnswerError) API() *api.Error {
+func (e *EndpointError) API() *api.Error {
 	return &api.Error{
 		Status: e.Status, Type: api.TypeUpstream, Code: "endpoint_failed",
 		Message: "the endpoint failed", Run: wire.RunYes,
@@ -79,7 +79,7 @@
 	if len(body) == maxBufferedBytes {
 		return relayLarge(r, body)
 	}
-	response := &AnswerError{Status: r.Answer.StatusCode, Header: r.Answer.Header, Body: body}
+	response := &EndpointError{Status: r.Answer.StatusCode, Header: r.Answer.Header, Body: body}
 	if r.Answer.StatusCode >= http.StatusInternalServerError {
 		return response
 	}
--- a/internal/filters/reside/reside.go
+++ b/internal/filters/reside/reside.go
@@ -49,15 +49,15 @@
 	if !isRestricted(r) {
 		return next(ctx, r)
 	}
-	r.Candidates = f.Within(r, r.Candidates)
+	r.Candidates = f.Allowed(r, r.Candidates)
 	if len(r.Candidates) == 0 {
 		return &Error{Route: r.Route.Name, Team: r.TeamName}
 	}
 	return next(ctx, r)
 }
 
-// InAllowedRegions returns the endpoints whose region the request's route and team allow.
-func (f *Filter) Within(r *request.Request, endpoints []*bundle.Endpoint) []*bundle.Endpoint {
+// Allowed returns the endpoints whose region the request's route and team allow.
+func (f *Filter) Allowed(r *request.Request, endpoints []*bundle.Endpoint) []*bundle.Endpoint {
 	if !isRestricted(r) {
 		return endpoints
 	}
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -55,7 +55,7 @@
 // followPlacement has the node act by a bundle's placement.
 func (n *AgentNode) followPlacement(b *bundle.Bundle) {
 	if n.Placement != nil {
-		n.Placement.Follow(b)
+		n.Placement.SetBundle(b)
 	}
 }
 
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -25,11 +25,11 @@
 	Slack time.Duration
 	// MinInterval is the least time between two successful calls, which limits the rate of
 	// calls to a source that changes all the time.
-	Pace time.Duration
+	MinInterval time.Duration
 	// OutageThreshold is the time between two confirmations of the state above which the
 	// source counts as having had an outage, and EntryReturnTime how long the endpoints' entries
 	// may take to be back in the list after it.
-	Outage, Return time.Duration
+	OutageThreshold, EntryReturnTime time.Duration
 }
 
 // Bounds of the backoff after a failed call.
@@ -40,7 +40,7 @@
 
 // MinWait is the wait of a call after a failed one. The state has to be confirmed soon, and an
 // answer only confirms it as of the time of the request.
-const AtOnce = time.Millisecond
+const MinWait = time.Millisecond
 
 // Config configures a Follower.
 type Config struct {
@@ -91,7 +91,7 @@
 		cfg.Metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "coveferry_list_kept_endpoints",
 			Help: "Endpoints that are used though the list lacks them, since it may have lost their entries in an outage.",
-		}, func() float64 { return float64(f.Directory().Kept()) }))
+		}, func() float64 { return float64(f.Directory().KeptCount()) }))
 	}
 	f.availability = availabilityLog{name: "configuration and list of endpoints", log: cfg.Log}
 	return f
@@ -137,7 +137,7 @@
 			f.availability.succeeded()
 			next = sourceCall{wait: f.nextWait(time.Now())}
 			pause = firstPause
-			clock.Sleep(ctx, f.cfg.Timing.Pace-time.Since(sent))
+			clock.Sleep(ctx, f.cfg.Timing.MinInterval-time.Since(sent))
 			continue
 		}
 		if ctx.Err() != nil {
@@ -155,9 +155,9 @@
 // transfer time of 1.1 s, for a megabyte over 10 Mbit/s, and calls that waited for a second in
 // addition, the state was 4.0 s old, too old for peers (2.4 s) and to stay ready (2.8 s).
 func (f *Follower) nextWait(now time.Time) time.Duration {
-	wait := max(f.cfg.Timing.Wait-f.configTransferTime, min(f.cfg.Timing.Wait, f.cfg.Timing.Pace))
+	wait := max(f.cfg.Timing.Wait-f.configTransferTime, min(f.cfg.Timing.Wait, f.cfg.Timing.MinInterval))
 	if left := f.keepAbsentUntil.Sub(now); left > 0 {
-		wait = min(wait, f.cfg.Timing.Pace, left+time.Millisecond)
+		wait = min(wait, f.cfg.Timing.MinInterval, left+time.Millisecond)
 	}
 	return wait
 }
@@ -174,7 +174,7 @@
 		return sourceCall{full: true}
 	}
 	f.availability.failed(err)
-	last.wait = AtOnce
+	last.wait = MinWait
 	return last
 }
 
@@ -193,7 +193,7 @@
 		return &UnusableError{Cause: r.Unreadable}
 	}
 	if r.Config != nil {
-		f.configTransferTime = r.Arrival
+		f.configTransferTime = r.ConfigTransferTime
 		if err := f.applyConfig(r.Config); err != nil {
 			return err
 		}
@@ -266,15 +266,15 @@
 // from the list have then left. Without this, routers that peers updated 2 s late sent
 // requests to endpoints 4.3 s after these had left.
 func (f *Follower) detectOutage(r Reading, at, now time.Time) {
-	threshold := f.cfg.Timing.Outage
+	threshold := f.cfg.Timing.OutageThreshold
 	if last := f.confirmed.Load(); last != nil && at.Sub(*last) > threshold {
 		f.gap = Span{From: *last, To: at}
-		f.keepAbsentUntil = now.Add(f.cfg.Timing.Return)
+		f.keepAbsentUntil = now.Add(f.cfg.Timing.EntryReturnTime)
 	}
 	if !now.Before(f.keepAbsentUntil) {
 		return
 	}
-	if r.Steady.covers(f.gap.From, f.gap.To, threshold) {
+	if r.SourceUptime.covers(f.gap.From, f.gap.To, threshold) {
 		f.keepAbsentUntil = now
 		return
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -110,7 +110,7 @@
 	if s.unavailable {
 		return follow.Reading{}, errUnavailable
 	}
-	r := follow.Reading{Config: s.config(), List: directory.Reading{Whole: true, Entries: s.entries, Revision: s.revision}}
+	r := follow.Reading{Config: s.config(), List: directory.Reading{Full: true, Entries: s.entries, Revision: s.revision}}
 	if fresh {
 		s.freshReads++
 	} else if s.staleEntries != nil {
@@ -123,7 +123,7 @@
 func (s *source) changesSince(after uint64) follow.Reading {
 	r := follow.Reading{List: directory.Reading{Revision: s.revision}, Age: s.peerAge}
 	if s.uptime != nil {
-		r.Steady = s.uptime()
+		r.SourceUptime = s.uptime()
 	}
 	if s.revision > after {
 		r.Config = s.config()
@@ -131,7 +131,7 @@
 	for _, c := range s.history {
 		if c.revision > after {
 			r.List.Entries = append(r.List.Entries, c.changed...)
-			r.List.Gone = append(r.List.Gone, c.removed...)
+			r.List.Removed = append(r.List.Removed, c.removed...)
 		}
 	}
 	return r
@@ -167,8 +167,8 @@
 }
 
 var timing = follow.Timing{
-	Wait: time.Second, Slack: 400 * time.Millisecond, Pace: 200 * time.Millisecond,
-	Outage: 2800 * time.Millisecond, Return: 2500 * time.Millisecond,
+	Wait: time.Second, Slack: 400 * time.Millisecond, MinInterval: 200 * time.Millisecond,
+	OutageThreshold: 2800 * time.Millisecond, EntryReturnTime: 2500 * time.Millisecond,
 }
 
 // runFollower runs a follower of the source in a synctest bubble.
@@ -247,7 +247,7 @@
 		})
 		sleep(1500 * time.Millisecond)
 		g.Expect(f.Table().Version()).To(Equal(uint64(9)))
-		g.Expect(f.Directory().For("s")).To(HaveLen(1))
+		g.Expect(f.Directory().ByService("s")).To(HaveLen(1))
 		g.Expect(s.freshReads).To(Equal(1), "a cheap read may be older than the present state")
 	})
 }
@@ -262,8 +262,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go f.Run(ctx)
-		sleep(timing.Pace)
-		g.Expect(f.Directory().For("s")).To(HaveLen(1))
+		sleep(timing.MinInterval)
+		g.Expect(f.Directory().ByService("s")).To(HaveLen(1))
 		g.Expect(s.reads).To(Equal(1))
 	})
 }
@@ -273,10 +273,10 @@
 		sleep(300 * time.Millisecond)
 		s.removeEndpoint("a")
 		synctest.Wait()
-		g.Expect(f.Directory().For("s")).To(HaveLen(1))
+		g.Expect(f.Directory().ByService("s")).To(HaveLen(1))
 		s.addEndpoint("c")
-		sleep(timing.Pace)
-		g.Expect(f.Directory().For("s")).To(HaveLen(2))
+		sleep(timing.MinInterval)
+		g.Expect(f.Directory().ByService("s")).To(HaveLen(2))
 		g.Expect(s.reads).To(Equal(1))
 	})
 }
@@ -288,7 +288,7 @@
 			sleep(10 * time.Millisecond)
 		}
 		g.Expect(s.awaits).To(BeNumerically("<=", 52))
-		g.Expect(f.Age()).To(BeNumerically("<=", 2*timing.Pace))
+		g.Expect(f.Age()).To(BeNumerically("<=", 2*timing.MinInterval))
 	})
 }
 
@@ -300,9 +300,9 @@
 		s.removeEndpoint("b")
 		s.configure(func() { s.unavailable = false })
 		sleep(time.Second)
-		g.Expect(f.Directory().For("s")).To(HaveLen(2))
+		g.Expect(f.Directory().ByService("s")).To(HaveLen(2))
 		sleep(3 * time.Second)
-		g.Expect(f.Directory().For("s")).To(HaveLen(1))
+		g.Expect(f.Directory().ByService("s")).To(HaveLen(1))
 	})
 }
 
@@ -316,9 +316,9 @@
 		s.configure(func() { s.peerAge = 0 })
 		s.removeEndpoint("b")
 		sleep(500 * time.Millisecond)
-		g.Expect(f.Directory().For("s")).To(HaveLen(2))
+		g.Expect(f.Directory().ByService("s")).To(HaveLen(2))
 		sleep(4 * time.Second)
-		g.Expect(f.Directory().For("s")).To(HaveLen(1))
+		g.Expect(f.Directory().ByService("s")).To(HaveLen(1))
 	})
 }
 
@@ -336,7 +336,7 @@
 		s.configure(func() { s.peerAge = 0 })
 		s.removeEndpoint("b")
 		sleep(500 * time.Millisecond)
-		g.Expect(f.Directory().For("s")).To(HaveLen(1))
+		g.Expect(f.Directory().ByService("s")).To(HaveLen(1))
 	})
 }
 
@@ -348,8 +348,8 @@
 		sleep(2100 * time.Millisecond)
 		s.configure(func() { s.peerAge = 0 })
 		s.removeEndpoint("b")
-		sleep(timing.Pace)
-		g.Expect(f.Directory().For("s")).To(HaveLen(1))
+		sleep(timing.MinInterval)
+		g.Expect(f.Directory().ByService("s")).To(HaveLen(1))
 	})
 }
 
@@ -374,7 +374,7 @@
 		s.removeEndpoint("b")
 		sleep(time.Second)
 		g.Expect(f.Table().Version()).To(Equal(uint64(1)))
-		g.Expect(f.Directory().For("s")).To(HaveLen(1))
+		g.Expect(f.Directory().ByService("s")).To(HaveLen(1))
 		s.update(func() { s.version, s.unusable = 8, false })
 		sleep(time.Second)
 		g.Expect(f.Table().Version()).To(Equal(uint64(8)))
--- a/internal/follow/source.go
+++ b/internal/follow/source.go
@@ -33,10 +33,10 @@
 	Age time.Duration
 	// SourceUptime is a span over which the routers, taken together, read the service without a
 	// long gap; empty if unknown.
-	Steady Span
+	SourceUptime Span
 	// ConfigTransferTime is the time from the first byte to the last of the answer that
 	// contained the configuration; 0 if there was none, or if unknown.
-	Arrival time.Duration
+	ConfigTransferTime time.Duration
 }
 
 // Span is a period of a clock that includes the time for which the VM was suspended.
@@ -62,7 +62,7 @@
 type Store interface {
 	// OperatorState reads all that the operator has set. If the error is ErrUnreadable,
 	// everything but the configuration is valid.
-	Orders(ctx context.Context) (Orders, error)
+	OperatorState(ctx context.Context) (OperatorState, error)
 	// Page reads the page of the list that follows the given name. A read that isn't fresh is
 	// cheaper and may be seconds old.
 	Page(ctx context.Context, after string, fresh bool) (Page, error)
@@ -74,7 +74,7 @@
 }
 
 // OperatorState is what the operator has set, as of a revision.
-type Orders struct {
+type OperatorState struct {
 	// Config is the newest configuration.
 	Config *route.Config
 	// Evacuated lists the evacuated failure domains.
@@ -82,8 +82,8 @@
 	Revision  uint64
 }
 
-func (s *Orders) evacuations() directory.Evacuations {
-	return directory.Evacuations{Whole: true, Ordered: s.Evacuated}
+func (s *OperatorState) evacuations() directory.Evacuations {
+	return directory.Evacuations{Full: true, Active: s.Evacuated}
 }
 
 // Page is a page of the list.
@@ -110,8 +110,8 @@
 	transferTime := time.Since(start) // the call returns without waiting for a change
 	// The pages are no snapshot, and the operator state was read at another time: only the
 	// lowest of their revisions is certain.
-	full := Reading{Config: state.Config, Unreadable: err, Arrival: transferTime, List: directory.Reading{
-		Whole: true, Revision: state.Revision, Evacuations: state.evacuations(),
+	full := Reading{Config: state.Config, Unreadable: err, ConfigTransferTime: transferTime, List: directory.Reading{
+		Full: true, Revision: state.Revision, Evacuations: state.evacuations(),
 	}}
 	for after, more := "", true; more; more = after != "" {
 		page, err := r.page(ctx, after, fresh)
@@ -137,7 +137,7 @@
 	start := time.Now()
 	state, err := r.operatorState(ctx)
 	changes.Evacuations = state.evacuations()
-	reading := Reading{Config: state.Config, Arrival: time.Since(start), List: changes}
+	reading := Reading{Config: state.Config, ConfigTransferTime: time.Since(start), List: changes}
 	if errors.Is(err, ErrUnreadable) {
 		reading.Unreadable = err
 		return reading, nil
@@ -151,10 +151,10 @@
 	return r.Store.Changes(ctx, after)
 }
 
-func (r Reader) operatorState(ctx context.Context) (Orders, error) {
+func (r Reader) operatorState(ctx context.Context) (OperatorState, error) {
 	ctx, cancel := idle.WithTimeout(ctx, r.CallTimeout, r.CallTimeout)
 	defer cancel()
-	return r.Store.Orders(ctx)
+	return r.Store.OperatorState(ctx)
 }
 
 func (r Reader) page(ctx context.Context, after string, fresh bool) (Page, error) {
--- a/internal/follow/unreadable.go
+++ b/internal/follow/unreadable.go
@@ -33,13 +33,13 @@
 
 // record updates the unreadable entries from a reading.
 func (u *unreadable) record(r directory.Reading) {
-	if r.Whole {
+	if r.Full {
 		u.retain(r.Unreadable)
 	}
 	for _, e := range r.Entries {
 		delete(u.causes, e.Endpoint.Name)
 	}
-	for _, name := range r.Gone {
+	for _, name := range r.Removed {
 		delete(u.causes, name)
 	}
 	for _, e := range r.Unreadable {
--- a/internal/peers/cached_test.go
+++ b/internal/peers/cached_test.go
@@ -33,8 +33,8 @@
 // The receiver of a cached report must know its actual age.
 func TestCachedLoadReportsAge(t *testing.T) {
 	g := NewWithT(t)
-	reports := []balance.LoadWord{{Endpoint: "e", Running: 3, AgeMillis: 7}}
-	g.Expect(aged(reports, 30*time.Millisecond)).To(Equal([]balance.LoadWord{{Endpoint: "e", Running: 3, AgeMillis: 37}}))
+	reports := []balance.LoadSummary{{Endpoint: "e", Running: 3, AgeMillis: 7}}
+	g.Expect(aged(reports, 30*time.Millisecond)).To(Equal([]balance.LoadSummary{{Endpoint: "e", Running: 3, AgeMillis: 37}}))
 	g.Expect(aged(reports, 0)).To(Equal(reports))
 	g.Expect(reports[0].AgeMillis).To(Equal(int64(7)), "the cached report must not change")
 }
--- a/internal/peers/changelog.go
+++ b/internal/peers/changelog.go
@@ -44,7 +44,7 @@
 	}
 	for name, at := range c.removed {
 		if at > revision {
-			changes.Gone = append(changes.Gone, name)
+			changes.Removed = append(changes.Removed, name)
 		}
 	}
 	return changes, true
--- a/internal/peers/demand.go
+++ b/internal/peers/demand.go
@@ -42,7 +42,7 @@
 }
 
 // PeerDemand returns the demand at all other routers, based on their recent reports.
-func (s *Source) OthersDemand() balance.Others {
+func (s *Source) PeerDemand() balance.PeerDemand {
 	now := time.Now()
 	demand, routers, ok := s.demand.readerTotal(now)
 	if !ok {
@@ -51,9 +51,9 @@
 	known := s.members.count(now)
 	if 0 < routers && 0 < known && routers != known {
 		// Some routers were not counted, or two readers counted the same one.
-		demand = demand.Times(float64(known) / float64(routers))
+		demand = demand.Scale(float64(known) / float64(routers))
 	}
-	return balance.Others{Demand: demand, Routers: known}
+	return balance.PeerDemand{Demand: demand, Routers: known}
 }
 
 func (d *demandTable) local() balance.Demand {
@@ -97,7 +97,7 @@
 		return domainDemand{}
 	}
 	total, routers := s.demand.sumDomain(now, s.cfg.Self.FailureDomain)
-	return domainDemand{Demand: total.Plus(s.demand.local()), Routers: routers + 1}
+	return domainDemand{Demand: total.Add(s.demand.local()), Routers: routers + 1}
 }
 
 // recordTotal records the demand of all other routers as a reader reported it.
@@ -121,13 +121,13 @@
 	d.expire(now)
 	reported := make(map[string]bool)
 	for _, report := range d.byDomain {
-		total = total.Plus(report.demand)
+		total = total.Add(report.demand)
 		routers += report.routers
 		reported[report.domain] = true
 	}
 	for vm, report := range d.byRouter {
 		if vm != except && !reported[report.domain] {
-			total = total.Plus(report.demand)
+			total = total.Add(report.demand)
 			routers++
 		}
 	}
@@ -141,7 +141,7 @@
 	d.expire(now)
 	for _, report := range d.byRouter {
 		if report.domain == domain {
-			total = total.Plus(report.demand)
+			total = total.Add(report.demand)
 			routers++
 		}
 	}
--- a/internal/peers/evacuation_test.go
+++ b/internal/peers/evacuation_test.go
@@ -79,21 +79,21 @@
 		for _, n := range f.nodes {
 			fleet := n.source.Fleet(time.Now())
 			g.Expect(fleet.Known).To(BeTrue(), n.vm)
-			g.Expect(fleet.Near).To(HaveLen(5), n.vm)
+			g.Expect(fleet.OwnDomainRouters).To(HaveLen(5), n.vm)
 			g.Expect(fleet.Domains).To(HaveLen(2), n.vm)
 		}
 		// A router that stops sending may only be partitioned, and still counts for a while.
 		f.nodes[11].shutDown()
 		time.Sleep(rateSharerTTL / 2)
-		g.Expect(f.nodes[1].source.Fleet(time.Now()).Near).To(HaveLen(5))
+		g.Expect(f.nodes[1].source.Fleet(time.Now()).OwnDomainRouters).To(HaveLen(5))
 		time.Sleep(rateSharerTTL)
-		g.Expect(f.nodes[1].source.Fleet(time.Now()).Near).To(HaveLen(4))
+		g.Expect(f.nodes[1].source.Fleet(time.Now()).OwnDomainRouters).To(HaveLen(4))
 		f.startNode(g, 12)
 		time.Sleep(settleTime / 2)
 		g.Expect(f.nodes[12].source.Fleet(time.Now()).Known).To(BeFalse(), "a router that is starting")
 		time.Sleep(settleTime)
 		fleet := f.nodes[12].source.Fleet(time.Now())
 		g.Expect(fleet.Known).To(BeTrue())
-		g.Expect(fleet.Near).To(HaveLen(6))
+		g.Expect(fleet.OwnDomainRouters).To(HaveLen(6))
 	})
 }
--- a/internal/peers/exchange.go
+++ b/internal/peers/exchange.go
@@ -20,8 +20,8 @@
 type sharedState[U update] interface {
 	// UpdateFor returns the update for a router whose digest is theirs: the changes of the
 	// given period, or everything if the digests differ.
-	Tell(theirs uint64, window time.Duration) U
-	Hear(sentAt time.Time, u U)
+	UpdateFor(theirs uint64, window time.Duration) U
+	Apply(sentAt time.Time, u U)
 }
 
 // exchange synchronizes one kind of state between routers. Updates travel with each poll of a
@@ -42,7 +42,7 @@
 // updateFor returns the update for a router with the given digest.
 func (t *exchange[U]) updateFor(peerDigest uint64, window time.Duration) (u U) {
 	if state := t.state.Load(); state != nil {
-		u = (*state).Tell(peerDigest, window)
+		u = (*state).UpdateFor(peerDigest, window)
 	}
 	return u
 }
@@ -50,7 +50,7 @@
 // apply merges an update that was sent at the given time.
 func (t *exchange[U]) apply(sentAt time.Time, u U) {
 	if state := t.state.Load(); state != nil {
-		(*state).Hear(sentAt, u)
+		(*state).Apply(sentAt, u)
 	}
 }
 
@@ -71,8 +71,8 @@
 
 // Limits holds the rate limits that endpoints have stated. See balance.Pool.
 type Limits interface {
-	TellLimits(now time.Time, theirs uint64, window time.Duration) balance.LimitWords
-	HearLimits(now, sentAt time.Time, words []balance.LimitWord)
+	LimitsForPeer(now time.Time, theirs uint64, window time.Duration) balance.LimitSummaries
+	ApplyPeerLimits(now, sentAt time.Time, summaries []balance.LimitSummary)
 }
 
 // ShareLimits has this router exchange with others the rate limits that endpoints have stated.
@@ -85,11 +85,11 @@
 	clock  clock.Clock
 }
 
-func (l limitState) Tell(theirs uint64, window time.Duration) balance.LimitWords {
-	return l.limits.TellLimits(time.Now(), theirs, window)
+func (l limitState) UpdateFor(theirs uint64, window time.Duration) balance.LimitSummaries {
+	return l.limits.LimitsForPeer(time.Now(), theirs, window)
 }
 
-func (l limitState) Hear(sentAt time.Time, u balance.LimitWords) {
+func (l limitState) Apply(sentAt time.Time, u balance.LimitSummaries) {
 	now := time.Now()
-	l.limits.HearLimits(now, now.Add(-l.clock().Sub(sentAt)), u.Words)
+	l.limits.ApplyPeerLimits(now, now.Add(-l.clock().Sub(sentAt)), u.Limits)
 }
--- a/internal/peers/failures.go
+++ b/internal/peers/failures.go
@@ -20,8 +20,8 @@
 
 // Failures holds the failing endpoints that a router knows of. See balance.Pool.
 type Failures interface {
-	FailureWords(now time.Time, limit int) []balance.FailureWord
-	HearFailures(now time.Time, words []balance.FailureWord) []balance.FailureWord
+	RecentFailures(now time.Time, limit int) []balance.FailureSummary
+	ApplyPeerFailures(now time.Time, summaries []balance.FailureSummary) []balance.FailureSummary
 }
 
 // failureReports holds the failed attempts that routers report to each other. It is safe for
@@ -29,13 +29,13 @@
 type failureReports struct {
 	pool atomic.Pointer[Failures]
 	// localCache holds the failures that this router observed itself.
-	localCache cached[[]balance.FailureWord]
+	localCache cached[[]balance.FailureSummary]
 	mu         sync.Mutex
 	byRouter   map[string]receivedFailures // by the reporting router
 }
 
 type receivedFailures struct {
-	reports []balance.FailureWord
+	reports []balance.FailureSummary
 	at      time.Time
 }
 
@@ -43,17 +43,17 @@
 func (s *Source) ShareFailures(pool Failures) { s.failures.pool.Store(&pool) }
 
 // local returns the failures that this router observed itself.
-func (f *failureReports) local(now time.Time) []balance.FailureWord {
+func (f *failureReports) local(now time.Time) []balance.FailureSummary {
 	pool := f.pool.Load()
 	if pool == nil {
 		return nil
 	}
-	reports, _ := f.localCache.get(now, func() []balance.FailureWord { return (*pool).FailureWords(now, maxFailures) })
+	reports, _ := f.localCache.get(now, func() []balance.FailureSummary { return (*pool).RecentFailures(now, maxFailures) })
 	return reports
 }
 
 // record stores the report of a router.
-func (f *failureReports) record(vm string, reports []balance.FailureWord, at time.Time) {
+func (f *failureReports) record(vm string, reports []balance.FailureSummary, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.byRouter == nil {
@@ -63,16 +63,16 @@
 }
 
 // total adds up the failures of this router and the recent reports of all others except one.
-func (f *failureReports) total(now time.Time, except string) []balance.FailureWord {
+func (f *failureReports) total(now time.Time, except string) []balance.FailureSummary {
 	return f.sum(f.local(now), now, except)
 }
 
 // sum adds up the given reports and the recent reports of all routers except one.
-func (f *failureReports) sum(own []balance.FailureWord, now time.Time, except string) []balance.FailureWord {
-	totals := make(map[string]balance.FailureWord)
-	add := func(reports []balance.FailureWord) {
+func (f *failureReports) sum(own []balance.FailureSummary, now time.Time, except string) []balance.FailureSummary {
+	totals := make(map[string]balance.FailureSummary)
+	add := func(reports []balance.FailureSummary) {
 		for _, w := range reports {
-			total := totals[w.Endpoint].Plus(w)
+			total := totals[w.Endpoint].Add(w)
 			total.Endpoint = w.Endpoint
 			totals[w.Endpoint] = total
 		}
@@ -88,23 +88,23 @@
 			add(received.reports)
 		}
 	}
-	var reports []balance.FailureWord
+	var reports []balance.FailureSummary
 	for _, w := range totals {
 		reports = append(reports, w)
 	}
-	slices.SortFunc(reports, func(a, b balance.FailureWord) int { return strings.Compare(a.Endpoint, b.Endpoint) })
+	slices.SortFunc(reports, func(a, b balance.FailureSummary) int { return strings.Compare(a.Endpoint, b.Endpoint) })
 	return reports
 }
 
 // applyFailures passes the failures that others observed to this router's pool. Without any it
 // does nothing: the observations of a single router aren't enough to avoid an endpoint.
-func (s *Source) applyFailures(now time.Time, reports []balance.FailureWord) {
+func (s *Source) applyFailures(now time.Time, reports []balance.FailureSummary) {
 	pool := s.failures.pool.Load()
 	if pool == nil || len(reports) == 0 {
 		return
 	}
-	for _, w := range (*pool).HearFailures(now, reports) {
+	for _, w := range (*pool).ApplyPeerFailures(now, reports) {
 		s.cfg.Log.Info().Str("endpoint", w.Endpoint).Int("attempts", w.Attempts).Int("failed", w.Failed).
-			Int("witnesses", w.Witnesses).Msg("endpoint is avoided: it fails for several routers")
+			Int("witnesses", w.Reporters).Msg("endpoint is avoided: it fails for several routers")
 	}
 }
--- a/internal/peers/fleet_test.go
+++ b/internal/peers/fleet_test.go
@@ -84,8 +84,8 @@
 	return follow.Reading{
 		Config: &route.Config{Version: version},
 		List: directory.Reading{
-			Whole: true, Entries: entries, Revision: version,
-			Evacuations: directory.Evacuations{Whole: true, Ordered: v.evacuated},
+			Full: true, Entries: entries, Revision: version,
+			Evacuations: directory.Evacuations{Full: true, Active: v.evacuated},
 		},
 	}
 }
@@ -133,7 +133,7 @@
 }
 
 func (v routerView) CatchUp(ctx context.Context, after uint64) (follow.Reading, error) {
-	return v.Await(ctx, after, follow.AtOnce)
+	return v.Await(ctx, after, follow.MinWait)
 }
 
 // readTimeout bounds a single read, as in the daemon.
@@ -199,19 +199,19 @@
 	n.pool = control.NewPool(control.ClientConfig{Dial: f.net.Dialer(vm)}, 0)
 	n.source = New(Config{
 		Self: Member{VM: vm, FailureDomain: fmt.Sprint("domain", i%cmp.Or(f.domains, 2)), Address: address(i), LinkMbps: f.mbps}, Seeds: f.seeds,
-		Source: routerView{f.origin, vm}, Pool: n.pool, Every: 250 * time.Millisecond, MaxAge: maxAge, Outage: outage, Clock: time.Now, Log: zerolog.Nop(),
+		Origin: routerView{f.origin, vm}, Pool: n.pool, PollInterval: 250 * time.Millisecond, MaxAge: maxAge, OutageThreshold: outage, Clock: time.Now, Log: zerolog.Nop(),
 	})
 	n.server = control.NewServer(control.ServerConfig{Listener: l})
 	n.source.Register(n.server)
 	n.follower = follow.New(follow.Config{
 		Source: n.source, Log: zerolog.Nop(), Clock: time.Now,
 		Timing: follow.Timing{
-			Wait: time.Second, Slack: 400 * time.Millisecond, Pace: 200 * time.Millisecond,
-			Outage: outage, Return: 2500 * time.Millisecond,
+			Wait: time.Second, Slack: 400 * time.Millisecond, MinInterval: 200 * time.Millisecond,
+			OutageThreshold: outage, EntryReturnTime: 2500 * time.Millisecond,
 		},
 		OnDirectory: func(*directory.Directory) {},
 	})
-	n.source.Tell(n.follower)
+	n.source.SetState(n.follower)
 	var ctx context.Context
 	ctx, n.stop = context.WithCancel(context.Background())
 	go func() { _ = n.server.Run() }()
--- a/internal/peers/hello.go
+++ b/internal/peers/hello.go
@@ -40,7 +40,7 @@
 // applyFailuresPeriodically applies the failures that others reported to this router. A router
 // that polls a reader gets them with the replies instead.
 func (s *Source) applyFailuresPeriodically(ctx context.Context) {
-	for clock.Sleep(ctx, s.cfg.Every) {
+	for clock.Sleep(ctx, s.cfg.PollInterval) {
 		now := time.Now()
 		s.applyFailures(now, s.failures.sum(nil, now, ""))
 	}
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -76,7 +76,7 @@
 	}
 	self := n.source.cfg.Self
 	share := endpointrate.Share{Self: self.VM, Domain: self.FailureDomain, Fleet: n.source.Fleet}
-	p := balance.NewPool(balance.Config{Policy: balance.NewPromptAware(), Seed: uint64(len(c.pools) + 1), Part: share.Of})
+	p := balance.NewPool(balance.Config{Policy: balance.NewPromptAware(), Seed: uint64(len(c.pools) + 1), RateShare: share.Rate})
 	for _, e := range c.endpoints {
 		p.SetLeaving(e.Name, false)
 	}
@@ -103,15 +103,15 @@
 	if err != nil {
 		return
 	}
-	work := p.SentWork(sent, e.Name, balance.Work{Service: "s"})
+	work := p.Track(sent, e.Name, balance.Work{Service: "s"})
 	var limit upstream.RateLimit
 	if e.Name == limitedName {
 		c.limited.arrivals = append(c.limited.arrivals, sent)
 		limit = c.limited.limit
 	}
 	time.AfterFunc(responseTime, func() {
-		p.HearLimit(time.Now(), sent, e.Name, limit)
-		work.Ended()
+		p.ApplyLimit(time.Now(), sent, e.Name, limit)
+		work.Release()
 		work.Done(time.Now(), balance.ResultOK)
 	})
 }
@@ -183,10 +183,10 @@
 		fleet := f.nodes[0].source.Fleet(time.Now())
 		g.Expect(fleet.Known).To(BeTrue())
 		g.Expect(fleet.Domains).To(HaveLen(3))
-		g.Expect(fleet.CutOffFrom).To(BeZero(), "the others may still run")
+		g.Expect(fleet.LostRouters).To(BeZero(), "the others may still run")
 		time.Sleep(rateSharerTTL)
 		fleet = f.nodes[0].source.Fleet(time.Now())
 		g.Expect(fleet.Known).To(BeTrue())
-		g.Expect(fleet.CutOffFrom).To(Equal(2))
+		g.Expect(fleet.LostRouters).To(Equal(2))
 	})
 }
--- a/internal/peers/list_test.go
+++ b/internal/peers/list_test.go
@@ -32,8 +32,8 @@
 		// A requester with a later revision gets no changes.
 		g.Expect(poll(list.Revision()+5, list.Digest()+1).HistoryLost).To(BeFalse())
 		other := directory.Entry{Endpoint: bundle.Endpoint{Name: "f", Address: "b", Services: []string{"s"}}}
-		next, _ := list.Merge(directory.Reading{Entries: []directory.Entry{other}, Gone: []string{"e"}, Revision: 9}, time.Now(), time.Time{})
-		n.source.Tell(overriddenState{State: n.follower, directory: next})
+		next, _ := list.Merge(directory.Reading{Entries: []directory.Entry{other}, Removed: []string{"e"}, Revision: 9}, time.Now(), time.Time{})
+		n.source.SetState(overriddenState{State: n.follower, directory: next})
 		reply = poll(list.Revision(), list.Digest())
 		g.Expect(reply.Entries).To(Equal([]directory.Entry{other}))
 		g.Expect(reply.Removed).To(Equal([]string{"e"}))
@@ -62,8 +62,8 @@
 	runFleet(t, 12, func(g *WithT, f *fleet) {
 		for version := uint64(2); version < 14; version += 3 {
 			f.setVersionAndEndpoint(version, true)
-			// Two changes in a row refresh the reader's state within one poll; calls that waited before
-			// them left it two waits old.
+			// Two changes in a row refresh the reader's state within one poll; calls that waited
+			// before them left it two waits old.
 			time.Sleep(2970 * time.Millisecond)
 			f.setVersionAndEndpoint(version+1, true)
 			time.Sleep(10 * time.Millisecond)
@@ -83,13 +83,13 @@
 		for i := range entries {
 			entries[i] = directory.Entry{Endpoint: bundle.Endpoint{Name: fmt.Sprintf("e%04d", i), Address: fmt.Sprint(i)}}
 		}
-		list, _ := directory.Empty().Merge(directory.Reading{Whole: true, Entries: entries, Revision: 3}, time.Now(), time.Time{})
-		n.source.Tell(overriddenState{State: n.follower, directory: list})
+		list, _ := directory.Empty().Merge(directory.Reading{Full: true, Entries: entries, Revision: 3}, time.Now(), time.Time{})
+		n.source.SetState(overriddenState{State: n.follower, directory: list})
 		starting := New(Config{Self: Member{VM: "new"}, Pool: f.nodes[1].pool, MaxAge: maxAge, Log: zerolog.Nop()})
 		for _, requester := range []*Source{starting, f.nodes[1].source} {
 			read, err := requester.readPages(context.Background(), n.source.cfg.Self)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(read.List.Whole).To(BeTrue())
+			g.Expect(read.List.Full).To(BeTrue())
 			g.Expect(read.List.Entries).To(Equal(entries))
 			if requester == starting {
 				g.Expect(read.Config.Version).To(Equal(uint64(1)))
@@ -105,10 +105,10 @@
 		n := f.nodes[0]
 		removed := directory.Entry{Endpoint: bundle.Endpoint{Name: "gone", Address: "b", Services: []string{"s"}}}
 		listed := n.follower.Directory().Entries()
-		before, _ := directory.Empty().Merge(directory.Reading{Whole: true, Entries: append(listed, removed), Revision: 1}, time.Now(), time.Time{})
-		after, _ := before.Merge(directory.Reading{Whole: true, Entries: listed, Revision: 2}, time.Now(), time.Now().Add(time.Second))
-		g.Expect(after.For("s")).To(HaveLen(2), "this router keeps the endpoint that may be back")
-		n.source.Tell(overriddenState{State: n.follower, directory: after})
+		before, _ := directory.Empty().Merge(directory.Reading{Full: true, Entries: append(listed, removed), Revision: 1}, time.Now(), time.Time{})
+		after, _ := before.Merge(directory.Reading{Full: true, Entries: listed, Revision: 2}, time.Now(), time.Now().Add(time.Second))
+		g.Expect(after.ByService("s")).To(HaveLen(2), "this router keeps the endpoint that may be back")
+		n.source.SetState(overriddenState{State: n.follower, directory: after})
 		page, err := n.source.servePage(context.Background(), testPeer, pageRequest{})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(page.Entries).To(Equal(listed))
--- a/internal/peers/loads.go
+++ b/internal/peers/loads.go
@@ -22,8 +22,8 @@
 
 // Loads holds the load of endpoints that a router knows of. See balance.Pool.
 type Loads interface {
-	LoadWords(now time.Time, maxAge time.Duration, limit int, own bool) []balance.LoadWord
-	HearLoads(sentAt time.Time, words []balance.LoadWord)
+	RecentLoads(now time.Time, maxAge time.Duration, limit int, own bool) []balance.LoadSummary
+	ApplyPeerLoads(sentAt time.Time, summaries []balance.LoadSummary)
 }
 
 // loadReports exchanges load reports between routers through their reader. Routers use a report
@@ -32,33 +32,33 @@
 type loadReports struct {
 	pool atomic.Pointer[Loads]
 	// latestCache holds the reports that all replies share for a short time.
-	latestCache cached[[]balance.LoadWord]
+	latestCache cached[[]balance.LoadSummary]
 }
 
 // ShareLoads has this router exchange the load reports that it receives with others.
 func (s *Source) ShareLoads(pool Loads) { s.loads.pool.Store(&pool) }
 
 // local returns the reports that this router received itself within the given period.
-func (l *loadReports) local(now time.Time, period time.Duration) []balance.LoadWord {
+func (l *loadReports) local(now time.Time, period time.Duration) []balance.LoadSummary {
 	pool := l.pool.Load()
 	if pool == nil {
 		return nil
 	}
-	return (*pool).LoadWords(now, period, maxLoads, true)
+	return (*pool).RecentLoads(now, period, maxLoads, true)
 }
 
 // latest returns the newest reports that this router knows of.
-func (l *loadReports) latest(now time.Time) []balance.LoadWord {
+func (l *loadReports) latest(now time.Time) []balance.LoadSummary {
 	pool := l.pool.Load()
 	if pool == nil {
 		return nil
 	}
-	reports, age := l.latestCache.get(now, func() []balance.LoadWord { return (*pool).LoadWords(now, maxLoadAge, maxLoads, false) })
+	reports, age := l.latestCache.get(now, func() []balance.LoadSummary { return (*pool).RecentLoads(now, maxLoadAge, maxLoads, false) })
 	return aged(reports, age)
 }
 
 // aged returns the reports with their ages increased.
-func aged(reports []balance.LoadWord, by time.Duration) []balance.LoadWord {
+func aged(reports []balance.LoadSummary, by time.Duration) []balance.LoadSummary {
 	if by.Milliseconds() == 0 {
 		return reports
 	}
@@ -69,8 +69,8 @@
 	return result
 }
 
-func (l *loadReports) apply(sentAt time.Time, reports []balance.LoadWord) {
+func (l *loadReports) apply(sentAt time.Time, reports []balance.LoadSummary) {
 	if pool := l.pool.Load(); pool != nil {
-		(*pool).HearLoads(sentAt, reports)
+		(*pool).ApplyPeerLoads(sentAt, reports)
 	}
 }
--- a/internal/peers/messages.go
+++ b/internal/peers/messages.go
@@ -56,11 +56,11 @@
 	From   Member         `json:"from"`
 	Demand balance.Demand `json:"demand"`
 	// Domain is the demand of the sender's failure domain if the sender is a reader.
-	Domain       domainDemand `json:"domain,omitzero"`
-	Poison       poison.Words `json:"poison,omitzero"`
-	OriginUptime uptimeReport `json:"steady,omitzero"`
+	Domain       domainDemand   `json:"domain,omitzero"`
+	Poison       poison.Message `json:"poison,omitzero"`
+	OriginUptime uptimeReport   `json:"steady,omitzero"`
 	// Limits are the rate limits stated by endpoints that the sender knows of.
-	Limits balance.LimitWords `json:"limits,omitzero"`
+	Limits balance.LimitSummaries `json:"limits,omitzero"`
 }
 
 type helloReply struct {
@@ -74,10 +74,10 @@
 	// Demand is that of this router's own requests, and Domain is as in the request.
 	Demand       balance.Demand `json:"demand"`
 	Domain       domainDemand   `json:"domain,omitzero"`
-	Poison       poison.Words   `json:"poison,omitzero"`
+	Poison       poison.Message `json:"poison,omitzero"`
 	OriginUptime uptimeReport   `json:"steady,omitzero"`
 	// Limits are the rate limits stated by endpoints that the sender knows of.
-	Limits balance.LimitWords `json:"limits,omitzero"`
+	Limits balance.LimitSummaries `json:"limits,omitzero"`
 }
 
 // updateRequest requests all changes since the requester's state.
@@ -90,13 +90,13 @@
 	Digest   uint64         `json:"digest"`
 	Demand   balance.Demand `json:"demand"`
 	// Loads are the load reports that the requester received recently.
-	Loads []balance.LoadWord `json:"loads,omitempty"`
+	Loads []balance.LoadSummary `json:"loads,omitempty"`
 	// Failures are the failed attempts that the requester observed itself.
-	Failures []balance.FailureWord `json:"failures,omitempty"`
+	Failures []balance.FailureSummary `json:"failures,omitempty"`
 	// Poison is what the requester knows of requests that crash endpoints.
-	Poison poison.Words `json:"poison,omitzero"`
+	Poison poison.Message `json:"poison,omitzero"`
 	// Limits are the rate limits stated by endpoints that the requester knows of.
-	Limits balance.LimitWords `json:"limits,omitzero"`
+	Limits balance.LimitSummaries `json:"limits,omitzero"`
 	// OriginUptime is the span in which the origin was readable, as far as the requester knows.
 	OriginUptime uptimeReport `json:"steady,omitzero"`
 }
@@ -125,13 +125,13 @@
 	Demand        balance.Demand `json:"demand"`
 	DemandRouters int            `json:"demand_of"`
 	// Loads are the newest load reports that the reader knows of.
-	Loads []balance.LoadWord `json:"loads,omitempty"`
+	Loads []balance.LoadSummary `json:"loads,omitempty"`
 	// Failures are those of all routers that the reader knows of, except the requester's.
-	Failures []balance.FailureWord `json:"failures,omitempty"`
+	Failures []balance.FailureSummary `json:"failures,omitempty"`
 	// Poison is what the reader knows of requests that crash endpoints.
-	Poison poison.Words `json:"poison,omitzero"`
+	Poison poison.Message `json:"poison,omitzero"`
 	// Limits are the rate limits stated by endpoints that the reader knows of.
-	Limits balance.LimitWords `json:"limits,omitzero"`
+	Limits balance.LimitSummaries `json:"limits,omitzero"`
 	// OriginUptime is the span in which the origin was readable, as far as the reader knows.
 	OriginUptime uptimeReport `json:"steady,omitzero"`
 }
--- a/internal/peers/monitored.go
+++ b/internal/peers/monitored.go
@@ -136,4 +136,4 @@
 // OriginUnavailableFor returns for how long this router's own calls to the origin have been
 // failing; 0 while they succeed or if it made none recently. Its state may still be fresh, by
 // updates from peers.
-func (s *Source) SourceLost() time.Duration { return s.origin.unavailableFor() }
+func (s *Source) OriginUnavailableFor() time.Duration { return s.origin.unavailableFor() }
--- a/internal/peers/narrow_test.go
+++ b/internal/peers/narrow_test.go
@@ -51,7 +51,7 @@
 	size, _ := json.Marshal(c)
 	time.Sleep(time.Until(v.link.Reserve(len(size))))
 	entries := []directory.Entry{{Endpoint: bundle.Endpoint{Name: "e", Address: "a", Services: []string{"s"}}}}
-	return follow.Reading{Config: c, List: directory.Reading{Whole: true, Entries: entries, Revision: c.Version}}
+	return follow.Reading{Config: c, List: directory.Reading{Full: true, Entries: entries, Revision: c.Version}}
 }
 
 func (v linkView) Read(context.Context, bool) (follow.Reading, error) { return v.reading(), nil }
@@ -69,7 +69,7 @@
 }
 
 func (v linkView) CatchUp(ctx context.Context, after uint64) (follow.Reading, error) {
-	return v.Await(ctx, after, follow.AtOnce)
+	return v.Await(ctx, after, follow.MinWait)
 }
 
 // configWithRoutes returns a configuration with the given number of routes.
@@ -105,18 +105,18 @@
 	}}, 0)
 	source := New(Config{
 		Self: Member{VM: vm, FailureDomain: "domain", Address: address(i), Cores: 1, LinkMbps: mbps}, Seeds: seeds,
-		Source: linkView{origin, link}, Pool: pool, Every: 250 * time.Millisecond, MaxAge: maxAge, Log: zerolog.Nop(),
+		Origin: linkView{origin, link}, Pool: pool, PollInterval: 250 * time.Millisecond, MaxAge: maxAge, Log: zerolog.Nop(),
 	})
 	server := control.NewServer(control.ServerConfig{Listener: link.Listener(l)})
 	source.Register(server)
 	follower := follow.New(follow.Config{
 		Source: source, Log: zerolog.Nop(), Clock: time.Now, OnDirectory: func(*directory.Directory) {},
 		Timing: follow.Timing{
-			Wait: time.Second, Slack: 400 * time.Millisecond, Pace: 200 * time.Millisecond,
-			Outage: 2800 * time.Millisecond, Return: 2500 * time.Millisecond,
+			Wait: time.Second, Slack: 400 * time.Millisecond, MinInterval: 200 * time.Millisecond,
+			OutageThreshold: 2800 * time.Millisecond, EntryReturnTime: 2500 * time.Millisecond,
 		},
 	})
-	source.Tell(follower)
+	source.SetState(follower)
 	ctx, stop := context.WithCancel(ctx)
 	go func() { _ = server.Run() }()
 	go source.Run(ctx)
--- a/internal/peers/partition_test.go
+++ b/internal/peers/partition_test.go
@@ -18,17 +18,17 @@
 			n.shutDown()
 		}
 		time.Sleep(time.Minute)
-		g.Expect(f.nodes[0].source.Others()).To(Equal(11))
-		g.Expect(f.nodes[1].source.Others()).To(Equal(11))
+		g.Expect(f.nodes[0].source.PeerCount()).To(Equal(11))
+		g.Expect(f.nodes[1].source.PeerCount()).To(Equal(11))
 		time.Sleep(partitionTTL)
-		g.Expect(f.nodes[0].source.Others()).To(Equal(1), "after partitionTTL")
+		g.Expect(f.nodes[0].source.PeerCount()).To(Equal(1), "after partitionTTL")
 	})
 }
 
 // Guards against calls to a failing origin that grow with the fleet: 357 routers made 670 times the
 // usual number of calls while the origin had lost its history. Each router whose reader can't reach
-// the origin calls it itself every 0.8 s. Without turns this test counted 180, 540 and 1,055 calls in
-// 4 s with 31, 103 and 206 routers.
+// the origin calls it itself every 0.8 s. Without turns this test counted 180, 540 and 1,055 calls
+// in 4 s with 31, 103 and 206 routers.
 func TestCallsToFailingOriginAreBounded(t *testing.T) {
 	const (
 		domains, duration = 5, 4 * time.Second
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -35,16 +35,16 @@
 	// Seeds are control addresses of some routers, which may be outdated or down.
 	Seeds []string
 	// Origin is called by the readers.
-	Source Origin
+	Origin Origin
 	// Pool holds the connections to peers.
 	Pool *control.Pool
 	// PollInterval is the time between two polls of a peer.
-	Every time.Duration
+	PollInterval time.Duration
 	// MaxAge is the age above which a peer's state is rejected.
 	MaxAge time.Duration
 	// OutageThreshold is the longest time without an answer of the origin that doesn't count
 	// as an outage.
-	Outage time.Duration
+	OutageThreshold time.Duration
 	// Clock timestamps the messages of peers; nil means clock.Boot.
 	Clock clock.Clock
 	Log   zerolog.Logger
@@ -74,8 +74,8 @@
 	demand   demandTable
 	loads    loadReports
 	failures failureReports
-	poison   exchange[poison.Words]
-	limits   exchange[balance.LimitWords]
+	poison   exchange[poison.Message]
+	limits   exchange[balance.LimitSummaries]
 	uptime   originUptime
 	changes  changeLog
 	configs  configLog
@@ -114,15 +114,15 @@
 	if cfg.Clock == nil {
 		cfg.Clock = clock.Boot
 	}
-	s := &Source{cfg: cfg, members: newMembers(cfg.Self), uptime: originUptime{maxGap: cfg.Outage}, skipPeers: make(chan struct{})}
-	s.origin = &monitoredOrigin{Origin: cfg.Source, calls: newCallCounter(cfg.Metrics), onAnswer: func() { s.uptime.recordAnswer(cfg.Clock()) }}
+	s := &Source{cfg: cfg, members: newMembers(cfg.Self), uptime: originUptime{maxGap: cfg.OutageThreshold}, skipPeers: make(chan struct{})}
+	s.origin = &monitoredOrigin{Origin: cfg.Origin, calls: newCallCounter(cfg.Metrics), onAnswer: func() { s.uptime.recordAnswer(cfg.Clock()) }}
 	return s
 }
 
 // PeerCount returns the number of other routers, by which fleet-wide limits such as the retry slack
 // are divided. A partitioned part of a fleet must not take itself for the whole, so routers that
 // are no longer seen still count for partitionTTL.
-func (s *Source) Others() int { return s.members.countWithPartitioned(time.Now()) }
+func (s *Source) PeerCount() int { return s.members.countWithPartitioned(time.Now()) }
 
 // settleTime is how long a router announces itself before it knows all of its failure domain. In
 // that time it sends a hello to each of three seeds and another one to the first, and the routers
@@ -133,7 +133,7 @@
 // until this router has announced itself for settleTime, or for rateSharerTTL if it has seen no
 // router though it has seeds. Until rateSharerTTL all failure domains of the settings count, seen
 // or not; after it only those in which a router was seen. A router with seeds that sees no other
-// then gets CutOffFrom, the number of routers that it may be partitioned from.
+// then gets LostRouters, the number of routers that it may be partitioned from.
 func (s *Source) Fleet(now time.Time) endpointrate.Fleet {
 	announcing := s.announcingFor(now)
 	if announcing < settleTime {
@@ -148,9 +148,9 @@
 	case announcing < rateSharerTTL:
 		domains = union(domains, s.cfg.FailureDomains)
 	case alone:
-		return endpointrate.Fleet{Known: true, Domains: domains, CutOffFrom: cmp.Or(s.members.peakCount(), LargestFleet)}
+		return endpointrate.Fleet{Known: true, Domains: domains, LostRouters: cmp.Or(s.members.peakCount(), AssumedFleetSize)}
 	}
-	return endpointrate.Fleet{Known: true, Near: domainPeers, Domains: domains}
+	return endpointrate.Fleet{Known: true, OwnDomainRouters: domainPeers, Domains: domains}
 }
 
 // announcingFor returns for how long this router has been announcing itself.
@@ -165,7 +165,7 @@
 
 // AssumedFleetSize is the number of routers that a router assumes if it has seen none though
 // there may be others. It is somewhat above the planned maximum.
-const LargestFleet = 1000
+const AssumedFleetSize = 1000
 
 // union returns the sorted distinct elements of a and b.
 func union(a, b []string) []string {
@@ -180,7 +180,7 @@
 }
 
 // SetState sets the state to send to others; until then requests for it are refused.
-func (s *Source) Tell(state State) {
+func (s *Source) SetState(state State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state = state
@@ -195,7 +195,7 @@
 // Read implements follow.Source.
 func (s *Source) Read(ctx context.Context, fresh bool) (follow.Reading, error) {
 	r, err := s.read(ctx, fresh)
-	r.Steady = s.uptime.span()
+	r.SourceUptime = s.uptime.span()
 	return r, err
 }
 
@@ -232,7 +232,7 @@
 // waiting at the origin.
 func (s *Source) Await(ctx context.Context, after uint64, wait time.Duration) (follow.Reading, error) {
 	r, err := s.await(ctx, after, wait)
-	r.Steady = s.uptime.span()
+	r.SourceUptime = s.uptime.span()
 	return r, err
 }
 
@@ -240,7 +240,7 @@
 	if s.actsAsReader(time.Now()) {
 		return s.awaitAsReader(ctx, after, wait)
 	}
-	if !clock.Sleep(ctx, min(s.cfg.Every, wait)) {
+	if !clock.Sleep(ctx, min(s.cfg.PollInterval, wait)) {
 		return follow.Reading{}, context.Cause(ctx)
 	}
 	r, err := s.queryPeers(ctx, s.pollUpdates)
@@ -260,7 +260,7 @@
 	if s.isConfigPending(time.Now()) {
 		return s.origin.CatchUp(ctx, after)
 	}
-	return s.origin.Await(ctx, after, follow.AtOnce)
+	return s.origin.Await(ctx, after, follow.MinWait)
 }
 
 // recordPending records a reader's answer, to a request sent at the given time, on whether a
@@ -314,7 +314,7 @@
 	if s.origin.unavailableFor() == 0 {
 		return s.origin.Await(ctx, after, wait)
 	}
-	if !clock.Sleep(ctx, min(s.cfg.Every, wait)) {
+	if !clock.Sleep(ctx, min(s.cfg.PollInterval, wait)) {
 		return follow.Reading{}, context.Cause(ctx)
 	}
 	ctx, cancel := idle.WithTimeout(ctx, callTimeout, callTimeout)
@@ -323,8 +323,8 @@
 }
 
 // minOriginInterval is the least time between two calls to the origin by a router that has no state
-// and isn't a reader, given the error of its peers. If these answered that they have no state either,
-// their readers are already calling the origin several times a second.
+// and isn't a reader, given the error of its peers. If these answered that they have no state
+// either, their readers are already calling the origin several times a second.
 func minOriginInterval(err error) time.Duration {
 	var refused *control.Error
 	if errors.As(err, &refused) {
@@ -343,7 +343,8 @@
 
 // mayCallOrigin reports whether this router, if its last call is at least interval ago, may call the
 // origin now, and if so records the call. In a large failure domain routers take turns: each
-// waits for a round of several intervals, and the first call of a series waits for the router's turn.
+// waits for a round of several intervals, and the first call of a series waits for the router's
+// turn.
 func (s *Source) mayCallOrigin(now time.Time, interval time.Duration) bool {
 	position, intervals := s.members.originTurn(now)
 	round := time.Duration(intervals * float64(interval))
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -12,8 +12,8 @@
 		g.Expect(f.readers()).To(HaveLen(2))
 		before := f.origin.count()
 		time.Sleep(10 * time.Second)
-		// Two readers make one waiting call a second each; without readers the routers would make 120
-		// calls.
+		// Two readers make one waiting call a second each; without readers the routers would make
+		// 120 calls.
 		g.Expect(f.origin.count() - before).To(BeNumerically("<=", 22))
 		f.setVersion(7)
 		time.Sleep(1500 * time.Millisecond)
@@ -51,13 +51,13 @@
 		time.Sleep(5 * time.Second)
 		g.Expect(f.nodes[0].follower.Table().Version()).To(Equal(uint64(5)))
 		g.Expect(f.nodes[0].follower.Age()).To(BeNumerically("<", 4*time.Second))
-		g.Expect(f.nodes[0].source.SourceLost()).To(BeNumerically(">", 3*time.Second))
-		g.Expect(f.nodes[1].source.SourceLost()).To(BeZero())
+		g.Expect(f.nodes[0].source.OriginUnavailableFor()).To(BeNumerically(">", 3*time.Second))
+		g.Expect(f.nodes[1].source.OriginUnavailableFor()).To(BeZero())
 		f.origin.mu.Lock()
 		f.origin.refused = map[string]bool{}
 		f.origin.mu.Unlock()
 		time.Sleep(time.Second)
-		g.Expect(f.nodes[0].source.SourceLost()).To(BeZero())
+		g.Expect(f.nodes[0].source.OriginUnavailableFor()).To(BeZero())
 	})
 }
 
@@ -72,7 +72,7 @@
 		f.origin.mu.Unlock()
 		time.Sleep(4 * time.Second)
 		for _, n := range f.nodes {
-			g.Expect(n.source.SourceLost()).To(BeZero(), n.vm)
+			g.Expect(n.source.OriginUnavailableFor()).To(BeZero(), n.vm)
 		}
 	})
 }
--- a/internal/peers/query.go
+++ b/internal/peers/query.go
@@ -60,7 +60,7 @@
 
 // pollUpdateWindow is how far back the updates reach that polls and their replies carry: two
 // polls and a call timeout, so that one delayed poll loses nothing.
-func (s *Source) pollUpdateWindow() time.Duration { return 2*s.cfg.Every + callTimeout }
+func (s *Source) pollUpdateWindow() time.Duration { return 2*s.cfg.PollInterval + callTimeout }
 
 // pollUpdates asks a peer for all changes since the state of this router.
 func (s *Source) pollUpdates(ctx context.Context, peer Member) (peerReading, error) {
@@ -71,7 +71,7 @@
 	list := state.Directory().Listed()
 	req := updateRequest{From: s.cfg.Self, Revision: list.Revision(), Digest: list.Digest(), Demand: s.demand.local()}
 	// A poll may be late, so the window covers two; applying a report twice is harmless.
-	req.Loads = s.loads.local(time.Now(), 2*s.cfg.Every)
+	req.Loads = s.loads.local(time.Now(), 2*s.cfg.PollInterval)
 	req.Failures = s.failures.local(time.Now())
 	req.Poison = s.poison.request(s.pollUpdateWindow())
 	req.Limits = s.limits.request(s.pollUpdateWindow())
@@ -102,8 +102,8 @@
 		return peerReading{}, err
 	}
 	reading := directory.Reading{
-		Entries: reply.Entries, Gone: reply.Removed, Revision: reply.Revision,
-		Evacuations: directory.Evacuations{Whole: true, Ordered: reply.Evacuated},
+		Entries: reply.Entries, Removed: reply.Removed, Revision: reply.Revision,
+		Evacuations: directory.Evacuations{Full: true, Active: reply.Evacuated},
 	}
 	return peerReading{Reading: follow.Reading{Config: config, List: reading, Age: age}, originUnavailable: reply.OriginUnavailable}, nil
 }
@@ -167,8 +167,8 @@
 				return peerReading{}, err
 			}
 			full = follow.Reading{Config: config, Age: age, List: directory.Reading{
-				Whole: true, Revision: reply.Revision,
-				Evacuations: directory.Evacuations{Whole: true, Ordered: reply.Evacuated},
+				Full: true, Revision: reply.Revision,
+				Evacuations: directory.Evacuations{Full: true, Active: reply.Evacuated},
 			}}
 		}
 		full.List.Revision = min(full.List.Revision, reply.Revision)
--- a/internal/peers/serve.go
+++ b/internal/peers/serve.go
@@ -60,7 +60,7 @@
 	// The age is read before the state, which may only be newer than that.
 	reply := updateReply{AgeMillis: state.Age().Milliseconds() + 1, OriginUnavailable: s.origin.unavailableFor() > 0, ConfigPending: s.origin.isConfigPending(), Poison: poison, OriginUptime: s.uptime.report(at), Limits: limits}
 	others, routers := s.demand.sum(now, req.From.VM)
-	reply.Demand, reply.DemandRouters = s.demand.local().Plus(others), routers+1
+	reply.Demand, reply.DemandRouters = s.demand.local().Add(others), routers+1
 	s.loads.apply(now.Add(-loadReportDelay), req.Loads)
 	reply.Loads = s.loads.latest(now)
 	s.failures.record(req.From.VM, req.Failures, now)
@@ -71,7 +71,7 @@
 	list := state.Directory().Listed()
 	changes, known := s.changes.since(list, req.Revision, req.Digest)
 	reply.Evacuated = list.Evacuated()
-	reply.Entries, reply.Removed, reply.HistoryLost, reply.Revision = changes.Entries, changes.Gone, !known, changes.Revision
+	reply.Entries, reply.Removed, reply.HistoryLost, reply.Revision = changes.Entries, changes.Removed, !known, changes.Revision
 	return reply, nil
 }
 
--- a/internal/peers/serve_bench_test.go
+++ b/internal/peers/serve_bench_test.go
@@ -26,7 +26,7 @@
 
 // newBenchReader returns a reader of a list of endpoints, and the polls of its routers.
 func newBenchReader(routers, endpoints int) (*Source, []updateRequest) {
-	s := New(Config{Self: Member{VM: "reader", FailureDomain: "d"}, Every: 250 * time.Millisecond, Clock: time.Now})
+	s := New(Config{Self: Member{VM: "reader", FailureDomain: "d"}, PollInterval: 250 * time.Millisecond, Clock: time.Now})
 	var entries []directory.Entry
 	var list []*bundle.Endpoint
 	for i := range endpoints {
@@ -34,8 +34,8 @@
 		entries = append(entries, directory.Entry{Endpoint: e})
 		list = append(list, &e)
 	}
-	dir, _ := directory.Empty().Merge(directory.Reading{Whole: true, Entries: entries, Revision: 7}, time.Now(), time.Time{})
-	s.Tell(fixedState{config: &route.Config{Version: 1}, list: dir})
+	dir, _ := directory.Empty().Merge(directory.Reading{Full: true, Entries: entries, Revision: 7}, time.Now(), time.Time{})
+	s.SetState(fixedState{config: &route.Config{Version: 1}, list: dir})
 	policy := balance.NewPromptAware()
 	pool := balance.NewPool(balance.Config{Policy: policy})
 	pool.Views(time.Now(), list)
@@ -47,7 +47,7 @@
 	s.ShareLoads(pool)
 	s.ShareFailures(pool)
 	kind := func(gap int64) balance.Kind {
-		return balance.Kind{Service: "s", GapMillis: gap, Requests: 3, Recent: 1, Read: 1, Held: 3, Ended: 3}
+		return balance.Kind{Service: "s", GapMillis: gap, Requests: 3, RecentRequests: 1, PrefillSeconds: 1, SlotSeconds: 3, Ended: 3}
 	}
 	demand := balance.Demand{kind(0), kind(400), kind(600), kind(1500)}
 	s.ShareDemand(func() balance.Demand { return demand })
@@ -55,7 +55,7 @@
 	for i := range routers {
 		polls = append(polls, updateRequest{
 			From: Member{VM: fmt.Sprintf("router-%04d", i), FailureDomain: "d"}, Version: 1, Revision: 7, Digest: dir.Digest(), Demand: demand,
-			Loads: pool.LoadWords(time.Now(), time.Hour, 2, true),
+			Loads: pool.RecentLoads(time.Now(), time.Hour, 2, true),
 		})
 	}
 	return s, polls
@@ -78,7 +78,7 @@
 
 // newBenchSeed returns a seed that knows these routers, and their hellos.
 func newBenchSeed(routers, domains int) (*Source, []helloRequest) {
-	s := New(Config{Self: Member{VM: "seed", FailureDomain: "domain-0", Cores: 1, LinkMbps: 200}, Every: 250 * time.Millisecond, Clock: time.Now})
+	s := New(Config{Self: Member{VM: "seed", FailureDomain: "domain-0", Cores: 1, LinkMbps: 200}, PollInterval: 250 * time.Millisecond, Clock: time.Now})
 	s.ShareDemand(func() balance.Demand { return nil })
 	var hellos []helloRequest
 	for i := range routers {
--- a/internal/peers/shared_test.go
+++ b/internal/peers/shared_test.go
@@ -22,12 +22,12 @@
 			}
 			time.Sleep(4 * time.Second)
 			for _, n := range f.nodes {
-				demand := n.source.OthersDemand().Demand
+				demand := n.source.PeerDemand().Demand
 				g.Expect(demand).To(HaveLen(2), n.vm)
 				g.Expect(demand[1].Requests).To(BeNumerically("~", 10*demand[0].Requests, 1e-9), n.vm)
 				g.Expect(demand[0].Requests).To(BeNumerically("<", float64(routers-1)+0.5), n.vm)
-				// The demand that a reader doesn't get from other failure domains is extrapolated from
-				// what it gets.
+				// The demand that a reader doesn't get from other failure domains is extrapolated
+				// from what it gets.
 				g.Expect(demand[0].Requests).To(BeNumerically(">", float64(routers-1)-0.5), n.vm)
 			}
 		})
@@ -105,10 +105,10 @@
 	runFleet(t, 3, func(g *WithT, f *fleet) {
 		f.nodes[1].source.ShareDemand(func() balance.Demand { return balance.Demand{{Requests: 1}} })
 		time.Sleep(2 * time.Second)
-		g.Expect(f.nodes[0].source.OthersDemand().Demand).To(Equal(balance.Demand{{Requests: 1}}))
+		g.Expect(f.nodes[0].source.PeerDemand().Demand).To(Equal(balance.Demand{{Requests: 1}}))
 		f.nodes[1].shutDown()
 		time.Sleep(demandTTL + 2*time.Second)
-		g.Expect(f.nodes[0].source.OthersDemand().Demand).To(BeEmpty())
+		g.Expect(f.nodes[0].source.PeerDemand().Demand).To(BeEmpty())
 	})
 }
 
@@ -130,7 +130,7 @@
 		}
 		time.Sleep(4 * time.Second)
 		for _, n := range f.nodes {
-			demand := n.source.OthersDemand().Demand
+			demand := n.source.PeerDemand().Demand
 			g.Expect(demand).To(HaveLen(1), n.vm)
 			g.Expect(demand[0].Requests+requestsOf(n)).To(BeNumerically("~", total, 0.1*total), n.vm)
 		}
@@ -143,7 +143,7 @@
 		time.Sleep(memberTTL + 4*time.Second) // until the seeds have expired them and each has replied
 		for _, n := range f.nodes {
 			if n.stop != nil {
-				g.Expect(n.source.OthersDemand().Demand[0].Requests).To(BeNumerically("~", 5, 0.5), n.vm)
+				g.Expect(n.source.PeerDemand().Demand[0].Requests).To(BeNumerically("~", 5, 0.5), n.vm)
 			}
 		}
 	})
--- a/internal/peers/start.go
+++ b/internal/peers/start.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// defaultPeerReadTimeout is how long a starting router, while no caller waits for it, tries to read
-	// from peers before it reads the origin: some seeds start later than the routers that announce
-	// themselves to them, and a fleet may start before the operator's first configuration.
+	// defaultPeerReadTimeout is how long a starting router, while no caller waits for it, tries to
+	// read from peers before it reads the origin: some seeds start later than the routers that
+	// announce themselves to them, and a fleet may start before the operator's first configuration.
 	defaultPeerReadTimeout = 2 * time.Second
 	// readerPeerReadTimeout is the peer read timeout of a router that considers itself a reader:
 	// if no seed has any state by then, there may be none yet.
@@ -67,7 +67,7 @@
 }
 
 // SkipPeerWait has a router that has no state yet read the origin at once, as a caller waits.
-func (s *Source) Hurry() { s.skipPeersOnce.Do(func() { close(s.skipPeers) }) }
+func (s *Source) SkipPeerWait() { s.skipPeersOnce.Do(func() { close(s.skipPeers) }) }
 
 // usesStartHelloInterval reports whether this router is starting and lacks answers of some seeds.
 func (s *Source) usesStartHelloInterval(now time.Time) bool {
--- a/internal/peers/start_test.go
+++ b/internal/peers/start_test.go
@@ -1,9 +1,9 @@
 package peers
 
-// Guards against repeated calls to the origin by all routers of a fleet that starts before there is a
-// configuration, while their readers have no state either. 103 routers made some 450 calls in 0.85 s,
-// half of all calls of a day without faults. This test counted 240 calls of 30 routers in two seconds
-// before, and 47 since.
+// Guards against repeated calls to the origin by all routers of a fleet that starts before there is
+// a configuration, while their readers have no state either. 103 routers made some 450 calls in
+// 0.85 s, half of all calls of a day without faults. This test counted 240 calls of 30 routers in
+// two seconds before, and 47 since.
 
 import (
 	"fmt"
@@ -79,9 +79,9 @@
 	return time.Since(start)
 }
 
-// Guards against one full read per starting router. 357 routers made 2,091 calls in 50 s, 5.9 each: a
-// starting router knows no other, considers itself the reader of its failure domain, and reads the
-// configuration and each page of the list. This test counted 31, 103 and 357 reads before.
+// Guards against one full read per starting router. 357 routers made 2,091 calls in 50 s, 5.9 each:
+// a starting router knows no other, considers itself the reader of its failure domain, and reads
+// the configuration and each page of the list. This test counted 31, 103 and 357 reads before.
 func TestFleetStartNeedsFewFullReads(t *testing.T) {
 	for _, routers := range []int{3, 31, 103, 357} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
@@ -150,8 +150,8 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 		for _, n := range f.nodes {
-			n.source.Hurry()
-			n.source.Hurry() // by another caller
+			n.source.SkipPeerWait()
+			n.source.SkipPeerWait() // by another caller
 		}
 		g.Expect(f.waitForVersion(1, 5*time.Second)).To(BeNumerically("<", 100*time.Millisecond))
 	})
@@ -180,9 +180,9 @@
 	})
 }
 
-// Starting routers leave the calls to the seeds for a while. A change in that time has to be in force
-// everywhere as soon as at other times: one poll each takes it from the origin to a seed, a reader
-// and the others.
+// Starting routers leave the calls to the seeds for a while. A change in that time has to be in
+// force everywhere as soon as at other times: one poll each takes it from the origin to a seed, a
+// reader and the others.
 func TestConfigurationChangeDuringFleetStartIsInForceInTime(t *testing.T) {
 	const routers, limit = 103, time.Second
 	for _, after := range []time.Duration{0, 400, 800, 1200, 1600, 1900, 2100, 2400} {
@@ -204,9 +204,9 @@
 
 // Guards against update calls by starting routers that aren't readers. A router whose hellos reach
 // only seeds that have just started themselves learns of few others, considers itself a reader, and
-// calls the origin until its next hello a second later. Of 357 routers 42 made calls, 34 of them after
-// a full read from a seed; of 880 routers 150 did. One of eight runs exceeded the bound of the test
-// above.
+// calls the origin until its next hello a second later. Of 357 routers 42 made calls, 34 of them
+// after a full read from a seed; of 880 routers 150 did. One of eight runs exceeded the bound of
+// the test above.
 func TestFleetStartLeavesUpdateCallsToSeeds(t *testing.T) {
 	for _, c := range []struct{ routers, domains int }{{357, 5}, {880, 27}} {
 		t.Run(fmt.Sprint(c.routers), func(t *testing.T) {
--- a/internal/placement/runner.go
+++ b/internal/placement/runner.go
@@ -85,7 +85,7 @@
 }
 
 // SetBundle makes a bundle the active one, unless a newer one is.
-func (r *Runner) Follow(b *bundle.Bundle) {
+func (r *Runner) SetBundle(b *bundle.Bundle) {
 	plan := NewPlan(b, r.cfg.Endpoint)
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/placement/runner_test.go
+++ b/internal/placement/runner_test.go
@@ -229,7 +229,7 @@
 			b.Endpoints = append(b.Endpoints, bundle.Endpoint{Name: endpointName(i), Placement: placementOf("old", "new")})
 		}
 		for _, r := range s.runners {
-			r.Follow(b)
+			r.SetBundle(b)
 		}
 		took := s.waitFor(time.Minute, func() bool { return s.countHolders("new") == 8 })
 		t.Logf("%v and %d refused", took, s.store.Stats().Limited)
--- a/internal/placement/site_test.go
+++ b/internal/placement/site_test.go
@@ -132,7 +132,7 @@
 		b.Endpoints = append(b.Endpoints, bundle.Endpoint{Name: endpointName(i), Address: agentAddress(i), Placement: want(i)})
 	}
 	for _, r := range s.runners {
-		r.Follow(b)
+		r.SetBundle(b)
 	}
 }
 
--- a/internal/poison/message.go
+++ b/internal/poison/message.go
@@ -31,33 +31,33 @@
 }
 
 // Message is what a router tells another router about all requests.
-type Words struct {
+type Message struct {
 	// QuarantineDigest is the digest of the quarantined requests. Two routers whose
 	// digests differ send each other all of them.
-	Sum   uint64  `json:"digest,omitempty"`
-	Words []Entry `json:"words,omitempty"`
+	QuarantineDigest uint64  `json:"digest,omitempty"`
+	Entries          []Entry `json:"words,omitempty"`
 }
 
 // Digest returns the digest, which a router sends to receive only changes.
-func (m Words) Digest() uint64 { return m.Sum }
+func (m Message) Digest() uint64 { return m.QuarantineDigest }
 
-// MessageFor returns the message for a router that sent the given digest: all changes not
+// UpdateFor returns the message for a router that sent the given digest: all changes not
 // older than maxAge, and if the digests differ, also all requests that are quarantined,
 // have completed or have survivors.
-func (t *Table) Tell(peerDigest uint64, maxAge time.Duration) Words {
+func (t *Table) UpdateFor(peerDigest uint64, maxAge time.Duration) Message {
 	if t.Empty() {
-		return Words{}
+		return Message{}
 	}
 	now := t.cfg.Clock()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m := Words{Sum: t.digest()}
-	all := m.Sum != peerDigest
+	m := Message{QuarantineDigest: t.digest()}
+	all := m.QuarantineDigest != peerDigest
 	ids := t.sortedByPriority(func(r *record) bool {
 		return now.Sub(r.changedAt) < maxAge || all && (r.quarantined() || !r.completedAt.IsZero() || len(r.survivors) > 0)
 	})
 	for _, id := range ids[:min(len(ids), maxEntries)] {
-		m.Words = append(m.Words, t.records[id].entry(id, now))
+		m.Entries = append(m.Entries, t.records[id].entry(id, now))
 	}
 	return m
 }
@@ -91,11 +91,11 @@
 	return &ago
 }
 
-// Merge merges a message that another router sent. sentAt is when it was sent, by this
+// Apply merges a message that another router sent. sentAt is when it was sent, by this
 // table's clock.
-func (t *Table) Hear(sentAt time.Time, m Words) {
+func (t *Table) Apply(sentAt time.Time, m Message) {
 	now := t.cfg.Clock()
-	for _, e := range m.Words {
+	for _, e := range m.Entries {
 		t.update(e.Identity, true, false, func(r *record) bool { return r.merge(sentAt, now, e) })
 	}
 }
--- a/internal/poison/survivor_test.go
+++ b/internal/poison/survivor_test.go
@@ -22,17 +22,17 @@
 	for i := range lossThreshold {
 		w.lose(table, fmt.Sprint("e", i), timeToLoss)
 	}
-	g.Expect(table.Ask(id).Held).To(BeTrue())
+	g.Expect(table.Check(id).Refused).To(BeTrue())
 	w.now = w.now.Add(10 * time.Millisecond)
-	table.Survived("e2", w.now)
-	g.Expect(table.Ask(id).Held).To(BeFalse(), "two losses are left")
+	table.RecordResponse("e2", w.now)
+	g.Expect(table.Check(id).Refused).To(BeFalse(), "two losses are left")
 	g.Expect(w.events).To(HaveLen(2))
 	for range 5 {
 		w.lose(table, "e2", timeToLoss)
 	}
-	g.Expect(table.Ask(id).Held).To(BeFalse(), "losses at a survivor don't count")
+	g.Expect(table.Check(id).Refused).To(BeFalse(), "losses at a survivor don't count")
 	w.lose(table, "e3", timeToLoss)
-	g.Expect(table.Ask(id).Held).To(BeTrue(), "a loss at another endpoint counts")
+	g.Expect(table.Check(id).Refused).To(BeTrue(), "a loss at another endpoint counts")
 }
 
 func TestAnswersThatDoNotProveSurvival(t *testing.T) {
@@ -47,8 +47,8 @@
 		for i := range lossThreshold {
 			w.lose(table, fmt.Sprint("e", i), timeToLoss)
 		}
-		table.Survived("e2", w.now.Add(sent))
-		g.Expect(table.Ask(id).Held).To(BeTrue(), name)
+		table.RecordResponse("e2", w.now.Add(sent))
+		g.Expect(table.Check(id).Refused).To(BeTrue(), name)
 	}
 }
 
@@ -62,17 +62,17 @@
 		w.lose(first, fmt.Sprint("e", i), timeToLoss)
 	}
 	w.now = w.now.Add(200 * time.Millisecond)
-	second.Hear(w.now, first.Tell(0, maxChangeAge))
-	g.Expect(second.Ask(id).Held).To(BeTrue())
-	second.Survived("e2", w.now.Add(-time.Millisecond))
-	g.Expect(second.Ask(id).Held).To(BeTrue())
-	second.Survived("e2", w.now.Add(time.Millisecond))
-	g.Expect(second.Ask(id).Held).To(BeFalse())
+	second.Apply(w.now, first.UpdateFor(0, maxChangeAge))
+	g.Expect(second.Check(id).Refused).To(BeTrue())
+	second.RecordResponse("e2", w.now.Add(-time.Millisecond))
+	g.Expect(second.Check(id).Refused).To(BeTrue())
+	second.RecordResponse("e2", w.now.Add(time.Millisecond))
+	g.Expect(second.Check(id).Refused).To(BeFalse())
 
 	g.Expect(digestOf(first)).NotTo(Equal(digestOf(second)))
-	first.Hear(w.now, second.Tell(digestOf(first), 0))
-	g.Expect(first.Ask(id).Held).To(BeFalse(), "survivors are sent to other routers")
-	second.Hear(w.now, first.Tell(0, maxChangeAge))
-	g.Expect(second.Ask(id).Held).To(BeFalse(), "and are kept")
+	first.Apply(w.now, second.UpdateFor(digestOf(first), 0))
+	g.Expect(first.Check(id).Refused).To(BeFalse(), "survivors are sent to other routers")
+	second.Apply(w.now, first.UpdateFor(0, maxChangeAge))
+	g.Expect(second.Check(id).Refused).To(BeFalse(), "and are kept")
 	g.Expect(digestOf(first)).To(Equal(digestOf(second)))
 }
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -23,7 +23,7 @@
 type Verdict struct {
 	// Refused reports that the request is quarantined and must not be sent before
 	// RetryAfter has passed.
-	Held       bool
+	Refused    bool
 	RetryAfter time.Duration
 	// LossCount is the number of recent losses on record.
 	LossCount int
@@ -36,11 +36,11 @@
 type Event struct {
 	Identity Identity
 	// Quarantined reports whether the quarantine starts, as opposed to ends.
-	Held bool
+	Quarantined bool
 	// Endpoints are those lost to the request.
 	Endpoints []string
 	// Local reports that an observation of this router caused the event.
-	Own bool
+	Local bool
 }
 
 // Config configures a Table.
@@ -79,7 +79,7 @@
 
 // Check returns how to handle a request that is about to be sent to an endpoint. If it
 // lets a quarantined request through, it records that as a trial.
-func (t *Table) Ask(id Identity) Verdict {
+func (t *Table) Check(id Identity) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.cfg.Clock()
@@ -89,7 +89,7 @@
 	}
 	until := r.heldUntil(t.staggerFraction(id))
 	if now.Before(until) {
-		return Verdict{Held: true, RetryAfter: until.Sub(now), LossCount: len(r.losses)}
+		return Verdict{Refused: true, RetryAfter: until.Sub(now), LossCount: len(r.losses)}
 	}
 	r.addTrial(now)
 	r.changedAt = now
@@ -114,7 +114,7 @@
 }
 
 // RecordLoss records that an endpoint was lost while it ran a request.
-func (t *Table) Lost(id Identity, l Loss) {
+func (t *Table) RecordLoss(id Identity, l Loss) {
 	l.learnedAt = t.cfg.Clock()
 	t.update(id, true, true, func(r *record) bool { return r.addLoss(l) })
 }
@@ -122,7 +122,7 @@
 // RecordResponse records that an endpoint responded to a request sent at the given time,
 // which may prove that it survived a recorded loss. Without this, endpoints that reset
 // connections but stay alive would get every frequent request quarantined.
-func (t *Table) Survived(endpoint string, sent time.Time) {
+func (t *Table) RecordResponse(endpoint string, sent time.Time) {
 	if t.Empty() {
 		return
 	}
@@ -145,7 +145,7 @@
 }
 
 // RecordCompletion records that a request just got a response.
-func (t *Table) Completed(id Identity) {
+func (t *Table) RecordCompletion(id Identity) {
 	now := t.cfg.Clock()
 	t.update(id, false, true, func(r *record) bool { return r.addCompletion(now) })
 }
@@ -155,7 +155,7 @@
 // for this router's own observations.
 func (t *Table) update(id Identity, create, local bool, mutate func(*record) (changed bool)) {
 	event, changed := t.apply(id, create, mutate)
-	event.Own = local
+	event.Local = local
 	if changed && t.cfg.OnEvent != nil {
 		t.cfg.OnEvent(event)
 	}
@@ -181,7 +181,7 @@
 	if quarantined {
 		endpoints = endpointNames(r.losses)
 	}
-	return Event{Identity: id, Held: quarantined, Endpoints: endpoints}, quarantined != wasQuarantined
+	return Event{Identity: id, Quarantined: quarantined, Endpoints: endpoints}, quarantined != wasQuarantined
 }
 
 func endpointNames(losses []Loss) []string {
@@ -221,7 +221,7 @@
 }
 
 // QuarantinedCount returns the number of quarantined requests.
-func (t *Table) Held() int {
+func (t *Table) QuarantinedCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -29,11 +29,11 @@
 func (f *testFleet) lose(t *Table, endpoint string, after time.Duration) {
 	sent := f.now
 	f.now = f.now.Add(after)
-	t.Lost(id, Loss{Endpoint: endpoint, Sent: sent, At: f.now, Early: true})
+	t.RecordLoss(id, Loss{Endpoint: endpoint, Sent: sent, At: f.now, Early: true})
 }
 
 // digestOf returns the digest of the requests that a table quarantines.
-func digestOf(t *Table) uint64 { return t.Tell(0, 0).Digest() }
+func digestOf(t *Table) uint64 { return t.UpdateFor(0, 0).Digest() }
 
 const (
 	id = Identity(7)
@@ -48,12 +48,12 @@
 	table := w.table("a")
 	for i, quarantined := range []bool{false, false, true} {
 		w.lose(table, fmt.Sprint("e", i), timeToLoss)
-		g.Expect(table.Ask(id).Held).To(Equal(quarantined), "after %d", i+1)
+		g.Expect(table.Check(id).Refused).To(Equal(quarantined), "after %d", i+1)
 	}
-	g.Expect(table.Ask(8).Held).To(BeFalse())
-	g.Expect(table.Ask(id).RetryAfter).To(BeNumerically(">=", 3*time.Minute))
-	g.Expect(w.events).To(Equal([]Event{{Identity: id, Held: true, Endpoints: []string{"e0", "e1", "e2"}, Own: true}}))
-	g.Expect(table.Held()).To(Equal(1))
+	g.Expect(table.Check(8).Refused).To(BeFalse())
+	g.Expect(table.Check(id).RetryAfter).To(BeNumerically(">=", 3*time.Minute))
+	g.Expect(w.events).To(Equal([]Event{{Identity: id, Quarantined: true, Endpoints: []string{"e0", "e1", "e2"}, Local: true}}))
+	g.Expect(table.QuarantinedCount()).To(Equal(1))
 }
 
 // Repeated connection failures at one endpoint that stays alive must not cause a
@@ -65,7 +65,7 @@
 	for range 5 {
 		w.lose(table, "e", timeToLoss)
 	}
-	g.Expect(table.Ask(id).Held).To(BeFalse())
+	g.Expect(table.Check(id).Refused).To(BeFalse())
 }
 
 // Endpoints crash at random, and over time a repeated request is hit by three crashes.
@@ -78,9 +78,9 @@
 		w.lose(table, fmt.Sprint("e", i), timeToLoss)
 		if i%2 == 1 {
 			w.now = w.now.Add(time.Second)
-			table.Completed(id)
+			table.RecordCompletion(id)
 		}
-		g.Expect(table.Ask(id).Held).To(BeFalse(), "after %d", i+1)
+		g.Expect(table.Check(id).Refused).To(BeFalse(), "after %d", i+1)
 	}
 }
 
@@ -91,16 +91,16 @@
 	w := newTestFleet()
 	table := w.table("a")
 	for i := range 6 {
-		table.Lost(id, Loss{Endpoint: fmt.Sprint("e", i), Sent: w.now, At: w.now.Add(timeToLoss)})
+		table.RecordLoss(id, Loss{Endpoint: fmt.Sprint("e", i), Sent: w.now, At: w.now.Add(timeToLoss)})
 	}
 	w.now = w.now.Add(timeToLoss)
-	g.Expect(table.Ask(id).Held).To(BeTrue())
+	g.Expect(table.Check(id).Refused).To(BeTrue())
 	w.now = w.now.Add(initialHold + initialHold/staggerDivisor)
-	g.Expect(table.Ask(id)).To(Equal(Verdict{LossCount: 6, Trial: true}))
-	g.Expect(table.Ask(id).Held).To(BeTrue(), "one trial at a time")
-	table.Completed(id)
-	g.Expect(table.Ask(id)).To(Equal(Verdict{}))
-	g.Expect(w.events[1]).To(HaveField("Held", BeFalse()))
+	g.Expect(table.Check(id)).To(Equal(Verdict{LossCount: 6, Trial: true}))
+	g.Expect(table.Check(id).Refused).To(BeTrue(), "one trial at a time")
+	table.RecordCompletion(id)
+	g.Expect(table.Check(id)).To(Equal(Verdict{}))
+	g.Expect(w.events[1]).To(HaveField("Quarantined", BeFalse()))
 }
 
 // Counts the endpoints lost in a day to a request that crashes every endpoint and is sent
@@ -112,7 +112,7 @@
 	table := w.table("a")
 	lost := 0
 	for end := w.now.Add(24 * time.Hour); w.now.Before(end); w.now = w.now.Add(500 * time.Millisecond) {
-		if !table.Ask(id).Held {
+		if !table.Check(id).Refused {
 			lost++
 			w.lose(table, fmt.Sprint("e", lost), timeToLoss)
 		}
@@ -133,7 +133,7 @@
 	var tables []*Table
 	for i := range routers {
 		table := w.table(fmt.Sprint("r", i))
-		table.Hear(w.now, first.Tell(0, maxChangeAge))
+		table.Apply(w.now, first.UpdateFor(0, maxChangeAge))
 		tables = append(tables, table)
 	}
 	tried := 0
@@ -143,7 +143,7 @@
 			break
 		}
 		for _, table := range tables {
-			if !table.Ask(id).Held {
+			if !table.Check(id).Refused {
 				tried++
 				if tried == 1 {
 					triedAt = w.now
@@ -165,13 +165,13 @@
 	}
 	w.now = w.now.Add(lossRetention + time.Minute)
 	w.lose(table, "e2", timeToLoss)
-	g.Expect(table.Ask(id).Held).To(BeFalse())
+	g.Expect(table.Check(id).Refused).To(BeFalse())
 	for i := range lossThreshold {
 		w.lose(table, fmt.Sprint("f", i), timeToLoss)
 	}
-	g.Expect(table.Ask(id).Held).To(BeTrue())
+	g.Expect(table.Check(id).Refused).To(BeTrue())
 	w.now = w.now.Add(maxHold + quarantineRetention + time.Minute)
-	g.Expect(table.Ask(id)).To(Equal(Verdict{}))
+	g.Expect(table.Check(id)).To(Equal(Verdict{}))
 	g.Expect(table.Empty()).To(BeTrue())
 }
 
@@ -185,13 +185,13 @@
 		endpoint := fmt.Sprint("e", crash)
 		w.lose(table, endpoint, timeToLoss)
 		for other := range maxRecords {
-			table.Lost(Identity(100+crash*maxRecords+other), Loss{Endpoint: endpoint, Sent: w.now, At: w.now})
+			table.RecordLoss(Identity(100+crash*maxRecords+other), Loss{Endpoint: endpoint, Sent: w.now, At: w.now})
 		}
 	}
 	g.Expect(len(table.records)).To(Equal(maxRecords))
-	g.Expect(table.Ask(id).Held).To(BeTrue())
+	g.Expect(table.Check(id).Refused).To(BeTrue())
 	// It is the first entry sent to others, ahead of the requests that only ran there.
-	entries := table.Tell(0, maxChangeAge).Words
+	entries := table.UpdateFor(0, maxChangeAge).Entries
 	g.Expect(entries).To(HaveLen(maxEntries))
 	g.Expect(entries[0].Identity).To(Equal(id))
 }
@@ -202,9 +202,9 @@
 	table := w.table("a")
 	w.lose(table, "e", timeToLoss)
 	for other := range 200 {
-		table.Lost(Identity(100+other), Loss{Endpoint: "e", Sent: w.now, At: w.now})
+		table.RecordLoss(Identity(100+other), Loss{Endpoint: "e", Sent: w.now, At: w.now})
 	}
-	g.Expect(table.Tell(0, maxChangeAge).Words[0].Identity).To(Equal(id))
+	g.Expect(table.UpdateFor(0, maxChangeAge).Entries[0].Identity).To(Equal(id))
 }
 
 // Messages may be lost, delayed, duplicated and reordered. Once all tables have exchanged
@@ -219,22 +219,22 @@
 			"lose": func(rt *rapid.T) {
 				w.now = w.now.Add(timeToLoss)
 				e := fmt.Sprint("e", rapid.IntRange(0, 20).Draw(rt, "endpoint"))
-				pick.Draw(rt, "table").Lost(ids.Draw(rt, "id"), Loss{Endpoint: e, Sent: w.now.Add(-timeToLoss), At: w.now})
+				pick.Draw(rt, "table").RecordLoss(ids.Draw(rt, "id"), Loss{Endpoint: e, Sent: w.now.Add(-timeToLoss), At: w.now})
 			},
 			"complete": func(rt *rapid.T) {
 				w.now = w.now.Add(time.Second)
-				pick.Draw(rt, "table").Completed(ids.Draw(rt, "id"))
+				pick.Draw(rt, "table").RecordCompletion(ids.Draw(rt, "id"))
 			},
 			"tell": func(rt *rapid.T) {
 				from, to := pick.Draw(rt, "from"), pick.Draw(rt, "to")
-				to.Hear(w.now, from.Tell(digestOf(to), maxChangeAge))
+				to.Apply(w.now, from.UpdateFor(digestOf(to), maxChangeAge))
 			},
 			"wait": func(*rapid.T) { w.now = w.now.Add(maxChangeAge) },
 		})
 		for range 3 {
 			for _, from := range tables {
 				for _, to := range tables {
-					to.Hear(w.now, from.Tell(digestOf(to), maxChangeAge))
+					to.Apply(w.now, from.UpdateFor(digestOf(to), maxChangeAge))
 				}
 			}
 		}
@@ -251,20 +251,20 @@
 	w := newTestFleet()
 	table := w.table("a")
 	for other := range 220 {
-		table.Lost(Identity(1<<62+other), Loss{Endpoint: "i-0123456789/1796262279150", Sent: w.now, At: w.now})
+		table.RecordLoss(Identity(1<<62+other), Loss{Endpoint: "i-0123456789/1796262279150", Sent: w.now, At: w.now})
 	}
 	other := w.table("b")
 	var text []byte
 	for b.Loop() {
 		var err error
-		if text, err = json.Marshal(table.Tell(0, maxChangeAge)); err != nil {
+		if text, err = json.Marshal(table.UpdateFor(0, maxChangeAge)); err != nil {
 			b.Fatal(err)
 		}
-		var message Words
+		var message Message
 		if err = json.Unmarshal(text, &message); err != nil {
 			b.Fatal(err)
 		}
-		other.Hear(w.now, message)
+		other.Apply(w.now, message)
 	}
 	b.ReportMetric(float64(len(text)), "bytes/word")
 }
--- a/internal/retry/bound_test.go
+++ b/internal/retry/bound_test.go
@@ -44,7 +44,7 @@
 	newBudget := func(i int) *Budget {
 		return NewBudget(BudgetConfig{
 			Ratio: budgetRatio, Window: simulationWindow, Floor: budgetSlack / simulationWindow.Seconds(), Seed: uint64(i + 1),
-			Routers: func() int { return s.routers }, Began: start.Add(now),
+			Routers: func() int { return s.routers }, Started: start.Add(now),
 		})
 	}
 	budgets := make([]*Budget, s.routers)
@@ -64,7 +64,7 @@
 				tier = s.tier(len(sentAt), now)
 			}
 			sentAt = append(sentAt, now)
-			budgets[i].First(start.Add(now), "s", tier)
+			budgets[i].RecordFirst(start.Add(now), "s", tier)
 			for range 4 {
 				if (s.fails == nil || s.fails(now)) && budgets[i].TryRetry(start.Add(now), "s", tier) {
 					retriedAt = append(retriedAt, now)
@@ -217,7 +217,7 @@
 	g.Expect(ahead.Unix() - now.Unix()).To(Equal(int64(11)))
 	b := NewBudget(BudgetConfig{Ratio: budgetRatio, Window: simulationWindow, Floor: budgetSlack / simulationWindow.Seconds()})
 	for range 100 {
-		b.First(now, "s", 0)
+		b.RecordFirst(now, "s", 0)
 	}
 	exhaust := func(at time.Time) (made int) {
 		for b.TryRetry(at, "s", 0) {
@@ -233,9 +233,9 @@
 // The operator may lower and raise the limits while a router runs.
 func TestBudgetFollowsChangedLimits(t *testing.T) {
 	g := NewWithT(t)
-	b := NewBudget(BudgetConfig{Ratio: 0.2, Floor: None})
+	b := NewBudget(BudgetConfig{Ratio: 0.2, Floor: ExplicitZero})
 	for range 100 {
-		b.First(epoch, "s", 0)
+		b.RecordFirst(epoch, "s", 0)
 	}
 	exhaust := func() (made int) {
 		for b.TryRetry(epoch, "s", 0) {
@@ -244,11 +244,11 @@
 		return made
 	}
 	g.Expect(exhaust()).To(Equal(20))
-	b.Allow(0.1, None)
+	b.SetLimits(0.1, ExplicitZero)
 	g.Expect(exhaust()).To(BeZero(), "earlier retries still count")
-	b.Allow(0.3, None)
+	b.SetLimits(0.3, ExplicitZero)
 	g.Expect(exhaust()).To(Equal(10))
-	b.Allow(None, None)
+	b.SetLimits(ExplicitZero, ExplicitZero)
 	g.Expect(exhaust()).To(BeZero())
 }
 
@@ -258,12 +258,12 @@
 	g := NewWithT(t)
 	const floor = 26 // per window
 	b := NewBudget(BudgetConfig{
-		Ratio: None, Window: simulationWindow, Floor: floor / simulationWindow.Seconds(),
-		Routers: func() int { return 1 }, Began: epoch.Add(-simulationWindow),
+		Ratio: ExplicitZero, Window: simulationWindow, Floor: floor / simulationWindow.Seconds(),
+		Routers: func() int { return 1 }, Started: epoch.Add(-simulationWindow),
 	})
 	exhaust := func(tier, requests int) (made int) {
 		for range requests {
-			b.First(epoch, "s", tier)
+			b.RecordFirst(epoch, "s", tier)
 		}
 		for b.TryRetry(epoch, "s", tier) {
 			made++
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -22,7 +22,7 @@
 )
 
 // ExplicitZero is a ratio or floor of 0, as opposed to one that is unset.
-const None = -1
+const ExplicitZero = -1
 
 // maxTargets limits the number of targets with their own budget. It is well above the
 // number of services in a configuration; further targets share one budget.
@@ -42,7 +42,7 @@
 	// three tiers allowed 309 retries in 10 s.
 	Routers func() int
 	// Started is when this router started; zero means when the budget is first used.
-	Began time.Time
+	Started time.Time
 	// Seed must differ between routers that share a floor. If a router's quota is a
 	// fraction of a retry per window, the seed makes it retry in that fraction of the
 	// windows. With 0 it never retries then, which at 880 routers means that no router
@@ -71,8 +71,8 @@
 // NewBudget returns a budget without recorded attempts.
 func NewBudget(cfg BudgetConfig) *Budget {
 	cfg.Window = cmp.Or(cfg.Window, defaultWindow)
-	b := &Budget{cfg: cfg, started: cfg.Began, targets: make(map[string]*target)}
-	b.Allow(cfg.Ratio, cfg.Floor)
+	b := &Budget{cfg: cfg, started: cfg.Started, targets: make(map[string]*target)}
+	b.SetLimits(cfg.Ratio, cfg.Floor)
 	return b
 }
 
@@ -81,7 +81,7 @@
 
 // SetLimits changes the ratio and the floor, which are specified as in BudgetConfig.
 // Retries already made in the window still count.
-func (b *Budget) Allow(ratio, floor float64) {
+func (b *Budget) SetLimits(ratio, floor float64) {
 	b.limits.Store(&limits{
 		ratio: max(0, cmp.Or(ratio, defaultRatio)),
 		floor: max(0, cmp.Or(floor, defaultFloor)),
@@ -89,7 +89,7 @@
 }
 
 // RecordFirst counts the first attempt of a request.
-func (b *Budget) First(now time.Time, targetName string, tier int) {
+func (b *Budget) RecordFirst(now time.Time, targetName string, tier int) {
 	t := b.targetFor(targetName)
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/retry/fleet_test.go
+++ b/internal/retry/fleet_test.go
@@ -27,7 +27,7 @@
 		for i := range budgets {
 			budgets[i] = NewBudget(BudgetConfig{
 				Ratio: 0.75 * ratio, Window: window, Floor: 0.5 * slack / window.Seconds(),
-				Routers: func() int { return routers }, Began: epoch.Add(-window), Seed: uint64(i + 1),
+				Routers: func() int { return routers }, Started: epoch.Add(-window), Seed: uint64(i + 1),
 			})
 		}
 		retries, requests := 0, 0
@@ -36,9 +36,9 @@
 			b := budgets[(n*7919)%routers]
 			tier := n % 3
 			for range modelRequestsPerPlain {
-				b.First(now, "models", tier)
+				b.RecordFirst(now, "models", tier)
 			}
-			b.First(now, "plain", tier)
+			b.RecordFirst(now, "plain", tier)
 			requests++
 			for range 6 { // all endpoints refuse it as full
 				if b.TryRetry(now, "plain", tier) {
--- a/internal/retry/naive.go
+++ b/internal/retry/naive.go
@@ -7,7 +7,7 @@
 type Naive struct{ Max int }
 
 // RecordFirst does nothing, as there is no budget.
-func (Naive) First(time.Time, string, int) {}
+func (Naive) RecordFirst(time.Time, string, int) {}
 
 // Decide retries while attempts are left.
 func (n Naive) Decide(a Attempt, _ time.Time, _ float64) Decision {
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -82,9 +82,9 @@
 }
 
 // RecordFirst counts the first attempt of a request of the tier at a target.
-func (p *Policy) First(now time.Time, target string, tier int) {
+func (p *Policy) RecordFirst(now time.Time, target string, tier int) {
 	if p.Budget != nil {
-		p.Budget.First(now, target, tier)
+		p.Budget.RecordFirst(now, target, tier)
 	}
 }
 
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -67,7 +67,7 @@
 		b := NewBudget(BudgetConfig{Ratio: 0.2, Floor: 0.5})
 		firsts := rapid.IntRange(0, 300).Draw(t, "first attempts")
 		for range firsts {
-			b.First(epoch, "s", 1)
+			b.RecordFirst(epoch, "s", 1)
 		}
 		p := &Policy{Budget: b}
 		retried := 0
--- a/internal/retry/usage.go
+++ b/internal/retry/usage.go
@@ -29,7 +29,7 @@
 }
 
 // UsageByTarget returns the usage of all tiers together at each target.
-func (b *Budget) UsageOfAll(now time.Time) map[string]Usage {
+func (b *Budget) UsageByTarget(now time.Time) map[string]Usage {
 	b.mu.Lock()
 	targets := maps.Clone(b.targets)
 	b.mu.Unlock()
--- a/internal/rollout/fuzz_test.go
+++ b/internal/rollout/fuzz_test.go
@@ -74,7 +74,7 @@
 	fuzzMessage(f, func(u Update) { _ = n.applyUpdate(u, none) },
 		Update{Manifest: &ManifestText{Text: string(text), Signature: string(sig)}, Sections: []string{"{}"}},
 		Update{Manifest: &ManifestText{Delta: packManifest(text, text), Base: bundle.DigestOf(text), Signature: string(sig)}},
-		Update{Whole: &WholeFile{Source: "{}", Signature: string(sig)}})
+		Update{Whole: &BundleFile{Source: "{}", Signature: string(sig)}})
 }
 
 func FuzzUnpackManifest(f *testing.F) {
--- a/internal/rollout/lab/lab.go
+++ b/internal/rollout/lab/lab.go
@@ -254,7 +254,7 @@
 	inc.wg.Go(func() { _ = inc.srv.Run() })
 	inc.wg.Go(func() {
 		if f.cfg.InitialVersion > 0 && !p.NoFile {
-			_ = inc.node.Begin(f.signedFile(f.cfg.InitialVersion)) // the node logs refusals
+			_ = inc.node.AcceptFile(f.signedFile(f.cfg.InitialVersion)) // the node logs refusals
 		}
 		_ = inc.node.Run(ctx) // ends with ctx, without an error
 		for _, s := range services {
@@ -264,12 +264,12 @@
 	return inc
 }
 
-func (p *Process) services(dial control.Dial) []*rollout.Service {
+func (p *Process) services(dial control.Dial) []*rollout.ServiceClient {
 	f := p.fleet
-	var out []*rollout.Service
+	var out []*rollout.ServiceClient
 	for i, s := range f.Servers {
 		if !f.cfg.ServerPerDomain || p.domain%len(f.Servers) == i {
-			out = append(out, rollout.NewService(s.url, dial))
+			out = append(out, rollout.NewServiceClient(s.url, dial))
 		}
 	}
 	return out
--- a/internal/rollout/lab/publish.go
+++ b/internal/rollout/lab/publish.go
@@ -102,12 +102,12 @@
 }
 
 // signedFile returns a version as a signed bundle file.
-func (f *Fleet) signedFile(version uint64) rollout.WholeFile {
+func (f *Fleet) signedFile(version uint64) rollout.BundleFile {
 	b := f.Bundle(version)
 	src := bundle.Encode(&b)
 	sig, err := bundle.Sign("lab", src, f.Key)
 	if err != nil {
 		panic(err) // the generated bundle is valid
 	}
-	return rollout.WholeFile{Source: string(src), Signature: string(sig)}
+	return rollout.BundleFile{Source: string(src), Signature: string(sig)}
 }
--- a/internal/rollout/measure/measure.go
+++ b/internal/rollout/measure/measure.go
@@ -27,14 +27,14 @@
 )
 
 // ServiceFault is a fault of the configuration service.
-type Trouble string
+type ServiceFault string
 
 const (
 	// FaultNone: one server, which is up.
-	TroubleNone Trouble = "none"
+	FaultNone ServiceFault = "none"
 	// FaultStaleAndDown: each failure domain has one of three servers; one of
 	// them is stuck at an old version, one is down.
-	TroubleStale Trouble = "a third stale, a third dead"
+	FaultStaleAndDown ServiceFault = "a third stale, a third dead"
 )
 
 // Scenario describes one measurement.
@@ -42,7 +42,7 @@
 	Nodes   int
 	Domains int
 	Mode    Mode
-	Trouble Trouble
+	Fault   ServiceFault
 	// Changes is the number of versions, published at the interval Every.
 	Changes int
 	Every   time.Duration
@@ -53,11 +53,11 @@
 
 // Point is the result of one measurement.
 type Point struct {
-	Nodes   int     `json:"nodes"`
-	Domains int     `json:"failure_domains"`
-	Mode    Mode    `json:"mode"`
-	Trouble Trouble `json:"trouble"`
-	Changes int     `json:"changes"`
+	Nodes   int          `json:"nodes"`
+	Domains int          `json:"failure_domains"`
+	Mode    Mode         `json:"mode"`
+	Fault   ServiceFault `json:"trouble"`
+	Changes int          `json:"changes"`
 	// Restarts is the number of restarted nodes.
 	Restarts int `json:"restarts"`
 
@@ -82,8 +82,8 @@
 	// ReadyBelow is the number of restarted nodes that became ready with a
 	// lower version than before the restart; ConfirmedBelow is how many of them
 	// were confirmed.
-	ReadyBelow int `json:"ready_below"`
-	SureBelow  int `json:"sure_below"`
+	ReadyBelow     int `json:"ready_below"`
+	ConfirmedBelow int `json:"sure_below"`
 	// Backwards counts how often a version was followed by the same or a lower
 	// one within an incarnation.
 	Backwards int `json:"backwards"`
@@ -139,7 +139,7 @@
 	cfg := lab.Config{Network: lab.Loopback{}, Nodes: sc.Nodes, Domains: sc.Domains, Services: 1, InitialVersion: firstVersion}
 	cfg.Tuning.AcceptUnconfirmedAfter = time.Second // the whole fleet starts at once here
 	cfg.Tuning.AllProcessesRead = sc.Mode == ModeWatch
-	if sc.Trouble == TroubleStale {
+	if sc.Fault == FaultStaleAndDown {
 		cfg.Services, cfg.ServerPerDomain = serversWhenFaulty, true
 	}
 	return lab.New(cfg)
@@ -180,7 +180,7 @@
 }
 
 func injectFault(f *lab.Fleet, sc Scenario) error {
-	if sc.Trouble != TroubleStale {
+	if sc.Fault != FaultStaleAndDown {
 		return nil
 	}
 	f.Servers[1].SetDown(true)
--- a/internal/rollout/measure/point.go
+++ b/internal/rollout/measure/point.go
@@ -10,7 +10,7 @@
 func (r *measurement) point() Point {
 	seconds := r.endCounters.at.Sub(r.startCounters.at).Seconds()
 	out := Point{
-		Nodes: r.sc.Nodes, Domains: r.sc.Domains, Mode: r.sc.Mode, Trouble: r.sc.Trouble,
+		Nodes: r.sc.Nodes, Domains: r.sc.Domains, Mode: r.sc.Mode, Fault: r.sc.Fault,
 		Changes: len(r.published), Restarts: len(r.restarts),
 		CallsPerSecond:   float64(r.endCounters.calls-r.startCounters.calls) / seconds,
 		LimitedPerSecond: float64(r.endCounters.limited-r.startCounters.limited) / seconds,
@@ -82,7 +82,7 @@
 		if ready.Version < one.versionBefore {
 			out.ReadyBelow++
 			if ready.Confirmed {
-				out.SureBelow++
+				out.ConfirmedBelow++
 			}
 		}
 	}
--- a/internal/rollout/message.go
+++ b/internal/rollout/message.go
@@ -83,7 +83,7 @@
 
 func (r PeerReport) check() error {
 	if r.ID == "" || len(r.ID) > maxIDLength || len(r.DigestPrefix) > digestPrefixLength || !r.State.valid() || r.AgeMillis < 0 {
-		return errors.Wrap(ErrBadMessage, "sighting")
+		return errors.Wrap(ErrBadMessage, "peer report")
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 
 func checkReports(from PeerReport, others []PeerReport) error {
 	if len(others) > maxPeerReports {
-		return errors.Wrapf(ErrBadMessage, "%d sightings", len(others))
+		return errors.Wrapf(ErrBadMessage, "%d peer reports", len(others))
 	}
 	for _, r := range others {
 		if err := r.check(); err != nil {
@@ -151,7 +151,7 @@
 	// Summary is the sender's claim; it is verified against the rest.
 	Summary  Summary       `json:"s"`
 	Manifest *ManifestText `json:"manifest,omitempty"`
-	Whole    *WholeFile    `json:"whole,omitempty"`
+	Whole    *BundleFile   `json:"whole,omitempty"`
 	// Sections holds sections that the receiver probably lacks.
 	Sections []string `json:"sections,omitempty"`
 }
@@ -159,7 +159,7 @@
 // Check implements control.Checker.
 func (u Update) Check() error {
 	if (u.Manifest == nil) == (u.Whole == nil) {
-		return errors.Wrap(ErrBadMessage, "an update is a manifest or a whole file")
+		return errors.Wrap(ErrBadMessage, "an update holds either a manifest or a bundle file")
 	}
 	if len(u.Sections) > maxSections {
 		return errors.Wrapf(ErrBadMessage, "%d sections", len(u.Sections))
@@ -178,7 +178,7 @@
 }
 
 // BundleFile is a signed bundle file.
-type WholeFile struct {
+type BundleFile struct {
 	Source    string `json:"source"`
 	Signature string `json:"signature"`
 }
--- a/internal/rollout/node.go
+++ b/internal/rollout/node.go
@@ -29,7 +29,7 @@
 	Client control.ClientConfig
 	// Services are clients of the servers of the configuration service; there
 	// may be none.
-	Services []*Service
+	Services []*ServiceClient
 	// Apply activates a version. It is called in the order of versions and must
 	// not block.
 	Apply func(*bundle.Snapshot)
@@ -86,7 +86,7 @@
 // AcceptFile activates a signed bundle file as the first version. An expired
 // bundle isn't activated, but its list of processes is used; the error is then
 // a *bundle.ExpiredError. Other errors are those of bundle.Accept.
-func (n *Node) Begin(file WholeFile) error {
+func (n *Node) AcceptFile(file BundleFile) error {
 	err := n.store.AcceptFile(time.Now(), file)
 	if !errors.Is(err, bundle.ErrExpired) {
 		return err
--- a/internal/rollout/reader.go
+++ b/internal/rollout/reader.go
@@ -126,7 +126,7 @@
 }
 
 // applyValue verifies and activates the manifest that the service returned.
-func (n *Node) applyValue(ctx context.Context, server *Service, value []byte) error {
+func (n *Node) applyValue(ctx context.Context, server *ServiceClient, value []byte) error {
 	signed, err := bundle.DecodeSignedManifest(value)
 	if err != nil {
 		return err
--- a/internal/rollout/source.go
+++ b/internal/rollout/source.go
@@ -62,15 +62,15 @@
 type Revision uint64
 
 // ServiceClient is a client of one server of the configuration service.
-type Service struct {
+type ServiceClient struct {
 	url  string
 	http *http.Client
 }
 
 // NewServiceClient returns a client of the server at a base URL. A nil dial
 // uses TCP.
-func NewService(base *url.URL, dial control.Dial) *Service {
-	return &Service{
+func NewServiceClient(base *url.URL, dial control.Dial) *ServiceClient {
+	return &ServiceClient{
 		url: base.JoinPath(pathValues).String(),
 		http: &http.Client{Transport: &http.Transport{
 			DialContext: dial, TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS12},
@@ -80,12 +80,12 @@
 }
 
 // Close closes idle connections.
-func (s *Service) Close() { s.http.CloseIdleConnections() }
+func (s *ServiceClient) Close() { s.http.CloseIdleConnections() }
 
 // Manifest reads the signed manifest. With a revision it waits until the
 // service has a later one; ok is false if none arrived before the service ended
 // the watch.
-func (s *Service) Manifest(ctx context.Context, after Revision) (value []byte, revision Revision, ok bool, err error) {
+func (s *ServiceClient) Manifest(ctx context.Context, after Revision) (value []byte, revision Revision, ok bool, err error) {
 	query, timeout := "", readTimeout
 	if after > 0 {
 		query, timeout = "?wait="+strconv.FormatUint(uint64(after), 10), watchTimeout
@@ -96,7 +96,7 @@
 }
 
 // Section reads one section; the caller verifies its digest.
-func (s *Service) Section(ctx context.Context, d bundle.Digest) ([]byte, error) {
+func (s *ServiceClient) Section(ctx context.Context, d bundle.Digest) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	value, _, ok, err := s.get(ctx, KeySection(d))
@@ -106,7 +106,7 @@
 	return value, err
 }
 
-func (s *Service) get(ctx context.Context, key string) (value []byte, revision Revision, ok bool, err error) {
+func (s *ServiceClient) get(ctx context.Context, key string) (value []byte, revision Revision, ok bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, s.url+"/"+key, nil)
 	if err != nil {
 		return nil, 0, false, s.newError(err, 0)
@@ -128,7 +128,7 @@
 	}
 }
 
-func (s *Service) readBody(r io.Reader) ([]byte, error) {
+func (s *ServiceClient) readBody(r io.Reader) ([]byte, error) {
 	value, err := io.ReadAll(io.LimitReader(r, maxValueBytes+1))
 	if err != nil {
 		return nil, s.newError(err, 0)
@@ -147,6 +147,6 @@
 	return time.Duration(seconds) * time.Second
 }
 
-func (s *Service) newError(err error, after time.Duration) error {
+func (s *ServiceClient) newError(err error, after time.Duration) error {
 	return &ServiceError{URL: s.url, Err: err, RetryAfter: after}
 }
--- a/internal/rollout/status.go
+++ b/internal/rollout/status.go
@@ -10,7 +10,7 @@
 type StatusRequest struct{}
 
 // NeverReported is the age of a process of which no report arrived.
-const NeverHeard = -1
+const NeverReported = -1
 
 // ProcessStatus is the last known status of one process.
 type ProcessStatus struct {
@@ -23,7 +23,7 @@
 	State   State  `json:"state,omitempty"`
 	// ServiceUnusable says that the process reads the configuration service and
 	// gets no answer or an outdated one.
-	NoService bool `json:"no_service,omitempty"`
+	ServiceUnusable bool `json:"no_service,omitempty"`
 	// AgeMillis is the age of the process's report, or NeverReported.
 	AgeMillis int64 `json:"age_ms"`
 }
@@ -78,7 +78,7 @@
 		}
 		one, ok := c.reports.withAge(now, m.ID())
 		if !ok {
-			out = append(out, ProcessStatus{ID: m.ID(), FailureDomain: domain, AgeMillis: NeverHeard})
+			out = append(out, ProcessStatus{ID: m.ID(), FailureDomain: domain, AgeMillis: NeverReported})
 			continue
 		}
 		out = append(out, statusOf(one, domain))
@@ -87,7 +87,7 @@
 }
 
 func statusOf(r PeerReport, domain string) ProcessStatus {
-	return ProcessStatus{ID: r.ID, FailureDomain: domain, Version: r.Version, Digest: r.DigestPrefix, State: r.State, NoService: r.ServiceUnusable, AgeMillis: r.AgeMillis}
+	return ProcessStatus{ID: r.ID, FailureDomain: domain, Version: r.Version, Digest: r.DigestPrefix, State: r.State, ServiceUnusable: r.ServiceUnusable, AgeMillis: r.AgeMillis}
 }
 
 // Contacts lists some processes of each other failure domain, those that are
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -29,7 +29,7 @@
 // field is set.
 type signedForm struct {
 	manifest *bundle.SignedManifest
-	file     *WholeFile
+	file     *BundleFile
 }
 
 // manifestRecord is a manifest that was active.
@@ -124,7 +124,7 @@
 
 // AcceptFile activates a signed bundle file; it returns the errors of
 // bundle.Accept.
-func (s *Store) AcceptFile(now time.Time, file WholeFile) error {
+func (s *Store) AcceptFile(now time.Time, file BundleFile) error {
 	s.acceptMu.Lock()
 	defer s.acceptMu.Unlock()
 	current := s.snapshot()
--- a/internal/rollout/survey.go
+++ b/internal/rollout/survey.go
@@ -20,7 +20,7 @@
 
 // FleetStatus is the status of the fleet, collected from a few processes: one
 // of each failure domain reports on all of it.
-type Survey struct {
+type FleetStatus struct {
 	// Highest is the highest active version of any process.
 	Highest uint64 `json:"highest"`
 	// Processes lists all known processes by failure domain and ID.
@@ -39,24 +39,24 @@
 }
 
 // Lags says whether a process has a lower version than the highest active one.
-func (s *Survey) Lags(p ProcessStatus) bool { return p.Version < s.Highest }
+func (s *FleetStatus) Lags(p ProcessStatus) bool { return p.Version < s.Highest }
 
 // Lagging lists the processes that lag.
-func (s *Survey) Lagging() []ProcessStatus {
+func (s *FleetStatus) Lagging() []ProcessStatus {
 	return slices.DeleteFunc(slices.Clone(s.Processes), func(p ProcessStatus) bool { return !s.Lags(p) })
 }
 
 // StatusClient queries the status of processes for an operator.
-type Surveyor struct {
+type StatusClient struct {
 	pool *control.Pool
 }
 
 // NewStatusClient returns a client that uses the pool's connections.
-func NewSurveyor(pool *control.Pool) *Surveyor { return &Surveyor{pool: pool} }
+func NewStatusClient(pool *control.Pool) *StatusClient { return &StatusClient{pool: pool} }
 
 // Query queries the routers at the addresses, then one process of each other
 // failure domain that they list. It fails if none of the routers answers.
-func (s *Surveyor) Ask(ctx context.Context, routers []string) (*Survey, error) {
+func (s *StatusClient) Query(ctx context.Context, routers []string) (*FleetStatus, error) {
 	c := statusCollector{domains: make(map[string]bool), processes: make(map[ID]ProcessStatus)}
 	var failed []error
 	for _, address := range routers {
@@ -75,13 +75,13 @@
 	return c.fleetStatus(), nil
 }
 
-func (s *Surveyor) queryStatus(ctx context.Context, t control.Target) (Status, error) {
+func (s *StatusClient) queryStatus(ctx context.Context, t control.Target) (Status, error) {
 	return control.Call(ctx, s.pool.Client(t), MethodStatus, StatusRequest{})
 }
 
 // queryDomains queries one process of each failure domain that hasn't been
 // queried yet.
-func (s *Surveyor) queryDomains(ctx context.Context, c *statusCollector) {
+func (s *StatusClient) queryDomains(ctx context.Context, c *statusCollector) {
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentQueries)
 	for domain, contacts := range c.contactsToQuery() {
@@ -93,7 +93,7 @@
 	_ = group.Wait() // the collector holds the errors
 }
 
-func (s *Surveyor) queryDomain(ctx context.Context, c *statusCollector, domain string, contacts []Contact) {
+func (s *StatusClient) queryDomain(ctx context.Context, c *statusCollector, domain string, contacts []Contact) {
 	var last error
 	for _, contact := range contacts {
 		peer, err := contact.ID.Peer()
@@ -135,7 +135,7 @@
 }
 
 func moreRecent(a, b ProcessStatus) bool {
-	return a.AgeMillis != NeverHeard && (b.AgeMillis == NeverHeard || a.AgeMillis < b.AgeMillis)
+	return a.AgeMillis != NeverReported && (b.AgeMillis == NeverReported || a.AgeMillis < b.AgeMillis)
 }
 
 func (c *statusCollector) addFailure(where string, err error) {
@@ -160,8 +160,8 @@
 	return out
 }
 
-func (c *statusCollector) fleetStatus() *Survey {
-	out := &Survey{Asked: c.asked, Failed: c.failed, Processes: slices.Collect(maps.Values(c.processes))}
+func (c *statusCollector) fleetStatus() *FleetStatus {
+	out := &FleetStatus{Asked: c.asked, Failed: c.failed, Processes: slices.Collect(maps.Values(c.processes))}
 	slices.SortFunc(out.Processes, func(a, b ProcessStatus) int {
 		return cmp.Or(cmp.Compare(a.FailureDomain, b.FailureDomain), cmp.Compare(a.ID, b.ID))
 	})
--- a/internal/rollout/survey_test.go
+++ b/internal/rollout/survey_test.go
@@ -17,7 +17,7 @@
 
 // fleetStatus queries the fleet status through the given routers, with a
 // certificate of the given role.
-func (w *fleetTest) fleetStatus(role identity.Role, routers ...string) (*rollout.Survey, error) {
+func (w *fleetTest) fleetStatus(role identity.Role, routers ...string) (*rollout.FleetStatus, error) {
 	id, err := w.Operator()
 	if role != identity.RoleOperator {
 		id, err = w.Processes[0].Identity(), nil
@@ -25,7 +25,7 @@
 	w.Expect(err).NotTo(gomega.HaveOccurred())
 	pool := control.NewPool(control.ClientConfig{Identity: id, Dial: w.net.Dialer("operator")}, 0)
 	defer pool.Close()
-	return rollout.NewSurveyor(pool).Ask(w.t.Context(), routers)
+	return rollout.NewStatusClient(pool).Query(w.t.Context(), routers)
 }
 
 func TestFleetStatusFromOneRouterShowsLaggingProcesses(t *testing.T) {
--- a/internal/router/routed.go
+++ b/internal/router/routed.go
@@ -78,11 +78,11 @@
 		match.New(c.Protocol, c.Endpoints, rt.cfg.Rand),             // which route does it take?
 		admit.New(admit.Config{Age: c.KeyAge, MaxAge: c.MaxKeyAge}), // may its key use the route?
 		regions, // where may it be served?
-		attempts.New(rt.cfg.Retry, rt.cfg.Rand).CopiesAt(rt.cfg.Pool.TakesWork), // repeat the rest where that is safe
+		attempts.New(rt.cfg.Retry, rt.cfg.Rand).ResumeOnlyAt(rt.cfg.Pool.AcceptsWork), // repeat the rest where that is safe
 		rt.quarantine(), // did endpoints end under it?
 		choose.New(choose.Config{ // which endpoint?
-			Pool: rt.cfg.Pool, IgnoreKeys: true, RefuseLate: refuseLate,
-			Latest: func(r *request.Request) []*bundle.Endpoint { return regions.Within(r, c.Endpoints(r.Service)) },
+			Pool: rt.cfg.Pool, IgnoreKeys: true, RefuseLateFactor: refuseLate,
+			Latest: func(r *request.Request) []*bundle.Endpoint { return regions.Allowed(r, c.Endpoints(r.Service)) },
 		}),
 		rt.direct,      // send it there
 		relay.Filter{}, // pass the answer on
@@ -95,9 +95,9 @@
 	if rt.direct == nil {
 		return
 	}
-	inUse := func(endpoint string) bool { return rt.cfg.Pool.InUse(time.Now(), endpoint) }
+	inUse := func(endpoint string) bool { return rt.cfg.Pool.Usable(time.Now(), endpoint) }
 	for _, endpoint := range endpoints {
-		if left := rt.direct.LeaveSilent(endpoint, inUse); left > 0 {
+		if left := rt.direct.CancelCopiedRuns(endpoint, inUse); left > 0 {
 			rt.cfg.Log.Info().Str(logging.FieldEndpoint, endpoint).Int("streams", left).
 				Msg("endpoint is silent: streams there go on from their copies")
 		}
@@ -134,7 +134,7 @@
 	if r.Delivered.Started {
 		panic(http.ErrAbortHandler) // the only sign that the answer isn't whole
 	}
-	var answer *relay.AnswerError
+	var answer *relay.EndpointError
 	if errors.As(err, &answer) {
 		_ = answer.Write(r.Writer) // the caller may have left
 		return
@@ -152,10 +152,10 @@
 // knowsWhen says whether the refusal's own time to come back is the best guess.
 func knowsWhen(err error) bool {
 	var late *choose.LateError
-	var held *quarantine.HeldError
+	var held *quarantine.QuarantinedError
 	var none *choose.Error
 	if errors.As(err, &none) {
-		_, known := none.FreeIn()
+		_, known := none.AvailableIn()
 		return known
 	}
 	return errors.As(err, &late) || errors.As(err, &held)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -141,10 +141,10 @@
 	pool, client := rt.cfg.Pool, rt.cfg.Client
 	near := narrow.New(subset.NewSelector(rt.cfg.Name, rt.cfg.SubsetSize))
 	return pipeline.Compose(
-		authenticate.Filter{},     // whose request is it?
-		classify.Filter{},         // what does it ask for, what was paid for?
-		limit.With(rt.cfg.Limits), // is the team within its own limits?
-		near,                      // which endpoints does this router use?
+		authenticate.Filter{},               // whose request is it?
+		classify.Filter{},                   // what does it ask for, what was paid for?
+		limit.NewWithLimiter(rt.cfg.Limits), // is the team within its own limits?
+		near,                                // which endpoints does this router use?
 		shed.New(rt.cfg.Throttle, pool, rt.cfg.Rand), // would endpoints refuse it anyway?
 		attempts.New(rt.cfg.Retry, rt.cfg.Rand),      // repeat the rest where that is safe
 		rt.quarantine(),                              // did endpoints end under it?
@@ -157,10 +157,10 @@
 func (rt *Router) dispatch(client *http.Client) *dispatch.Filter {
 	f := dispatch.New(rt.cfg.Pool, client, rt.cfg.Scheme, rt.cfg.Clock)
 	if rt.cfg.Observer != nil {
-		f.Observe(rt.cfg.Observer)
+		f.SetObserver(rt.cfg.Observer)
 	}
 	if rt.cfg.Routing != nil {
-		f.Direct(rt.cfg.Routing.Protocol, rt.cfg.Routing.Client)
+		f.EnableDirect(rt.cfg.Routing.Protocol, rt.cfg.Routing.Client)
 	}
 	return f
 }
--- a/internal/subset/selector.go
+++ b/internal/subset/selector.go
@@ -39,7 +39,7 @@
 
 // Select returns the endpoints that the router uses among all those of the model or service
 // called target. These are all if the selector has no size or the bundle lists no routers.
-func (s *Selector) Of(snap *bundle.Snapshot, target string, endpoints []*bundle.Endpoint) []*bundle.Endpoint {
+func (s *Selector) Select(snap *bundle.Snapshot, target string, endpoints []*bundle.Endpoint) []*bundle.Endpoint {
 	routers := snap.Bundle().Routers
 	if s.size == 0 || len(routers) == 0 || len(endpoints) <= s.size {
 		return endpoints
--- a/internal/subset/selector_test.go
+++ b/internal/subset/selector_test.go
@@ -39,13 +39,13 @@
 	s := subset.NewSelector("r0", size)
 	first := snapshot(1, 30, 10)
 	all := first.EndpointsForModel("m")
-	got := s.Of(first, "m", all)
+	got := s.Select(first, "m", all)
 	g.Expect(len(got)).To(And(BeNumerically(">=", size), BeNumerically("<=", size+3)))
 	g.Expect(names(got)).To(Equal(names(subset.Assign("r0", []string{"r1", "r2", "r3", "r4", "r5", "r6", "r7", "r8", "r9"}, all, size))))
 
 	// A snapshot without relevant changes gives the same names, as endpoints of the new snapshot.
 	second := snapshot(2, 30, 10)
-	again := s.Of(second, "m", second.EndpointsForModel("m"))
+	again := s.Select(second, "m", second.EndpointsForModel("m"))
 	g.Expect(names(again)).To(Equal(names(got)))
 	g.Expect(again[0]).NotTo(BeIdenticalTo(got[0]))
 }
@@ -56,7 +56,7 @@
 	snap := snapshot(1, 30, 5)
 	users := make(map[string]int)
 	for i := range 5 {
-		for _, e := range subset.NewSelector(fmt.Sprint("r", i), 1).Of(snap, "m", snap.EndpointsForModel("m")) {
+		for _, e := range subset.NewSelector(fmt.Sprint("r", i), 1).Select(snap, "m", snap.EndpointsForModel("m")) {
 			users[e.Name]++
 		}
 	}
@@ -71,6 +71,6 @@
 		size int
 	}{{few, size}, {unlisted, size}, {snapshot(1, 30, 10), 0}} {
 		all := c.snap.EndpointsForModel("m")
-		g.Expect(subset.NewSelector("r0", c.size).Of(c.snap, "m", all)).To(Equal(all))
+		g.Expect(subset.NewSelector("r0", c.size).Select(c.snap, "m", all)).To(Equal(all))
 	}
 }
