--- a/internal/cli/rolloutcmd/table.go
+++ b/internal/cli/rolloutcmd/table.go
@@ -18,7 +18,7 @@
 )
 
 // render formats a survey for a terminal.
-func render(s *rollout.Survey, now time.Time, all bool) string {
+func render(s *rollout.FleetStatus, now time.Time, all bool) string {
 	lagging := s.Lagging()
 	list := lagging
 	if all || len(s.Processes) <= maxListedProcesses {
@@ -41,7 +41,7 @@
 	return strings.TrimSuffix(out.String(), "\n")
 }
 
-func processTable(s *rollout.Survey, list []rollout.ProcessStatus) string {
+func processTable(s *rollout.FleetStatus, list []rollout.ProcessStatus) string {
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
 	t.Style().Format.Header = text.FormatDefault
@@ -55,7 +55,7 @@
 }
 
 func lastHeard(p rollout.ProcessStatus) string {
-	if p.AgeMillis == rollout.NeverHeard {
+	if p.AgeMillis == rollout.NeverReported {
 		return "never"
 	}
 	return formatAge(p.AgeMillis) + " ago"
@@ -67,15 +67,15 @@
 }
 
 // statusNote describes the problems of a process.
-func statusNote(s *rollout.Survey, p rollout.ProcessStatus) string {
+func statusNote(s *rollout.FleetStatus, p rollout.ProcessStatus) string {
 	var notes []string
 	switch {
-	case p.AgeMillis == rollout.NeverHeard:
+	case p.AgeMillis == rollout.NeverReported:
 		notes = append(notes, "not heard of")
 	case s.Lags(p):
 		notes = append(notes, "lags")
 	}
-	if p.NoService {
+	if p.ServiceUnusable {
 		notes = append(notes, "reads the service in vain")
 	}
 	return strings.Join(notes, ", ")
--- a/internal/daemon/bundles.go
+++ b/internal/daemon/bundles.go
@@ -29,7 +29,7 @@
 // bundleReceiver keeps a process's bundle up to date.
 type bundleReceiver struct {
 	node     *rollout.Node
-	services []*rollout.Service
+	services []*rollout.ServiceClient
 	log      zerolog.Logger
 	ready    chan struct{} // closed when a usable bundle is available
 	stop     context.CancelFunc
@@ -51,7 +51,7 @@
 		if err != nil {
 			return nil, cli.BadInput(errors.Wrap(err, "config_service"))
 		}
-		b.services = append(b.services, rollout.NewService(base, nil))
+		b.services = append(b.services, rollout.NewServiceClient(base, nil))
 	}
 	var readyOnce sync.Once
 	b.node = rollout.New(rollout.Config{
@@ -98,7 +98,7 @@
 	if err != nil {
 		return cli.BadInput(err)
 	}
-	err = b.node.Begin(file)
+	err = b.node.AcceptFile(file)
 	if errors.Is(err, bundle.ErrExpired) {
 		b.log.Warn().Err(err).Msg("bundle file has expired; it is only used to find other processes")
 		return nil
@@ -109,16 +109,16 @@
 	return nil
 }
 
-func readBundle(file string) (rollout.WholeFile, error) {
+func readBundle(file string) (rollout.BundleFile, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
-		return rollout.WholeFile{}, errors.Wrap(err, "read the bundle")
+		return rollout.BundleFile{}, errors.Wrap(err, "read the bundle")
 	}
 	sig, err := os.ReadFile(file + bundle.SignatureSuffix)
 	if err != nil {
-		return rollout.WholeFile{}, errors.Wrap(err, "read the bundle's signature")
+		return rollout.BundleFile{}, errors.Wrap(err, "read the bundle's signature")
 	}
-	return rollout.WholeFile{Source: string(src), Signature: string(sig)}, nil
+	return rollout.BundleFile{Source: string(src), Signature: string(sig)}, nil
 }
 
 // waitForFirst waits until there is a usable bundle: one that other processes confirm or,
--- a/internal/daemon/directlist.go
+++ b/internal/daemon/directlist.go
@@ -46,7 +46,7 @@
 // itself, and nothing is marked cold.
 func (l *directoryUpdater) onReturning(name string) {
 	entry, ok := l.d.follower.Directory().Entry(name)
-	if !ok || l.d.pool.MostUnsure(name) {
+	if !ok || l.d.pool.MajoritySuspect(name) {
 		return
 	}
 	cold := l.serviceOf(entry.Endpoint.Services).Cold
@@ -63,7 +63,7 @@
 	last := l.previous
 	l.previous = dir
 	entries := dir.Entries()
-	l.d.log.Info().Int("endpoints", len(entries)).Int("kept", dir.Kept()).Strs("evacuated", dir.Evacuated()).
+	l.d.log.Info().Int("endpoints", len(entries)).Int("kept", dir.KeptCount()).Strs("evacuated", dir.Evacuated()).
 		Uint64("revision", dir.Revision()).Msg("endpoint list changed")
 	l.logEvacuations(last, dir)
 	places := make([]membership.Place, len(entries))
@@ -72,7 +72,7 @@
 		places[i] = membership.Place{
 			Endpoint: e.Endpoint.Name, VM: e.Endpoint.VM, Address: e.Endpoint.Address, Incarnation: e.Endpoint.Process(),
 		}
-		vms[i] = membership.VM{Name: e.Endpoint.VM, Leaving: !dir.TakesWork(e.Endpoint.Name)}
+		vms[i] = membership.VM{Name: e.Endpoint.VM, Leaving: !dir.AcceptsWork(e.Endpoint.Name)}
 	}
 	l.d.members.Learn(membership.Bundle{Places: places})
 	// Mark cold endpoints before they accept work again.
@@ -149,7 +149,7 @@
 func (l *directoryUpdater) evacuatedRequests() int {
 	open := 0
 	for _, e := range l.evacuatedEndpoints() {
-		open += l.d.pool.Open(e.Endpoint.Name)
+		open += l.d.pool.Inflight(e.Endpoint.Name)
 	}
 	return open
 }
@@ -177,7 +177,7 @@
 	if health.RateLimit.Statement == upstream.LimitNamed {
 		// A health response without a limit doesn't mean that there is none; responses to
 		// requests decide that.
-		l.d.pool.HearLimit(time.Now(), sentAt, name, health.RateLimit)
+		l.d.pool.ApplyLimit(time.Now(), sentAt, name, health.RateLimit)
 	}
 	return health.Sent, err
 }
--- a/internal/daemon/directlist_test.go
+++ b/internal/daemon/directlist_test.go
@@ -21,8 +21,8 @@
 // evacuatedStore is a store with one endpoint, in an evacuated failure domain.
 type evacuatedStore struct{ follow.Store }
 
-func (evacuatedStore) Orders(context.Context) (follow.Orders, error) {
-	return follow.Orders{Config: &route.Config{Version: 1}, Evacuated: []string{"x"}, Revision: 1}, nil
+func (evacuatedStore) OperatorState(context.Context) (follow.OperatorState, error) {
+	return follow.OperatorState{Config: &route.Config{Version: 1}, Evacuated: []string{"x"}, Revision: 1}, nil
 }
 
 func (evacuatedStore) Page(context.Context, string, bool) (follow.Page, error) {
@@ -55,7 +55,7 @@
 	_, err = d.updater.checkHealth(ctx, "e")
 	g.Expect(err).To(MatchError(membership.ErrNotAsked))
 	g.Expect(calls).To(BeZero())
-	g.Expect(d.pool.TakesWork("e")).To(BeFalse())
+	g.Expect(d.pool.AcceptsWork("e")).To(BeFalse())
 }
 
 // A health check counts against an endpoint's rate limit like a request.
@@ -90,6 +90,6 @@
 // activeStore is a store with one endpoint that may get requests.
 type activeStore struct{ evacuatedStore }
 
-func (activeStore) Orders(context.Context) (follow.Orders, error) {
-	return follow.Orders{Config: &route.Config{Version: 1}, Revision: 1}, nil
+func (activeStore) OperatorState(context.Context) (follow.OperatorState, error) {
+	return follow.OperatorState{Config: &route.Config{Version: 1}, Revision: 1}, nil
 }
--- a/internal/daemon/directpeers.go
+++ b/internal/daemon/directpeers.go
@@ -49,15 +49,15 @@
 			VM: d.cfg.VM, FailureDomain: d.cfg.FailureDomain, Address: d.cfg.Control,
 			Cores: d.cfg.Cores, LinkMbps: d.cfg.LinkMbps,
 		},
-		FailureDomains: slices.Sorted(maps.Keys(d.cfg.Regions)),
-		Seeds:          d.cfg.Seeds,
-		Source:         reader,
-		Pool:           control.NewPool(control.ClientConfig{Log: d.log}, 0),
-		Every:          peerPollInterval,
-		MaxAge:         maxPeerAge(d.cfg.Bounds),
-		Outage:         sourceTiming(d.cfg.Bounds).Outage,
-		Log:            d.log,
-		Metrics:        d.reg,
+		FailureDomains:  slices.Sorted(maps.Keys(d.cfg.Regions)),
+		Seeds:           d.cfg.Seeds,
+		Origin:          reader,
+		Pool:            control.NewPool(control.ClientConfig{Log: d.log}, 0),
+		PollInterval:    peerPollInterval,
+		MaxAge:          maxPeerAge(d.cfg.Bounds),
+		OutageThreshold: sourceTiming(d.cfg.Bounds).OutageThreshold,
+		Log:             d.log,
+		Metrics:         d.reg,
 	})
 	d.peers.Register(d.control)
 	d.share = endpointrate.Share{Self: d.cfg.VM, Domain: d.cfg.FailureDomain, Fleet: d.peers.Fleet}
@@ -80,18 +80,18 @@
 	if d.peers == nil {
 		return 0
 	}
-	return d.peers.SourceLost()
+	return d.peers.OriginUnavailableFor()
 }
 
 // fleetSize returns the number of routers known to this one, or an upper estimate if it knows
 // no other.
 func (d *directRouter) fleetSize() int {
 	if d.peers == nil {
-		return peers.LargestFleet
+		return peers.AssumedFleetSize
 	}
-	others := d.peers.Others()
+	others := d.peers.PeerCount()
 	if others == 0 {
-		return peers.LargestFleet
+		return peers.AssumedFleetSize
 	}
 	return 1 + others
 }
@@ -100,7 +100,7 @@
 // limit for all routers.
 func (d *directRouter) endpointRateShare(now time.Time, b endpointrate.Bound) float64 {
 	if d.peers == nil {
-		return b.PerSecond / peers.LargestFleet // no peers are known
+		return b.PerSecond / peers.AssumedFleetSize // no peers are known
 	}
-	return d.share.Of(now, b)
+	return d.share.Rate(now, b)
 }
--- a/internal/daemon/directreading.go
+++ b/internal/daemon/directreading.go
@@ -50,13 +50,13 @@
 
 // sourceTiming returns the timing of calls to the source that satisfies the operator's bounds.
 func sourceTiming(b DirectBounds) follow.Timing {
-	t := follow.Timing{Wait: watchWait(b), Slack: watchSlack, Pace: defaultMinInterval, Return: entryReturnTime}
+	t := follow.Timing{Wait: watchWait(b), Slack: watchSlack, MinInterval: defaultMinInterval, EntryReturnTime: entryReturnTime}
 	if b.DrainWithin > 0 {
 		spare := b.DrainWithin - (t.Wait + t.Slack + readTimeout)
 		minInterval := max(time.Duration(minIntervalShare*float64(b.DrainWithin)), min(t.Wait, time.Duration(spareShare*float64(spare))))
-		t.Pace = max(minMinInterval, minInterval)
+		t.MinInterval = max(minMinInterval, minInterval)
 	}
-	t.Outage = maxAgeWaits*t.Wait + outageSlacks*t.Slack
+	t.OutageThreshold = maxAgeWaits*t.Wait + outageSlacks*t.Slack
 	return t
 }
 
--- a/internal/daemon/directreading_test.go
+++ b/internal/daemon/directreading_test.go
@@ -33,9 +33,9 @@
 			g := NewWithT(t)
 			got := sourceTiming(c.bounds)
 			g.Expect(got.Wait.Round(time.Microsecond)).To(Equal(c.wait))
-			g.Expect(got.Pace).To(Equal(c.pace))
+			g.Expect(got.MinInterval).To(Equal(c.pace))
 			// Data from another router may be two waits old until the next poll refreshes it.
-			g.Expect(got.Outage).To(BeNumerically(">", 2*got.Wait+peerPollInterval+got.Slack))
+			g.Expect(got.OutageThreshold).To(BeNumerically(">", 2*got.Wait+peerPollInterval+got.Slack))
 			// The data of a reader must be fresh enough for other routers without changes,
 			// whichever bounds are set.
 			g.Expect(maxPeerAge(c.bounds)).To(BeNumerically(">=", 2*got.Wait+peerPollInterval))
@@ -48,7 +48,7 @@
 		for _, b := range []DirectBounds{{DrainWithin: within}, {ConfigWithin: within}, {DrainWithin: within, ConfigWithin: 2 * within}} {
 			got := sourceTiming(b)
 			NewWithT(t).Expect(got.Wait+got.Slack+readTimeout).To(BeNumerically("<", within), "%+v", b)
-			if total := got.Wait + got.Slack + readTimeout + got.Pace; b.DrainWithin >= 3*time.Second {
+			if total := got.Wait + got.Slack + readTimeout + got.MinInterval; b.DrainWithin >= 3*time.Second {
 				NewWithT(t).Expect(total).To(BeNumerically("<", within), "after a pause, %+v", b)
 			}
 		}
--- a/internal/daemon/placement.go
+++ b/internal/daemon/placement.go
@@ -38,5 +38,5 @@
 
 // applyPlacement returns a function that applies a bundle's placement.
 func applyPlacement(r *placement.Runner) func(*bundle.Snapshot) {
-	return func(s *bundle.Snapshot) { r.Follow(s.Bundle()) }
+	return func(s *bundle.Snapshot) { r.SetBundle(s.Bundle()) }
 }
--- a/internal/daemon/poison.go
+++ b/internal/daemon/poison.go
@@ -20,10 +20,10 @@
 func newPoisonTable(vm string, reg prometheus.Registerer, log zerolog.Logger, checkCrashed func(processes []string)) *poison.Table {
 	t := poison.NewTable(poison.Config{Router: vm, OnEvent: func(e poison.Event) {
 		line, text := log.Warn(), "request is quarantined: endpoints crash while running it"
-		if !e.Held {
+		if !e.Quarantined {
 			line, text = log.Info(), "request is no longer quarantined: it was answered, or its endpoints are still running"
 		}
-		if e.Held && e.Own {
+		if e.Quarantined && e.Local {
 			checkCrashed(e.Endpoints)
 		}
 		line.Stringer(logging.FieldIdentity, e.Identity).Strs("endpoints", e.Endpoints).Msg(text)
@@ -31,7 +31,7 @@
 	promauto.With(reg).NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "coveferry_router_requests_quarantined",
 		Help: "Requests, by their content, that are held back since endpoints ended while they ran them.",
-	}, func() float64 { return float64(t.Held()) })
+	}, func() float64 { return float64(t.QuarantinedCount()) })
 	return t
 }
 
@@ -54,7 +54,7 @@
 			defer cancel()
 			sentAt := clock.Boot()
 			if _, err := d.updater.checkHealth(ctx, name); err == nil {
-				d.poison.Survived(process, sentAt)
+				d.poison.RecordResponse(process, sentAt)
 			}
 		}()
 	}
--- a/internal/router/routed.go
+++ b/internal/router/routed.go
@@ -78,11 +78,11 @@
 		match.New(c.Protocol, c.Endpoints, rt.cfg.Rand),             // selects the route
 		admit.New(admit.Config{Age: c.KeyAge, MaxAge: c.MaxKeyAge}), // checks the API key
 		regions, // applies residency
-		attempts.New(rt.cfg.Retry, rt.cfg.Rand).CopiesAt(rt.cfg.Pool.TakesWork), // retries where that is safe
+		attempts.New(rt.cfg.Retry, rt.cfg.Rand).ResumeOnlyAt(rt.cfg.Pool.AcceptsWork), // retries where that is safe
 		rt.quarantine(), // refuses quarantined requests
 		choose.New(choose.Config{ // selects the endpoint
-			Pool: rt.cfg.Pool, IgnoreKeys: true, RefuseLate: refuseLateFactor,
-			Latest: func(r *request.Request) []*bundle.Endpoint { return regions.Within(r, c.Endpoints(r.Service)) },
+			Pool: rt.cfg.Pool, IgnoreKeys: true, RefuseLateFactor: refuseLateFactor,
+			Latest: func(r *request.Request) []*bundle.Endpoint { return regions.Allowed(r, c.Endpoints(r.Service)) },
 		}),
 		rt.directDispatch, // sends the request
 		relay.Filter{},    // relays the answer
@@ -95,9 +95,9 @@
 	if rt.directDispatch == nil {
 		return
 	}
-	inUse := func(endpoint string) bool { return rt.cfg.Pool.InUse(time.Now(), endpoint) }
+	inUse := func(endpoint string) bool { return rt.cfg.Pool.Usable(time.Now(), endpoint) }
 	for _, endpoint := range endpoints {
-		if canceled := rt.directDispatch.LeaveSilent(endpoint, inUse); canceled > 0 {
+		if canceled := rt.directDispatch.CancelCopiedRuns(endpoint, inUse); canceled > 0 {
 			rt.cfg.Log.Info().Str(logging.FieldEndpoint, endpoint).Int("streams", canceled).
 				Msg("endpoint is unresponsive: resuming its streams from their copies")
 		}
@@ -134,7 +134,7 @@
 	if r.Delivered.Started {
 		panic(http.ErrAbortHandler) // the only way to show that the answer is incomplete
 	}
-	var answer *relay.AnswerError
+	var answer *relay.EndpointError
 	if errors.As(err, &answer) {
 		_ = answer.Write(r.Writer) // the caller may have disconnected
 		return
@@ -153,10 +153,10 @@
 // routedRetryAfter.
 func hasOwnRetryAfter(err error) bool {
 	var late *choose.LateError
-	var quarantined *quarantine.HeldError
+	var quarantined *quarantine.QuarantinedError
 	var noEndpoint *choose.Error
 	if errors.As(err, &noEndpoint) {
-		_, known := noEndpoint.FreeIn()
+		_, known := noEndpoint.AvailableIn()
 		return known
 	}
 	return errors.As(err, &late) || errors.As(err, &quarantined)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -140,7 +140,7 @@
 	return pipeline.Compose(
 		authenticate.Filter{},                        // identifies the team
 		classify.Filter{},                            // determines class, tier and model
-		limit.With(rt.cfg.Limits),                    // enforces the team's rate limits
+		limit.NewWithLimiter(rt.cfg.Limits),          // enforces the team's rate limits
 		subsetFilter,                                 // restricts the endpoints to this router's subset
 		shed.New(rt.cfg.Throttle, pool, rt.cfg.Rand), // sheds requests that endpoints would refuse
 		attempts.New(rt.cfg.Retry, rt.cfg.Rand),      // retries where that is safe
@@ -154,10 +154,10 @@
 func (rt *Router) dispatch(client *http.Client) *dispatch.Filter {
 	f := dispatch.New(rt.cfg.Pool, client, rt.cfg.Scheme, rt.cfg.Clock)
 	if rt.cfg.Observer != nil {
-		f.Observe(rt.cfg.Observer)
+		f.SetObserver(rt.cfg.Observer)
 	}
 	if rt.cfg.Routing != nil {
-		f.Direct(rt.cfg.Routing.Protocol, rt.cfg.Routing.Client)
+		f.EnableDirect(rt.cfg.Routing.Protocol, rt.cfg.Routing.Client)
 	}
 	return f
 }
