--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -128,7 +128,7 @@
 	case !ag.cfg.Clock().Before(a.clockDeadline):
 		return &wire.Refusal{Reason: wire.ReasonStale, Run: wire.RunNot}
 	case a.env.Endpoint != ag.cfg.Endpoint:
-		return &wire.Refusal{Reason: wire.ReasonNotHere, Run: wire.RunNot}
+		return &wire.Refusal{Reason: wire.ReasonWrongEndpoint, Run: wire.RunNot}
 	case ag.queue.isLeaving():
 		return &wire.Refusal{Reason: wire.ReasonLeaving, Run: wire.RunNot}
 	}
@@ -141,7 +141,7 @@
 	if err := wire.Decode(r.Header, wire.HeaderEnvelope, &a.env); err != nil {
 		return nil, badAttempt(err)
 	}
-	if err := a.env.Check(); err != nil {
+	if err := a.env.Validate(); err != nil {
 		return nil, badAttempt(err)
 	}
 	remaining := ag.remainingTime(&a.env)
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -216,16 +216,16 @@
 	if err != nil {
 		return errors.Mark(err, errCutOff)
 	}
-	if chunk.Finish != "" && !chunk.Whole() {
+	if chunk.Finish != "" && !chunk.Completed() {
 		return errors.Mark(errors.Newf("the engine ended the answer early: %s", chunk.Finish), errCutOff)
 	}
 	// No engine can resume from anything but text, so the job can no longer
 	// be preempted or moved.
-	if chunk.Opaque && !ag.queue.pin(job) {
+	if chunk.NonText && !ag.queue.pin(job) {
 		return errPreempted
 	}
-	a.progress.finished = a.progress.finished || chunk.Whole()
-	if chunk.Text == "" && !chunk.Opaque {
+	a.progress.finished = a.progress.finished || chunk.Completed()
+	if chunk.Text == "" && !chunk.NonText {
 		return nil
 	}
 	a.progress.text.WriteString(chunk.Text)
--- a/internal/agent/engine.go
+++ b/internal/agent/engine.go
@@ -153,7 +153,7 @@
 func statusError(resp *http.Response) (wire.Run, error) {
 	defer resp.Body.Close()
 	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBody)) // best effort: for the message only
-	e := &engineError{Reason: wire.ReasonEngineSaysNo, Status: resp.StatusCode, Body: string(body)}
+	e := &engineError{Reason: wire.ReasonEngineRefused, Status: resp.StatusCode, Body: string(body)}
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		e.Reason = wire.ReasonEngineDown
--- a/internal/agent/fence.go
+++ b/internal/agent/fence.go
@@ -121,8 +121,8 @@
 // too long by the time that the reading took to reach the router. For a router that
 // has no reading yet, the wall clocks are compared, less skewAllowance.
 func (ag *Agent) transitTime(env *wire.Envelope) time.Duration {
-	if env.Heard.Incarnation == ag.incarnation {
-		millis := ag.cfg.Clock().UnixMilli() - env.Heard.Millis - env.HeardAgoMillis
+	if env.AgentClock.Incarnation == ag.incarnation {
+		millis := ag.cfg.Clock().UnixMilli() - env.AgentClock.Millis - env.AgentClockAgeMillis
 		return time.Duration(millis) * time.Millisecond
 	}
 	if env.SentUnixMillis == 0 {
--- a/internal/agent/keys.go
+++ b/internal/agent/keys.go
@@ -44,7 +44,7 @@
 	Scheme string
 	// SkipCheck makes the agent run attempts without checking their keys. Keys
 	// are forwarded to the engine in either case.
-	Ignore bool
+	SkipCheck bool
 }
 
 // keys guards the agent's Keeper with a lock. Key times use the wall clock,
@@ -52,7 +52,7 @@
 type keys struct {
 	cfg    Keys
 	mu     sync.Mutex
-	keeper *once.Keeper
+	keeper *once.KeyRegistry
 }
 
 func newKeys(cfg Keys, reg prometheus.Registerer) *keys {
@@ -85,16 +85,16 @@
 func (k *keys) pendingPeers() []once.Member {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.keeper.Waiting()
+	return k.keeper.PendingMembers()
 }
 
 // UpdateKeyHomes makes the agent the home of the keys that the endpoints of a
 // snapshot assign to it.
-func (ag *Agent) Adopt(s *bundle.Snapshot) {
+func (ag *Agent) UpdateKeyHomes(s *bundle.Snapshot) {
 	view := once.ViewOf(s.Bundle())
 	ag.keys.mu.Lock()
 	defer ag.keys.mu.Unlock()
-	ag.keys.keeper.Adopt(time.Now(), view)
+	ag.keys.keeper.SetView(time.Now(), view)
 }
 
 // PendingPeers lists the endpoints whose agreement is missing before this agent
@@ -105,7 +105,7 @@
 func (ag *Agent) RemovePeer(m once.Member) {
 	ag.keys.mu.Lock()
 	defer ag.keys.mu.Unlock()
-	ag.keys.keeper.Gone(m)
+	ag.keys.keeper.RecordGone(m)
 }
 
 // RunKeys removes old keys and queries other agents for their agreement, until
@@ -129,7 +129,7 @@
 
 // queryPeers sends the queries of one round. Rounds are rare, so the connections
 // are not kept open.
-func (k *keys) queryPeers(ctx context.Context, questions []once.Question) error {
+func (k *keys) queryPeers(ctx context.Context, questions []once.OutgoingQuery) error {
 	defer k.cfg.Peers.CloseIdleConnections()
 	var queries errgroup.Group
 	queries.SetLimit(maxConcurrentQueries)
@@ -139,7 +139,7 @@
 	return queries.Wait()
 }
 
-func (k *keys) tick() []once.Question {
+func (k *keys) tick() []once.OutgoingQuery {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -147,15 +147,15 @@
 	if k.cfg.Peers == nil {
 		return nil
 	}
-	return k.keeper.Questions(now)
+	return k.keeper.PendingQueries(now)
 }
 
 // queryPeer sends one query. A peer that doesn't answer is queried again in a
 // later round.
-func (k *keys) queryPeer(ctx context.Context, q once.Question) {
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Once.AnswerWithin)
+func (k *keys) queryPeer(ctx context.Context, q once.OutgoingQuery) {
+	ctx, cancel := context.WithTimeout(ctx, k.cfg.Once.ReplyTimeout)
 	defer cancel()
-	q.At = time.Now()
+	q.SentAt = time.Now()
 	answer, err := k.exchange(ctx, q)
 	if err != nil {
 		return
@@ -163,13 +163,13 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	k.keeper.Answered(now, q, answer)
+	k.keeper.HandleReply(now, q, answer)
 	k.keeper.Tick(now)
 }
 
-func (k *keys) exchange(ctx context.Context, q once.Question) (once.Answer, error) {
-	var answer once.Answer
-	body, err := json.Marshal(q.Ask)
+func (k *keys) exchange(ctx context.Context, q once.OutgoingQuery) (once.ListReply, error) {
+	var answer once.ListReply
+	body, err := json.Marshal(q.ListQuery)
 	if err != nil {
 		return answer, errors.Wrap(err, "encode query")
 	}
@@ -193,7 +193,7 @@
 // serveAgree answers another agent's query. Over TLS an agent can only query on
 // its own behalf.
 func (ag *Agent) serveAgree(w http.ResponseWriter, r *http.Request) {
-	var query once.Ask
+	var query once.ListQuery
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAgreeBytes)).Decode(&query); err != nil {
 		http.Error(w, "malformed question", http.StatusBadRequest)
 		return
@@ -206,7 +206,7 @@
 		}
 	}
 	ag.keys.mu.Lock()
-	answer := ag.keys.keeper.Asked(time.Now(), query)
+	answer := ag.keys.keeper.HandleQuery(time.Now(), query)
 	ag.keys.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(answer) // on failure the peer sends the query again
@@ -215,11 +215,11 @@
 // needsKeyCheck reports whether the agent has to ensure that the attempt's key
 // runs at most once.
 func (ag *Agent) needsKeyCheck(a *attempt) bool {
-	return a.env.KeyIssuedMillis != 0 && !ag.cfg.Keys.Ignore
+	return a.env.KeyIssuedMillis != 0 && !ag.cfg.Keys.SkipCheck
 }
 
-func (a *attempt) keyUse() once.Use {
-	return once.Use{
+func (a *attempt) keyUse() once.Attempt {
+	return once.Attempt{
 		Target:  a.env.Target,
 		Team:    a.env.Team,
 		Key:     once.Key{Text: a.env.IdempotencyKey, Issued: time.UnixMilli(a.env.KeyIssuedMillis)},
@@ -233,7 +233,7 @@
 func (ag *Agent) processKeyed(ctx context.Context, a *attempt) (wire.Ending, *wire.Refusal) {
 	use := a.keyUse()
 	ag.keys.mu.Lock()
-	verdict := ag.keys.keeper.Take(time.Now(), use)
+	verdict := ag.keys.keeper.Admit(time.Now(), use)
 	ag.keys.mu.Unlock()
 	if verdict.Refused != "" {
 		return "", keyRefusal(verdict)
@@ -261,13 +261,13 @@
 
 // keyRefusal converts a Keeper's refusal. For a duplicate, Run describes the
 // request that holds the key, otherwise this one.
-func keyRefusal(v once.Verdict) *wire.Refusal {
+func keyRefusal(v once.Decision) *wire.Refusal {
 	out := &wire.Refusal{
 		Reason: string(v.Refused), Run: wire.RunNot,
 		RetryAfterMillis: v.RetryAfter.Milliseconds(),
 	}
-	if v.Earlier != (once.Earlier{}) {
-		out.Earlier = &wire.Earlier{Request: v.Earlier.Request, State: string(v.Earlier.State)}
+	if v.Earlier != (once.EarlierRequest{}) {
+		out.Earlier = &wire.EarlierRequest{Request: v.Earlier.Request, State: string(v.Earlier.State)}
 	}
 	if v.Refused == once.ReasonDuplicate {
 		out.Run = runOfState(v.Earlier.State)
--- a/internal/agent/keys_test.go
+++ b/internal/agent/keys_test.go
@@ -58,16 +58,16 @@
 		go func() { _ = srv.Run() }()
 		client := server.NewClient(nil, net.Dialer("agent"))
 		cfg := once.DefaultConfig(once.Member{Name: "e"})
-		cfg.Founding = true
+		cfg.Bootstrap = true
 		ag := agent.New(agent.Config{
 			Endpoint: "e", Engine: agent.Engine{URL: "http://" + serviceAddress},
 			Policy: fifo.New(fifo.Config{Slots: 1}), MaxBody: 1 << 10, Client: client,
 			Keys: agent.Keys{Once: cfg},
 		})
-		ag.Adopt(keyedBundle(1, "e"))
+		ag.UpdateKeyHomes(keyedBundle(1, "e"))
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = ag.RunKeys(ctx) }()
-		time.Sleep(2 * cfg.Skew)
+		time.Sleep(2 * cfg.MaxClockSkew)
 		run(g, ag, svc)
 		cancel()
 		client.CloseIdleConnections()
@@ -84,7 +84,7 @@
 		synctest.Wait()
 		go ag.Handler().ServeHTTP(secondResp, newKeyedRequest(g, "second", time.Now()))
 		synctest.Wait()
-		ag.Adopt(keyedBundle(2, "f"))
+		ag.UpdateKeyHomes(keyedBundle(2, "f"))
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		g.Expect(firstResp.Code).To(Equal(http.StatusOK))
--- a/internal/agent/probe.go
+++ b/internal/agent/probe.go
@@ -23,7 +23,7 @@
 // recordResult sets the state if a run ended by a failure of the engine.
 func (s *failureState) recordResult(err error) {
 	var engineErr *engineError
-	failed := errors.As(err, &engineErr) && engineErr.Reason != wire.ReasonEngineSaysNo
+	failed := errors.As(err, &engineErr) && engineErr.Reason != wire.ReasonEngineRefused
 	if failed || errors.Is(err, errCutOff) {
 		s.failed.Store(true)
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -61,11 +61,11 @@
 	RetryAfter time.Duration `json:"-"`
 	// FractionalRetryAfter formats RetryAfter in fractions of a second, for callers with short
 	// deadlines that accept them.
-	Fractions bool   `json:"-"`
-	RequestID string `json:"request_id,omitempty"`
+	FractionalRetryAfter bool   `json:"-"`
+	RequestID            string `json:"request_id,omitempty"`
 	// Earlier is the request that used the idempotency key before, or says that one can't be
 	// ruled out. For a duplicate key, Run refers to that request.
-	Earlier *wire.Earlier `json:"earlier,omitempty"`
+	Earlier *wire.EarlierRequest `json:"earlier,omitempty"`
 }
 
 // Error implements error.
@@ -93,7 +93,7 @@
 // formatRetryAfter returns whole seconds, rounded up, as RFC 9110 requires, or fractions if
 // FractionalRetryAfter is set.
 func (e *Error) formatRetryAfter() string {
-	if e.Fractions {
+	if e.FractionalRetryAfter {
 		return strconv.FormatFloat(e.RetryAfter.Seconds(), 'f', -1, 64)
 	}
 	return strconv.Itoa(int(math.Ceil(e.RetryAfter.Seconds())))
@@ -101,7 +101,7 @@
 
 // Write sends the error as a complete response.
 func (e *Error) Write(w http.ResponseWriter) {
-	GiveTime(w)
+	ExtendWriteDeadline(w)
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	if e.RetryAfter > 0 {
--- a/internal/api/writer.go
+++ b/internal/api/writer.go
@@ -11,16 +11,16 @@
 // ExtendWriteDeadline sets the write deadline for the next part of the answer. Call it before
 // each part: otherwise the previous deadline applies, which has expired if the answer paused
 // for longer.
-func GiveTime(w http.ResponseWriter) {
+func ExtendWriteDeadline(w http.ResponseWriter) {
 	// Writers in tests may not support deadlines; these are written to without one.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
 // DeadlineWriter extends the write deadline before each write.
-type PieceWriter struct{ W http.ResponseWriter }
+type DeadlineWriter struct{ W http.ResponseWriter }
 
 // Write implements io.Writer.
-func (p PieceWriter) Write(piece []byte) (int, error) {
-	GiveTime(p.W)
+func (p DeadlineWriter) Write(piece []byte) (int, error) {
+	ExtendWriteDeadline(p.W)
 	return p.W.Write(piece)
 }
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -153,7 +153,7 @@
 	for _, e := range c.endpoints {
 		candidates = append(candidates, &e.Endpoint)
 	}
-	req := Request{Service: "llm", Prompt: prompt.Prompt{Tokens: 900, Output: 50}, ColdRate: c.rate}
+	req := Request{Service: "llm", Prompt: prompt.Prompt{Tokens: 900, ExpectedOutput: 50}, ColdRate: c.rate}
 	chosen, err := p.Choose(now, req, candidates, nil)
 	if err != nil {
 		return
@@ -226,7 +226,7 @@
 		p.Track(epoch, "e0", Work{Prompt: prompt.Prompt{Tokens: 5000 + i}}) // e0 is full
 	}
 	p.SetCold(epoch, "e1", coldDuration)
-	req := Request{Service: "llm", Prompt: prompt.Prompt{Tokens: 900, Output: 50}, ColdRate: coldRate}
+	req := Request{Service: "llm", Prompt: prompt.Prompt{Tokens: 900, ExpectedOutput: 50}, ColdRate: coldRate}
 	sent := map[string]int{}
 	for at := epoch; at.Before(epoch.Add(2 * time.Second)); at = at.Add(10 * time.Millisecond) {
 		e, err := p.Choose(at, req, all, nil)
--- a/internal/balance/copy.go
+++ b/internal/balance/copy.go
@@ -13,7 +13,7 @@
 // failure domain. group are the endpoints of the request's kind. A retry leaves out those already
 // tried, so that they may be fewer than at the last isolation decision.
 func copyTarget(req Request, views []View, e Estimates, group, all []int, chosen int) int {
-	if !e.TightGap && !req.AtMostOnce || req.Prompt.Tokens > copyRatio*req.Prompt.Output {
+	if !e.TightGap && !req.AtMostOnce || req.Prompt.Tokens > copyRatio*req.Prompt.ExpectedOutput {
 		return -1
 	}
 	if e.TightGap {
@@ -46,5 +46,5 @@
 	if farA != farB {
 		return farA
 	}
-	return rendezvous(p.Last(), views[a].Endpoint) > rendezvous(p.Last(), views[b].Endpoint)
+	return rendezvous(p.LastPartID(), views[a].Endpoint) > rendezvous(p.LastPartID(), views[b].Endpoint)
 }
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -130,7 +130,7 @@
 	if preferred {
 		return 0
 	}
-	return max(0, req.Prompt.Shared()-v.CachedTokens)
+	return max(0, req.Prompt.SharedTokens()-v.CachedTokens)
 }
 
 // promptCost returns the cost of sending the request to the endpoint, in milliseconds.
--- a/internal/balance/fetch.go
+++ b/internal/balance/fetch.go
@@ -17,8 +17,8 @@
 // endpoints dedicated, a third of the fetches would ask for parts that aren't cached, and the
 // prompts would be recomputed.
 func fetchSource(req Request, views, leaving []View, group []int, chosen int) int {
-	key := req.Prompt.Home()
-	shared := req.Prompt.Shared()
+	key := req.Prompt.SharedPrefixID()
+	shared := req.Prompt.SharedTokens()
 	if key == 0 || shared-views[chosen].CachedTokens < minFetchTokens {
 		return -1
 	}
--- a/internal/balance/home.go
+++ b/internal/balance/home.go
@@ -3,7 +3,7 @@
 // preferredEndpoint returns the index of the endpoint that all routers prefer for the prompt's
 // shared parts, -1 if it has none.
 func preferredEndpoint(req Request, views []View, group []int) int {
-	key := req.Prompt.Home()
+	key := req.Prompt.SharedPrefixID()
 	if key == 0 {
 		return -1
 	}
--- a/internal/balance/lab/storm.go
+++ b/internal/balance/lab/storm.go
@@ -57,7 +57,7 @@
 	if p.Budget {
 		s.policy.Budget = s.budget
 	}
-	s.throttle = throttle.New(throttle.Config{Off: !p.Throttle})
+	s.throttle = throttle.New(throttle.Config{Disabled: !p.Throttle})
 	s.goodput = make([]float64, StormLength/StormBin)
 	s.arrive()
 	for len(s.events) > 0 {
--- a/internal/balance/limit.go
+++ b/internal/balance/limit.go
@@ -32,8 +32,8 @@
 // nor sets one that has ended.
 func (l *limit) applyResponse(now, sent time.Time, stated upstream.RateLimit) (changed bool) {
 	outdated := sent.Before(l.statedAt)
-	switch stated.Statement {
-	case upstream.LimitNamed:
+	switch stated.Kind {
+	case upstream.LimitSet:
 		if outdated && !l.active {
 			return false
 		}
@@ -81,7 +81,7 @@
 // ApplyLimit applies what an endpoint states about its limit in the response to a request sent at
 // the given time.
 func (p *Pool) ApplyLimit(now, sent time.Time, endpoint string, stated upstream.RateLimit) {
-	if stated.Statement == upstream.LimitNone && !p.limits.seen.Load() {
+	if stated.Kind == upstream.LimitNone && !p.limits.seen.Load() {
 		return
 	}
 	sh := p.shard(endpoint)
--- a/internal/balance/limit_play_test.go
+++ b/internal/balance/limit_play_test.go
@@ -151,7 +151,7 @@
 	}
 	group := uint64(rank*1000 + n.rnd.IntN(40))
 	own := n.rnd.Uint64()
-	pr := prompt.Prompt{Tokens: k.shared + k.own, Output: k.events * 5, Parts: []prompt.Part{{ID: group, Tokens: k.shared}, {ID: own, Tokens: k.own}}}
+	pr := prompt.Prompt{Tokens: k.shared + k.own, ExpectedOutput: k.events * 5, Parts: []prompt.Part{{ID: group, Tokens: k.shared}, {ID: own, Tokens: k.own}}}
 	req := Request{Service: "llm", Tier: k.rank, Prompt: pr, MaxGap: k.gap, Stride: 5}
 	c, err := p.ChooseWithEstimates(now, req, candidates, nil)
 	switch {
--- a/internal/balance/limit_test.go
+++ b/internal/balance/limit_test.go
@@ -17,7 +17,7 @@
 )
 
 func statedLimit(perSecond float64) upstream.RateLimit {
-	return upstream.RateLimit{Statement: upstream.LimitNamed, PerSecond: perSecond}
+	return upstream.RateLimit{Kind: upstream.LimitSet, PerSecond: perSecond}
 }
 
 var noLimit = upstream.RateLimit{}
@@ -26,7 +26,7 @@
 func at(millis int) time.Time { return epoch.Add(time.Duration(millis) * time.Millisecond) }
 
 // testRequest is a request of an average size.
-var testRequest = Request{Service: "llm", Prompt: prompt.Prompt{Tokens: 900, Output: 50}}
+var testRequest = Request{Service: "llm", Prompt: prompt.Prompt{Tokens: 900, ExpectedOutput: 50}}
 
 // countSent counts the requests that each endpoint gets between two times, given in milliseconds, if
 // one is sent every 10 ms.
@@ -56,11 +56,11 @@
 	n := countSent(p, testRequest, all, 13000, 53000)["e0"]
 	g.Expect(n).To(BeNumerically("<=", 5), "an endpoint with limit 0 still gets some requests")
 	g.Expect(n).To(BeNumerically(">=", 3), "or no router would learn that its limit has risen")
-	apply(53000, upstream.RateLimit{Statement: upstream.LimitUnreadable})
+	apply(53000, upstream.RateLimit{Kind: upstream.LimitUnreadable})
 	g.Expect(countSent(p, testRequest, all, 53000, 54000)["e0"]).To(BeNumerically("<=", 1), "an unreadable limit changes nothing")
 	apply(54000, noLimit)
 	g.Expect(countSent(p, testRequest, all, 54000, 55000)["e0"]).To(Equal(100), "no limit is stated any more")
-	apply(55000, upstream.RateLimit{Statement: upstream.LimitUnreadable})
+	apply(55000, upstream.RateLimit{Kind: upstream.LimitUnreadable})
 	g.Expect(countSent(p, testRequest, all, 55000, 56000)["e0"]).To(Equal(100))
 	apply(56000, statedLimit(1e300))
 	g.Expect(countSent(p, testRequest, all, 56000, 57000)["e0"]).To(Equal(100))
--- a/internal/balance/prompts_test.go
+++ b/internal/balance/prompts_test.go
@@ -27,14 +27,14 @@
 func longRequest(key uint64) Request {
 	return Request{Prompt: prompt.Prompt{
 		Parts:  []prompt.Part{{ID: 1, Tokens: 2500}, {ID: key, Tokens: 3800}, {ID: key + 1000, Tokens: 2900}},
-		Tokens: 9200, Output: 50,
+		Tokens: 9200, ExpectedOutput: 50,
 	}, MaxGap: time.Second, Stride: 6}
 }
 
 func tightGapRequest(key uint64) Request {
 	return Request{MaxGap: 250 * time.Millisecond, Stride: 6, Prompt: prompt.Prompt{
 		Parts:  []prompt.Part{{ID: 2, Tokens: 100}, {ID: key, Tokens: 70}, {ID: key + 1000, Tokens: 540}},
-		Tokens: 710, Output: 280,
+		Tokens: 710, ExpectedOutput: 280,
 	}}
 }
 
--- a/internal/balance/refuse.go
+++ b/internal/balance/refuse.go
@@ -28,5 +28,5 @@
 func (v *View) canTake(now time.Time, tier int, maxAge time.Duration) bool {
 	unknown := v.ReportedAt.IsZero() || now.Sub(v.ReportedAt) > maxAge
 	hasRoom := v.Load.TotalRunning() < v.Load.Slots
-	return unknown || hasRoom || v.Load.Below(tier) > 0
+	return unknown || hasRoom || v.Load.CountBelow(tier) > 0
 }
--- a/internal/balance/silence_play_test.go
+++ b/internal/balance/silence_play_test.go
@@ -180,11 +180,11 @@
 	})
 	r.pool = balance.NewPool(balance.Config{Policy: policy, Seed: uint64(i + 1)})
 	r.core = membership.NewCore(membership.Tuning{Seed: uint64(i)})
-	var places []membership.Place
+	var places []membership.EndpointSpec
 	for _, e := range d.engines {
-		places = append(places, membership.Place{Endpoint: e.Name, VM: e.VM, Address: e.Address})
+		places = append(places, membership.EndpointSpec{Endpoint: e.Name, VM: e.VM, Address: e.Address})
 	}
-	r.core.Apply(d.now, membership.Bundle{Places: places})
+	r.core.Apply(d.now, membership.BundleApplied{Endpoints: places})
 	return policy
 }
 
@@ -230,7 +230,7 @@
 		return
 	}
 	for _, name := range r.pool.CheckUnresponsive(now, balance.UnresponsiveTimeout) {
-		d.apply(r, r.core.Apply(now, membership.Silence{Endpoint: name}))
+		d.apply(r, r.core.Apply(now, membership.Unresponsive{Endpoint: name}))
 	}
 	d.apply(r, r.core.Tick(now))
 }
@@ -241,7 +241,7 @@
 	}
 	for _, name := range r.core.Probes(now) {
 		if !d.engine(name).silent {
-			d.apply(r, r.core.Apply(now, membership.OwnWord{Endpoint: name, Incarnation: "a", Via: membership.ReasonCheck}))
+			d.apply(r, r.core.Apply(now, membership.AgentStatus{Endpoint: name, Incarnation: "a", Via: membership.ReasonCheck}))
 		}
 	}
 }
--- a/internal/balance/silence_run_test.go
+++ b/internal/balance/silence_run_test.go
@@ -29,7 +29,7 @@
 	for i, e := range d.engines {
 		candidates[i] = &e.Endpoint
 	}
-	p := prompt.Prompt{Tokens: k.tokens, Output: 5 * k.eventCount, Parts: []prompt.Part{{ID: d.rnd.Uint64(), Tokens: k.tokens}}}
+	p := prompt.Prompt{Tokens: k.tokens, ExpectedOutput: 5 * k.eventCount, Parts: []prompt.Part{{ID: d.rnd.Uint64(), Tokens: k.tokens}}}
 	req := balance.Request{Service: "llm", Tier: k.rank, Prompt: p, MaxGap: k.gap, Stride: 5}
 	c, err := r.pool.ChooseWithEstimates(now, req, candidates, nil)
 	if err != nil {
@@ -82,7 +82,7 @@
 	run.request.gotResponse = true
 	run.account.DataReceived(now)
 	run.account.EventReceived(now)
-	run.d.apply(run.r, run.r.core.Apply(now, membership.OwnWord{Endpoint: run.engine.Name, Incarnation: "a", Via: membership.ReasonReport}))
+	run.d.apply(run.r, run.r.core.Apply(now, membership.AgentStatus{Endpoint: run.engine.Name, Incarnation: "a", Via: membership.ReasonReport}))
 	run.lastResponseAt = now
 	if run.eventsLeft--; run.eventsLeft > 0 {
 		run.d.on(now.Add(time.Duration(float64(eventInterval)*cmp.Or(run.engine.slowdown, 1))), run.event)
--- a/internal/balance/slots_test.go
+++ b/internal/balance/slots_test.go
@@ -83,7 +83,7 @@
 		pool := pools[rnd.IntN(routers)]
 		r.runAt(epoch.Add(at), func(now time.Time) {
 			r.sent[tier]++
-			req := Request{Service: "llm", Tier: tier, Prompt: prompt.Prompt{Tokens: 100, Output: 50}}
+			req := Request{Service: "llm", Tier: tier, Prompt: prompt.Prompt{Tokens: 100, ExpectedOutput: 50}}
 			choice, err := pool.ChooseWithEstimates(now, req, candidates, nil)
 			if err != nil || rejectByWait && choice.Wait > startTimeout {
 				return
--- a/internal/balance/suspect_test.go
+++ b/internal/balance/suspect_test.go
@@ -88,7 +88,7 @@
 // limitToZero has the endpoints state that they accept no requests.
 func limitToZero(p *Pool, now time.Time, endpoints []*bundle.Endpoint) {
 	for _, e := range endpoints {
-		p.ApplyLimit(now, now, e.Name, upstream.RateLimit{Statement: upstream.LimitNamed})
+		p.ApplyLimit(now, now, e.Name, upstream.RateLimit{Kind: upstream.LimitSet})
 	}
 }
 
--- a/internal/balance/unequal_play_test.go
+++ b/internal/balance/unequal_play_test.go
@@ -196,7 +196,7 @@
 	common := uint64(10 + k.tier)
 	requestPrompt := prompt.Prompt{
 		Parts:  []prompt.Part{{ID: common, Tokens: k.sharedTokens / 3}, {ID: subject, Tokens: k.sharedTokens - k.sharedTokens/3}, {ID: u.rnd.Uint64(), Tokens: k.ownTokens}},
-		Tokens: k.sharedTokens + k.ownTokens, Output: unequalStride * k.events,
+		Tokens: k.sharedTokens + k.ownTokens, ExpectedOutput: unequalStride * k.events,
 	}
 	req := Request{Service: "llm", Tier: k.tier, Prompt: requestPrompt, MaxGap: k.gap, Stride: unequalStride, Objective: k.objective}
 	choice, err := u.pools[router].ChooseWithEstimates(now, req, candidates, nil)
@@ -239,11 +239,11 @@
 	slices.SortStableFunc(e.queued, func(a, b *unequalStream) int { return a.kind.tier - b.kind.tier })
 	memory := 0
 	for _, r := range slices.Concat(e.prefilling, e.running) {
-		memory += r.prompt.Tokens + r.prompt.Output
+		memory += r.prompt.Tokens + r.prompt.ExpectedOutput
 	}
 	for len(e.queued) > 0 && len(e.prefilling)+len(e.running) < unequalSlots {
 		r := e.queued[0]
-		if memory += r.prompt.Tokens + r.prompt.Output; memory > unequalMemory {
+		if memory += r.prompt.Tokens + r.prompt.ExpectedOutput; memory > unequalMemory {
 			return
 		}
 		e.queued = e.queued[1:]
@@ -311,7 +311,7 @@
 			r.account.DataReceived(now)
 			r.account.EventReceived(now)
 		}
-		if r.tokens >= r.prompt.Output {
+		if r.tokens >= r.prompt.ExpectedOutput {
 			r.finish(now)
 		}
 	}
--- a/internal/balance/work.go
+++ b/internal/balance/work.go
@@ -79,7 +79,7 @@
 	}
 	if w.Prompt.Tokens > 0 {
 		a.promptTokens = st.recordPrompt(a.sent, w.Prompt)
-		a.measuresPrefill = a.promptTokens <= w.Prompt.Own() && st.pendingPrefillTokens() == 0
+		a.measuresPrefill = a.promptTokens <= w.Prompt.UnsharedTokens() && st.pendingPrefillTokens() == 0
 		st.pendingPrefill[a.tier] += a.promptTokens
 	}
 }
--- a/internal/bench/local/local.go
+++ b/internal/bench/local/local.go
@@ -24,8 +24,8 @@
 // answers. An agent hands over what can be moved after half its grace, and leaves
 // what must not run twice the time of its longest deadline.
 var (
-	routerStop = server.Plan{Notice: 2 * time.Second, Grace: 50 * time.Second, Margin: time.Second, Linger: time.Second}
-	agentStop  = server.Plan{Notice: time.Second, Grace: 25 * time.Second, Margin: 25 * time.Second}
+	routerStop = server.ShutdownPlan{DrainTime: 2 * time.Second, Grace: 50 * time.Second, HandoverMargin: time.Second, QuietPeriod: time.Second}
+	agentStop  = server.ShutdownPlan{DrainTime: time.Second, Grace: 25 * time.Second, HandoverMargin: 25 * time.Second}
 )
 
 // Profile makes the decisions of a policy, anew for each fleet.
--- a/internal/bench/teamlimit/teamlimit.go
+++ b/internal/bench/teamlimit/teamlimit.go
@@ -72,7 +72,7 @@
 }
 
 func ways() []way {
-	return []way{{"shared", limits.Shared}, {"alone", limits.Alone}, {"fair-share", limits.FairShare}}
+	return []way{{"shared", limits.Shared}, {"alone", limits.PerRouter}, {"fair-share", limits.FairShare}}
 }
 
 // Run measures each way with each number of routers in turn. If ctx ends
--- a/internal/bundle/check_placement.go
+++ b/internal/bundle/check_placement.go
@@ -13,7 +13,9 @@
 	MaxWeightFetches = 1_000_000
 )
 
-func placementPath(i int) string { return jsonc.Key(jsonc.Index("endpoints", i), "placement") }
+func placementPath(i int) string {
+	return jsonc.MemberPath(jsonc.ElementPath("endpoints", i), "placement")
+}
 
 func checkPlacements(b *Bundle, f *Findings) {
 	for i := range b.Endpoints {
@@ -22,11 +24,11 @@
 			continue
 		}
 		if len(p.Models) == 0 {
-			f.errorf(jsonc.Key(path, "models"), "a placement names at least one model")
+			f.errorf(jsonc.MemberPath(path, "models"), "a placement names at least one model")
 		}
-		checkAdapters(jsonc.Key(path, "adapters"), p, f)
+		checkAdapters(jsonc.MemberPath(path, "adapters"), p, f)
 		if p.Version != "" && !modelName.matches(p.Version) {
-			f.errorf(jsonc.Key(path, "version"), "%q is not a valid version; %s", p.Version, modelName.help)
+			f.errorf(jsonc.MemberPath(path, "version"), "%q is not a valid version; %s", p.Version, modelName.help)
 		}
 		checkPlainName(path, "role", p.Role, f)
 	}
@@ -36,9 +38,9 @@
 	for i, name := range p.Adapters {
 		switch {
 		case !modelName.matches(name):
-			f.errorf(jsonc.Index(path, i), "%q is not a valid name; %s", name, modelName.help)
+			f.errorf(jsonc.ElementPath(path, i), "%q is not a valid name; %s", name, modelName.help)
 		case slices.Contains(p.Adapters[:i], name) || slices.Contains(p.Models, name):
-			f.errorf(jsonc.Index(path, i), "%q is named twice", name)
+			f.errorf(jsonc.ElementPath(path, i), "%q is named twice", name)
 		}
 	}
 }
@@ -64,12 +66,12 @@
 	known := setOf(namesOf(b.Models, func(m *Model) string { return m.Name }))
 	for i := range b.Endpoints {
 		e := &b.Endpoints[i]
-		path := jsonc.Key(placementPath(i), "models")
+		path := jsonc.MemberPath(placementPath(i), "models")
 		for j, name := range e.Placement.Models {
 			if !known.has(name) {
-				f.errorf(jsonc.Index(path, j), "%q is not in models", name)
+				f.errorf(jsonc.ElementPath(path, j), "%q is not in models", name)
 			} else if slices.Contains(e.Placement.Models[:j], name) {
-				f.errorf(jsonc.Index(path, j), "%q is named twice", name)
+				f.errorf(jsonc.ElementPath(path, j), "%q is named twice", name)
 			}
 		}
 		checkServedIsPlaced(i, e, f)
@@ -82,7 +84,7 @@
 	}
 	for j, name := range e.Models {
 		if !slices.Contains(e.Placement.Models, name) && !slices.Contains(e.Placement.Adapters, name) {
-			path := jsonc.Index(jsonc.Key(jsonc.Index("endpoints", i), "models"), j)
+			path := jsonc.ElementPath(jsonc.MemberPath(jsonc.ElementPath("endpoints", i), "models"), j)
 			f.errorf(path, "%q is served but not in the endpoint's placement", name)
 		}
 	}
--- a/internal/bundle/diff.go
+++ b/internal/bundle/diff.go
@@ -40,7 +40,7 @@
 
 // Change is one difference between two bundles.
 type Change struct {
-	Noun   ItemKind `json:"noun"`
+	Kind   ItemKind `json:"noun"`
 	Name   string   `json:"name,omitempty"` // of the item; empty for KindBundle and KindLimits
 	Action Action   `json:"action"`
 	// Path is the path of the item or of the changed field, such as
@@ -70,7 +70,7 @@
 // and time zones make no difference, but the order of tiers does.
 func Diff(old, new *Bundle) []Change {
 	var d differ
-	d.addFields(Change{Noun: KindBundle}, encode(old.header()), encode(new.header()))
+	d.addFields(Change{Kind: KindBundle}, encode(old.header()), encode(new.header()))
 	d.addTierOrder(old.Tiers, new.Tiers)
 	diffList(&d, KindTier, "tiers", old.Tiers, new.Tiers, func(t *Tier) string { return t.Name })
 	diffList(&d, KindClass, "classes", old.Classes, new.Classes, func(c *Class) string { return c.Name })
@@ -80,7 +80,7 @@
 	diffList(&d, KindTeam, "teams", old.Teams, new.Teams, func(t *Team) string { return t.Name })
 	diffList(&d, KindEndpoint, "endpoints", old.Endpoints, new.Endpoints, func(e *Endpoint) string { return e.Name })
 	diffList(&d, KindRouter, "routers", old.Routers, new.Routers, func(r *Router) string { return r.Name })
-	d.addFields(Change{Noun: KindLimits, Path: "limits"}, encode(old.Limits), encode(new.Limits))
+	d.addFields(Change{Kind: KindLimits, Path: "limits"}, encode(old.Limits), encode(new.Limits))
 	return d.changes
 }
 
@@ -95,7 +95,7 @@
 	if slices.Equal(common(before, after), common(after, before)) {
 		return
 	}
-	d.add(Change{Noun: KindTier, Action: Changed, Path: "tiers"}, encode(before), encode(after))
+	d.add(Change{Kind: KindTier, Action: Changed, Path: "tiers"}, encode(before), encode(after))
 }
 
 // common returns the names that are also in the other list.
@@ -107,7 +107,7 @@
 func diffList[T any](d *differ, kind ItemKind, list string, old, new []T, name func(*T) string) {
 	before, after := encodeByName(old, name), encodeByName(new, name)
 	for _, n := range sortedKeys(before, after) {
-		c := Change{Noun: kind, Name: n, Path: list + `["` + n + `"]`}
+		c := Change{Kind: kind, Name: n, Path: list + `["` + n + `"]`}
 		d.addItem(c, before[n], after[n])
 	}
 }
@@ -140,7 +140,7 @@
 	}
 	for _, key := range sortedKeys(before, after) {
 		sub := c
-		sub.Path = jsonc.Key(c.Path, key)
+		sub.Path = jsonc.MemberPath(c.Path, key)
 		d.addFields(sub, orNull(before[key]), orNull(after[key]))
 	}
 }
--- a/internal/bundle/join.go
+++ b/internal/bundle/join.go
@@ -41,7 +41,7 @@
 // that aren't known yet.
 func decodeSections(m *Manifest, sections map[Digest][]byte, known sectionContents) (sectionContents, error) {
 	have := func(d Digest) bool { return known[d] != nil || sections[d] != nil }
-	if missing := Missing(have, m); len(missing) > 0 {
+	if missing := MissingSections(have, m); len(missing) > 0 {
 		return nil, &MissingSectionError{Digests: missing}
 	}
 	contents := make(sectionContents, len(m.Sections))
--- a/internal/bundle/manifest.go
+++ b/internal/bundle/manifest.go
@@ -25,7 +25,7 @@
 func (m *Manifest) Digest() Digest { return DigestOf(encode(m)) }
 
 // MissingSections returns the sections of a manifest for which have returns false.
-func Missing(have func(Digest) bool, m *Manifest) []Digest {
+func MissingSections(have func(Digest) bool, m *Manifest) []Digest {
 	return slices.DeleteFunc(slices.Clone(m.Sections), have)
 }
 
@@ -40,7 +40,7 @@
 // AcceptManifest checks the signature, version and expiry of a manifest, before its
 // sections are fetched. The errors are those of Accept except ErrConflict, which is
 // only detected by AcceptSections.
-func OpenManifest(now time.Time, current *Snapshot, src, sig []byte, keys []PublicKey) (*Manifest, error) {
+func AcceptManifest(now time.Time, current *Snapshot, src, sig []byte, keys []PublicKey) (*Manifest, error) {
 	comment, err := verify(keys, src, sig, manifestPurpose)
 	if err != nil {
 		return nil, err
@@ -76,7 +76,7 @@
 // only if all of it is available, authentic and valid: besides the errors of Accept,
 // the error may be a *MissingSectionError.
 func AcceptSections(now time.Time, current *Snapshot, src, sig []byte, keys []PublicKey, sections map[Digest][]byte) (*Snapshot, error) {
-	m, err := OpenManifest(now, current, src, sig, keys)
+	m, err := AcceptManifest(now, current, src, sig, keys)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/bundle/sections_test.go
+++ b/internal/bundle/sections_test.go
@@ -45,7 +45,7 @@
 func transferred(old, new *Bundle) (bytes, sections int) {
 	_, have := Split(old)
 	m, all := Split(new)
-	fetched := Missing(func(d Digest) bool { return have[d] != nil }, &m)
+	fetched := MissingSections(func(d Digest) bool { return have[d] != nil }, &m)
 	return transferSize(&m, all, fetched), len(fetched)
 }
 
@@ -84,28 +84,28 @@
 		b.Endpoints[0].Slots++
 		newer, all := Split(b)
 		newSrc, newSig := SignManifest(&newer, privateKey)
-		missing := Missing(current.HasSection, &newer)
+		missing := MissingSections(current.HasSection, &newer)
 		Expect(missing).To(HaveLen(1))
 		next, err := AcceptSections(now, current, newSrc, newSig, keys, map[Digest][]byte{missing[0]: all[missing[0]]})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(Diff(next.Bundle(), b)).To(BeEmpty())
 		Expect(current.Bundle().Endpoints[0].Slots).To(Equal(4), "the snapshot that is in use must not change")
-		Expect(Missing((*Snapshot)(nil).HasSection, &newer)).To(Equal(newer.Sections))
-		Expect(Missing(next.HasSection, &newer)).To(BeEmpty())
+		Expect(MissingSections((*Snapshot)(nil).HasSection, &newer)).To(Equal(newer.Sections))
+		Expect(MissingSections(next.HasSection, &newer)).To(BeEmpty())
 	})
 
 	It("are rejected for the same reasons as a whole bundle", func() {
-		_, err := OpenManifest(validBundle().Expires, nil, src, sig, keys)
+		_, err := AcceptManifest(validBundle().Expires, nil, src, sig, keys)
 		Expect(err).To(MatchError(ErrExpired))
 		newer := validBundle()
 		newer.Version = 8
-		_, err = OpenManifest(now, NewSnapshot(newer), src, sig, keys)
+		_, err = AcceptManifest(now, NewSnapshot(newer), src, sig, keys)
 		Expect(err).To(MatchError(ErrRolledBack))
 		other := validBundle()
 		other.Limits.QueueEntries++
 		_, err = AcceptSections(now, NewSnapshot(other), src, sig, keys, sections)
 		Expect(err).To(MatchError(ErrConflict))
-		_, err = OpenManifest(now, nil, bytes.Replace(src, []byte(`"version":7`), []byte(`"version":9`), 1), sig, keys)
+		_, err = AcceptManifest(now, nil, bytes.Replace(src, []byte(`"version":7`), []byte(`"version":9`), 1), sig, keys)
 		Expect(err).To(MatchError(ErrTampered))
 	})
 
@@ -113,10 +113,10 @@
 		whole := encodedBundle(func(*Bundle) {})
 		bundleSig, err := Sign("b", whole, privateKey)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = OpenManifest(now, nil, whole, bundleSig, keys)
+		_, err = AcceptManifest(now, nil, whole, bundleSig, keys)
 		Expect(err).To(MatchError(ErrTampered))
 		Expect(Verify(keys, src, sig)).To(MatchError(ErrTampered))
-		_, err = OpenManifest(now, nil, src, signWithComment(privateKey, src, "coveferry manifest version=8"), keys)
+		_, err = AcceptManifest(now, nil, src, signWithComment(privateKey, src, "coveferry manifest version=8"), keys)
 		Expect(err).To(MatchError(ErrTampered))
 	})
 
--- a/internal/bundle/types.go
+++ b/internal/bundle/types.go
@@ -127,7 +127,7 @@
 
 // ProcessID identifies the process at the endpoint as far as known. A process with another
 // incarnation or address shares no state with the previous one.
-func (e *Endpoint) Process() string { return cmp.Or(e.Incarnation, e.Address) }
+func (e *Endpoint) ProcessID() string { return cmp.Or(e.Incarnation, e.Address) }
 
 // Placement is the content that an agent loads into its engine.
 type Placement struct {
--- a/internal/capacity/slopes/keys.go
+++ b/internal/capacity/slopes/keys.go
@@ -44,17 +44,17 @@
 }
 
 // useKeys lets the only endpoint of a model run n requests with keys.
-func useKeys(n int) (*once.Keeper, error) {
+func useKeys(n int) (*once.KeyRegistry, error) {
 	self := once.Member{Name: "endpoint-00000", VM: "vm-00000", Address: "10.0.0.1:7410"}
 	cfg := once.DefaultConfig(self)
 	keeper := once.New(cfg, issued)
-	keeper.Adopt(issued, once.View{
+	keeper.SetView(issued, once.View{
 		Version: 1, Issued: issued,
 		Lists: map[string]*once.List{keyTarget: once.NewList([]once.Member{self})},
 	})
 	now := issued
-	for now.Before(issued.Add(2 * cfg.Settle)) {
-		now = now.Add(cfg.AskEvery)
+	for now.Before(issued.Add(2 * cfg.SettleTime)) {
+		now = now.Add(cfg.QueryInterval)
 		keeper.Tick(now)
 	}
 	for i := range n {
@@ -66,12 +66,12 @@
 	return keeper, nil
 }
 
-func useKey(keeper *once.Keeper, now time.Time, i int) error {
-	u := once.Use{
+func useKey(keeper *once.KeyRegistry, now time.Time, i int) error {
+	u := once.Attempt{
 		Target: keyTarget, Team: "team-0001", Request: fmt.Sprintf("0197f3a2-0000-7000-8000-%012d", i), Epoch: 1,
 		Key: once.Key{Text: fmt.Sprintf("0197f3a1-0000-7000-8000-%012d", i), Issued: now},
 	}
-	if v := keeper.Take(now, u); v.Refused != "" {
+	if v := keeper.Admit(now, u); v.Refused != "" {
 		return errors.Newf("key %d was refused: %s", i, v.Refused)
 	}
 	if !keeper.Begin(now, u) {
--- a/internal/capacity/slopes/members.go
+++ b/internal/capacity/slopes/members.go
@@ -37,11 +37,11 @@
 func measureMembers(n int) ([]float64, error) {
 	memory, err := memoryOf(func() (any, error) {
 		core := membership.NewCore(membership.Tuning{})
-		var places membership.Bundle
+		var places membership.BundleApplied
 		read := membership.ListRead{At: issued}
 		for i := range n {
 			e := makeEndpoint(i)
-			places.Places = append(places.Places, membership.Place{Endpoint: e.Name, VM: e.VM, Address: e.Address})
+			places.Endpoints = append(places.Endpoints, membership.EndpointSpec{Endpoint: e.Name, VM: e.VM, Address: e.Address})
 			read.VMs = append(read.VMs, membership.VM{Name: e.VM})
 		}
 		core.Apply(issued, places)
@@ -69,7 +69,7 @@
 	count := &counter{}
 	client := &http.Client{Transport: countedTransport(count, 1)}
 	defer client.CloseIdleConnections()
-	platform := membership.NewPlatform(client, url)
+	platform := membership.NewPlatformClient(client, url)
 	read := func() error {
 		_, err := platform.Read(ctx)
 		return err
--- a/internal/capacity/slopes/peers.go
+++ b/internal/capacity/slopes/peers.go
@@ -96,13 +96,13 @@
 // home, with n holders that ask in turn.
 func measureHome(n int) ([]float64, error) {
 	holders := names("router", n)
-	ask := func(home *credit.Home, turn int) {
-		home.Ask(issued.Add(time.Duration(turn)*askStep), credit.Ask{
-			Holder: holders[turn%n], Seq: uint64(turn), Want: credit.Wants{1, 0.5, 0.25},
+	ask := func(home *credit.Owner, turn int) {
+		home.Grant(issued.Add(time.Duration(turn)*askStep), credit.LeaseRequest{
+			Holder: holders[turn%n], Seq: uint64(turn), Want: credit.TierUnits{1, 0.5, 0.25},
 		})
 	}
 	memory, err := memoryOf(func() (any, error) {
-		home := credit.NewHome(issued, creditConfig)
+		home := credit.NewOwner(issued, creditConfig)
 		for turn := range n {
 			ask(home, turn)
 		}
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	home := credit.NewHome(issued, creditConfig)
+	home := credit.NewOwner(issued, creditConfig)
 	for turn := range n {
 		ask(home, turn)
 	}
@@ -135,7 +135,7 @@
 	bytes := 0
 	cpu, err := cpuEach(func() error {
 		bytes = 0
-		return h.period(func(a credit.Ask, g credit.Grant) { h.asks, h.grants = a, g; bytes++ })
+		return h.period(func(a credit.LeaseRequest, g credit.Grant) { h.asks, h.grants = a, g; bytes++ })
 	})
 	if err != nil {
 		return nil, err
@@ -148,15 +148,15 @@
 type holders struct {
 	list   []*credit.Holder
 	now    time.Time
-	asks   credit.Ask   // the last
-	grants credit.Grant // the last
+	asks   credit.LeaseRequest // the last
+	grants credit.Grant        // the last
 }
 
 func newHolders(n int) *holders {
 	h := &holders{now: issued, list: make([]*credit.Holder, n)}
 	for i := range h.list {
 		h.list[i] = credit.NewHolder("router-0001", subsetEndpoints, creditConfig)
-		h.list[i].Granted(h.now, credit.Grant{})
+		h.list[i].ApplyGrant(h.now, credit.Grant{})
 	}
 	return h
 }
@@ -165,16 +165,16 @@
 const holderPeriod = 250 * time.Millisecond
 
 // period lets each holder spend and ask once, and be granted what it wants.
-func (h *holders) period(asked func(credit.Ask, credit.Grant)) error {
+func (h *holders) period(asked func(credit.LeaseRequest, credit.Grant)) error {
 	h.now = h.now.Add(holderPeriod)
 	for _, holder := range h.list {
-		holder.Take(h.now, 1, 1)
-		a, due := holder.Next(h.now)
+		holder.TrySpend(h.now, 1, 1)
+		a, due := holder.NextRequest(h.now)
 		if !due {
 			return errors.New("a holder with demand doesn't ask")
 		}
 		g := credit.Grant{Seq: a.Seq, Amount: 1.5}
-		holder.Granted(h.now, g)
+		holder.ApplyGrant(h.now, g)
 		asked(a, g)
 	}
 	return nil
--- a/internal/capacity/slopes/sched.go
+++ b/internal/capacity/slopes/sched.go
@@ -27,9 +27,9 @@
 // clock stands still, so that nothing can be refused for being late.
 func newPolicy() sched.Policy {
 	return tiered.New(tiered.Config{
-		Slots:   slotsOfEndpoint,
-		Preempt: true,
-		Off:     tiered.Switches{EarlyRefusal: true},
+		Slots:    slotsOfEndpoint,
+		Preempt:  true,
+		Disabled: tiered.Mechanisms{EarlyRefusal: true},
 	})
 }
 
--- a/internal/capacity/slopes/state.go
+++ b/internal/capacity/slopes/state.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	report, err := json.Marshal(newRecorder(n).Burn(issued, slo.Objectives{}))
+	report, err := json.Marshal(newRecorder(n).Rows(issued, slo.Objectives{}))
 	return []float64{memory, float64(len(report))}, errors.Wrap(err, "encode a report")
 }
 
--- a/internal/cli/bundlecmd/diff.go
+++ b/internal/cli/bundlecmd/diff.go
@@ -60,7 +60,7 @@
 	t.AppendHeader(table.Row{"Action", "Noun", "Path", "Old", "New"})
 	t.SetColumnConfigs([]table.ColumnConfig{{Name: "Old", WidthMax: maxValueWidth}, {Name: "New", WidthMax: maxValueWidth}})
 	for _, c := range changes {
-		t.AppendRow(table.Row{c.Action, c.Noun, c.Path, rawText(c.Old), rawText(c.New)})
+		t.AppendRow(table.Row{c.Action, c.Kind, c.Path, rawText(c.Old), rawText(c.New)})
 	}
 	t.Render()
 }
--- a/internal/cli/keyscmd/keyscmd.go
+++ b/internal/cli/keyscmd/keyscmd.go
@@ -105,7 +105,7 @@
 		return err
 	}
 	pair, err := a.Issue(identity.Role(c.Role), c.Name, validity)
-	if errors.Is(err, identity.ErrOutlives) {
+	if errors.Is(err, identity.ErrValidityTooLong) {
 		return cli.BadInput(errors.Newf("%s; write fewer --days than %d, or make a new authority", err, c.Days))
 	}
 	if err != nil {
--- a/internal/cli/memberscmd/memberscmd.go
+++ b/internal/cli/memberscmd/memberscmd.go
@@ -41,7 +41,7 @@
 		return err
 	}
 	client := &http.Client{CheckRedirect: rejectRedirect}
-	pages := []membership.Page{}
+	pages := []membership.Snapshot{}
 	var fetchErr error
 	for _, u := range urls {
 		page, err := c.fetch(env.Ctx, client, u)
@@ -59,7 +59,7 @@
 // answer.
 func rejectRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-func (c *Cmd) fetch(ctx context.Context, client *http.Client, u string) (membership.Page, error) {
+func (c *Cmd) fetch(ctx context.Context, client *http.Client, u string) (membership.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	return membership.Fetch(ctx, client, u)
@@ -72,7 +72,7 @@
 	}
 	urls := make([]string, len(c.Router))
 	for i, raw := range c.Router {
-		u, err := cli.AdminURL("router", raw, membership.Path)
+		u, err := cli.AdminURL("router", raw, membership.PathMembers)
 		if err != nil {
 			return nil, err
 		}
@@ -81,7 +81,7 @@
 	return urls, nil
 }
 
-func (c *Cmd) print(env *cli.Env, pages []membership.Page) error {
+func (c *Cmd) print(env *cli.Env, pages []membership.Snapshot) error {
 	if c.JSON {
 		enc := json.NewEncoder(env.Stdout)
 		enc.SetIndent("", "  ")
@@ -97,5 +97,5 @@
 
 // output is the JSON document that --json prints.
 type output struct {
-	Routers []membership.Page `json:"routers"`
+	Routers []membership.Snapshot `json:"routers"`
 }
--- a/internal/cli/memberscmd/memberscmd_test.go
+++ b/internal/cli/memberscmd/memberscmd_test.go
@@ -19,15 +19,15 @@
 // startRouter serves a members page with one leaving endpoint.
 func startRouter(t *testing.T) string {
 	age := units.Duration(1400 * time.Millisecond)
-	page := membership.Page{
+	page := membership.Snapshot{
 		Router: "r1", At: time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC), ListAge: &age,
-		Members: []membership.PageMember{{
+		Members: []membership.SnapshotMember{{
 			Endpoint: "e1", VM: "vm1", State: membership.Leaving, Reason: membership.ReasonNotice,
 			Age: units.Duration(90 * time.Second), Incarnation: "abc",
 		}},
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc(membership.Path, func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(page) })
+	mux.HandleFunc(membership.PathMembers, func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(page) })
 	srv := httptest.NewServer(mux)
 	t.Cleanup(srv.Close)
 	return srv.URL
--- a/internal/cli/memberscmd/table.go
+++ b/internal/cli/memberscmd/table.go
@@ -11,7 +11,7 @@
 )
 
 // render formats a router's members for a terminal.
-func render(p membership.Page) string {
+func render(p membership.Snapshot) string {
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
 	t.Style().Format.Header = text.FormatDefault
@@ -24,7 +24,7 @@
 	return t.Render() + "\n" + footer(p)
 }
 
-func footer(p membership.Page) string {
+func footer(p membership.Snapshot) string {
 	list := "no list of VMs yet"
 	if p.ListAge != nil {
 		list = fmt.Sprintf("list of VMs %s old", p.ListAge.Std().Round(time.Second))
--- a/internal/completion/chunk.go
+++ b/internal/completion/chunk.go
@@ -18,7 +18,7 @@
 	Finish string
 	// NonText reports whether the chunk holds more than text, such as part of
 	// a tool call, from which an engine can't resume.
-	Opaque bool
+	NonText bool
 	// Usage reports whether the chunk holds the usage and no choice.
 	Usage bool
 }
@@ -29,7 +29,7 @@
 // Completed reports whether the engine completed the answer. Engines end aborted
 // answers in the same form, with a finish reason that the protocol doesn't
 // define, so only the reasons of the protocol count.
-func (c Chunk) Whole() bool {
+func (c Chunk) Completed() bool {
 	switch c.Finish {
 	case "stop", finishLength, "tool_calls", "function_call", "content_filter":
 		return true
@@ -62,7 +62,7 @@
 	}
 	delta := choice.Get("delta")
 	c.Text = delta.Get("content").Str
-	c.Opaque = delta.Get("tool_calls").Exists() || delta.Get("function_call").Exists()
+	c.NonText = delta.Get("tool_calls").Exists() || delta.Get("function_call").Exists()
 	return c, nil
 }
 
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -156,7 +156,7 @@
 		}
 		w.Expect(call(operator, methodEcho, echoRequest{})).To(gomega.Succeed())
 		w.Expect(call(operator, methodHang, echoRequest{})).To(hasCode(control.CodeForbidden))
-		w.Expect(call(agent, methodEcho, echoRequest{})).To(gomega.MatchError(control.ErrBroken), "agents are not allowed to connect")
+		w.Expect(call(agent, methodEcho, echoRequest{})).To(gomega.MatchError(control.ErrOutcomeUnknown), "agents are not allowed to connect")
 		w.Expect(call(router, methodUnregistered, echoRequest{})).To(hasCode(control.CodeUnknownMethod))
 		w.Expect(call(router, methodEcho, echoRequest{Bad: true})).To(hasCode(control.CodeInvalid))
 		w.Expect(call(router, methodEcho, echoRequest{Text: "refuse"})).To(hasCode(control.CodeUnavailable))
--- a/internal/control/errors.go
+++ b/internal/control/errors.go
@@ -13,7 +13,7 @@
 	ErrUnreachable = errors.New("control: unreachable")
 	// ErrOutcomeUnknown: the connection broke or the call timed out; the peer
 	// may or may not have handled the call.
-	ErrBroken = errors.New("control: no reply")
+	ErrOutcomeUnknown = errors.New("control: no reply")
 	// ErrTooLarge: a message exceeds the maximum size.
 	ErrTooLarge = errors.New("control: message too large")
 	// ErrMalformed: a frame can't be decoded.
@@ -90,6 +90,6 @@
 	case errors.Is(err, ErrTooLarge):
 		return err
 	default:
-		return &CallError{Kind: ErrBroken, Err: err}
+		return &CallError{Kind: ErrOutcomeUnknown, Err: err}
 	}
 }
--- a/internal/control/traffic.go
+++ b/internal/control/traffic.go
@@ -39,7 +39,7 @@
 
 // WrapDial returns a dial function that counts the bytes of its connections, for
 // connections other than those of the control channel.
-func (t *Traffic) Count(dial Dial) Dial {
+func (t *Traffic) WrapDial(dial Dial) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
--- a/internal/credit/cold.go
+++ b/internal/credit/cold.go
@@ -12,7 +12,7 @@
 // Admit spends a unit for a request of the tier like TrySpend. A cold holder
 // goes into debt for it unless a higher tier recently demanded units.
 func (h *Holder) Admit(now time.Time, tier int) bool {
-	if h.Take(now, tier, 1) {
+	if h.TrySpend(now, tier, 1) {
 		return true
 	}
 	if !h.mayGoIntoDebt(now, tier) {
--- a/internal/credit/credit.go
+++ b/internal/credit/credit.go
@@ -72,9 +72,9 @@
 }
 
 // TierUnits holds numbers of units by tier.
-type Wants [load.MaxTiers]float64
+type TierUnits [load.MaxTiers]float64
 
-func (w Wants) total() float64 {
+func (w TierUnits) total() float64 {
 	sum := 0.0
 	for _, n := range w {
 		sum += n
@@ -83,7 +83,7 @@
 }
 
 // above returns the sum over the tiers that are higher than the given one.
-func (w Wants) above(tier int) float64 {
+func (w TierUnits) above(tier int) float64 {
 	sum := 0.0
 	for _, n := range w[:tier] {
 		sum += n
@@ -92,12 +92,12 @@
 }
 
 // LeaseRequest is sent by a holder to the owner.
-type Ask struct {
+type LeaseRequest struct {
 	Holder string
 	// Seq is the sequence number of the request; the grant repeats it.
 	Seq uint64
 	// Want is the number of units requested, by tier.
-	Want Wants
+	Want TierUnits
 	// Return is the unused amount of earlier grants that the holder returns.
 	Return float64
 }
--- a/internal/credit/holder.go
+++ b/internal/credit/holder.go
@@ -52,8 +52,8 @@
 
 // usage counts the units demanded and spent at each tier within a period.
 type usage struct {
-	demand Wants
-	spent  Wants
+	demand TierUnits
+	spent  TierUnits
 }
 
 // NewHolder returns a holder without credits. routers is the number of routers
@@ -77,7 +77,7 @@
 // TrySpend spends n units for a request of the tier, or returns false if there
 // aren't enough. Units that higher tiers are expected to demand before the next
 // grant are reserved for them.
-func (h *Holder) Take(now time.Time, tier int, n float64) bool {
+func (h *Holder) TrySpend(now time.Time, tier int, n float64) bool {
 	h.advance(now)
 	h.current.demand[tier] += n
 	if h.balance()-h.reservedAbove(tier) < n {
@@ -108,16 +108,16 @@
 
 // NextRequest returns the request to send to the owner, or false if none is
 // due. An unanswered request is followed by another one after a period.
-func (h *Holder) Next(now time.Time) (Ask, bool) {
+func (h *Holder) NextRequest(now time.Time) (LeaseRequest, bool) {
 	h.advance(now)
 	if !h.due(now) {
-		return Ask{}, false
+		return LeaseRequest{}, false
 	}
 	if now.Sub(h.periodStart) >= h.cfg.Period {
 		h.previous, h.current, h.periodStart = h.current, usage{}, now
 	}
 	h.recordRequest(now)
-	a := Ask{Holder: h.name, Seq: h.seq}
+	a := LeaseRequest{Holder: h.name, Seq: h.seq}
 	credits := h.leased()
 	demand := 0.0
 	for tier := range a.Want {
@@ -148,7 +148,7 @@
 	if h.refused && !h.pending && since >= h.cfg.Period/earlyRequestDivisor {
 		return true
 	}
-	idle := h.current.demand == Wants{} && h.previous.demand == Wants{} && h.debt == 0 && len(h.leases) == 0
+	idle := h.current.demand == TierUnits{} && h.previous.demand == TierUnits{} && h.debt == 0 && len(h.leases) == 0
 	return since >= h.cfg.Period && !idle
 }
 
@@ -164,7 +164,7 @@
 
 // ApplyGrant applies the owner's answer. Answers to earlier requests than the
 // last one and duplicates are ignored.
-func (h *Holder) Granted(now time.Time, g Grant) {
+func (h *Holder) ApplyGrant(now time.Time, g Grant) {
 	h.advance(now)
 	ends := h.requestedAt.Add(h.cfg.TTL)
 	if !h.pending || g.Seq != h.seq || !now.Before(ends) {
--- a/internal/credit/lab/trial.go
+++ b/internal/credit/lab/trial.go
@@ -78,14 +78,14 @@
 	for i := range holders {
 		holders[i] = credit.NewHolder(fmt.Sprint(i), tr.Holders, cfg)
 	}
-	owner := credit.NewHome(epoch, cfg)
+	owner := credit.NewOwner(epoch, cfg)
 	grants, grantAt := make([]credit.Grant, tr.Holders), make([]time.Time, tr.Holders)
 	var r RateResult
 	excess := 0.0
 	for now := epoch; now.Sub(epoch) < Length; now = now.Add(tick) {
 		since := now.Sub(epoch) - faultDelay
 		if since == detectionDelay && tr.Fault == OwnerFails {
-			owner = credit.NewHome(now, cfg)
+			owner = credit.NewOwner(now, cfg)
 		}
 		if since == detectionDelay && tr.Fault == Partition && !tr.Undetected {
 			owner.SetReachable(now, tr.Holders-tr.partitioned(), tr.Holders)
@@ -99,11 +99,11 @@
 				r.Wanted += float64(n)
 				r.Served += got
 			}
-			if a, ok := h.Next(now); ok && tr.reaches(i, since) {
-				grants[i], grantAt[i] = owner.Ask(now, a), now.Add(2*oneWayDelay)
+			if a, ok := h.NextRequest(now); ok && tr.reaches(i, since) {
+				grants[i], grantAt[i] = owner.Grant(now, a), now.Add(2*oneWayDelay)
 			}
 			if now.Equal(grantAt[i]) {
-				h.Granted(now, grants[i])
+				h.ApplyGrant(now, grants[i])
 			}
 		}
 		r.Admitted += admitted
@@ -160,7 +160,7 @@
 func spendUnits(h *credit.Holder, now time.Time, tier, n int) float64 {
 	got := 0.0
 	for range n {
-		if h.Take(now, tier, 1) {
+		if h.TrySpend(now, tier, 1) {
 			got++
 		}
 	}
--- a/internal/credit/owner.go
+++ b/internal/credit/owner.go
@@ -7,7 +7,7 @@
 
 // Owner issues the credits of one limit and leases them to holders. It isn't
 // safe for concurrent use.
-type Home struct {
+type Owner struct {
 	cfg            Config
 	reachableShare float64 // share of the routers that the owner reaches
 	credits        float64
@@ -24,9 +24,9 @@
 }
 
 type holderDemand struct {
-	want Wants
+	want TierUnits
 	// expected is the demand expected in the holder's next request.
-	expected    Wants
+	expected    TierUnits
 	requestedAt time.Time
 }
 
@@ -36,19 +36,19 @@
 
 // NewOwner returns an owner that starts now. It starts without credits, because
 // a previous owner may just have leased some.
-func NewHome(now time.Time, cfg Config) *Home {
-	return &Home{cfg: cfg.withDefaults(), reachableShare: 1, advancedTo: now, requests: make(map[string]holderDemand)}
+func NewOwner(now time.Time, cfg Config) *Owner {
+	return &Owner{cfg: cfg.withDefaults(), reachableShare: 1, advancedTo: now, requests: make(map[string]holderDemand)}
 }
 
 // SetReachable sets how many of all routers, itself included, the owner reaches.
 // The others use their fair shares, which the owner doesn't lease out.
-func (o *Home) SetReachable(now time.Time, reached, all int) {
+func (o *Owner) SetReachable(now time.Time, reached, all int) {
 	o.advance(now)
 	o.reachableShare = min(1, float64(reached)/float64(max(all, 1)))
 }
 
 // SetRate changes the limit.
-func (o *Home) SetRate(now time.Time, rate float64) {
+func (o *Owner) SetRate(now time.Time, rate float64) {
 	o.advance(now)
 	o.cfg.Rate = rate
 }
@@ -57,7 +57,7 @@
 // tiers before lower ones, and within a tier fairly between the holders that
 // send requests in this period. Credits that higher tiers of other holders are
 // expected to request next are withheld from lower tiers.
-func (o *Home) Ask(now time.Time, a Ask) Grant {
+func (o *Owner) Grant(now time.Time, a LeaseRequest) Grant {
 	o.advance(now)
 	o.acceptReturn(a.Holder, a.Return)
 	o.recordDemand(now, a)
@@ -72,7 +72,7 @@
 
 // advance issues the credits for the elapsed time and drops expired leases and
 // requests.
-func (o *Home) advance(now time.Time) {
+func (o *Owner) advance(now time.Time) {
 	if now.After(o.advancedTo) {
 		o.fill(o.reachableShare * o.cfg.unitsIn(now.Sub(o.advancedTo)))
 		o.advancedTo = now
@@ -87,16 +87,16 @@
 
 // fill adds credits up to what a period yields, but at least one: a holder can't
 // use a fraction of one.
-func (o *Home) fill(amount float64) {
+func (o *Owner) fill(amount float64) {
 	o.credits = min(o.credits+amount, max(1, o.cfg.unitsIn(o.cfg.Period)))
 }
 
-func (o *Home) maxLeased() float64 { return max(1, o.cfg.unitsIn(o.cfg.TTL)) }
+func (o *Owner) maxLeased() float64 { return max(1, o.cfg.unitsIn(o.cfg.TTL)) }
 
 // acceptReturn reduces the holder's leases, the newest first, by the returned
 // amount. Returned credits of another owner, for which there is no lease here,
 // are discarded.
-func (o *Home) acceptReturn(holder string, amount float64) {
+func (o *Owner) acceptReturn(holder string, amount float64) {
 	for i := len(o.leases) - 1; i >= 0 && amount > 0; i-- {
 		l := &o.leases[i]
 		if l.holder != holder {
@@ -109,7 +109,7 @@
 	}
 }
 
-func (o *Home) leased() float64 {
+func (o *Owner) leased() float64 {
 	sum := 0.0
 	for _, l := range o.leases {
 		sum += l.amount
@@ -119,7 +119,7 @@
 
 // recordDemand records the demand of a request and updates the expected demand
 // of the holder.
-func (o *Home) recordDemand(now time.Time, a Ask) {
+func (o *Owner) recordDemand(now time.Time, a LeaseRequest) {
 	last, known := o.requests[a.Holder]
 	next := a.Want
 	for tier := range next {
@@ -134,7 +134,7 @@
 // limited by the credits that aren't withheld for higher tiers of other holders.
 // It is at least one whole unit or zero, since a holder can't use a fraction of
 // a unit.
-func (o *Home) grantable(now time.Time, a Ask) float64 {
+func (o *Owner) grantable(now time.Time, a LeaseRequest) float64 {
 	free := min(o.credits, o.maxLeased()-o.leased())
 	minAmount := min(1, a.Want.total())
 	amount := 0.0
@@ -154,7 +154,7 @@
 // withheld returns the credits withheld from a tier of the holder for higher
 // tiers of other holders: their expected next demand less what is issued until
 // then.
-func (o *Home) withheld(now time.Time, holder string, tier int) float64 {
+func (o *Owner) withheld(now time.Time, holder string, tier int) float64 {
 	total := 0.0
 	for other, a := range o.requests {
 		if other != holder {
@@ -175,9 +175,9 @@
 }
 
 // fairShares returns the holder's shares of a period's credits, by tier.
-func (o *Home) fairShares(holder string) Wants {
+func (o *Owner) fairShares(holder string) TierUnits {
 	left := o.reachableShare * o.cfg.unitsIn(o.cfg.Period)
-	var shares Wants
+	var shares TierUnits
 	wants := make([]float64, 0, len(o.requests))
 	for tier, want := range o.requests[holder].want {
 		wants = wants[:0]
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -62,7 +62,7 @@
 	}
 	placementRunner := newPlacement(s, id, reg, log)
 	announcer := newAnnouncer(ag, bundles.node.Snapshot, id, log)
-	announcement := membership.NewGoodbye(announcer)
+	announcement := membership.NewDelivery(announcer)
 	attemptServer, err := newAttemptServer(s, announcer.Wrap(placementRunner.Wrap(ag.Handler())), id, log)
 	if err != nil {
 		return err
@@ -133,7 +133,7 @@
 // nothing more.
 func applyBundle(ag *agent.Agent, name string, log zerolog.Logger) func(*bundle.Snapshot) {
 	return func(snapshot *bundle.Snapshot) {
-		ag.Adopt(snapshot)
+		ag.UpdateKeyHomes(snapshot)
 		endpoint, err := ownEndpoint(snapshot, name)
 		if err != nil {
 			log.Warn().Err(err).Msg("endpoint is no longer in the bundle")
@@ -181,17 +181,17 @@
 	handOverMargin = 5 * time.Second
 )
 
-func agentPlan(s settings.Shutdown) server.Plan {
-	return server.Plan{Notice: drainNotice, Grace: s.StreamsGrace.Std(), Margin: handOverMargin}
+func agentPlan(s settings.Shutdown) server.ShutdownPlan {
+	return server.ShutdownPlan{DrainTime: drainNotice, Grace: s.StreamsGrace.Std(), HandoverMargin: handOverMargin}
 }
 
 // startDrain returns a function that makes the agent refuse new attempts and notify the
 // routers while refusals are still sent.
-func startDrain(ag *agent.Agent, runner *placement.Runner, announcement *membership.Goodbye) func() {
+func startDrain(ag *agent.Agent, runner *placement.Runner, announcement *membership.Delivery) func() {
 	return func() {
 		runner.Leave()
 		ag.Leave()
-		announcement.Say()
+		announcement.Start()
 	}
 }
 
--- a/internal/daemon/bundles.go
+++ b/internal/daemon/bundles.go
@@ -64,7 +64,7 @@
 		Services: b.services,
 		Apply:    b.apply,
 		OnReadiness: func(r rollout.Readiness) {
-			ready.Note(bundleTopic, unconfirmedReason(r))
+			ready.SetNote(bundleTopic, unconfirmedReason(r))
 			if r.Ready {
 				readyOnce.Do(func() { close(b.ready) })
 			}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -94,7 +94,7 @@
 func newRouterMux(reg *prometheus.Registry, ready *telemetry.Readiness, t *slo.Tracker, m *membership.Tracker) *http.ServeMux {
 	mux := telemetry.NewMux(reg, ready)
 	mux.Handle(slo.Path, t)
-	mux.Handle(membership.Path, m)
+	mux.Handle(membership.PathMembers, m)
 	return mux
 }
 
--- a/internal/daemon/direct.go
+++ b/internal/daemon/direct.go
@@ -179,7 +179,7 @@
 	d.callers = server.New(server.Config{
 		Listener: l, Handler: http.HandlerFunc(d.router.ServeRouted),
 		HeaderTimeout: directHeaderTimeout, MaxHeaderBytes: directMaxHeaderBytes,
-		Grace: cfg.Bounds.StopWithin, Linger: directLinger, Log: log,
+		Grace: cfg.Bounds.StopWithin, QuietPeriod: directLinger, Log: log,
 	})
 	return d, nil
 }
@@ -202,14 +202,14 @@
 		Log:          d.log,
 		Metrics:      d.reg,
 		Routing: &router.Routing{
-			Table:     d.table,
-			Endpoints: d.endpoints,
-			Region:    d.regionOf,
-			Protocol:  d.cfg.Protocol,
-			Client:    d.client,
-			KeyAge:    d.follower.Age,
-			MaxKeyAge: d.maxKeyAge,
-			TurnAway:  func() bool { return !d.isReady() },
+			Table:                  d.table,
+			Endpoints:              d.endpoints,
+			Region:                 d.regionOf,
+			Protocol:               d.cfg.Protocol,
+			Client:                 d.client,
+			KeyAge:                 d.follower.Age,
+			MaxKeyAge:              d.maxKeyAge,
+			ShouldCloseConnections: func() bool { return !d.isReady() },
 		},
 	})
 }
@@ -247,7 +247,7 @@
 // logUnservable warns of routes and teams whose allowed regions include no existing region:
 // their requests are refused.
 func (d *directRouter) logUnservable(c *route.Config) {
-	routes, teams := c.Nowhere(slices.Collect(maps.Values(d.cfg.Regions)))
+	routes, teams := c.Unservable(slices.Collect(maps.Values(d.cfg.Regions)))
 	if len(routes) == 0 && len(teams) == 0 {
 		return
 	}
@@ -305,8 +305,8 @@
 	d.log.Info().Msg("stopping: reporting not ready and finishing open requests")
 	d.ready.Close(gateServing)
 	plan := stopPlan(d.bounds.Load().StopWithin)
-	return plan.Run(d.router.Leave, d.router.EndOpen, func() error {
-		d.router.Refuse()
+	return plan.Run(d.router.CloseCallerConnections, d.router.AbortOpenRequests, func() error {
+		d.router.RefuseNewRequests()
 		return d.callers.StopWithin(plan.Grace)
 	})
 }
--- a/internal/daemon/directlist.go
+++ b/internal/daemon/directlist.go
@@ -66,18 +66,18 @@
 	l.d.log.Info().Int("endpoints", len(entries)).Int("kept", dir.KeptCount()).Strs("evacuated", dir.Evacuated()).
 		Uint64("revision", dir.Revision()).Msg("endpoint list changed")
 	l.logEvacuations(last, dir)
-	places := make([]membership.Place, len(entries))
+	places := make([]membership.EndpointSpec, len(entries))
 	vms := make([]membership.VM, len(entries))
 	for i, e := range entries {
-		places[i] = membership.Place{
-			Endpoint: e.Endpoint.Name, VM: e.Endpoint.VM, Address: e.Endpoint.Address, Incarnation: e.Endpoint.Process(),
+		places[i] = membership.EndpointSpec{
+			Endpoint: e.Endpoint.Name, VM: e.Endpoint.VM, Address: e.Endpoint.Address, Incarnation: e.Endpoint.ProcessID(),
 		}
 		vms[i] = membership.VM{Name: e.Endpoint.VM, Leaving: !dir.AcceptsWork(e.Endpoint.Name)}
 	}
-	l.d.members.Learn(membership.Bundle{Places: places})
+	l.d.members.HandleEvent(membership.BundleApplied{Endpoints: places})
 	// Mark cold endpoints before they accept work again.
 	l.markCold(last, dir, entries)
-	l.d.members.Learn(membership.ListRead{VMs: vms, At: time.Unix(int64(dir.Revision()), 0)})
+	l.d.members.HandleEvent(membership.ListRead{VMs: vms, At: time.Unix(int64(dir.Revision()), 0)})
 }
 
 // logEvacuations logs each evacuation order that was added or removed.
@@ -164,22 +164,22 @@
 		return false, errors.Newf("endpoint %s is not listed", name)
 	}
 	if dir.IsEvacuated(entry.Endpoint.FailureDomain) {
-		return false, membership.ErrNotAsked
+		return false, membership.ErrProbeSkipped
 	}
 	sentAt := time.Now()
 	if !l.d.pool.MayCheck(sentAt, &entry.Endpoint) {
-		return false, membership.ErrNotAsked
+		return false, membership.ErrProbeSkipped
 	}
 	health, err := l.d.cfg.Health(ctx, l.d.client, entry.Endpoint.Address, l.healthPath(entry.Endpoint.Services), name)
 	if health.Cold > 0 {
 		l.d.pool.SetCold(time.Now(), name, health.Cold)
 	}
-	if health.RateLimit.Statement == upstream.LimitNamed {
+	if health.RateLimit.Kind == upstream.LimitSet {
 		// A health response without a limit doesn't mean that there is none; responses to
 		// requests decide that.
 		l.d.pool.ApplyLimit(time.Now(), sentAt, name, health.RateLimit)
 	}
-	return health.Sent, err
+	return health.Connected, err
 }
 
 func (l *directoryUpdater) healthPath(services []string) string {
--- a/internal/daemon/directlist_test.go
+++ b/internal/daemon/directlist_test.go
@@ -44,7 +44,7 @@
 		VM: "vm", FailureDomain: "y", Callers: "127.0.0.1:0", Store: evacuatedStore{},
 		Health: func(context.Context, *http.Client, string, string, string) (upstream.Health, error) {
 			calls++
-			return upstream.Health{Sent: true}, nil
+			return upstream.Health{Connected: true}, nil
 		},
 	}, zerolog.Nop())
 	g.Expect(err).NotTo(HaveOccurred())
@@ -53,7 +53,7 @@
 	go d.follower.Run(ctx)
 	g.Eventually(func() int { return d.follower.Directory().Len() }).Should(Equal(1))
 	_, err = d.updater.checkHealth(ctx, "e")
-	g.Expect(err).To(MatchError(membership.ErrNotAsked))
+	g.Expect(err).To(MatchError(membership.ErrProbeSkipped))
 	g.Expect(calls).To(BeZero())
 	g.Expect(d.pool.AcceptsWork("e")).To(BeFalse())
 }
@@ -66,7 +66,7 @@
 		VM: "vm", FailureDomain: "y", Callers: "127.0.0.1:0", Store: &activeStore{},
 		Health: func(context.Context, *http.Client, string, string, string) (upstream.Health, error) {
 			calls++
-			return upstream.Health{Sent: true, RateLimit: upstream.RateLimit{Statement: upstream.LimitNamed, PerSecond: 1}}, nil
+			return upstream.Health{Connected: true, RateLimit: upstream.RateLimit{Kind: upstream.LimitSet, PerSecond: 1}}, nil
 		},
 	}, zerolog.Nop())
 	g.Expect(err).NotTo(HaveOccurred())
@@ -79,7 +79,7 @@
 	g.Expect(d.pool.Limits().Endpoints).To(Equal(1), "the limit in a health response applies")
 	refused := 0
 	for range 5 {
-		if _, err := d.updater.checkHealth(ctx, "e"); errors.Is(err, membership.ErrNotAsked) {
+		if _, err := d.updater.checkHealth(ctx, "e"); errors.Is(err, membership.ErrProbeSkipped) {
 			refused++
 		}
 	}
--- a/internal/daemon/directsilence.go
+++ b/internal/daemon/directsilence.go
@@ -22,9 +22,9 @@
 			return
 		case now := <-tick.C:
 			for _, endpoint := range d.pool.CheckUnresponsive(now, balance.UnresponsiveTimeout) {
-				d.members.Learn(membership.Silence{Endpoint: endpoint})
+				d.members.HandleEvent(membership.Unresponsive{Endpoint: endpoint})
 			}
-			d.router.LeaveSilent(d.pool.PresumedDown())
+			d.router.ResumeFromCopies(d.pool.PresumedDown())
 		}
 	}
 }
--- a/internal/daemon/directstop.go
+++ b/internal/daemon/directstop.go
@@ -22,7 +22,7 @@
 )
 
 // stopPlan returns the shutdown plan for a router that must exit within the given time.
-func stopPlan(within time.Duration) server.Plan {
+func stopPlan(within time.Duration) server.ShutdownPlan {
 	notice := min(directNotice, time.Duration(noticeShare*float64(within)))
-	return server.Plan{Notice: notice, Grace: within - notice - directMargin, Margin: directMargin}
+	return server.ShutdownPlan{DrainTime: notice, Grace: within - notice - directMargin, HandoverMargin: directMargin}
 }
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -59,9 +59,9 @@
 // outcomes of its own requests.
 func addMembers(g *run.Group, s *settings.Router, components *routerComponents, srv *control.Server, id *identity.Identity, log zerolog.Logger) {
 	client := server.NewClient(nil, nil)
-	var platform []*membership.Platform
+	var platform []*membership.PlatformClient
 	for _, url := range s.VMList {
-		platform = append(platform, membership.NewPlatform(client, url.String()))
+		platform = append(platform, membership.NewPlatformClient(client, url.String()))
 	}
 	feed := membership.NewFeed(membership.FeedConfig{
 		Tracker: components.members, Name: id.Peer().Name, FailureDomain: string(s.FailureDomain),
--- a/internal/daemon/poison.go
+++ b/internal/daemon/poison.go
@@ -46,7 +46,7 @@
 	for _, process := range processes {
 		name, incarnation, _ := strings.Cut(process, "/")
 		entry, listed := d.follower.Directory().Entry(name)
-		if !listed || entry.Endpoint.Process() != incarnation {
+		if !listed || entry.Endpoint.ProcessID() != incarnation {
 			continue
 		}
 		go func() {
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -77,7 +77,7 @@
 		log.Info().Stringer("balancer_grace", s.Shutdown.BalancerGrace.Std()).Msg("stopping")
 		ready.Close(gateServing)
 		plan := routerPlan(s.Shutdown)
-		return plan.Run(rt.Leave, rt.EndOpen, func() error { return callers.StopWithin(plan.Grace) })
+		return plan.Run(rt.CloseCallerConnections, rt.AbortOpenRequests, func() error { return callers.StopWithin(plan.Grace) })
 	}, &stopErr)
 	addServer(&g, admin, admin.Stop, &stopErr)
 	addMembers(&g, s, components, controlServer, id, log)
@@ -123,7 +123,7 @@
 		Limits:       limits.limiter,
 		Observer:     members,
 		Poison:       newPoisonTable(id.Peer().Name, reg, log, func([]string) {}), // agents keep running when their engines crash
-		Service:      sloTracker,
+		SLO:          sloTracker,
 		Routing:      router.BundleRouting(current, server.NewDirectClient()),
 		Log:          log,
 		Metrics:      reg,
@@ -144,7 +144,7 @@
 		HeaderTimeout:  s.Limits.HeaderTimeout.Std(),
 		MaxHeaderBytes: int(s.Limits.MaxHeaderBytes),
 		Grace:          s.Shutdown.StreamsGrace.Std(),
-		Linger:         lingerTime,
+		QuietPeriod:    lingerTime,
 		Log:            log,
 	}), nil
 }
@@ -156,6 +156,6 @@
 // it.
 const lingerTime = time.Second
 
-func routerPlan(s settings.RouterShutdown) server.Plan {
-	return server.Plan{Notice: s.BalancerGrace.Std(), Grace: s.StreamsGrace.Std(), Margin: endMargin}
+func routerPlan(s settings.RouterShutdown) server.ShutdownPlan {
+	return server.ShutdownPlan{DrainTime: s.BalancerGrace.Std(), Grace: s.StreamsGrace.Std(), HandoverMargin: endMargin}
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -133,10 +133,10 @@
 	first, second := entry("a", "1"), entry("a", "1")
 	first.Incarnation, second.Incarnation = "100", "90" // its clock was set back
 	d := merge(directory.Empty(), 1, time.Time{}, first)
-	g.Expect(d.ByService("s")[0].Process()).To(Equal("100"))
+	g.Expect(d.ByService("s")[0].ProcessID()).To(Equal("100"))
 	later, changed := d.Merge(directory.Reading{Entries: []directory.Entry{second}, Revision: 2}, now, time.Time{})
 	g.Expect(changed).To(BeTrue())
-	g.Expect(later.ByService("s")[0].Process()).To(Equal("90"))
+	g.Expect(later.ByService("s")[0].ProcessID()).To(Equal("90"))
 	g.Expect(later.Digest()).NotTo(Equal(d.Digest()), "peers must notice the change")
 	changes, _ := d.ChangesTo(later)
 	text, err := json.Marshal(changes)
@@ -145,9 +145,9 @@
 	g.Expect(json.Unmarshal(text, &received)).To(Succeed())
 	peer, _ := d.Merge(directory.Reading{Entries: received, Revision: 2}, now, time.Time{})
 	g.Expect(peer.Digest()).To(Equal(later.Digest()))
-	g.Expect(peer.ByService("s")[0].Process()).To(Equal("90"))
+	g.Expect(peer.ByService("s")[0].ProcessID()).To(Equal("90"))
 	afterOlder, _ := later.Merge(directory.Reading{Entries: []directory.Entry{first}, Revision: 1}, now, time.Time{})
-	g.Expect(afterOlder.ByService("s")[0].Process()).To(Equal("90"), "an older reading arrives late")
+	g.Expect(afterOlder.ByService("s")[0].ProcessID()).To(Equal("90"), "an older reading arrives late")
 }
 
 func TestUnreadableEntryRemovesEndpoint(t *testing.T) {
--- a/internal/filters/admit/admit.go
+++ b/internal/filters/admit/admit.go
@@ -80,7 +80,7 @@
 	if !r.Table.NeedsKeys() {
 		return nil
 	}
-	team := r.Table.Team(r.Key)
+	team := r.Table.Team(r.APIKey)
 	stale := f.checkFreshness()
 	if r.Route.Public {
 		if team != nil && stale == nil {
--- a/internal/filters/attempts/attempts.go
+++ b/internal/filters/attempts/attempts.go
@@ -163,7 +163,7 @@
 	if decision.Action != retry.ActionGiveUp {
 		h.revisits++
 		h.attemptsInRound = 0
-		r.Round = len(r.Tried)
+		r.RoundStart = len(r.Tried)
 	}
 	return decision
 }
@@ -171,15 +171,15 @@
 // canResumeFromCopy reports whether a broken stream can resume from the KV cache copy at
 // another endpoint, after the last event delivered to the caller.
 func (f *Filter) canResumeFromCopy(r *request.Request, outcome retry.Outcome) bool {
-	return r.Copy != nil && r.Delivered.Tokens > 0 && outcome == retry.OutcomeRan && f.acceptsWork(r.Copy.Name)
+	return r.CopyTo != nil && r.Delivered.Tokens > 0 && outcome == retry.OutcomeRan && f.acceptsWork(r.CopyTo.Name)
 }
 
 // setResumeEndpoint sets the endpoint at which the next attempt resumes from a KV cache
 // copy, if any.
 func (f *Filter) setResumeEndpoint(r *request.Request, last error, d retry.Decision) {
-	r.Resume = nil
+	r.ResumeFrom = nil
 	if d.Action == retry.ActionResume && f.canResumeFromCopy(r, classify(last, true).outcome) {
-		r.Resume = r.Copy
+		r.ResumeFrom = r.CopyTo
 	}
 }
 
@@ -196,7 +196,7 @@
 // appendTrail adds the attempt that just ended to the request's trail.
 func appendTrail(r *request.Request, err error, d retry.Decision) {
 	step := request.Step{Epoch: r.Epoch, Outcome: "complete", Tokens: r.Delivered.Tokens, Next: string(d.Reason)}
-	step.Limit, step.Part, step.Connections = r.RateLimit.String(), r.LimitPart, r.Connections
+	step.Limit, step.LimitPart, step.Connections = r.RateLimit.String(), r.LimitPart, r.Connections
 	if d.Budget != nil {
 		step.Budget = d.Budget.String()
 	}
--- a/internal/filters/attempts/attempts_test.go
+++ b/internal/filters/attempts/attempts_test.go
@@ -83,8 +83,8 @@
 	}{
 		{"no attempt ran", []attempt{refused("queue_full", wire.RunNot), noEndpointLeft}, wire.RunNot, "queue_full"},
 		{"one attempt may have run", []attempt{refused(wire.ReasonEngineFailed, wire.RunUnknown), refused("queue_full", wire.RunNot), noEndpointLeft}, wire.RunUnknown, "queue_full"},
-		{"one attempt ran", []attempt{breakAfterToken, refused(wire.ReasonEngineSaysNo, wire.RunNot), refused(wire.ReasonEngineSaysNo, wire.RunNot), noEndpointLeft, noEndpointLeft, noEndpointLeft, noEndpointLeft, noEndpointLeft}, wire.RunYes, "answer_cut_off"},
-		{"final refusal", []attempt{refused(wire.ReasonEngineSaysNo, wire.RunNot)}, wire.RunNot, wire.ReasonEngineSaysNo},
+		{"one attempt ran", []attempt{breakAfterToken, refused(wire.ReasonEngineRefused, wire.RunNot), refused(wire.ReasonEngineRefused, wire.RunNot), noEndpointLeft, noEndpointLeft, noEndpointLeft, noEndpointLeft, noEndpointLeft}, wire.RunYes, "answer_cut_off"},
+		{"final refusal", []attempt{refused(wire.ReasonEngineRefused, wire.RunNot)}, wire.RunNot, wire.ReasonEngineRefused},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
@@ -105,7 +105,7 @@
 		made, took, err := run(r, down, down, noEndpointLeft, down, down, noEndpointLeft, complete)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(made).To(Equal(7))
-		g.Expect(r.Round).To(Equal(4))
+		g.Expect(r.RoundStart).To(Equal(4))
 		g.Expect(took).To(Equal(125*time.Millisecond + 250*time.Millisecond))
 	})
 	synctest.Test(t, func(t *testing.T) { // the attempt limit is reached before the endpoints run out
@@ -141,7 +141,7 @@
 		g := NewWithT(t)
 		w := httptest.NewRecorder()
 		r := &request.Request{Kind: wire.KindChat, Stream: true, NonIdempotent: true, MaxTokens: 1, Writer: w}
-		r.Delivered.Last = `{"id":"a","choices":[{"delta":{"content":"x"}}]}`
+		r.Delivered.LastChunk = `{"id":"a","choices":[{"delta":{"content":"x"}}]}`
 		made, _, err := run(r, breakAfterToken)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(made).To(Equal(1))
--- a/internal/filters/attempts/classify.go
+++ b/internal/filters/attempts/classify.go
@@ -69,7 +69,7 @@
 func classifyRefusal(e *dispatch.RefusedError, delivered bool) classification {
 	c := classification{outcome: outcomeForRun(e.Run)}
 	switch e.Reason {
-	case wire.ReasonEngineSaysNo:
+	case wire.ReasonEngineRefused:
 		// A refused continuation may still be accepted by another engine.
 		if !delivered {
 			c.final = true
@@ -78,7 +78,7 @@
 	case string(wire.EndingExpired):
 		c.final = true
 		c.reason = retry.ReasonDeadline
-	case wire.ReasonLeaving, wire.ReasonStale, wire.ReasonNotHere, wire.ReasonEngineDown:
+	case wire.ReasonLeaving, wire.ReasonStale, wire.ReasonWrongEndpoint, wire.ReasonEngineDown:
 		c.budgetExempt = true
 	case string(sched.ReasonQueueFull), string(sched.ReasonTooLate), string(sched.ReasonDisplaced):
 		c.overloaded = true
--- a/internal/filters/choose/choose.go
+++ b/internal/filters/choose/choose.go
@@ -118,13 +118,13 @@
 
 // choose sets the request's endpoint, or both endpoints with late binding.
 func (f *Filter) choose(r *request.Request) error {
-	if r.Resume != nil {
+	if r.ResumeFrom != nil {
 		return f.resumeFromCopy(r)
 	}
 	query := balance.Request{Service: r.Service, Tier: r.Tier, Prefix: r.Prefix, Prompt: r.Prompt, AtMostOnce: r.NonIdempotent, Retry: len(r.Tried) > 0}
 	if r.Route != nil {
-		r.Stride = tokensPerEvent(r)
-		query.MaxGap, query.Stride, query.Objective = r.Route.MaxGap, r.Stride, r.Route.Objective
+		r.TokensPerEvent = tokensPerEvent(r)
+		query.MaxGap, query.Stride, query.Objective = r.Route.MaxGap, r.TokensPerEvent, r.Route.Objective
 		query.Tier = r.Table.Rank(r.Tier, r.Route.Tier)
 		query.ColdRate = r.Table.Cold(r.Service).Rate
 	}
@@ -135,14 +135,14 @@
 	if err != nil {
 		return &Error{Cause: err}
 	}
-	if err := f.checkWait(r, r.Wait-r.Read); err != nil {
+	if err := f.checkWait(r, r.ExpectedWait-r.PrefillTime); err != nil {
 		return err
 	}
-	r.Endpoint, r.Second = pair.First, pair.Second
+	r.Endpoint, r.SecondEndpoint = pair.First, pair.Second
 	f.recordLimitPart(r)
 	r.Tried = append(r.Tried, r.Endpoint.Name)
-	if r.Second != nil {
-		r.Tried = append(r.Tried, r.Second.Name)
+	if r.SecondEndpoint != nil {
+		r.Tried = append(r.Tried, r.SecondEndpoint.Name)
 	}
 	return nil
 }
@@ -154,10 +154,10 @@
 // endpoint's rate limit applies to these attempts as well.
 func (f *Filter) resumeFromCopy(r *request.Request) error {
 	query := balance.Request{Tier: r.Table.Rank(r.Tier, r.Route.Tier), ColdRate: r.Table.Cold(r.Service).Rate}
-	if !f.pool.Take(time.Now(), r.Resume, query) {
+	if !f.pool.Take(time.Now(), r.ResumeFrom, query) {
 		return &Error{Cause: errCopyRateLimited}
 	}
-	r.Endpoint, r.Source, r.Copy = r.Resume, nil, nil
+	r.Endpoint, r.FetchFrom, r.CopyTo = r.ResumeFrom, nil, nil
 	f.recordLimitPart(r)
 	r.Tried = append(r.Tried, r.Endpoint.Name)
 	return nil
@@ -195,10 +195,10 @@
 		return f.pool.ChoosePair(time.Now(), query, r.Candidates, r.TriedEndpoint)
 	}
 	c, err := f.pool.ChooseWithEstimates(time.Now(), query, r.Candidates, r.TriedEndpoint)
-	r.Read, r.Wait, r.Source, r.Copy, r.Tight = c.PrefillTime, c.Wait, c.FetchFrom, nil, c.TightGap
-	r.Kept = c.DedicatedEndpoints
+	r.PrefillTime, r.ExpectedWait, r.FetchFrom, r.CopyTo, r.TightGap = c.PrefillTime, c.Wait, c.FetchFrom, nil, c.TightGap
+	r.TightGapEndpoints = c.DedicatedEndpoints
 	if copiesKVCache(r) {
-		r.Copy = c.CopyTo
+		r.CopyTo = c.CopyTo
 	}
 	return balance.Pair{First: c.Endpoint}, err
 }
--- a/internal/filters/choose/home.go
+++ b/internal/filters/choose/home.go
@@ -62,15 +62,15 @@
 	if !found || r.TriedEndpoint(home.Name) {
 		return &Error{Cause: errHomeTried}
 	}
-	r.Endpoint, r.Second = home, nil
+	r.Endpoint, r.SecondEndpoint = home, nil
 	r.Tried = append(r.Tried, home.Name)
 	return wrapPinned(next(ctx, r))
 }
 
 // currentSnapshot returns the snapshot whose endpoints the attempt may use.
 func currentSnapshot(r *request.Request) *bundle.Snapshot {
-	if r.Epoch > 1 && r.Latest != nil {
-		return r.Latest()
+	if r.Epoch > 1 && r.LatestSnapshot != nil {
+		return r.LatestSnapshot()
 	}
 	return r.Snapshot
 }
@@ -140,7 +140,7 @@
 		http.StatusBadRequest, api.TypeInvalid,
 		"the idempotency key is older than keys are remembered; an earlier request with it may have run",
 	},
-	once.ReasonForgotten: {
+	once.ReasonBeforeClaim: {
 		http.StatusServiceUnavailable, api.TypeUnavailable,
 		"the key is older than the memory of its home, which has started or changed; an earlier request with it may have run",
 	},
@@ -148,7 +148,7 @@
 		http.StatusServiceUnavailable, api.TypeUnavailable,
 		"the key's home is changing; an earlier request with it may have run",
 	},
-	once.ReasonNotHome: {
+	once.ReasonNotKeyHome: {
 		http.StatusServiceUnavailable, api.TypeUnavailable, "router and endpoint disagree on the key's home; try again soon",
 	},
 	once.ReasonFull: {
--- a/internal/filters/dispatch/direct.go
+++ b/internal/filters/dispatch/direct.go
@@ -40,9 +40,9 @@
 // sendDirect sends an attempt and updates the pool's outstanding work for the endpoint.
 func (f *Filter) sendDirect(ctx context.Context, r *request.Request, sent time.Time, next pipeline.Next) error {
 	account := f.pool.Track(sent, r.Endpoint.Name, WorkOf(r))
-	r.Began, r.Heard, r.HeardEvent = account.PrefillDone, account.DataReceived, account.EventReceived
+	r.OnFirstToken, r.OnData, r.OnEvent = account.PrefillDone, account.DataReceived, account.EventReceived
 	err := f.exchangeDirect(ctx, r, sent, next)
-	r.Began, r.Heard, r.HeardEvent = nil, nil, nil
+	r.OnFirstToken, r.OnData, r.OnEvent = nil, nil, nil
 	account.Release()
 	if isQueueFull(err) {
 		account.Refused(time.Now())
@@ -57,7 +57,7 @@
 func (f *Filter) exchangeDirect(ctx context.Context, r *request.Request, sent time.Time, next pipeline.Next) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if r.Copy != nil {
+	if r.CopyTo != nil {
 		defer f.copiedRuns.track(r, cancel)()
 	}
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { r.Connections++ }}
@@ -70,7 +70,7 @@
 		return &NoResponseError{Sent: server.MayHaveSent(err), Cause: err}
 	}
 	defer resp.Body.Close()
-	r.Heard(time.Now())
+	r.OnData(time.Now())
 	reply := f.direct.protocol.Decode(resp)
 	r.RateLimit = reply.RateLimit
 	if reply.ID != r.CallerID {
@@ -78,8 +78,8 @@
 		// unread, so the connection is closed.
 		return &NoResponseError{Sent: true, Cause: errors.Newf("the answer belongs to request %q", reply.ID)}
 	}
-	if reply.Moved {
-		f.observer.Failed(r.Endpoint.Name, r.Endpoint.Process(), false)
+	if reply.WrongInstance {
+		f.observer.Failed(r.Endpoint.Name, r.Endpoint.ProcessID(), false)
 		return directRefusal(resp.StatusCode, reply)
 	}
 	f.recordDirectResponse(r.Endpoint, sent, reply)
@@ -108,11 +108,11 @@
 	}
 	// Responses carry no sequence number; they are numbered in the order of arrival.
 	report.Seq = uint64(f.responseSeq.Add(1))
-	current := f.observer.Answered(e.Name, wire.Clock{Incarnation: e.Process()}, sent, report)
+	current := f.observer.Answered(e.Name, wire.Clock{Incarnation: e.ProcessID()}, sent, report)
 	if current && reply.Load != nil {
 		f.pool.Report(now, e.Name, report)
 	}
-	if current && (reply.Signed || reply.RateLimit.Statement == upstream.LimitNamed) {
+	if current && (reply.Signed || reply.RateLimit.Kind == upstream.LimitSet) {
 		// A queue-full refusal that names no limit doesn't clear a known limit.
 		f.pool.ApplyLimit(now, sent, e.Name, reply.RateLimit)
 	}
@@ -120,7 +120,7 @@
 
 // WorkOf returns the work that a routed request causes at its endpoint.
 func WorkOf(r *request.Request) balance.Work {
-	work := balance.Work{Service: r.Service, Tier: r.Tier, Prompt: r.Prompt, TightGap: r.Tight, Stride: r.Stride}
+	work := balance.Work{Service: r.Service, Tier: r.Tier, Prompt: r.Prompt, TightGap: r.TightGap, Stride: r.TokensPerEvent}
 	if r.Route != nil {
 		work.MaxGap, work.Objective = r.Route.MaxGap, r.Route.Objective
 		work.Tier = r.Table.Rank(r.Tier, r.Route.Tier)
@@ -137,8 +137,8 @@
 func directRefusal(status int, reply upstream.Reply) error {
 	refusal := wire.Refusal{Run: wire.RunNot}
 	switch {
-	case reply.Moved:
-		refusal.Reason = wire.ReasonNotHere
+	case reply.WrongInstance:
+		refusal.Reason = wire.ReasonWrongEndpoint
 	case status == http.StatusBadRequest:
 		refusal.Reason = wire.ReasonBadEnvelope
 	default:
@@ -149,7 +149,7 @@
 
 // directRequest returns the caller's request with the headers of the protocol added.
 func (f *Filter) directRequest(ctx context.Context, r *request.Request) (*http.Request, error) {
-	path, query, _ := strings.Cut(r.Target, "?")
+	path, query, _ := strings.Cut(r.RequestURI, "?")
 	target := &url.URL{Scheme: "http", Host: r.Endpoint.Address, Opaque: path, RawQuery: query}
 	if strings.HasPrefix(path, "//") {
 		// net/http would parse the rest of the path as a host.
@@ -178,22 +178,22 @@
 		Endpoint:  r.Endpoint.Name,
 		Address:   r.Endpoint.Address,
 		Team:      r.TeamName,
-		Tier:      r.Table.Rank(r.Tier, r.Route.Tier),
-		Left:      max(time.Millisecond, r.Left(f.clock())),
+		Rank:      r.Table.Rank(r.Tier, r.Route.Tier),
+		TimeLeft:  max(time.Millisecond, r.TimeLeft(f.clock())),
 		LastEvent: r.Delivered.LastEvent,
 	}
-	if r.Source != nil {
-		a.FetchFrom = r.Source.Address
+	if r.FetchFrom != nil {
+		a.FetchFrom = r.FetchFrom.Address
 	}
-	if r.Copy != nil {
-		a.CopyTo = r.Copy.Address
+	if r.CopyTo != nil {
+		a.CopyTo = r.CopyTo.Address
 	}
-	a.FromCopy = r.Resume != nil
+	a.FromCopy = r.ResumeFrom != nil
 	return a
 }
 
 // hopByHopHeaders are the request headers that are not forwarded.
-var hopByHopHeaders = append([]string{"Proxy-Authenticate", "Proxy-Authorization", "Te"}, upstream.HopByHop...)
+var hopByHopHeaders = append([]string{"Proxy-Authenticate", "Proxy-Authorization", "Te"}, upstream.HopByHopHeaders...)
 
 // endToEndHeaders returns a copy of the headers without the hop-by-hop ones.
 func endToEndHeaders(from http.Header) http.Header {
--- a/internal/filters/dispatch/dispatch.go
+++ b/internal/filters/dispatch/dispatch.go
@@ -56,7 +56,7 @@
 // an error of the next filter. When Do returns, the response is closed, so nothing of this
 // attempt can reach the caller any more.
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
-	if r.Left(f.clock()) <= 0 {
+	if r.TimeLeft(f.clock()) <= 0 {
 		return &ExpiredError{}
 	}
 	body, err := attemptBody(r)
@@ -64,7 +64,7 @@
 		return err
 	}
 	// Late binding withholds the body from one of the two endpoints, so it needs a body.
-	if r.Second != nil && len(body) > 0 {
+	if r.SecondEndpoint != nil && len(body) > 0 {
 		return f.sendPair(ctx, r, body, next)
 	}
 	return f.sendOne(ctx, r, body, next)
@@ -157,24 +157,24 @@
 	now := time.Now()
 	reading, age := f.clockReadings.latest(endpoint, f.clock())
 	env := wire.Envelope{
-		Request:          r.ID,
-		Endpoint:         endpoint,
-		Epoch:            r.Epoch,
-		Kind:             r.Kind,
-		Team:             r.Team.Name,
-		Class:            r.Class.Name,
-		Tier:             r.Tier,
-		Method:           r.Method,
-		Path:             r.Path,
-		FirstTokenMillis: r.FirstTokenBy.Sub(now).Milliseconds(),
-		DeadlineMillis:   max(1, r.Left(f.clock()).Milliseconds()),
-		Heard:            reading,
-		HeardAgoMillis:   age.Milliseconds(),
-		SentUnixMillis:   now.UnixMilli(),
-		IdempotencyKey:   r.IdempotencyKey,
-		NonIdempotent:    r.NonIdempotent,
-		Resumed:          r.Delivered.Started,
-		BundleVersion:    r.Snapshot.Version(),
+		Request:             r.ID,
+		Endpoint:            endpoint,
+		Epoch:               r.Epoch,
+		Kind:                r.Kind,
+		Team:                r.Team.Name,
+		Class:               r.Class.Name,
+		Tier:                r.Tier,
+		Method:              r.Method,
+		Path:                r.Path,
+		FirstTokenMillis:    r.FirstTokenBy.Sub(now).Milliseconds(),
+		DeadlineMillis:      max(1, r.TimeLeft(f.clock()).Milliseconds()),
+		AgentClock:          reading,
+		AgentClockAgeMillis: age.Milliseconds(),
+		SentUnixMillis:      now.UnixMilli(),
+		IdempotencyKey:      r.IdempotencyKey,
+		NonIdempotent:       r.NonIdempotent,
+		Resumed:             r.Delivered.Started,
+		BundleVersion:       r.Snapshot.Version(),
 	}
 	if !r.KeyIssued.IsZero() {
 		env.KeyIssuedMillis = r.KeyIssued.UnixMilli()
--- a/internal/filters/dispatch/errors.go
+++ b/internal/filters/dispatch/errors.go
@@ -40,7 +40,7 @@
 		out.Message = "the deadline passed while the request waited"
 	}
 	switch e.Reason {
-	case wire.ReasonEngineSaysNo:
+	case wire.ReasonEngineRefused:
 		out.Status = e.EngineStatus
 		out.Type = api.TypeInvalid
 		out.Message = "the engine refused the request: " + e.EngineBody
--- a/internal/filters/dispatch/observe.go
+++ b/internal/filters/dispatch/observe.go
@@ -43,8 +43,8 @@
 	switch {
 	case err == nil || ctx.Err() != nil:
 	case errors.As(err, &noResponse):
-		f.observer.Failed(e.Name, e.Process(), noResponse.Sent)
+		f.observer.Failed(e.Name, e.ProcessID(), noResponse.Sent)
 	case errors.As(err, &broken) && broken.Ending == "":
-		f.observer.Failed(e.Name, e.Process(), true)
+		f.observer.Failed(e.Name, e.ProcessID(), true)
 	}
 }
--- a/internal/filters/dispatch/pair.go
+++ b/internal/filters/dispatch/pair.go
@@ -90,7 +90,7 @@
 // sendPair queues the request at both endpoints and runs it at the one that asks for the
 // body first.
 func (f *Filter) sendPair(ctx context.Context, r *request.Request, body []byte, next pipeline.Next) error {
-	endpoints := [2]*bundle.Endpoint{r.Endpoint, r.Second}
+	endpoints := [2]*bundle.Endpoint{r.Endpoint, r.SecondEndpoint}
 	b := &binding{winner: noWinner, body: body}
 	var pair [2]*reservation
 	for i, e := range endpoints {
--- a/internal/filters/dispatch/silent.go
+++ b/internal/filters/dispatch/silent.go
@@ -29,10 +29,10 @@
 
 // track adds the attempt at its first event. The returned function removes it.
 func (c *copiedRuns) track(r *request.Request, cancel context.CancelCauseFunc) (untrack func()) {
-	run := &copiedRun{copyEndpoint: r.Copy.Name, cancel: cancel}
-	endpoint, onEvent := r.Endpoint.Name, r.HeardEvent
+	run := &copiedRun{copyEndpoint: r.CopyTo.Name, cancel: cancel}
+	endpoint, onEvent := r.Endpoint.Name, r.OnEvent
 	tracked := false
-	r.HeardEvent = func(now time.Time) {
+	r.OnEvent = func(now time.Time) {
 		onEvent(now)
 		if !tracked {
 			tracked = true
--- a/internal/filters/match/match.go
+++ b/internal/filters/match/match.go
@@ -53,7 +53,7 @@
 
 // Do sets the request's route and the fields that follow from it.
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
-	path, _, _ := strings.Cut(r.Target, "?")
+	path, _, _ := strings.Cut(r.RequestURI, "?")
 	found := r.Table.Match(r.Host, path)
 	if found == nil {
 		return &Error{Host: r.Host, Path: path}
@@ -61,7 +61,7 @@
 	in := f.protocol.Incoming(r.Header)
 	r.Route = found
 	r.CallerID = cmp.Or(in.ID, r.ID)
-	r.Key = in.Key
+	r.APIKey = in.APIKey
 	r.Prompt = in.Prompt
 	r.Delivered.LastEvent = in.LastEvent
 	r.Service = found.Pick(f.random())
@@ -69,7 +69,7 @@
 	r.Tier = max(0, found.Tier) // clamped: 0 is the highest rank
 	r.NonIdempotent = !isIdempotent(r)
 	r.MaxRuns = found.MaxRuns
-	r.Deadline = r.Arrived.Add(requestTimeout(found.Timeout, in.Patience))
+	r.Deadline = r.Arrived.Add(requestTimeout(found.Timeout, in.CallerTimeout))
 	r.Candidates = f.endpoints(r.Service)
 	return next(ctx, r)
 }
--- a/internal/filters/narrow/narrow.go
+++ b/internal/filters/narrow/narrow.go
@@ -31,10 +31,10 @@
 // Latest returns this router's subset for the request from the current snapshot, or nil if
 // the request keeps its initial snapshot.
 func (f *Filter) Latest(r *request.Request) []*bundle.Endpoint {
-	if r.Latest == nil {
+	if r.LatestSnapshot == nil {
 		return nil
 	}
-	return f.Candidates(r.Latest(), r)
+	return f.Candidates(r.LatestSnapshot(), r)
 }
 
 // Candidates returns this router's subset of a snapshot's endpoints for the request.
--- a/internal/filters/quarantine/loss.go
+++ b/internal/filters/quarantine/loss.go
@@ -52,7 +52,7 @@
 	case err == nil, errors.As(err, &endpointErr):
 		return true
 	case errors.As(err, &refused):
-		return refused.Reason != wire.ReasonNotHere
+		return refused.Reason != wire.ReasonWrongEndpoint
 	}
 	return false
 }
--- a/internal/filters/quarantine/quarantine.go
+++ b/internal/filters/quarantine/quarantine.go
@@ -74,7 +74,7 @@
 	case err == nil && !f.table.Empty():
 		f.table.RecordCompletion(r.Identity())
 	case ctx.Err() == nil && endpointLost(err):
-		r.Lost++
+		r.EndpointsLost++
 		f.table.RecordLoss(r.Identity(), poison.Loss{
 			Endpoint: processName(r), Sent: sent, At: f.clock(), Early: r.Delivered.Tokens == 0,
 		})
@@ -87,7 +87,7 @@
 // attempt counts as a separate engine.
 func processName(r *request.Request) string {
 	if r.Kind == wire.KindRouted {
-		return r.Endpoint.Name + "/" + r.Endpoint.Process()
+		return r.Endpoint.Name + "/" + r.Endpoint.ProcessID()
 	}
 	return fmt.Sprintf("%s/%s.%d", r.Endpoint.Name, r.ID, r.Epoch)
 }
--- a/internal/filters/quarantine/quarantine_test.go
+++ b/internal/filters/quarantine/quarantine_test.go
@@ -62,7 +62,7 @@
 		"complete response": {nil, true},
 		"error response":    {&relay.EndpointError{}, true},
 		"refusal":           {&dispatch.RefusedError{Refusal: wire.Refusal{Reason: "queue_full"}}, true},
-		"another instance":  {&dispatch.RefusedError{Refusal: wire.Refusal{Reason: wire.ReasonNotHere}}, false},
+		"another instance":  {&dispatch.RefusedError{Refusal: wire.Refusal{Reason: wire.ReasonWrongEndpoint}}, false},
 		"broken connection": {&dispatch.NoResponseError{Sent: true, Cause: io.EOF}, false},
 		"timeout":           {context.DeadlineExceeded, false},
 	} {
--- a/internal/filters/relay/relay.go
+++ b/internal/filters/relay/relay.go
@@ -92,7 +92,7 @@
 		if err := deliverChunk(r, to, event.Data, chunk); err != nil {
 			return err
 		}
-		finished = finished || chunk.Whole()
+		finished = finished || chunk.Completed()
 	}
 	if finished {
 		return nil
@@ -106,7 +106,7 @@
 		return completion.Chunk{}, errors.Newf("the engine reports an error: %s", event.Data)
 	}
 	chunk, err := completion.ParseChunk(r.Kind, event.Data)
-	if err == nil && chunk.Finish != "" && !chunk.Whole() {
+	if err == nil && chunk.Finish != "" && !chunk.Completed() {
 		err = errors.Newf("the engine ended the answer early: %s", chunk.Finish)
 	}
 	return chunk, err
@@ -120,7 +120,7 @@
 	if r.Kind == wire.KindRouted || r.MaxTokens <= 0 || d.Tokens < r.MaxTokens || d.Unresumable {
 		return false, nil
 	}
-	end, err := completion.EndAtLimit(r.Kind, d.Last)
+	end, err := completion.EndAtLimit(r.Kind, d.LastChunk)
 	if err != nil {
 		return false, err
 	}
@@ -139,7 +139,7 @@
 func deliverChunk(r *request.Request, to sink, data string, c completion.Chunk) error {
 	d := &r.Delivered
 	resumed := d.ID != "" && d.ID != c.ID
-	if resumed && c.Text == "" && c.Finish == "" && !c.Opaque && !c.Usage {
+	if resumed && c.Text == "" && c.Finish == "" && !c.NonText && !c.Usage {
 		return nil // first chunk of a resumed response: the caller already has one
 	}
 	if d.ID == "" {
@@ -149,10 +149,10 @@
 	if err != nil {
 		return newBrokenError(r, err)
 	}
-	d.Unresumable = d.Unresumable || c.Opaque
-	if c.Text != "" || c.Opaque {
+	d.Unresumable = d.Unresumable || c.NonText
+	if c.Text != "" || c.NonText {
 		recordToken(r, c.Text)
-		d.Last = data
+		d.LastChunk = data
 	}
 	if err := to.chunk(data, c); err != nil {
 		return &CallerError{Cause: err}
@@ -185,8 +185,8 @@
 // service's response.
 func recordFirstToken(r *request.Request) {
 	r.Delivered.FirstToken = time.Now()
-	if r.Began != nil {
-		r.Began()
+	if r.OnFirstToken != nil {
+		r.OnFirstToken()
 	}
 }
 
@@ -214,7 +214,7 @@
 	r.Delivered.Unresumable = true
 	recordFirstToken(r)
 	r.Writer.WriteHeader(status)
-	if _, err := io.Copy(api.PieceWriter{W: r.Writer}, r.Answer.Body); err != nil {
+	if _, err := io.Copy(api.DeadlineWriter{W: r.Writer}, r.Answer.Body); err != nil {
 		return newBrokenError(r, err)
 	}
 	if readEnding(r.Answer) != wire.EndingComplete {
--- a/internal/filters/relay/routed.go
+++ b/internal/filters/relay/routed.go
@@ -47,7 +47,7 @@
 func (e *EndpointError) Write(w http.ResponseWriter) error {
 	copyHeader(w.Header(), e.Header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(e.Body)))
-	api.GiveTime(w)
+	api.ExtendWriteDeadline(w)
 	w.WriteHeader(e.Status)
 	_, err := w.Write(e.Body)
 	return err
@@ -95,7 +95,7 @@
 func relayLarge(r *request.Request, head []byte) error {
 	writeResponseHeader(r)
 	r.Delivered.Unresumable = true
-	out := api.PieceWriter{W: r.Writer}
+	out := api.DeadlineWriter{W: r.Writer}
 	if _, err := out.Write(head); err != nil {
 		return &CallerError{Cause: err}
 	}
@@ -128,13 +128,13 @@
 	for {
 		n, err := r.Answer.Body.Read(buf)
 		buffered = append(buffered, buf[:n]...)
-		if n > 0 && r.Heard != nil {
-			r.Heard(time.Now())
+		if n > 0 && r.OnData != nil {
+			r.OnData(time.Now())
 		}
 		end := completeEventsLen(buffered)
 		if end > 0 {
-			if r.HeardEvent != nil {
-				r.HeardEvent(time.Now())
+			if r.OnEvent != nil {
+				r.OnEvent(time.Now())
 			}
 			if err := deliverEvents(r, rc, buffered[:end]); err != nil {
 				return err
@@ -163,7 +163,7 @@
 
 func deliverEvents(r *request.Request, rc *http.ResponseController, events []byte) error {
 	writeResponseHeader(r)
-	api.GiveTime(r.Writer)
+	api.ExtendWriteDeadline(r.Writer)
 	if _, err := r.Writer.Write(events); err != nil {
 		return &CallerError{Cause: err}
 	}
@@ -184,10 +184,10 @@
 func recordGap(r *request.Request) {
 	d := &r.Delivered
 	now := time.Now()
-	if !d.LastAt.IsZero() {
-		d.MaxGap = max(d.MaxGap, now.Sub(d.LastAt))
+	if !d.LastSentAt.IsZero() {
+		d.MaxGap = max(d.MaxGap, now.Sub(d.LastSentAt))
 	}
-	d.LastAt = now
+	d.LastSentAt = now
 }
 
 var (
@@ -225,7 +225,7 @@
 }
 
 // connectionHeaders are hop-by-hop headers, and headers that the router sets itself.
-var connectionHeaders = append([]string{"Content-Length"}, upstream.HopByHop...)
+var connectionHeaders = append([]string{"Content-Length"}, upstream.HopByHopHeaders...)
 
 // copyHeader copies response headers but leaves the caller's connection headers alone,
 // such as "Connection: close" set by a router that is stopping.
--- a/internal/filters/relay/sink.go
+++ b/internal/filters/relay/sink.go
@@ -56,7 +56,7 @@
 func (s *streamSink) writeEvent(data string) error {
 	if !s.unflushed {
 		s.unflushed = true
-		api.GiveTime(s.r.Writer)
+		api.ExtendWriteDeadline(s.r.Writer)
 	}
 	return sse.WriteData(s.r.Writer, data)
 }
@@ -97,7 +97,7 @@
 	h.Set("Content-Type", "application/json")
 	h.Set(api.HeaderRequestID, s.r.ID)
 	s.r.Delivered.Started = true
-	api.GiveTime(s.r.Writer)
+	api.ExtendWriteDeadline(s.r.Writer)
 	s.r.Writer.WriteHeader(http.StatusOK)
 	_, err = s.r.Writer.Write(body)
 	return err
--- a/internal/filters/shed/shed.go
+++ b/internal/filters/shed/shed.go
@@ -82,7 +82,7 @@
 		t.Refused(now, r.Tier)
 		return &Error{Tier: r.Tier, RetryAfter: f.retryAfter(now, r)}
 	}
-	r.Began = func() { t.Accepted(time.Now(), r.Tier) }
+	r.OnFirstToken = func() { t.Accepted(time.Now(), r.Tier) }
 	err := next(ctx, r)
 	if err != nil && r.Delivered.FirstToken.IsZero() && ctx.Err() == nil {
 		t.Refused(time.Now(), r.Tier)
--- a/internal/filters/shed/shed_test.go
+++ b/internal/filters/shed/shed_test.go
@@ -74,7 +74,7 @@
 		f, send := newOverloadedFilter(g, full)
 		begin := func(_ context.Context, r *request.Request) error {
 			r.Delivered.FirstToken = time.Now()
-			r.Began()
+			r.OnFirstToken()
 			return nil
 		}
 		for range 100 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -53,7 +53,7 @@
 	// ShutdownGrace is how long Stop waits for open requests.
 	ShutdownGrace time.Duration
 	// RouterStop and AgentStop are how processes stop that are replaced.
-	RouterStop, AgentStop server.Plan
+	RouterStop, AgentStop server.ShutdownPlan
 	Profile               Profile
 	Membership            Membership
 	// Network is what the parts talk over; nil is the loopback interface.
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -20,10 +20,10 @@
 		cfg = *f.spec.Keys
 		cfg.Self = once.Member{Name: name, VM: vmOf(name)}
 	} else {
-		cfg.Skew = 0
-		cfg.Settle = 0
+		cfg.MaxClockSkew = 0
+		cfg.SettleTime = 0
 	}
-	cfg.Founding = f.bundle == nil
+	cfg.Bootstrap = f.bundle == nil
 	return cfg
 }
 
@@ -31,10 +31,10 @@
 
 func (f *Fleet) keys(n *AgentNode) agent.Keys {
 	return agent.Keys{
-		Once:   f.keyConfig(n.Name),
-		Peers:  n.peerClient,
-		Scheme: "https",
-		Ignore: f.spec.Profile.IgnoreKeys,
+		Once:      f.keyConfig(n.Name),
+		Peers:     n.peerClient,
+		Scheme:    "https",
+		SkipCheck: f.spec.Profile.IgnoreKeys,
 	}
 }
 
@@ -63,7 +63,7 @@
 func adopt(b *bundle.Bundle, agents ...*AgentNode) {
 	s := bundle.NewSnapshot(b)
 	for _, n := range agents {
-		n.Agent.Adopt(s)
+		n.Agent.UpdateKeyHomes(s)
 		n.followPlacement(b)
 	}
 }
--- a/internal/fleet/keys_test.go
+++ b/internal/fleet/keys_test.go
@@ -96,7 +96,7 @@
 		s.file(0, id, issued)
 		s.g.Expect(s.fleet.RestartAgent(0)).To(Succeed())
 		s.file(1, id, issued)
-		time.Sleep(cfg.Settle + 2*time.Second)
+		time.Sleep(cfg.SettleTime + 2*time.Second)
 		s.file(1, id, issued)
 		s.g.Expect(s.runs()).To(Equal(1))
 		time.Sleep(5 * time.Second)
--- a/internal/fleet/leaving_test.go
+++ b/internal/fleet/leaving_test.go
@@ -73,8 +73,8 @@
 func TestRollingReplacementCutsOffNothing(t *testing.T) {
 	sp := spec()
 	sp.Routers = 2
-	sp.RouterStop = server.Plan{Notice: time.Second, Grace: time.Minute, Margin: time.Second}
-	sp.AgentStop = server.Plan{Notice: 500 * time.Millisecond, Grace: 4 * time.Second, Margin: 2 * time.Second}
+	sp.RouterStop = server.ShutdownPlan{DrainTime: time.Second, Grace: time.Minute, HandoverMargin: time.Second}
+	sp.AgentStop = server.ShutdownPlan{DrainTime: 500 * time.Millisecond, Grace: 4 * time.Second, HandoverMargin: 2 * time.Second}
 	playSession(t, sp, func(s *session) {
 		before := s.fleet.Bundle().Version
 		var wg sync.WaitGroup
@@ -115,10 +115,10 @@
 func TestSessionRouterEnds(t *testing.T) {
 	runSession(t, spec(), func(s *session) {
 		rt := s.fleet.Routers()[0].Router
-		rt.Leave()
+		rt.CloseCallerConnections()
 		s.call(s.t.Context(), chatPath, chat(100), nil, func(pieces int) {
 			if pieces == 3 {
-				rt.EndOpen()
+				rt.AbortOpenRequests()
 			}
 		})
 		time.Sleep(100 * time.Millisecond) // fake time
--- a/internal/fleet/limits_test.go
+++ b/internal/fleet/limits_test.go
@@ -87,7 +87,7 @@
 
 func TestTeamLimitHoldsAcrossRoutersOfAFleet(t *testing.T) {
 	// 400 rounds of two requests, of some 25 ms each when they are let in.
-	alone := admitted(t, limits.Alone, false)
+	alone := admitted(t, limits.PerRouter, false)
 	for _, cut := range []bool{false, true} {
 		t.Run(fmt.Sprint("cut ", cut), func(t *testing.T) {
 			NewWithT(t).Expect(admitted(t, limits.Shared, cut)).To(BeNumerically("<", alone*7/10))
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -102,11 +102,11 @@
 	return m
 }
 
-func (f *Fleet) platform(router string) []*membership.Platform {
+func (f *Fleet) platform(router string) []*membership.PlatformClient {
 	client := server.NewClient(nil, f.network.Dialer(router))
-	var servers []*membership.Platform
+	var servers []*membership.PlatformClient
 	for _, url := range f.spec.Membership.VMList {
-		servers = append(servers, membership.NewPlatform(client, url))
+		servers = append(servers, membership.NewPlatformClient(client, url))
 	}
 	return servers
 }
@@ -184,7 +184,7 @@
 func (n *AgentNode) Leave() {
 	n.leave()
 	if n.goodbye != nil {
-		n.goodbye.Say()
+		n.goodbye.Start()
 	}
 }
 
--- a/internal/fleet/nodes.go
+++ b/internal/fleet/nodes.go
@@ -34,7 +34,7 @@
 	Placement     *placement.Runner
 	stopPlacement func()
 	// goodbye tells routers that the agent leaves; nil if it tells none.
-	goodbye *membership.Goodbye
+	goodbye *membership.Delivery
 }
 
 // Address is where the agent takes attempts.
@@ -45,17 +45,17 @@
 
 // stop ends the agent at a fleet's end, when no router is left to tell.
 func (n *AgentNode) stop() error {
-	return n.stopBy(server.Plan{Grace: n.server.Grace()}, n.leave)
+	return n.stopBy(server.ShutdownPlan{Grace: n.server.Grace()}, n.leave)
 }
 
 // replace ends the agent while routers go on.
-func (n *AgentNode) replace(p server.Plan) error {
+func (n *AgentNode) replace(p server.ShutdownPlan) error {
 	err := n.stopBy(p, n.Leave)
 	n.leaveTaken()
 	return err
 }
 
-func (n *AgentNode) stopBy(p server.Plan, leave func()) error {
+func (n *AgentNode) stopBy(p server.ShutdownPlan, leave func()) error {
 	err := p.Run(leave, func() { n.Agent.HandOver() }, func() error { return n.server.StopWithin(p.Grace) })
 	n.stopPlacement()
 	n.stopKeys()
@@ -75,12 +75,12 @@
 
 // stop ends the router and its front.
 func (n *RouterNode) stop() error {
-	err := n.stopBy(server.Plan{Grace: n.server.Grace()})
+	err := n.stopBy(server.ShutdownPlan{Grace: n.server.Grace()})
 	return errors.CombineErrors(err, n.front.listener.Close())
 }
 
-func (n *RouterNode) stopBy(p server.Plan) error {
-	err := p.Run(n.Router.Leave, n.Router.EndOpen, func() error { return n.server.StopWithin(p.Grace) })
+func (n *RouterNode) stopBy(p server.ShutdownPlan) error {
+	err := p.Run(n.Router.CloseCallerConnections, n.Router.AbortOpenRequests, func() error { return n.server.StopWithin(p.Grace) })
 	n.limits.stop()
 	err = errors.CombineErrors(err, n.member.stop())
 	n.client.CloseIdleConnections()
@@ -112,7 +112,7 @@
 	handler := f.withPlacement(node, node.Agent.Handler())
 	if !f.spec.Membership.Silent && !f.spec.Profile.IgnoreMembership {
 		announcer := f.newAnnouncer(node, id)
-		node.goodbye = membership.NewGoodbye(announcer)
+		node.goodbye = membership.NewDelivery(announcer)
 		handler = announcer.Wrap(handler)
 	}
 	node.server, err = f.serve(anyPort, handler, id)
@@ -150,27 +150,27 @@
 	nameAt := func(address string) (string, bool) { return rt.Snapshot().EndpointAt(address) }
 	client := server.NewTLSClient(id.DialTLS(f.network.Dialer(name), identity.RoleAgent, nameAt))
 	cfg := router.Config{
-		Name:         name,
-		Snapshot:     bundle.NewSnapshot(f.bundle),
-		Pool:         balance.NewPool(balance.Config{Policy: f.spec.Profile.Balance, Seed: uint64(i)}),
-		Client:       client,
-		Scheme:       "https",
-		Retry:        f.spec.Profile.Retry(),
-		Throttle:     f.spec.Profile.Throttle,
-		IgnoreKeys:   f.spec.Profile.IgnoreKeys,
-		LateBinding:  f.spec.Profile.LateBinding,
-		Rand:         f.spec.Rand,
-		BodyTimeout:  bodyTimeout,
-		MaxOpen:      maxOpen,
-		MaxBodyBytes: maxBodyBytes,
-		NewID:        f.spec.NewID,
-		Clock:        f.spec.Clock,
-		Log:          f.spec.Log.With().Str("role", "router").Logger(),
+		Name:                  name,
+		Snapshot:              bundle.NewSnapshot(f.bundle),
+		Pool:                  balance.NewPool(balance.Config{Policy: f.spec.Profile.Balance, Seed: uint64(i)}),
+		Client:                client,
+		Scheme:                "https",
+		Retry:                 f.spec.Profile.Retry(),
+		Throttle:              f.spec.Profile.Throttle,
+		IgnoreIdempotencyKeys: f.spec.Profile.IgnoreKeys,
+		LateBinding:           f.spec.Profile.LateBinding,
+		Rand:                  f.spec.Rand,
+		BodyTimeout:           bodyTimeout,
+		MaxOpen:               maxOpen,
+		MaxBodyBytes:          maxBodyBytes,
+		NewID:                 f.spec.NewID,
+		Clock:                 f.spec.Clock,
+		Log:                   f.spec.Log.With().Str("role", "router").Logger(),
 	}
 	address := anyPort
 	if i == 0 && before == nil {
 		cfg.Metrics = f.spec.Metrics
-		cfg.Service = f.spec.Service
+		cfg.SLO = f.spec.Service
 		if f.spec.RouterAddress != "" {
 			address = f.spec.RouterAddress
 		}
@@ -239,7 +239,7 @@
 		Log:            f.spec.Log,
 	}
 	if id == nil {
-		cfg.Linger = f.spec.RouterStop.Linger
+		cfg.QuietPeriod = f.spec.RouterStop.QuietPeriod
 	} else {
 		cfg.TLS = id.ServerConfig(identity.RoleRouter, identity.RoleAgent)
 	}
--- a/internal/fleet/profile.go
+++ b/internal/fleet/profile.go
@@ -45,11 +45,11 @@
 		Balance:   &balance.RoundRobin{},
 		Scheduler: newFIFO,
 		Retry:     func() attempts.Policy { return retry.Naive{Max: defaultMaxAttempts} },
-		Throttle:  throttle.Config{Off: true},
+		Throttle:  throttle.Config{Disabled: true},
 
 		IgnoreKeys:       true,
 		IgnoreMembership: true,
-		TeamLimits:       limits.Alone,
+		TeamLimits:       limits.PerRouter,
 	}
 }
 
--- a/internal/identity/authority.go
+++ b/internal/identity/authority.go
@@ -95,7 +95,7 @@
 	}
 	end := a.now().Add(validity)
 	if end.After(a.cert.NotAfter) {
-		return Pair{}, peerErrorf(ErrOutlives, "the authority's certificate expires %s", a.cert.NotAfter.UTC().Format(time.RFC3339))
+		return Pair{}, peerErrorf(ErrValidityTooLong, "the authority's certificate expires %s", a.cert.NotAfter.UTC().Format(time.RFC3339))
 	}
 	return a.issue(Peer{Role: role, Name: name}, end)
 }
--- a/internal/identity/errors.go
+++ b/internal/identity/errors.go
@@ -32,7 +32,7 @@
 	// ErrChanged: a reload would have changed the process's role or name.
 	ErrChanged = errors.New("identity changed")
 	// ErrValidityTooLong: a certificate would expire after its authority.
-	ErrOutlives = errors.New("certificate would outlive its authority")
+	ErrValidityTooLong = errors.New("certificate would outlive its authority")
 )
 
 // PeerError is one of the errors above with a detail.
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -251,7 +251,7 @@
 	ca, err := identity.NewAuthority(time.Hour, identity.WithClock(f.clock))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	_, err = ca.Issue(identity.RoleRouter, "r1", 2*time.Hour)
-	g.Expect(errors.Is(err, identity.ErrOutlives)).To(gomega.BeTrue())
+	g.Expect(errors.Is(err, identity.ErrValidityTooLong)).To(gomega.BeTrue())
 	_, err = ca.Issue("king", "r1", time.Minute)
 	g.Expect(errors.Is(err, identity.ErrBadPeer)).To(gomega.BeTrue())
 	for _, name := range []string{"", "a/b", "-a", "a b", "ä"} {
--- a/internal/idle/idle.go
+++ b/internal/idle/idle.go
@@ -74,7 +74,7 @@
 
 // MarkActive records activity on a context, which extends its idle timeout. It does
 // nothing unless the context or a parent is from WithTimeout.
-func Heard(ctx context.Context) {
+func MarkActive(ctx context.Context) {
 	w, _ := ctx.Value(timerKey{}).(*idleTimer)
 	for now := time.Now(); w != nil; w = w.parent {
 		w.extend(now)
@@ -100,7 +100,7 @@
 func (r reader) Read(p []byte) (int, error) {
 	n, err := r.source.Read(p[:min(len(p), maxReadSize)])
 	if n > 0 {
-		Heard(r.ctx)
+		MarkActive(r.ctx)
 	}
 	if onRead, ok := r.ctx.Value(counterKey{}).(func(int)); ok && n > 0 {
 		onRead(n)
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -39,7 +39,7 @@
 		defer cancel()
 		for range 100 {
 			time.Sleep(idleTimeout - time.Millisecond)
-			idle.Heard(ctx)
+			idle.MarkActive(ctx)
 		}
 		g.Expect(ctx.Err()).NotTo(HaveOccurred())
 		last := time.Now()
@@ -53,7 +53,7 @@
 		ctx, cancel := idle.WithTimeout(context.Background(), initial, idleTimeout)
 		defer cancel()
 		begun := time.Now()
-		idle.Heard(ctx)
+		idle.MarkActive(ctx)
 		<-ctx.Done()
 		g.Expect(time.Since(begun)).To(Equal(initial))
 	})
@@ -69,7 +69,7 @@
 		defer cancel()
 		for range 10 {
 			time.Sleep(idleTimeout / 2)
-			idle.Heard(inner)
+			idle.MarkActive(inner)
 		}
 		g.Expect(outer.Err()).NotTo(HaveOccurred())
 	})
@@ -134,6 +134,6 @@
 		cancel()
 		time.Sleep(2 * initial)
 		g.Expect(context.Cause(ctx)).To(MatchError(context.Canceled))
-		idle.Heard(context.Background()) // nothing to extend
+		idle.MarkActive(context.Background()) // nothing to extend
 	})
 }
--- a/internal/jsonc/document.go
+++ b/internal/jsonc/document.go
@@ -18,8 +18,8 @@
 	MaxSize = 8 << 20
 	// MaxDepth is the maximum nesting of objects and lists.
 	MaxDepth = 64
-	// MaxKey is the maximum length of a key as written, in bytes.
-	MaxKey = 256
+	// MaxKeyLength is the maximum length of a key as written, in bytes.
+	MaxKeyLength = 256
 )
 
 // Document is a parsed document. It is immutable and safe for concurrent use.
@@ -47,7 +47,7 @@
 	}
 	d.root = root
 	if name := overlongKey(&d.root); name != nil {
-		msg := fmt.Sprintf("key too long; at most %d bytes are allowed", MaxKey)
+		msg := fmt.Sprintf("key too long; at most %d bytes are allowed", MaxKeyLength)
 		return nil, Problems{d.problemAt(name.StartOffset, "", msg)}
 	}
 	return d, nil
@@ -65,7 +65,7 @@
 	case *hujson.Object:
 		for i := range node.Members {
 			m := &node.Members[i]
-			if m.Name.EndOffset-m.Name.StartOffset > MaxKey {
+			if m.Name.EndOffset-m.Name.StartOffset > MaxKeyLength {
 				return &m.Name
 			}
 			if name := overlongKey(&m.Value); name != nil {
--- a/internal/jsonc/jsonc_test.go
+++ b/internal/jsonc/jsonc_test.go
@@ -200,7 +200,7 @@
 	})
 
 	It("limits the size, the nesting and the keys", func() {
-		long := `"` + strings.Repeat("k", jsonc.MaxKey-2) + `"`
+		long := `"` + strings.Repeat("k", jsonc.MaxKeyLength-2) + `"`
 		Expect(decode("{"+long+": [{}]}", new(any))).To(BeEmpty())
 		Expect(parseError(`[{"a": {"b": 1, "k` + long[1:] + `: 1}}]`)).To(Equal("f.jsonc:1:17: key too long; at most 256 bytes are allowed"))
 		Expect(parseError(strings.Repeat(" ", jsonc.MaxSize+1))).To(ContainSubstring("at most 8388608 bytes are allowed"))
--- a/internal/jsonc/path.go
+++ b/internal/jsonc/path.go
@@ -14,8 +14,8 @@
 
 func isPlain(key string) bool { return key != "" && plainKey.FindString(key) == key }
 
-// Key returns the path of a member of the object at path.
-func Key(path, key string) string {
+// MemberPath returns the path of a member of the object at path.
+func MemberPath(path, key string) string {
 	switch {
 	case !isPlain(key):
 		return path + "[" + strconv.Quote(key) + "]"
@@ -26,8 +26,8 @@
 	}
 }
 
-// Index returns the path of an element of the list at path.
-func Index(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
+// ElementPath returns the path of an element of the list at path.
+func ElementPath(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
 
 // chain represents a path as a linked list of steps, from the last one back to the first. It
 // is formatted only for a problem, since formatting the path of each value of a large document
@@ -47,9 +47,9 @@
 	case c == nil:
 		return ""
 	case c.last.isIndex:
-		return Index(c.parent.String(), c.last.index)
+		return ElementPath(c.parent.String(), c.last.index)
 	default:
-		return Key(c.parent.String(), c.last.key)
+		return MemberPath(c.parent.String(), c.last.key)
 	}
 }
 
--- a/internal/limits/errors.go
+++ b/internal/limits/errors.go
@@ -7,7 +7,7 @@
 )
 
 // ExceededError reports that a request exceeds a limit of its team.
-type Reached struct {
+type ExceededError struct {
 	// Kind is the kind of the limit.
 	Kind credit.Kind
 	// RetryAfter is the estimated time until a request can be admitted.
@@ -15,4 +15,6 @@
 }
 
 // Error implements error.
-func (e *Reached) Error() string { return "limits: the limit of " + string(e.Kind) + " is reached" }
+func (e *ExceededError) Error() string {
+	return "limits: the limit of " + string(e.Kind) + " is reached"
+}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -37,7 +37,7 @@
 	// Shared leases credits from owners; it is the default.
 	Shared Mode = ""
 	// PerRouter enforces the whole of each limit at each router.
-	Alone Mode = "alone"
+	PerRouter Mode = "alone"
 	// FairShare enforces the limit divided by the number of routers at each.
 	FairShare Mode = "fair-share"
 )
@@ -113,7 +113,7 @@
 	u := sh.usage(now, l.topology.Load(), team)
 	ticket, err := u.admit(now, tier)
 	if err != nil {
-		var exceeded *Reached
+		var exceeded *ExceededError
 		if errors.As(err, &exceeded) {
 			l.metrics.refused.WithLabelValues(string(exceeded.Kind)).Inc()
 		}
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -168,7 +168,7 @@
 // The other modes fail what TestLimitHoldsAcrossRouters checks: PerRouter exceeds
 // the bound and FairShare leaves much of the limit unused under skewed demand.
 func TestPerRouterModeAdmitsTooMuchAndFairShareTooLittle(t *testing.T) {
-	runCluster(t, 8, Alone, requestLimit, func(c *cluster) {
+	runCluster(t, 8, PerRouter, requestLimit, func(c *cluster) {
 		c.Expect(sum(c.send(c.skewed(4*perSecond), trialLength))).To(gomega.BeNumerically(">", admissionBound(trialLength)))
 	})
 	runCluster(t, 8, FairShare, requestLimit, func(c *cluster) {
--- a/internal/limits/message.go
+++ b/internal/limits/message.go
@@ -108,12 +108,12 @@
 
 func valid(n float64) bool { return n >= 0 && !math.IsInf(n, 0) }
 
-func newRateRequest(a credit.Ask) *RateRequest {
+func newRateRequest(a credit.LeaseRequest) *RateRequest {
 	return &RateRequest{Seq: a.Seq, Want: trimZeros(a.Want[:]), Return: a.Return}
 }
 
-func (a *RateRequest) toCredit(holder string) credit.Ask {
-	out := credit.Ask{Holder: holder, Seq: a.Seq, Return: a.Return}
+func (a *RateRequest) toCredit(holder string) credit.LeaseRequest {
+	out := credit.LeaseRequest{Holder: holder, Seq: a.Seq, Return: a.Return}
 	copy(out.Want[:], a.Want)
 	return out
 }
--- a/internal/limits/owner.go
+++ b/internal/limits/owner.go
@@ -19,8 +19,8 @@
 // teamOwner issues the credits and permits of one team. A limit that isn't set
 // is nil.
 type teamOwner struct {
-	requests *credit.Home
-	tokens   *credit.Home
+	requests *credit.Owner
+	tokens   *credit.Owner
 	permits  *credit.PermitOwner
 }
 
@@ -67,12 +67,12 @@
 	o.updatePermits(now, t, limits.Concurrency)
 }
 
-func updateRate(now time.Time, t *topology, o *credit.Home, perSecond float64) *credit.Home {
+func updateRate(now time.Time, t *topology, o *credit.Owner, perSecond float64) *credit.Owner {
 	switch {
 	case perSecond <= 0:
 		return nil
 	case o == nil:
-		return credit.NewHome(now, t.creditConfig(perSecond))
+		return credit.NewOwner(now, t.creditConfig(perSecond))
 	}
 	o.SetRate(now, perSecond)
 	return o
@@ -124,11 +124,11 @@
 	return g, true
 }
 
-func grantRate(now time.Time, o *credit.Home, holder string, a *RateRequest, r reachability) *RateGrant {
+func grantRate(now time.Time, o *credit.Owner, holder string, a *RateRequest, r reachability) *RateGrant {
 	if o == nil || a == nil {
 		return nil
 	}
 	o.SetReachable(now, r.reachable, r.total)
-	grant := o.Ask(now, a.toCredit(holder))
+	grant := o.Grant(now, a.toCredit(holder))
 	return &RateGrant{Seq: grant.Seq, Amount: grant.Amount}
 }
--- a/internal/limits/shared.go
+++ b/internal/limits/shared.go
@@ -87,7 +87,7 @@
 	if !ok {
 		return nil
 	}
-	a, due := h.Next(now)
+	a, due := h.NextRequest(now)
 	if !due {
 		return nil
 	}
@@ -97,10 +97,10 @@
 // applyGrant applies the owner's grants to the team's holders.
 func (u *usage) applyGrant(now time.Time, g TeamGrant) {
 	if h, ok := u.requests.(sharedRate); ok && g.Requests != nil {
-		h.Granted(now, credit.Grant{Seq: g.Requests.Seq, Amount: g.Requests.Amount})
+		h.ApplyGrant(now, credit.Grant{Seq: g.Requests.Seq, Amount: g.Requests.Amount})
 	}
 	if h, ok := u.tokens.(sharedRate); ok && g.Tokens != nil {
-		h.Granted(now, credit.Grant{Seq: g.Tokens.Seq, Amount: g.Tokens.Amount})
+		h.ApplyGrant(now, credit.Grant{Seq: g.Tokens.Seq, Amount: g.Tokens.Amount})
 	}
 	if p, ok := u.concurrency.(sharedConcurrency); ok && g.Permits != nil {
 		p.ApplyGrant(now, credit.PermitGrant{Seq: g.Permits.Seq, Quota: g.Permits.Quota})
--- a/internal/limits/topology.go
+++ b/internal/limits/topology.go
@@ -35,7 +35,7 @@
 		t.routerCount++ // this router uses limits, too, although it isn't in the bundle
 	}
 	if t.routerCount == 1 || (t.mode == Shared && cfg.Sender == nil) {
-		t.mode = Alone
+		t.mode = PerRouter
 	}
 	for i := range b.Teams {
 		t.addTeam(&b.Teams[i], names)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -38,7 +38,7 @@
 func (r Report) QueuedAhead(tier int) int { return sum(r.Queued[:tier+1]) }
 
 // CountBelow counts the waiting and running requests of tiers lower than the given one.
-func (r Report) Below(tier int) int {
+func (r Report) CountBelow(tier int) int {
 	return sum(r.Queued[tier+1:]) + sum(r.Running[tier+1:])
 }
 
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -24,7 +24,7 @@
 // endpoint name. Events about endpoints that the bundle doesn't define are ignored.
 func (c *Core) Apply(now time.Time, ev Event) []Change {
 	switch ev := ev.(type) {
-	case Bundle:
+	case BundleApplied:
 		return c.setBundle(now, ev)
 	case ListRead:
 		if c.applyList(now, ev) {
@@ -33,11 +33,11 @@
 	case ListUnchanged:
 		c.list.advance(now, ev.At)
 		return c.evaluateAll(now)
-	case OwnWord:
+	case AgentStatus:
 		if e := c.endpoints[ev.Endpoint]; e != nil && e.applyStatus(now, ev) {
 			return c.evaluate(now, e, nil)
 		}
-	case Silence:
+	case Unresponsive:
 		if e := c.endpoints[ev.Endpoint]; e != nil {
 			e.unresponsiveAt = now
 			return c.evaluate(now, e, nil)
@@ -63,7 +63,7 @@
 // Accepts reports whether a status comes from an endpoint of the bundle and not
 // from an incarnation that has since been replaced. If it returns false, the load
 // report that came with the status must be ignored too.
-func (c *Core) Accepts(status OwnWord) bool {
+func (c *Core) Accepts(status AgentStatus) bool {
 	e := c.endpoints[status.Endpoint]
 	return e != nil && !e.isOutdated(status)
 }
@@ -82,10 +82,10 @@
 // setBundle replaces the set of endpoints. An endpoint whose VM, address and
 // incarnation are unchanged keeps everything. Of a changed one only the last state
 // and the incarnations are kept; delayed messages from these may still arrive.
-func (c *Core) setBundle(now time.Time, b Bundle) []Change {
+func (c *Core) setBundle(now time.Time, b BundleApplied) []Change {
 	var changes []Change
-	next := make(map[string]*endpointState, len(b.Places))
-	for _, spec := range b.Places {
+	next := make(map[string]*endpointState, len(b.Endpoints))
+	for _, spec := range b.Endpoints {
 		before := c.endpoints[spec.Endpoint]
 		e := before
 		if e == nil || e.spec != spec {
--- a/internal/membership/core_test.go
+++ b/internal/membership/core_test.go
@@ -27,10 +27,10 @@
 	return s
 }
 
-func bundleOf(n int) Bundle {
-	var b Bundle
+func bundleOf(n int) BundleApplied {
+	var b BundleApplied
 	for i := range n {
-		b.Places = append(b.Places, Place{Endpoint: fmt.Sprint("e", i), VM: fmt.Sprint("vm", i)})
+		b.Endpoints = append(b.Endpoints, EndpointSpec{Endpoint: fmt.Sprint("e", i), VM: fmt.Sprint("vm", i)})
 	}
 	return b
 }
@@ -53,7 +53,7 @@
 func (s *coreFixture) applyStatus(via Reason, incarnation, seq string, leaving bool) {
 	n, err := strconv.ParseUint(seq, 10, 64)
 	s.g.Expect(err).NotTo(HaveOccurred())
-	s.apply(OwnWord{Endpoint: "e0", Incarnation: incarnation, Seq: n, Leaving: leaving, Via: via})
+	s.apply(AgentStatus{Endpoint: "e0", Incarnation: incarnation, Seq: n, Leaving: leaving, Via: via})
 }
 
 func (s *coreFixture) advanceTime(d string) {
@@ -81,7 +81,7 @@
 	case "bundle":
 		s.apply(bundleOf(len(args)))
 	case "moved":
-		s.apply(Bundle{Places: []Place{{Endpoint: "e0", VM: "vm9", Address: "10.0.0.9:1"}}})
+		s.apply(BundleApplied{Endpoints: []EndpointSpec{{Endpoint: "e0", VM: "vm9", Address: "10.0.0.9:1"}}})
 	case "is":
 		s.g.Expect([]string{string(m.State), string(m.Reason)}).To(Equal(args))
 	case "probed":
@@ -91,7 +91,7 @@
 	case "age":
 		s.g.Expect(age.String()).To(Equal(args[0]))
 	case "late":
-		s.g.Expect(s.core.Accepts(OwnWord{Endpoint: "e0", Incarnation: args[0]})).To(BeFalse())
+		s.g.Expect(s.core.Accepts(AgentStatus{Endpoint: "e0", Incarnation: args[0]})).To(BeFalse())
 	default:
 		panic(verb)
 	}
@@ -143,9 +143,9 @@
 func TestOnlyEndpointsOfTheBundleAreUsed(t *testing.T) {
 	s := newCoreFixture(NewWithT(t), 1)
 	s.readList("0s", []string{"0", "4"})
-	s.apply(OwnWord{Endpoint: "e4", Incarnation: "a"})
+	s.apply(AgentStatus{Endpoint: "e4", Incarnation: "a"})
 	s.g.Expect(s.core.Members()).To(HaveLen(1))
-	changes := s.apply(Bundle{Places: []Place{{Endpoint: "e1", VM: "vm1"}}})
+	changes := s.apply(BundleApplied{Endpoints: []EndpointSpec{{Endpoint: "e1", VM: "vm1"}}})
 	s.g.Expect(changes).To(Equal([]Change{{Endpoint: "e0", From: Live, To: Gone, Reason: ReasonBundle}}))
 }
 
@@ -182,7 +182,7 @@
 func TestUnresponsiveEndpointIsSuspectUntilItResponds(t *testing.T) {
 	g := NewWithT(t)
 	s := newCoreFixture(g, 2)
-	s.apply(Silence{Endpoint: "e0"})
+	s.apply(Unresponsive{Endpoint: "e0"})
 	g.Expect(s.core.Members()[0].State).To(Equal(Suspect))
 	s.advanceTime("600ms")
 	g.Expect(s.core.Probes(s.now)).To(Equal([]string{"e0"}))
@@ -194,7 +194,7 @@
 	g := NewWithT(t)
 	s := newCoreFixture(g, 2)
 	for range 5 {
-		s.apply(Silence{Endpoint: "e0"})
+		s.apply(Unresponsive{Endpoint: "e0"})
 		s.advanceTime("200ms")
 		s.applyStatus(ReasonCheck, "a", "0", false)
 		s.core.Tick(s.now)
@@ -209,7 +209,7 @@
 func TestUnresponsiveEndpointIsProbedEachSecondUntilItResponds(t *testing.T) {
 	g := NewWithT(t)
 	s := newCoreFixture(g, 2)
-	s.apply(Silence{Endpoint: "e0"})
+	s.apply(Unresponsive{Endpoint: "e0"})
 	checks := 0
 	for range 40 {
 		s.advanceTime("250ms")
--- a/internal/membership/endpoint_state.go
+++ b/internal/membership/endpoint_state.go
@@ -21,7 +21,7 @@
 
 // endpointState holds everything known about one endpoint.
 type endpointState struct {
-	spec Place
+	spec EndpointSpec
 
 	listStatus    listStatus
 	listChangedAt time.Time // when listStatus changed
@@ -56,7 +56,7 @@
 // newEndpointState returns the state of an endpoint that is new or has changed in
 // the bundle. It keeps only the state and the incarnations of before, which may be
 // nil.
-func newEndpointState(spec Place, now time.Time, before *endpointState) *endpointState {
+func newEndpointState(spec EndpointSpec, now time.Time, before *endpointState) *endpointState {
 	e := &endpointState{spec: spec, state: Live, reason: ReasonBundle, since: now}
 	if before != nil {
 		e.previousIncarnations = before.previousIncarnations
@@ -74,7 +74,7 @@
 
 // mayRun reports whether the endpoint's process may be of this incarnation: true if
 // either incarnation is unknown.
-func (spec Place) mayRun(incarnation string) bool {
+func (spec EndpointSpec) mayRun(incarnation string) bool {
 	return spec.Incarnation == "" || incarnation == "" || spec.Incarnation == incarnation
 }
 
@@ -92,7 +92,7 @@
 // starts from its start time by its VM's clock. If that clock was set back, a
 // new incarnation is ignored until the clock has caught up or the bundle changes the
 // endpoint's VM, address or incarnation.
-func (e *endpointState) isOutdated(status OwnWord) bool {
+func (e *endpointState) isOutdated(status AgentStatus) bool {
 	if slices.Contains(e.previousIncarnations, status.Incarnation) || !e.spec.mayRun(status.Incarnation) {
 		return true
 	}
@@ -101,7 +101,7 @@
 
 // applyStatus applies an agent's status. It returns false and changes nothing if the
 // status comes from a replaced incarnation.
-func (e *endpointState) applyStatus(now time.Time, status OwnWord) bool {
+func (e *endpointState) applyStatus(now time.Time, status AgentStatus) bool {
 	if e.isOutdated(status) {
 		return false
 	}
@@ -136,7 +136,7 @@
 // respondsAfterFailure reports whether a status answers a request that was sent after
 // connections began to fail. Such a response doesn't show whether the process has been
 // replaced. Health checks are excluded, as they report the process's state themselves.
-func (e *endpointState) respondsAfterFailure(status OwnWord) bool {
+func (e *endpointState) respondsAfterFailure(status AgentStatus) bool {
 	return status.Via == ReasonReport && !e.firstFailureAt.IsZero() && status.Sent.After(e.firstFailureAt)
 }
 
--- a/internal/membership/event.go
+++ b/internal/membership/event.go
@@ -42,7 +42,7 @@
 type Event interface{ event() }
 
 // EndpointSpec describes an endpoint of the bundle.
-type Place struct {
+type EndpointSpec struct {
 	Endpoint, VM, Address string
 	// Incarnation identifies the process, if the source of the endpoints provides it;
 	// a different value means a new process. It is empty for endpoints whose agents
@@ -52,7 +52,7 @@
 
 // BundleApplied provides all endpoints that may be used. No other endpoint is used,
 // even if the platform lists its VM.
-type Bundle struct{ Places []Place }
+type BundleApplied struct{ Endpoints []EndpointSpec }
 
 // VM is an entry in the platform's list.
 type VM struct {
@@ -72,7 +72,7 @@
 type ListUnchanged struct{ At time.Time }
 
 // AgentStatus is the status that an agent reports in a response or a notice.
-type OwnWord struct {
+type AgentStatus struct {
 	Endpoint string
 	// Incarnation identifies the agent's process. Seq orders the statuses of an
 	// incarnation and, unless the clock is set back, the incarnations.
@@ -110,13 +110,13 @@
 // Unresponsive reports that requests are in flight at an endpoint that has sent no
 // data for a long time. It is repeated while the condition holds. The endpoint may
 // still pass health checks: only a response to a request clears it at once.
-type Silence struct{ Endpoint string }
+type Unresponsive struct{ Endpoint string }
 
-func (Silence) event()           {}
-func (Bundle) event()            {}
+func (Unresponsive) event()      {}
+func (BundleApplied) event()     {}
 func (ListRead) event()          {}
 func (ListUnchanged) event()     {}
-func (OwnWord) event()           {}
+func (AgentStatus) event()       {}
 func (ConnectionFailure) event() {}
 
 // Member is an endpoint with its state.
--- a/internal/membership/feed.go
+++ b/internal/membership/feed.go
@@ -58,7 +58,7 @@
 	Name, FailureDomain string
 	// Platform holds a client for each server of the platform's list. If it is empty,
 	// the list comes from other routers only.
-	Platform []*Platform
+	Platform []*PlatformClient
 	// Routers returns the routers of the bundle in force.
 	Routers func() []bundle.Router
 	Client  control.ClientConfig
@@ -129,7 +129,7 @@
 	}
 }
 
-func (f *Feed) poll(ctx context.Context, p *Platform) {
+func (f *Feed) poll(ctx context.Context, p *PlatformClient) {
 	read, err := p.Read(ctx)
 	if ctx.Err() != nil {
 		return
@@ -147,7 +147,7 @@
 	}
 	f.history.replace(now, read)
 	f.notifyChanged()
-	f.cfg.Tracker.Learn(read)
+	f.cfg.Tracker.HandleEvent(read)
 }
 
 func (f *Feed) staleAfter() time.Duration { return f.cfg.Tracker.core.tuning.ListStaleAfter }
@@ -220,10 +220,10 @@
 	f.needsFullList = !f.history.matches(u)
 	if changed {
 		f.notifyChanged()
-		f.cfg.Tracker.Learn(f.history.toListRead())
+		f.cfg.Tracker.HandleEvent(f.history.toListRead())
 		return
 	}
-	f.cfg.Tracker.Learn(ListUnchanged{At: f.history.asOf})
+	f.cfg.Tracker.HandleEvent(ListUnchanged{At: f.history.asOf})
 }
 
 // serveWatch replies as soon as there is a change that the caller's list lacks, or
--- a/internal/membership/feed_test.go
+++ b/internal/membership/feed_test.go
@@ -94,7 +94,7 @@
 	})
 	pool := balance.NewPool(balance.Config{})
 	tracker := NewTracker(Config{Name: r.Name, Pool: pool, Log: zerolog.Nop()})
-	tracker.Learn(bundleOf(4))
+	tracker.HandleEvent(bundleOf(4))
 	feed := NewFeed(FeedConfig{
 		Tracker: tracker, Name: r.Name, FailureDomain: r.FailureDomain,
 		Routers: func() []bundle.Router { return m.routers },
@@ -103,7 +103,7 @@
 	})
 	if reads {
 		client := &http.Client{Transport: &http.Transport{DialContext: m.net.Dialer(r.Name), DisableKeepAlives: true}}
-		feed.cfg.Platform = []*Platform{NewPlatform(client, "http://"+listAddress)}
+		feed.cfg.Platform = []*PlatformClient{NewPlatformClient(client, "http://"+listAddress)}
 	}
 	tracker.Register(srv)
 	feed.Register(srv)
@@ -131,7 +131,7 @@
 func (m *routerMesh) countStates(endpoint int) map[State]int {
 	counts := make(map[State]int)
 	for _, t := range m.trackers {
-		counts[t.Page(time.Now()).Members[endpoint].State]++
+		counts[t.Snapshot(time.Now()).Members[endpoint].State]++
 	}
 	return counts
 }
@@ -158,7 +158,7 @@
 		m.g.Expect(m.countStates(1)).To(Equal(map[State]int{Leaving: 12}))
 		m.g.Expect(m.canBeChosen(1)).To(BeFalse())
 		m.g.Expect(m.canBeChosen(0)).To(BeTrue())
-		age := m.trackers[11].Page(time.Now()).ListAge
+		age := m.trackers[11].Snapshot(time.Now()).ListAge
 		m.g.Expect(age).NotTo(BeNil())
 		m.g.Expect(age.Std()).To(BeNumerically("<", 15*time.Second))
 	})
@@ -177,7 +177,7 @@
 			m.setList(-1)
 			time.Sleep(time.Minute)
 			m.g.Expect(m.countStates(1)).To(Equal(map[State]int{Leaving: 3}))
-			m.g.Expect(m.trackers[0].Page(time.Now()).ListAge.Std()).To(BeNumerically(">", 50*time.Second))
+			m.g.Expect(m.trackers[0].Snapshot(time.Now()).ListAge.Std()).To(BeNumerically(">", 50*time.Second))
 			m.setList(1)
 			time.Sleep(2 * time.Second)
 			fail(false)
--- a/internal/membership/metrics.go
+++ b/internal/membership/metrics.go
@@ -73,7 +73,7 @@
 
 // Collect implements prometheus.Collector.
 func (c collector) Collect(ch chan<- prometheus.Metric) {
-	snapshot := c.tracker.Page(time.Now())
+	snapshot := c.tracker.Snapshot(time.Now())
 	for _, s := range States() {
 		ch <- prometheus.MustNewConstMetric(endpointsDesc, prometheus.GaugeValue, float64(snapshot.countState(s)), string(s))
 	}
--- a/internal/membership/model_test.go
+++ b/internal/membership/model_test.go
@@ -28,7 +28,7 @@
 	now       time.Time
 	core      *Core
 	processes []process
-	statuses  []OwnWord // all that were created, delivered or not
+	statuses  []AgentStatus // all that were created, delivered or not
 	allLists  []ListRead
 	// lastRead is the last list that was read while the platform was available.
 	lastRead ListRead
@@ -53,10 +53,10 @@
 // tick gives each status and each list a different time.
 func (s *simulation) tick() { s.now = s.now.Add(time.Millisecond) }
 
-func (s *simulation) newStatus(i int) OwnWord {
+func (s *simulation) newStatus(i int) AgentStatus {
 	s.tick()
 	p := s.processes[i]
-	status := OwnWord{
+	status := AgentStatus{
 		Endpoint: fmt.Sprint("e", i), Incarnation: fmt.Sprint(p.number),
 		Seq: uint64(s.now.Sub(epoch)), Leaving: p.leaving, Via: ReasonReport,
 	}
--- a/internal/membership/notice.go
+++ b/internal/membership/notice.go
@@ -64,7 +64,7 @@
 		return NoticeReply{}, &control.Error{Code: control.CodeForbidden, Message: "an agent speaks for its own endpoint only"}
 	}
 	t.metrics.notices.Inc()
-	t.Learn(OwnWord{
+	t.HandleEvent(AgentStatus{
 		Endpoint: n.Status.Endpoint, Incarnation: n.Status.Clock.Incarnation, Seq: n.Status.Load.Seq,
 		Leaving: n.Status.Load.Leaving, Via: ReasonNotice,
 	})
@@ -180,17 +180,17 @@
 }
 
 // Delivery sends an agent's leaving notices in the background while the agent shuts down.
-type Goodbye struct {
+type Delivery struct {
 	announcer *Announcer
 	once      sync.Once
 	done      chan struct{}
 }
 
 // NewDelivery returns a delivery by the announcer that begins with Start.
-func NewGoodbye(a *Announcer) *Goodbye { return &Goodbye{announcer: a, done: make(chan struct{})} }
+func NewDelivery(a *Announcer) *Delivery { return &Delivery{announcer: a, done: make(chan struct{})} }
 
 // Start starts the delivery and returns at once; later calls do nothing.
-func (g *Goodbye) Say() {
+func (g *Delivery) Start() {
 	g.once.Do(func() {
 		go func() {
 			defer close(g.done)
@@ -200,4 +200,4 @@
 }
 
 // Wait returns when the delivery has ended. It must be called after Start.
-func (g *Goodbye) Wait() { <-g.done }
+func (g *Delivery) Wait() { <-g.done }
--- a/internal/membership/notice_test.go
+++ b/internal/membership/notice_test.go
@@ -70,7 +70,7 @@
 		start := time.Now()
 		m.g.Expect(a.Announce(t.Context())).To(Equal(AnnounceResult{Notified: 1, Missed: 1}))
 		m.g.Expect(time.Since(start)).To(BeNumerically("<", 3*time.Second))
-		m.g.Expect(m.trackers[1].Page(time.Now()).Members[0].Reason).To(Equal(ReasonNotice))
+		m.g.Expect(m.trackers[1].Snapshot(time.Now()).Members[0].Reason).To(Equal(ReasonNotice))
 		m.g.Expect(m.countStates(0)).To(Equal(map[State]int{Leaving: 1, Live: 3}))
 	})
 }
--- a/internal/membership/platform.go
+++ b/internal/membership/platform.go
@@ -43,18 +43,18 @@
 }
 
 // PlatformClient reads the platform's list of VMs from one server.
-type Platform struct {
+type PlatformClient struct {
 	client *http.Client
 	url    string
 }
 
 // NewPlatformClient returns a client for the server with the given base URL.
-func NewPlatform(client *http.Client, base string) *Platform {
-	return &Platform{client: client, url: strings.TrimSuffix(base, "/") + pathVMs}
+func NewPlatformClient(client *http.Client, base string) *PlatformClient {
+	return &PlatformClient{client: client, url: strings.TrimSuffix(base, "/") + pathVMs}
 }
 
 // Read reads the list. Its error is a *ListError.
-func (p *Platform) Read(ctx context.Context) (ListRead, error) {
+func (p *PlatformClient) Read(ctx context.Context) (ListRead, error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	var l listResponse
--- a/internal/membership/platform_test.go
+++ b/internal/membership/platform_test.go
@@ -28,7 +28,7 @@
 		`{"vms":[{"name":"a","st`: false,
 	} {
 		g := NewWithT(t)
-		read, err := NewPlatform(&http.Client{Transport: fixedResponse(text)}, "http://10.0.0.1:80/").Read(t.Context())
+		read, err := NewPlatformClient(&http.Client{Transport: fixedResponse(text)}, "http://10.0.0.1:80/").Read(t.Context())
 		if ok {
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(read).To(Equal(ListRead{At: epoch, VMs: []VM{{Name: "a"}, {Name: "b", Leaving: true}}}))
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -34,7 +34,7 @@
 
 // ErrProbeSkipped is returned by a HealthCheck that sent nothing, because the endpoint must not
 // be contacted at this time. It doesn't count as a failure of the endpoint.
-var ErrNotAsked = errors.New("membership: probe skipped: the endpoint must not be contacted now")
+var ErrProbeSkipped = errors.New("membership: probe skipped: the endpoint must not be contacted now")
 
 // HealthCheck checks the health of an endpoint that has no agent. connected reports
 // whether a connection was established.
@@ -72,7 +72,7 @@
 	defer cancel()
 	spec := p.tracker.endpointSpec(name)
 	status, err := p.fetchStatus(ctx, spec)
-	if errors.Is(ctx.Err(), context.Canceled) || errors.Is(err, ErrNotAsked) {
+	if errors.Is(ctx.Err(), context.Canceled) || errors.Is(err, ErrProbeSkipped) {
 		return // the router is stopping, or the probe was skipped
 	}
 	p.tracker.metrics.probes.WithLabelValues(outcomeOf(err)).Inc()
@@ -85,7 +85,7 @@
 }
 
 // fetchStatus sends one probe. Its error is a *ProbeError.
-func (p *Prober) fetchStatus(ctx context.Context, of Place) (wire.Status, error) {
+func (p *Prober) fetchStatus(ctx context.Context, of EndpointSpec) (wire.Status, error) {
 	if p.healthCheck != nil {
 		return p.checkHealth(ctx, of)
 	}
@@ -108,7 +108,7 @@
 
 // checkHealth returns the result of a health check as a status. The status is attributed to
 // the incarnation that was known when the check was sent.
-func (p *Prober) checkHealth(ctx context.Context, of Place) (wire.Status, error) {
+func (p *Prober) checkHealth(ctx context.Context, of EndpointSpec) (wire.Status, error) {
 	connected, err := p.healthCheck(ctx, of.Endpoint)
 	if err != nil {
 		return wire.Status{}, &ProbeError{Endpoint: of.Endpoint, Connected: connected, Cause: err}
@@ -118,11 +118,11 @@
 
 // endpointSpec returns an endpoint of the bundle in force; only the name is set if the bundle
 // doesn't define it.
-func (t *Tracker) endpointSpec(endpoint string) Place {
+func (t *Tracker) endpointSpec(endpoint string) EndpointSpec {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.core.endpoints[endpoint]; e != nil {
 		return e.spec
 	}
-	return Place{Endpoint: endpoint}
+	return EndpointSpec{Endpoint: endpoint}
 }
--- a/internal/membership/prober_test.go
+++ b/internal/membership/prober_test.go
@@ -38,7 +38,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &proberFixture{g: NewWithT(t), net: memnet.New(), pool: balance.NewPool(balance.Config{}), reg: prometheus.NewRegistry()}
 		s.tracker = NewTracker(Config{Pool: s.pool, Log: zerolog.Nop(), Metrics: s.reg})
-		s.tracker.Learn(Bundle{Places: []Place{{Endpoint: "e0", VM: "vm0", Address: agentAddress}}})
+		s.tracker.HandleEvent(BundleApplied{Endpoints: []EndpointSpec{{Endpoint: "e0", VM: "vm0", Address: agentAddress}}})
 		client := &http.Client{Transport: &http.Transport{DialContext: s.net.Dialer("r"), DisableKeepAlives: true}}
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
@@ -77,7 +77,7 @@
 }
 
 func (s *proberFixture) expectState(state State) {
-	s.g.ExpectWithOffset(1, s.tracker.Page(time.Now()).Members[0].State).To(Equal(state))
+	s.g.ExpectWithOffset(1, s.tracker.Snapshot(time.Now()).Members[0].State).To(Equal(state))
 }
 
 func TestSuspectReturnsWithReducedWeightOnceItResponds(t *testing.T) {
@@ -87,7 +87,7 @@
 		s.expectState(Suspect)
 		s.startAgent(statusOf("a", 1, false))
 		for range 2 * DefaultTuning().ProbeMax / time.Second {
-			if s.tracker.Page(time.Now()).Members[0].State != Live {
+			if s.tracker.Snapshot(time.Now()).Members[0].State != Live {
 				time.Sleep(time.Second)
 			}
 		}
@@ -133,11 +133,11 @@
 	runWithProber(t, func(s *proberFixture) {
 		g := s.g
 		g.Expect(testutil.GatherAndCount(s.reg, "coveferry_membership_list_age_seconds")).To(Equal(0))
-		s.tracker.Learn(ListRead{At: time.Now(), VMs: []VM{{Name: "vm0", Leaving: true}}})
+		s.tracker.HandleEvent(ListRead{At: time.Now(), VMs: []VM{{Name: "vm0", Leaving: true}}})
 		time.Sleep(2 * time.Second)
 		g.Expect(testutil.GatherAndCount(s.reg, "coveferry_membership_list_age_seconds")).To(Equal(1))
-		g.Expect(s.tracker.Page(time.Now()).countState(Leaving)).To(Equal(1))
-		snapshot := s.tracker.Page(time.Now())
+		g.Expect(s.tracker.Snapshot(time.Now()).countState(Leaving)).To(Equal(1))
+		snapshot := s.tracker.Snapshot(time.Now())
 		g.Expect(snapshot.Members[0].Age.Std()).To(Equal(2 * time.Second))
 		g.Expect(snapshot.ListAge.Std()).To(Equal(2 * time.Second))
 	})
--- a/internal/membership/restart_test.go
+++ b/internal/membership/restart_test.go
@@ -13,15 +13,15 @@
 	. "github.com/onsi/gomega"
 )
 
-func bundleWithIncarnation(incarnation string) Bundle {
-	return Bundle{Places: []Place{{Endpoint: "e0", VM: "vm0", Address: "10.0.0.1:1", Incarnation: incarnation}}}
+func bundleWithIncarnation(incarnation string) BundleApplied {
+	return BundleApplied{Endpoints: []EndpointSpec{{Endpoint: "e0", VM: "vm0", Address: "10.0.0.1:1", Incarnation: incarnation}}}
 }
 
 func TestNewProcessUnderTheSameNameStartsLive(t *testing.T) {
 	for name, before := range map[string]func(*coreFixture){
 		"leaving by the list": func(s *coreFixture) { s.readList("0s", []string{"!0"}) },
 		"leaving by its status": func(s *coreFixture) {
-			s.apply(OwnWord{Endpoint: "e0", Incarnation: "100", Leaving: true, Via: ReasonReport})
+			s.apply(AgentStatus{Endpoint: "e0", Incarnation: "100", Leaving: true, Via: ReasonReport})
 		},
 		"suspect": func(s *coreFixture) { s.apply(ConnectionFailure{Endpoint: "e0", Incarnation: "100", Kind: Refused}) },
 		"live":    func(*coreFixture) {},
@@ -42,7 +42,7 @@
 			// A delayed failure of the previous process is ignored.
 			s.apply(ConnectionFailure{Endpoint: "e0", Incarnation: "100", Kind: Refused})
 			s.g.Expect(s.core.Members()[0].State).To(Equal(Live))
-			s.g.Expect(s.core.Accepts(OwnWord{Endpoint: "e0", Incarnation: "200"})).To(BeTrue())
+			s.g.Expect(s.core.Accepts(AgentStatus{Endpoint: "e0", Incarnation: "200"})).To(BeTrue())
 			// The new process's own failures count.
 			s.apply(ConnectionFailure{Endpoint: "e0", Incarnation: "200", Kind: Refused})
 			s.g.Expect(s.core.Members()[0].State).To(Equal(Suspect))
@@ -63,5 +63,5 @@
 	s.apply(bundleWithIncarnation("100")) // its first status arrives after it has ended
 	s.apply(bundleWithIncarnation("200"))
 	s.now = s.now.Add(time.Second)
-	s.g.Expect(s.core.Accepts(OwnWord{Endpoint: "e0", Incarnation: "100"})).To(BeFalse())
+	s.g.Expect(s.core.Accepts(AgentStatus{Endpoint: "e0", Incarnation: "100"})).To(BeFalse())
 }
--- a/internal/membership/returning_test.go
+++ b/internal/membership/returning_test.go
@@ -29,7 +29,7 @@
 			g.Expect(endpoint).To(Equal("e0"))
 			calls++
 		})
-		tracker.Learn(bundleOf(2))
+		tracker.HandleEvent(bundleOf(2))
 		tracker.Failed("e0", "", c.sent)
 		tracker.Failed("e0", "", c.sent)
 		tracker.Answered("e0", wire.Clock{}, time.Time{}, load.Report{Seq: uint64(time.Now().UnixNano())})
@@ -45,7 +45,7 @@
 	tracker := NewTracker(Config{Pool: balance.NewPool(balance.Config{}), Log: zerolog.Nop()})
 	calls := 0
 	tracker.OnReturning(func(string) { calls++ })
-	tracker.Learn(bundleOf(2))
+	tracker.HandleEvent(bundleOf(2))
 	return tracker, &calls
 }
 
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -14,23 +14,23 @@
 
 // PathMembers is the HTTP path of a router's members, on the listener of its
 // metrics.
-const Path = "/members"
+const PathMembers = "/members"
 
 // maxSnapshotBytes bounds the response that Fetch reads.
 const maxSnapshotBytes = 8 << 20
 
 // Snapshot holds the states of all endpoints at a router at one time.
-type Page struct {
+type Snapshot struct {
 	Router string    `json:"router"`
 	At     time.Time `json:"at"`
 	// ListAge is the time since the platform's list last advanced; nil before the
 	// first list.
-	ListAge *units.Duration `json:"list_age,omitempty"`
-	Members []PageMember    `json:"members"`
+	ListAge *units.Duration  `json:"list_age,omitempty"`
+	Members []SnapshotMember `json:"members"`
 }
 
 // SnapshotMember is one endpoint in a Snapshot.
-type PageMember struct {
+type SnapshotMember struct {
 	Endpoint string `json:"endpoint"`
 	VM       string `json:"vm"`
 	State    State  `json:"state"`
@@ -41,16 +41,16 @@
 }
 
 // Snapshot returns the current states, sorted by endpoint name.
-func (t *Tracker) Page(now time.Time) Page {
+func (t *Tracker) Snapshot(now time.Time) Snapshot {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	snapshot := Page{Router: t.cfg.Name, At: now, Members: []PageMember{}}
+	snapshot := Snapshot{Router: t.cfg.Name, At: now, Members: []SnapshotMember{}}
 	if age, ok := t.core.ListAge(now); ok {
 		d := units.Duration(age)
 		snapshot.ListAge = &d
 	}
 	for _, m := range t.core.Members() {
-		snapshot.Members = append(snapshot.Members, PageMember{
+		snapshot.Members = append(snapshot.Members, SnapshotMember{
 			Endpoint: m.Endpoint, VM: m.VM, State: m.State, Reason: m.Reason,
 			Age: units.Duration(now.Sub(m.Since)), Incarnation: m.Incarnation,
 		})
@@ -58,7 +58,7 @@
 	return snapshot
 }
 
-func (p Page) countState(s State) int {
+func (p Snapshot) countState(s State) int {
 	n := 0
 	for _, m := range p.Members {
 		if m.State == s {
@@ -71,20 +71,20 @@
 // ServeHTTP responds with the current snapshot as JSON.
 func (t *Tracker) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(t.Page(time.Now())) // fails only if the client has disconnected
+	_ = json.NewEncoder(w).Encode(t.Snapshot(time.Now())) // fails only if the client has disconnected
 }
 
 // Fetch reads a router's snapshot from a URL. Its error is a *FetchError.
-func Fetch(ctx context.Context, client *http.Client, url string) (Page, error) {
+func Fetch(ctx context.Context, client *http.Client, url string) (Snapshot, error) {
 	snapshot, err := fetchSnapshot(ctx, client, url)
 	if err != nil {
-		return Page{}, &FetchError{URL: url, Cause: err}
+		return Snapshot{}, &FetchError{URL: url, Cause: err}
 	}
 	return snapshot, nil
 }
 
-func fetchSnapshot(ctx context.Context, client *http.Client, url string) (Page, error) {
-	var snapshot Page
+func fetchSnapshot(ctx context.Context, client *http.Client, url string) (Snapshot, error) {
+	var snapshot Snapshot
 	err := getJSON(ctx, client, url, maxSnapshotBytes, &snapshot)
 	if err == nil && snapshot.At.IsZero() {
 		err = errors.New("the response is not a list of members")
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -58,18 +58,18 @@
 
 // SetBundle sets the endpoints of the bundle in force.
 func (t *Tracker) SetBundle(b *bundle.Bundle) {
-	specs := make([]Place, 0, len(b.Endpoints))
+	specs := make([]EndpointSpec, 0, len(b.Endpoints))
 	for _, e := range b.Endpoints {
 		if e.Direct {
 			continue // it has no agent
 		}
-		specs = append(specs, Place{Endpoint: e.Name, VM: e.VM, Address: e.Address})
+		specs = append(specs, EndpointSpec{Endpoint: e.Name, VM: e.VM, Address: e.Address})
 	}
-	t.Learn(Bundle{Places: specs})
+	t.HandleEvent(BundleApplied{Endpoints: specs})
 }
 
 // HandleEvent processes an event and applies the resulting changes.
-func (t *Tracker) Learn(ev Event) {
+func (t *Tracker) HandleEvent(ev Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
@@ -79,7 +79,7 @@
 // Answered implements dispatch.Observer. It returns false for reports that must be
 // ignored, including those of endpoints that are no longer in the bundle.
 func (t *Tracker) Answered(endpoint string, clock wire.Clock, sent time.Time, report load.Report) bool {
-	return t.handleStatus(OwnWord{
+	return t.handleStatus(AgentStatus{
 		Endpoint: endpoint, Incarnation: clock.Incarnation, Seq: report.Seq,
 		Leaving: report.Leaving, Via: ReasonReport, Sent: sent,
 	})
@@ -87,13 +87,13 @@
 
 // handleHealthCheck processes the response to a health check.
 func (t *Tracker) handleHealthCheck(endpoint string, clock wire.Clock, report load.Report) {
-	t.handleStatus(OwnWord{
+	t.handleStatus(AgentStatus{
 		Endpoint: endpoint, Incarnation: clock.Incarnation, Seq: report.Seq,
 		Leaving: report.Leaving, Via: ReasonCheck,
 	})
 }
 
-func (t *Tracker) handleStatus(status OwnWord) bool {
+func (t *Tracker) handleStatus(status AgentStatus) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.core.Accepts(status) {
@@ -110,7 +110,7 @@
 	if sent {
 		kind = Broken
 	}
-	t.Learn(ConnectionFailure{Endpoint: endpoint, Incarnation: incarnation, Kind: kind})
+	t.HandleEvent(ConnectionFailure{Endpoint: endpoint, Incarnation: incarnation, Kind: kind})
 }
 
 // dueProbes re-evaluates all endpoints and returns the ones to probe now.
--- a/internal/once/ask.go
+++ b/internal/once/ask.go
@@ -8,7 +8,7 @@
 
 // ListQuery asks a peer which list it holds for a target. It also tells the peer about the
 // sender.
-type Ask struct {
+type ListQuery struct {
 	Target string `json:"target"`
 	From   Member `json:"from"`
 	List   string `json:"list"`
@@ -17,28 +17,28 @@
 }
 
 // ListReply is the answer to a ListQuery.
-type Answer struct {
+type ListReply struct {
 	// List is the digest of the peer's list; empty if its bundle has no such target.
 	List string `json:"list"`
 	// FormerMembers lists endpoints that the peer has not yet seen to hold its list.
-	Formers []Member `json:"formers,omitempty"`
+	FormerMembers []Member `json:"formers,omitempty"`
 }
 
 // OutgoingQuery is a ListQuery to be sent to a peer.
-type Question struct {
-	Ask
+type OutgoingQuery struct {
+	ListQuery
 	To Member
 	// SentAt is when the query was created, by the sender's clock.
-	At time.Time
+	SentAt time.Time
 }
 
 // PendingQueries returns the queries to send now, to all peers that have not yet agreed. Call
 // it after each Tick.
-func (k *Keeper) Questions(now time.Time) []Question {
+func (k *KeyRegistry) PendingQueries(now time.Time) []OutgoingQuery {
 	now = k.advance(now)
-	var out []Question
+	var out []OutgoingQuery
 	for target, t := range k.targets {
-		if t.claimed() || now.Sub(t.lastQueried) < k.cfg.AskEvery {
+		if t.claimed() || now.Sub(t.lastQueried) < k.cfg.QueryInterval {
 			continue
 		}
 		t.lastQueried = now
@@ -47,18 +47,18 @@
 	return out
 }
 
-func (k *Keeper) targetQueries(now time.Time, target string, t *targetState) []Question {
+func (k *KeyRegistry) targetQueries(now time.Time, target string, t *targetState) []OutgoingQuery {
 	self, _ := t.list().find(k.cfg.Self) // always present: targets are kept only while Self is a member
-	query := Ask{Target: target, From: self, List: t.list().Digest(), Version: k.version}
-	var out []Question
+	query := ListQuery{Target: target, From: self, List: t.list().Digest(), Version: k.version}
+	var out []OutgoingQuery
 	for _, m := range k.unconfirmedMembers(t) {
-		out = append(out, Question{Ask: query, To: m, At: now})
+		out = append(out, OutgoingQuery{ListQuery: query, To: m, SentAt: now})
 	}
 	return out
 }
 
 // unconfirmedMembers returns the endpoints that have not yet agreed on the list in force.
-func (k *Keeper) unconfirmedMembers(t *targetState) []Member {
+func (k *KeyRegistry) unconfirmedMembers(t *targetState) []Member {
 	var out []Member
 	for _, m := range t.list().members {
 		if k.needsAgreement(t, m) {
@@ -70,7 +70,7 @@
 
 // unconfirmedFormerMembers returns, sorted, the endpoints that are not on the list in force and
 // may still use an earlier one.
-func (k *Keeper) unconfirmedFormerMembers(t *targetState) []Member {
+func (k *KeyRegistry) unconfirmedFormerMembers(t *targetState) []Member {
 	var out []Member
 	for _, f := range t.formerMembers {
 		if k.needsAgreement(t, f.member) {
@@ -82,7 +82,7 @@
 }
 
 // needsAgreement reports whether a claim still requires the endpoint's agreement.
-func (k *Keeper) needsAgreement(t *targetState, m Member) bool {
+func (k *KeyRegistry) needsAgreement(t *targetState, m Member) bool {
 	return m.id() != k.cfg.Self.id() && !t.agreed[m.id()]
 }
 
@@ -90,13 +90,13 @@
 // list is recorded as a former member, which must agree before this agent claims the list. If
 // the peer's list differs, this agent claims nothing until it holds at least the peer's
 // version.
-func (k *Keeper) Asked(now time.Time, q Ask) Answer {
+func (k *KeyRegistry) HandleQuery(now time.Time, q ListQuery) ListReply {
 	now = k.advance(now)
 	list, exists := k.lists[q.Target]
 	if !exists {
-		return Answer{}
+		return ListReply{}
 	}
-	reply := Answer{List: list.Digest()}
+	reply := ListReply{List: list.Digest()}
 	t := k.targets[q.Target]
 	if t == nil {
 		return reply
@@ -107,7 +107,7 @@
 	}
 	for _, m := range k.unconfirmedFormerMembers(t) {
 		if m.id() != q.From.id() {
-			reply.Formers = append(reply.Formers, m)
+			reply.FormerMembers = append(reply.FormerMembers, m)
 		}
 	}
 	return reply
@@ -115,17 +115,17 @@
 
 // HandleReply processes a peer's reply. Late replies are ignored, because the peer may have
 // forgotten the query since.
-func (k *Keeper) Answered(now time.Time, q Question, r Answer) {
+func (k *KeyRegistry) HandleReply(now time.Time, q OutgoingQuery, r ListReply) {
 	now = k.advance(now)
 	t := k.targets[q.Target]
-	if t == nil || t.list().Digest() != q.List || now.Sub(q.At) > k.cfg.AnswerWithin {
+	if t == nil || t.list().Digest() != q.List || now.Sub(q.SentAt) > k.cfg.ReplyTimeout {
 		return
 	}
 	k.addFormerMember(now, t, q.To, r.List)
 	if r.List == q.List {
 		t.agreed[q.To.id()] = true
 	}
-	for _, m := range r.Formers {
+	for _, m := range r.FormerMembers {
 		if _, known := t.formerMembers[m.id()]; !known {
 			k.addFormerMember(now, t, m, "")
 		}
@@ -134,7 +134,7 @@
 
 // addFormerMember adds an endpoint to the former members, whose agreement is required, unless
 // it is a member here or holds the same list. An empty digest means an unknown list.
-func (k *Keeper) addFormerMember(now time.Time, t *targetState, m Member, list string) {
+func (k *KeyRegistry) addFormerMember(now time.Time, t *targetState, m Member, list string) {
 	if m.id() == k.cfg.Self.id() || t.list().has(m) {
 		return
 	}
@@ -146,7 +146,7 @@
 
 // RecordGone records that, according to the platform's list of VMs, an endpoint's VM no longer
 // runs. This applies to the lists in force now, so call it again after SetView.
-func (k *Keeper) Gone(m Member) {
+func (k *KeyRegistry) RecordGone(m Member) {
 	for _, t := range k.targets {
 		t.agreed[m.id()] = true
 	}
@@ -154,7 +154,7 @@
 
 // PendingMembers returns the endpoints whose agreement is missing, so that the caller can check
 // whether their VMs still run.
-func (k *Keeper) Waiting() []Member {
+func (k *KeyRegistry) PendingMembers() []Member {
 	var out []Member
 	for _, t := range k.targets {
 		if !t.claimed() {
@@ -167,7 +167,7 @@
 // claimAgreedLists claims each list that no other agent contradicts any more: SettleTime is
 // over, no peer has reported a newer version, and all whose agreement is required have given it
 // (see allAgreed).
-func (k *Keeper) claimAgreedLists(now time.Time) {
+func (k *KeyRegistry) claimAgreedLists(now time.Time) {
 	for _, t := range k.targets {
 		if t.claimed() || k.version < t.newestVersion || now.Before(t.settledAt) || !k.allAgreed(now, t) {
 			continue
@@ -179,14 +179,14 @@
 
 // allAgreed reports whether all members and former members have agreed. A former member that was
 // last seen SettleTime ago or longer is not waited for.
-func (k *Keeper) allAgreed(now time.Time, t *targetState) bool {
+func (k *KeyRegistry) allAgreed(now time.Time, t *targetState) bool {
 	for _, m := range t.list().members {
 		if k.needsAgreement(t, m) {
 			return false
 		}
 	}
 	for _, f := range t.formerMembers {
-		if k.needsAgreement(t, f.member) && now.Sub(f.lastSeen) < k.cfg.Settle {
+		if k.needsAgreement(t, f.member) && now.Sub(f.lastSeen) < k.cfg.SettleTime {
 			return false
 		}
 	}
--- a/internal/once/keeper.go
+++ b/internal/once/keeper.go
@@ -16,7 +16,7 @@
 //
 // The other agents know of this one from its queries and in turn require its agreement before
 // they claim the key by a later list.
-type Keeper struct {
+type KeyRegistry struct {
 	cfg     Config
 	version uint64
 	issued  time.Time
@@ -30,8 +30,8 @@
 }
 
 // New returns an empty KeyRegistry that has claimed no list.
-func New(cfg Config, now time.Time) *Keeper {
-	return &Keeper{
+func New(cfg Config, now time.Time) *KeyRegistry {
+	return &KeyRegistry{
 		cfg:     cfg,
 		targets: make(map[string]*targetState),
 		keys:    newKeyStore(),
@@ -42,7 +42,7 @@
 // advance sets the current time. It uses the wall clock, which includes the time during which
 // the process or its VM was paused. After a pause longer than MaxPause all claims are reset,
 // since other agents may have claimed the same keys meanwhile.
-func (k *Keeper) advance(now time.Time) time.Time {
+func (k *KeyRegistry) advance(now time.Time) time.Time {
 	now = now.Round(0) // the monotonic clock may not include a VM's pause
 	if now.Before(k.now) {
 		now = k.now
@@ -51,7 +51,7 @@
 	k.now = now
 	if paused && !k.disabledRules[rulePause] {
 		for _, t := range k.targets {
-			t.resetClaims(now.Add(k.cfg.Settle))
+			t.resetClaims(now.Add(k.cfg.SettleTime))
 		}
 	}
 	return now
@@ -59,9 +59,9 @@
 
 // Tick advances the time, forgets expired keys and claims the lists that can be claimed. Call
 // it several times per Config.MaxPause.
-func (k *Keeper) Tick(now time.Time) {
+func (k *KeyRegistry) Tick(now time.Time) {
 	now = k.advance(now)
-	old := now.Add(-k.cfg.Remember)
+	old := now.Add(-k.cfg.Retention)
 	k.keys.sweep(old)
 	for _, t := range k.targets {
 		t.pruneBefore(old.Add(-k.cfg.clockMargin()))
@@ -70,12 +70,12 @@
 }
 
 // SetView sets the view in force. Views of an older version than the current one are ignored.
-func (k *Keeper) Adopt(now time.Time, v View) {
+func (k *KeyRegistry) SetView(now time.Time, v View) {
 	now = k.advance(now)
 	if v.Version < k.version {
 		return
 	}
-	missed := v.Version > k.version+1 && v.Issued.Sub(k.issued) >= k.cfg.Settle
+	missed := v.Version > k.version+1 && v.Issued.Sub(k.issued) >= k.cfg.SettleTime
 	first := k.lists == nil
 	k.version = v.Version
 	k.issued = v.Issued
@@ -90,13 +90,13 @@
 			k.applyList(now, target, list, missed)
 		}
 	}
-	if first && k.cfg.Founding {
+	if first && k.cfg.Bootstrap {
 		k.claimFirstLists(now)
 	}
 }
 
 // claimFirstLists claims the first lists immediately, for Config.Bootstrap.
-func (k *Keeper) claimFirstLists(now time.Time) {
+func (k *KeyRegistry) claimFirstLists(now time.Time) {
 	for _, t := range k.targets {
 		t.periods[0].claimedAt = now
 		t.settledAt = now
@@ -105,8 +105,8 @@
 
 // applyList sets the list of a target. missed says that this endpoint may have been off the
 // list for some time, in a version that this agent didn't see.
-func (k *Keeper) applyList(now time.Time, target string, list *List, missed bool) {
-	settled := now.Add(k.cfg.Settle)
+func (k *KeyRegistry) applyList(now time.Time, target string, list *List, missed bool) {
+	settled := now.Add(k.cfg.SettleTime)
 	if k.disabledRules[ruleSettle] {
 		settled = now
 	}
@@ -124,7 +124,7 @@
 }
 
 // Admit decides whether an attempt may be queued, and records it if so.
-func (k *Keeper) Take(now time.Time, a Use) Verdict {
+func (k *KeyRegistry) Admit(now time.Time, a Attempt) Decision {
 	now = k.advance(now)
 	d := digestOf(a)
 	known := k.keys.entries[d]
@@ -134,40 +134,40 @@
 		}
 	}
 	if reason := k.refusalReason(now, a); reason != "" {
-		return Verdict{Refused: reason, RetryAfter: k.retryAfter(reason), Earlier: possibleEarlier(reason)}
+		return Decision{Refused: reason, RetryAfter: k.retryAfter(reason), Earlier: possibleEarlier(reason)}
 	}
 	if known == nil && len(k.keys.entries) >= k.cfg.MaxKeys {
-		return Verdict{Refused: ReasonFull, RetryAfter: k.retryAfter(ReasonFull)}
+		return Decision{Refused: ReasonFull, RetryAfter: k.retryAfter(ReasonFull)}
 	}
 	k.keys.add(d, &entry{request: a.Request, epoch: a.Epoch, state: StateQueued, issued: a.Key.Issued.UnixMilli()})
-	return Verdict{}
+	return Decision{}
 }
 
 // refusal returns why an attempt may not use a key that is already recorded.
-func (e *entry) refusal(a Use) Verdict {
+func (e *entry) refusal(a Attempt) Decision {
 	switch {
 	case e.issued != a.Key.Issued.UnixMilli():
-		return Verdict{Refused: ReasonTimeChanged, Earlier: Earlier{Request: e.request, State: e.state}}
+		return Decision{Refused: ReasonTimeChanged, Earlier: EarlierRequest{Request: e.request, State: e.state}}
 	case e.fences(a):
-		return Verdict{Refused: ReasonFenced}
+		return Decision{Refused: ReasonFenced}
 	case e.state != StateNotRun:
-		return Verdict{Refused: ReasonDuplicate, Earlier: Earlier{Request: e.request, State: e.state}}
+		return Decision{Refused: ReasonDuplicate, Earlier: EarlierRequest{Request: e.request, State: e.state}}
 	}
-	return Verdict{}
+	return Decision{}
 }
 
 // refusalReason returns why this agent may not accept the key, apart from earlier uses recorded
 // here.
-func (k *Keeper) refusalReason(now time.Time, a Use) Reason {
+func (k *KeyRegistry) refusalReason(now time.Time, a Attempt) Reason {
 	issued := a.Key.Issued
 	t := k.targets[a.Target]
 	switch {
-	case issued.After(now.Add(k.cfg.Skew)) && !k.disabledRules[ruleFuture]:
+	case issued.After(now.Add(k.cfg.MaxClockSkew)) && !k.disabledRules[ruleFuture]:
 		return ReasonFuture
-	case issued.Before(now.Add(-k.cfg.Remember)) && !k.disabledRules[ruleAge]:
+	case issued.Before(now.Add(-k.cfg.Retention)) && !k.disabledRules[ruleAge]:
 		return ReasonExpired
 	case t == nil || t.list().Home(a.Team, a.Key.Text) != k.cfg.Self.Name && !k.disabledRules[ruleHome]:
-		return ReasonNotHome
+		return ReasonNotKeyHome
 	}
 	since, ok := t.homeSince(k.cfg.Self.Name, a.Team, a.Key.Text)
 	if k.disabledRules[ruleHome] {
@@ -178,27 +178,27 @@
 	case !ok && !k.disabledRules[ruleAgreement]:
 		return ReasonHandover
 	case issued.Before(since.Add(k.cfg.clockMargin())) && !k.disabledRules[ruleIssuedAfterClaim]:
-		return ReasonForgotten
+		return ReasonBeforeClaim
 	}
 	return ""
 }
 
 // possibleEarlier returns StateUnknown for refusals after which an earlier use of the key can't
 // be ruled out.
-func possibleEarlier(r Reason) Earlier {
+func possibleEarlier(r Reason) EarlierRequest {
 	switch r {
-	case ReasonExpired, ReasonNotHome, ReasonHandover, ReasonForgotten:
-		return Earlier{State: StateUnknown}
+	case ReasonExpired, ReasonNotKeyHome, ReasonHandover, ReasonBeforeClaim:
+		return EarlierRequest{State: StateUnknown}
 	default:
-		return Earlier{}
+		return EarlierRequest{}
 	}
 }
 
 // retryAfter returns how long to wait before a retry, by reason of the refusal.
-func (k *Keeper) retryAfter(r Reason) time.Duration {
+func (k *KeyRegistry) retryAfter(r Reason) time.Duration {
 	switch r {
-	case ReasonNotHome, ReasonFull, ReasonFuture:
-		return k.cfg.AskEvery
+	case ReasonNotKeyHome, ReasonFull, ReasonFuture:
+		return k.cfg.QueryInterval
 	default:
 		return 0
 	}
@@ -207,7 +207,7 @@
 // Begin reports whether an admitted attempt may still run; call it immediately before sending
 // the request to the engine. If it returns false, the attempt must not run and needs no call of
 // End; if this agent is no longer the key's home, the key has been released.
-func (k *Keeper) Begin(now time.Time, a Use) bool {
+func (k *KeyRegistry) Begin(now time.Time, a Attempt) bool {
 	k.advance(now)
 	e := k.keys.entries[digestOf(a)]
 	fenced := e == nil || !e.sameAttempt(a) || e.state != StateQueued
@@ -230,7 +230,7 @@
 }
 
 // End records the final state of an admitted attempt. StateNotRun releases the key.
-func (k *Keeper) End(a Use, s State) {
+func (k *KeyRegistry) End(a Attempt, s State) {
 	e := k.keys.entries[digestOf(a)]
 	if e == nil || !e.sameAttempt(a) {
 		return
@@ -239,4 +239,4 @@
 }
 
 // Len returns the number of recorded keys.
-func (k *Keeper) Len() int { return len(k.keys.entries) }
+func (k *KeyRegistry) Len() int { return len(k.keys.entries) }
--- a/internal/once/machine_test.go
+++ b/internal/once/machine_test.go
@@ -21,7 +21,7 @@
 		m.recover()
 		m.routers[0] = len(m.lists) - 1
 		key := Key{Text: "after all faults", Issued: m.now}
-		m.route(Use{Target: simTarget, Team: "team", Key: key, Request: "last", Epoch: 1}, 0)
+		m.route(Attempt{Target: simTarget, Team: "team", Key: key, Request: "last", Epoch: 1}, 0)
 		accepted := m.refused[""]
 		m.handle(m.messages[len(m.messages)-1])
 		if m.violation != "" {
@@ -53,15 +53,15 @@
 
 // newSettled returns a KeyRegistry that is the only member of its target's list and has claimed
 // it.
-func newSettled(cfg Config) (*Keeper, time.Time) {
+func newSettled(cfg Config) (*KeyRegistry, time.Time) {
 	now := time.UnixMilli(1_800_000_000_000)
 	k := New(cfg, now)
-	k.Adopt(now, View{Version: 1, Issued: now, Lists: map[string]*List{"m": NewList([]Member{cfg.Self})}})
-	now = advanceTicks(k, now, cfg.Settle+2*cfg.clockMargin())
+	k.SetView(now, View{Version: 1, Issued: now, Lists: map[string]*List{"m": NewList([]Member{cfg.Self})}})
+	now = advanceTicks(k, now, cfg.SettleTime+2*cfg.clockMargin())
 	return k, now
 }
 
-func advanceTicks(k *Keeper, now time.Time, d time.Duration) time.Time {
+func advanceTicks(k *KeyRegistry, now time.Time, d time.Duration) time.Time {
 	for end := now.Add(d); now.Before(end); now = now.Add(time.Second) {
 		k.Tick(now)
 	}
@@ -69,8 +69,8 @@
 	return now
 }
 
-func newAttempt(request, key string, issued time.Time) Use {
-	return Use{Target: "m", Team: "t", Key: Key{Text: key, Issued: issued}, Request: request, Epoch: 1}
+func newAttempt(request, key string, issued time.Time) Attempt {
+	return Attempt{Target: "m", Team: "t", Key: Key{Text: key, Issued: issued}, Request: request, Epoch: 1}
 }
 
 func TestFullKeyStoreRefusesNewKeys(t *testing.T) {
@@ -78,27 +78,27 @@
 	cfg := DefaultConfig(Member{Name: "e"})
 	cfg.MaxKeys = 2
 	k, now := newSettled(cfg)
-	g.Expect(k.Take(now, newAttempt("r1", "a", now)).Refused).To(BeEmpty())
-	g.Expect(k.Take(now, newAttempt("r2", "b", now)).Refused).To(BeEmpty())
-	g.Expect(k.Take(now, newAttempt("r3", "c", now)).Refused).To(Equal(ReasonFull))
+	g.Expect(k.Admit(now, newAttempt("r1", "a", now)).Refused).To(BeEmpty())
+	g.Expect(k.Admit(now, newAttempt("r2", "b", now)).Refused).To(BeEmpty())
+	g.Expect(k.Admit(now, newAttempt("r3", "c", now)).Refused).To(Equal(ReasonFull))
 	g.Expect(k.Begin(now, newAttempt("r1", "a", now))).To(BeTrue())
 	k.End(newAttempt("r1", "a", now), StateComplete)
-	g.Expect(k.Take(now, newAttempt("r4", "a", now))).To(Equal(Verdict{Refused: ReasonDuplicate, Earlier: Earlier{Request: "r1", State: StateComplete}}))
-	later := advanceTicks(k, now, cfg.Remember+time.Second)
+	g.Expect(k.Admit(now, newAttempt("r4", "a", now))).To(Equal(Decision{Refused: ReasonDuplicate, Earlier: EarlierRequest{Request: "r1", State: StateComplete}}))
+	later := advanceTicks(k, now, cfg.Retention+time.Second)
 	g.Expect(k.Len()).To(Equal(1), "the queued key is kept, the completed one is dropped")
-	g.Expect(k.Take(later, newAttempt("r5", "a", now)).Refused).To(Equal(ReasonExpired))
-	g.Expect(k.Take(later, newAttempt("r6", "d", later)).Refused).To(BeEmpty())
+	g.Expect(k.Admit(later, newAttempt("r5", "a", now)).Refused).To(Equal(ReasonExpired))
+	g.Expect(k.Admit(later, newAttempt("r6", "d", later)).Refused).To(BeEmpty())
 }
 
 func TestKeyThatDidNotRunIsReusableByOtherAttemptsOnly(t *testing.T) {
 	g := NewWithT(t)
 	k, now := newSettled(DefaultConfig(Member{Name: "e"}))
 	first := newAttempt("r1", "a", now)
-	g.Expect(k.Take(now, first).Refused).To(BeEmpty())
+	g.Expect(k.Admit(now, first).Refused).To(BeEmpty())
 	k.End(first, StateNotRun)
-	g.Expect(k.Take(now, first).Refused).To(Equal(ReasonFenced))
-	g.Expect(k.Take(now, newAttempt("r2", "a", now.Add(time.Second))).Refused).To(Equal(ReasonTimeChanged))
-	g.Expect(k.Take(now, newAttempt("r2", "a", now)).Refused).To(BeEmpty())
+	g.Expect(k.Admit(now, first).Refused).To(Equal(ReasonFenced))
+	g.Expect(k.Admit(now, newAttempt("r2", "a", now.Add(time.Second))).Refused).To(Equal(ReasonTimeChanged))
+	g.Expect(k.Admit(now, newAttempt("r2", "a", now)).Refused).To(BeEmpty())
 	g.Expect(k.Begin(now, first)).To(BeFalse())
 }
 
@@ -106,10 +106,10 @@
 	g := NewWithT(t)
 	k, now := newSettled(DefaultConfig(Member{Name: "e"}))
 	u := newAttempt("r1", "a", now)
-	g.Expect(k.Take(now, u).Refused).To(BeEmpty())
+	g.Expect(k.Admit(now, u).Refused).To(BeEmpty())
 	woken := now.Add(20 * time.Second)
 	g.Expect(k.Begin(woken, u)).To(BeFalse())
-	g.Expect(k.Take(woken, newAttempt("r2", "b", woken)).Refused).To(Equal(ReasonHandover))
+	g.Expect(k.Admit(woken, newAttempt("r2", "b", woken)).Refused).To(Equal(ReasonHandover))
 }
 
 // An agent that started with a stale list must make no claim once a peer has reported a newer
@@ -120,19 +120,19 @@
 	now := time.UnixMilli(1_800_000_000_000)
 	k := New(cfg, now)
 	stale := View{Version: 1, Lists: map[string]*List{"m": NewList([]Member{cfg.Self})}}
-	k.Adopt(now, stale)
-	k.Asked(now, Ask{Target: "m", From: Member{Name: "f"}, List: "newer", Version: 2})
-	now = advanceTicks(k, now, 2*cfg.Settle)
-	g.Expect(k.Take(now, newAttempt("r1", "a", now)).Refused).To(Equal(ReasonHandover))
+	k.SetView(now, stale)
+	k.HandleQuery(now, ListQuery{Target: "m", From: Member{Name: "f"}, List: "newer", Version: 2})
+	now = advanceTicks(k, now, 2*cfg.SettleTime)
+	g.Expect(k.Admit(now, newAttempt("r1", "a", now)).Refused).To(Equal(ReasonHandover))
 }
 
 // newBootstrapped returns a KeyRegistry that has just claimed its first list.
-func newBootstrapped(members ...Member) (*Keeper, time.Time) {
+func newBootstrapped(members ...Member) (*KeyRegistry, time.Time) {
 	now := time.UnixMilli(1_800_000_000_000)
 	cfg := DefaultConfig(members[0])
-	cfg.Founding = true
+	cfg.Bootstrap = true
 	k := New(cfg, now)
-	k.Adopt(now, View{Version: 1, Issued: now, Lists: map[string]*List{"m": NewList(members)}})
+	k.SetView(now, View{Version: 1, Issued: now, Lists: map[string]*List{"m": NewList(members)}})
 	return k, now
 }
 
@@ -141,9 +141,9 @@
 func TestClaimAllowsForClockSkew(t *testing.T) {
 	g := NewWithT(t)
 	k, claimed := newBootstrapped(Member{Name: "e"})
-	first := claimed.Add(2 * k.cfg.Skew)
-	g.Expect(k.Take(first, newAttempt("r1", "a", first.Add(-time.Millisecond))).Refused).To(Equal(ReasonForgotten))
-	g.Expect(k.Take(first, newAttempt("r2", "b", first)).Refused).To(BeEmpty())
+	first := claimed.Add(2 * k.cfg.MaxClockSkew)
+	g.Expect(k.Admit(first, newAttempt("r1", "a", first.Add(-time.Millisecond))).Refused).To(Equal(ReasonBeforeClaim))
+	g.Expect(k.Admit(first, newAttempt("r2", "b", first)).Refused).To(BeEmpty())
 }
 
 // A late reply doesn't count. A reply in time names former members, which have to be queried,
@@ -152,16 +152,16 @@
 	g := NewWithT(t)
 	e, f, former := Member{Name: "e"}, Member{Name: "f"}, Member{Name: "gone"}
 	k, now := newBootstrapped(e)
-	k.Adopt(now, View{Version: 2, Issued: now, Lists: map[string]*List{"m": NewList([]Member{e, f})}})
-	q := k.Questions(now)[0]
-	answer := Answer{List: q.List, Formers: []Member{former}}
-	k.Answered(now.Add(k.cfg.AnswerWithin+time.Millisecond), q, answer)
-	g.Expect(k.Waiting()).To(ConsistOf(f))
+	k.SetView(now, View{Version: 2, Issued: now, Lists: map[string]*List{"m": NewList([]Member{e, f})}})
+	q := k.PendingQueries(now)[0]
+	answer := ListReply{List: q.List, FormerMembers: []Member{former}}
+	k.HandleReply(now.Add(k.cfg.ReplyTimeout+time.Millisecond), q, answer)
+	g.Expect(k.PendingMembers()).To(ConsistOf(f))
 	k, _ = newBootstrapped(e)
-	k.Adopt(now, View{Version: 2, Issued: now, Lists: map[string]*List{"m": NewList([]Member{e, f})}})
-	k.Answered(now, k.Questions(now)[0], answer)
+	k.SetView(now, View{Version: 2, Issued: now, Lists: map[string]*List{"m": NewList([]Member{e, f})}})
+	k.HandleReply(now, k.PendingQueries(now)[0], answer)
 	k.Tick(now)
-	g.Expect(k.Waiting()).To(ConsistOf(former))
+	g.Expect(k.PendingMembers()).To(ConsistOf(former))
 }
 
 // After missed versions, during which this endpoint may have been off the list, the agent
@@ -171,8 +171,8 @@
 	cfg := DefaultConfig(Member{Name: "e"})
 	k, now := newSettled(cfg)
 	lists := map[string]*List{"m": NewList([]Member{cfg.Self})}
-	k.Adopt(now, View{Version: 9, Issued: now, Lists: lists})
-	g.Expect(k.Take(now, newAttempt("r1", "a", now)).Refused).To(Equal(ReasonHandover))
+	k.SetView(now, View{Version: 9, Issued: now, Lists: lists})
+	g.Expect(k.Admit(now, newAttempt("r1", "a", now)).Refused).To(Equal(ReasonHandover))
 }
 
 func FuzzParseKey(f *testing.F) {
--- a/internal/once/measure_test.go
+++ b/internal/once/measure_test.go
@@ -35,7 +35,7 @@
 	for _, h := range m.hosts {
 		m.start(h, 0)
 		h.registry = New(DefaultConfig(h.self), m.clock(h))
-		h.registry.Adopt(m.clock(h), m.lists[0].view)
+		h.registry.SetView(m.clock(h), m.lists[0].view)
 	}
 	adoptAt := make(map[*host]time.Duration)
 	for _, h := range m.hosts {
@@ -54,7 +54,7 @@
 		for _, h := range m.hosts {
 			if since >= adoptAt[h] && h.version == 0 && !h.dead {
 				h.version = 1
-				h.registry.Adopt(m.clock(h), m.lists[1].view)
+				h.registry.SetView(m.clock(h), m.lists[1].view)
 			}
 			if !h.dead {
 				h.registry.Tick(m.clock(h))
@@ -69,9 +69,9 @@
 }
 
 func (m *simulation) runQueries(h *host) {
-	for _, q := range h.registry.Questions(m.clock(h)) {
+	for _, q := range h.registry.PendingQueries(m.clock(h)) {
 		if peer := m.find(q.To); peer != nil {
-			h.registry.Answered(m.clock(h), q, peer.registry.Asked(m.clock(peer), q.Ask))
+			h.registry.HandleReply(m.clock(h), q, peer.registry.HandleQuery(m.clock(peer), q.ListQuery))
 		}
 	}
 }
@@ -88,7 +88,7 @@
 		u.Target = simTarget
 		reason := Reason("unreachable")
 		if h := m.find(Member{Name: m.lists[version].view.Lists[simTarget].Home(u.Team, u.Key.Text), VM: "vm"}); h != nil {
-			reason = h.registry.Take(m.clock(h), u).Refused
+			reason = h.registry.Admit(m.clock(h), u).Refused
 		}
 		if reason != "" {
 			refused[reason] += 1.0 / keysPerSecond
@@ -130,7 +130,7 @@
 		at := now.Add(time.Duration(i) * time.Second / rate)
 		k.Tick(at)
 		id := fmt.Sprintf("%032x-%d", rand.Uint64(), i)
-		k.Take(at, newAttempt(id, id, at))
+		k.Admit(at, newAttempt(id, id, at))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&m1)
@@ -138,7 +138,7 @@
 	keys := float64(k.Len())
 	for i := 0; b.Loop(); i++ {
 		u := newAttempt("r", fmt.Sprint("again", i%1000), now)
-		if k.Take(now, u).Refused == "" {
+		if k.Admit(now, u).Refused == "" {
 			k.Begin(now, u)
 			k.End(u, StateComplete)
 		}
--- a/internal/once/memory.go
+++ b/internal/once/memory.go
@@ -8,7 +8,7 @@
 // keyDigest is the hash of a target, a team and a key.
 type keyDigest [sha256.Size]byte
 
-func digestOf(a Use) keyDigest {
+func digestOf(a Attempt) keyDigest {
 	return sha256.Sum256([]byte(a.Target + separator + a.Team + separator + a.Key.Text))
 }
 
@@ -20,11 +20,11 @@
 	issued  int64 // Unix milliseconds
 }
 
-func (e *entry) sameAttempt(a Use) bool { return e.request == a.Request && e.epoch == a.Epoch }
+func (e *entry) sameAttempt(a Attempt) bool { return e.request == a.Request && e.epoch == a.Epoch }
 
 // fences reports whether the attempt is the recorded one or an earlier one of the same request,
 // which must not run again.
-func (e *entry) fences(a Use) bool { return e.request == a.Request && a.Epoch <= e.epoch }
+func (e *entry) fences(a Attempt) bool { return e.request == a.Request && a.Epoch <= e.epoch }
 
 // keyStore holds keys until they expire.
 type keyStore struct {
--- a/internal/once/model_steps_test.go
+++ b/internal/once/model_steps_test.go
@@ -9,7 +9,7 @@
 	for _, h := range m.hosts {
 		if !h.dead && !h.paused && !h.partitioned {
 			h.version = last
-			h.registry.Adopt(m.clock(h), m.lists[last].view)
+			h.registry.SetView(m.clock(h), m.lists[last].view)
 		}
 	}
 }
--- a/internal/once/model_test.go
+++ b/internal/once/model_test.go
@@ -28,7 +28,7 @@
 type host struct {
 	self        Member
 	offset      time.Duration
-	registry    *Keeper
+	registry    *KeyRegistry
 	version     int // index into simulation.lists
 	paused      bool
 	dead        bool
@@ -39,17 +39,17 @@
 	// has run since then with an older one.
 	startVersion    int
 	timeBehind      time.Duration
-	queue           []Use
-	running         []Use
+	queue           []Attempt
+	running         []Attempt
 	startedRequests []string // request IDs
 }
 
 // message is in flight and may be lost, duplicated or delayed.
 type message struct {
 	to      Member
-	attempt *Use
-	query   *Question
-	reply   *Answer
+	attempt *Attempt
+	query   *OutgoingQuery
+	reply   *ListReply
 }
 
 // simulation runs agents, routers and the network in virtual time.
@@ -111,13 +111,13 @@
 // start starts a process with an empty KeyRegistry, which may read a stale version of the list.
 func (m *simulation) start(h *host, version int) {
 	cfg := Config{
-		Self: h.self, Remember: simRetention, Skew: simSkew, Settle: simSettle, MaxPause: simPause,
-		AnswerWithin: simPause, AskEvery: time.Second, MaxKeys: 100,
+		Self: h.self, Retention: simRetention, MaxClockSkew: simSkew, SettleTime: simSettle, MaxPause: simPause,
+		ReplyTimeout: simPause, QueryInterval: time.Second, MaxKeys: 100,
 	}
 	*h = host{self: h.self, offset: h.offset, version: version, timeOffList: h.timeOffList, partitioned: h.partitioned, startVersion: len(m.lists) - 1}
 	h.registry = New(cfg, m.clock(h))
 	h.registry.disabledRules = m.disabledRules
-	h.registry.Adopt(m.clock(h), m.lists[version].view)
+	h.registry.SetView(m.clock(h), m.lists[version].view)
 }
 
 func (m *simulation) clock(h *host) time.Time { return m.now.Add(h.offset) }
@@ -155,7 +155,7 @@
 		return
 	}
 	h.registry.Tick(m.clock(h))
-	for _, q := range h.registry.Questions(m.clock(h)) {
+	for _, q := range h.registry.PendingQueries(m.clock(h)) {
 		m.messages = append(m.messages, message{to: q.To, query: &q})
 	}
 }
@@ -203,7 +203,7 @@
 		return
 	}
 	h.version += m.randomInt(len(m.lists) - h.version)
-	h.registry.Adopt(m.clock(h), m.lists[h.version].view)
+	h.registry.SetView(m.clock(h), m.lists[h.version].view)
 }
 
 func (m *simulation) adoptRouter() {
@@ -227,11 +227,11 @@
 	}
 	key := m.keys[max(0, len(m.keys)-4):][m.randomInt(min(4, len(m.keys)))]
 	m.lastID++
-	u := Use{Target: simTarget, Team: "team", Key: key, Request: fmt.Sprint("r", m.lastID), Epoch: 1}
+	u := Attempt{Target: simTarget, Team: "team", Key: key, Request: fmt.Sprint("r", m.lastID), Epoch: 1}
 	m.route(u, m.randomInt(len(m.routers)))
 }
 
-func (m *simulation) route(u Use, router int) {
+func (m *simulation) route(u Attempt, router int) {
 	list := m.lists[m.routers[router]].view.Lists[simTarget]
 	to := Member{Name: list.Home(u.Team, u.Key.Text), VM: "vm"}
 	m.messages = append(m.messages, message{to: to, attempt: &u})
@@ -264,15 +264,15 @@
 	switch {
 	case h == nil: // lost
 	case msg.attempt != nil:
-		v := h.registry.Take(m.clock(h), *msg.attempt)
+		v := h.registry.Admit(m.clock(h), *msg.attempt)
 		m.refused[v.Refused]++
 		if v.Refused == "" {
 			h.queue = append(h.queue, *msg.attempt)
 		}
 	case msg.reply != nil:
-		h.registry.Answered(m.clock(h), *msg.query, *msg.reply)
+		h.registry.HandleReply(m.clock(h), *msg.query, *msg.reply)
 	default:
-		answer := h.registry.Asked(m.clock(h), msg.query.Ask)
+		answer := h.registry.HandleQuery(m.clock(h), msg.query.ListQuery)
 		m.messages = append(m.messages, message{to: msg.query.From, query: msg.query, reply: &answer})
 	}
 }
--- a/internal/once/verdict.go
+++ b/internal/once/verdict.go
@@ -18,11 +18,11 @@
 	// ReasonExpired: the key is older than Config.Retention.
 	ReasonExpired Reason = "key_expired"
 	// ReasonNotKeyHome: by this agent's list another endpoint is the key's home.
-	ReasonNotHome Reason = "not_key_home"
+	ReasonNotKeyHome Reason = "not_key_home"
 	// ReasonHandover: other agents may still act as the key's home.
 	ReasonHandover Reason = "key_home_changing"
 	// ReasonBeforeClaim: the key was issued before this agent claimed to be its home.
-	ReasonForgotten Reason = "key_before_memory"
+	ReasonBeforeClaim Reason = "key_before_memory"
 	// ReasonFull: the agent has reached Config.MaxKeys.
 	ReasonFull Reason = "key_memory_full"
 )
@@ -44,7 +44,7 @@
 )
 
 // Attempt is one attempt of a request that uses a key.
-type Use struct {
+type Attempt struct {
 	// Target is the model or service, as in View.Lists.
 	Target  string
 	Team    string
@@ -55,13 +55,13 @@
 }
 
 // EarlierRequest is the request that used a key before.
-type Earlier struct {
+type EarlierRequest struct {
 	Request string
 	State   State
 }
 
 // Decision is the result of KeyRegistry.Admit.
-type Verdict struct {
+type Decision struct {
 	// Refused is empty if the attempt may be queued.
 	Refused Reason
 	// RetryAfter is how long to wait before a retry of the same request; 0 if a retry doesn't
@@ -69,5 +69,5 @@
 	RetryAfter time.Duration
 	// Earlier is the request that used the key, for ReasonDuplicate and ReasonTimeChanged.
 	// StateUnknown without a request means that an earlier use can't be ruled out.
-	Earlier Earlier
+	Earlier EarlierRequest
 }
--- a/internal/peers/configlog.go
+++ b/internal/peers/configlog.go
@@ -59,14 +59,14 @@
 func (l *configLog) since(c *route.Config, version uint64) (packedChange, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.history.Show(c)
+	l.history.Record(c)
 	if version >= c.Version {
 		return nil, nil
 	}
 	if l.version != c.Version || len(l.packed) >= maxPacked {
 		l.version, l.packed = c.Version, make(map[uint64]packedChange)
 	}
-	ch := l.history.Since(version)
+	ch := l.history.ChangeSince(version)
 	if known, ok := l.packed[ch.From]; ok {
 		return known, nil
 	}
--- a/internal/peers/limit_test.go
+++ b/internal/peers/limit_test.go
@@ -133,7 +133,7 @@
 			clients := newClients(f)
 			clients.run(settleTime + time.Second)
 			before := float64(clients.limited.requestsSince(time.Now().Add(-time.Second)))
-			clients.limited.limit = upstream.RateLimit{Statement: upstream.LimitNamed, PerSecond: c.perSecond}
+			clients.limited.limit = upstream.RateLimit{Kind: upstream.LimitSet, PerSecond: c.perSecond}
 			limitedAt := time.Now()
 			clients.run(maxLimitDelay + 5*limitWindow)
 			allowed := 1.5*c.perSecond*limitWindow.Seconds() + 5
@@ -158,7 +158,7 @@
 	runFleetShape(t, 12, 3, 0, func(g *WithT, f *fleet) {
 		clients := newClients(f)
 		clients.run(settleTime + time.Second)
-		clients.limited.limit = upstream.RateLimit{Statement: upstream.LimitNamed, PerSecond: 1}
+		clients.limited.limit = upstream.RateLimit{Kind: upstream.LimitSet, PerSecond: 1}
 		clients.run(30 * time.Second)
 		f.nodes[3].shutDown()
 		f.startNode(g, 12)
--- a/internal/peers/query.go
+++ b/internal/peers/query.go
@@ -131,7 +131,7 @@
 		return nil, nil
 	}
 	config, err := packed.apply(base)
-	if errors.Is(err, route.ErrOtherVersion) {
+	if errors.Is(err, route.ErrVersionMismatch) {
 		return nil, errors.CombineErrors(follow.ErrHistoryLost, err)
 	}
 	return config, err
--- a/internal/prompt/prompt.go
+++ b/internal/prompt/prompt.go
@@ -19,14 +19,14 @@
 	Tokens int
 	// MaxOutput is the maximum number of tokens in the answer, ExpectedOutput the expected
 	// number.
-	MaxOutput int
-	Output    int
+	MaxOutput      int
+	ExpectedOutput int
 }
 
 // SharedPrefixID returns the ID of the last part that other requests share; with a single part,
 // that part's ID, and 0 without parts. Requests with the same ID benefit from the same cache
 // and are routed together.
-func (p Prompt) Home() uint64 {
+func (p Prompt) SharedPrefixID() uint64 {
 	switch len(p.Parts) {
 	case 0:
 		return 0
@@ -38,7 +38,7 @@
 
 // LastPartID returns the ID of the last part, which belongs to the request itself or to its
 // session; 0 if there is none.
-func (p Prompt) Last() uint64 {
+func (p Prompt) LastPartID() uint64 {
 	if len(p.Parts) == 0 {
 		return 0
 	}
@@ -46,7 +46,7 @@
 }
 
 // SharedTokens returns the number of tokens in all parts but the last.
-func (p Prompt) Shared() int {
+func (p Prompt) SharedTokens() int {
 	n := 0
 	for _, part := range p.Parts[:max(0, len(p.Parts)-1)] {
 		n += part.Tokens
@@ -55,4 +55,4 @@
 }
 
 // UnsharedTokens returns the number of tokens that no other request shares.
-func (p Prompt) Own() int { return max(0, p.Tokens-p.Shared()) }
+func (p Prompt) UnsharedTokens() int { return max(0, p.Tokens-p.SharedTokens()) }
--- a/internal/request/identity.go
+++ b/internal/request/identity.go
@@ -28,5 +28,5 @@
 // target returns the path of a routed request. For other requests it returns the kind and, for
 // a plain service, the service and path.
 func (r *Request) target() string {
-	return cmp.Or(r.Target, string(r.Kind)+"/"+r.Service+r.Path)
+	return cmp.Or(r.RequestURI, string(r.Kind)+"/"+r.Service+r.Path)
 }
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -36,37 +36,37 @@
 
 	// Table is the route table for the whole life of a request of kind KindRouted. Host and
 	// RequestURI (path and query) are as received from the caller.
-	Table  *route.Table
-	Host   string
-	Target string
+	Table      *route.Table
+	Host       string
+	RequestURI string
 
 	// Set by match, for requests of kind KindRouted.
 	Route *route.Route
 	// CallerID is the caller's ID of the request, which is also sent to endpoints.
 	CallerID string
 	// APIKey is empty if the caller sent none.
-	Key    string
+	APIKey string
 	Prompt prompt.Prompt
 	// ExpectedWait is the expected time to the first part of the answer of the latest attempt.
-	Wait time.Duration
+	ExpectedWait time.Duration
 	// PrefillTime is the part of ExpectedWait for the prefill of the request's own prompt.
-	Read time.Duration
+	PrefillTime time.Duration
 	// FetchFrom is an endpoint that has probably cached parts of the prompt that Endpoint
 	// lacks; nil if none is known.
-	Source *bundle.Endpoint
+	FetchFrom *bundle.Endpoint
 	// CopyTo is the endpoint to which the memory of the latest attempt's run is copied as it
 	// grows; nil for none. ResumeFrom is the endpoint with such a copy from which an attempt
 	// resumes the same run; nil for an attempt that starts from the beginning.
-	Copy   *bundle.Endpoint
-	Resume *bundle.Endpoint
+	CopyTo     *bundle.Endpoint
+	ResumeFrom *bundle.Endpoint
 	// TightGap says that long prompts at the same endpoint would delay the stream's events
 	// beyond its MaxGap.
-	Tight bool
+	TightGap bool
 	// TightGapEndpoints is the number of endpoints dedicated to such streams.
-	Kept int
-	// TokensPerEvent is the number of tokens per event of the answer (route.Engine.Stride); 0
+	TightGapEndpoints int
+	// TokensPerEvent is the number of tokens per event of the answer (route.Engine.TokensPerEvent); 0
 	// if unknown.
-	Stride int
+	TokensPerEvent int
 	// MaxRuns is the maximum number of endpoints at which the request may run; 0 uses the retry
 	// policy's limit.
 	MaxRuns int
@@ -96,8 +96,8 @@
 
 	// Set by choose, for each attempt. With late binding the request is also queued at
 	// SecondEndpoint, and dispatch sets Endpoint to the one that ran it.
-	Endpoint *bundle.Endpoint
-	Second   *bundle.Endpoint
+	Endpoint       *bundle.Endpoint
+	SecondEndpoint *bundle.Endpoint
 
 	// Set by attempts and dispatch.
 	Epoch int
@@ -105,14 +105,14 @@
 	Tried []string
 	// RoundStart is the index in Tried at which the current round begins. A request that
 	// returns to endpoints already tried begins a new round.
-	Round int
+	RoundStart int
 	// LatestSnapshot returns the snapshot in force, whose endpoints later attempts may use; nil
 	// uses Snapshot.
-	Latest func() *bundle.Snapshot
+	LatestSnapshot func() *bundle.Snapshot
 	// Trail records the attempts for the log.
 	Trail []Step
 	// EndpointsLost counts the attempts during which the endpoint was lost. Set by quarantine.
-	Lost int
+	EndpointsLost int
 	// Answer is the response to the current attempt.
 	Answer *http.Response
 	// RateLimit is the rate limit stated by the endpoint of the latest attempt. Set by
@@ -131,12 +131,12 @@
 	Delivered Delivered
 
 	// OnFirstToken is called at the first token; may be nil. Set by shed.
-	Began func()
+	OnFirstToken func()
 
 	// OnData is called for each part of an endpoint's answer; may be nil. Set by dispatch.
-	Heard func(now time.Time)
+	OnData func(now time.Time)
 	// OnEvent is called for each event of a stream; may be nil. Set by dispatch.
-	HeardEvent func(now time.Time)
+	OnEvent func(now time.Time)
 
 	// Writer receives the caller's answer. Used by relay only.
 	Writer http.ResponseWriter
@@ -156,7 +156,7 @@
 	Next string
 	// Limit is the rate limit stated in the endpoint's answer, and LimitPart the limit and the
 	// share of it that the attempt was charged to; empty if there is none.
-	Limit, Part string
+	Limit, LimitPart string
 	// Connections counts the connections used for the attempt.
 	Connections int
 	// Budget describes the use of the retry budget if a retry was charged to it or refused by
@@ -173,8 +173,8 @@
 	if s.Budget != "" {
 		text += ", " + s.Budget
 	}
-	if s.Part != "" {
-		text += ", by " + s.Part
+	if s.LimitPart != "" {
+		text += ", by " + s.LimitPart
 	}
 	if s.Limit != "" {
 		text += ", limit " + s.Limit
@@ -191,7 +191,7 @@
 	Text   []byte
 	Tokens int
 	// LastChunk is the last chunk that contained text.
-	Last string
+	LastChunk string
 	// Unresumable says that the answer contains parts from which an engine can't resume, such
 	// as part of a tool call.
 	Unresumable bool
@@ -200,8 +200,8 @@
 	LastEvent string
 	// LastSentAt is when the latest part of the answer was sent, and MaxGap the longest pause
 	// between two parts.
-	LastAt time.Time
-	MaxGap time.Duration
+	LastSentAt time.Time
+	MaxGap     time.Duration
 }
 
 // KeyTarget returns the model or service as a target name of package once.
@@ -214,7 +214,7 @@
 
 // TriedEndpoint reports whether the request was sent to the endpoint in the current round.
 func (r *Request) TriedEndpoint(name string) bool {
-	for _, t := range r.Tried[r.Round:] {
+	for _, t := range r.Tried[r.RoundStart:] {
 		if t == name {
 			return true
 		}
@@ -224,7 +224,7 @@
 
 // TimeLeft returns the time until the deadline. now must come from the same clock as
 // ArrivedClock.
-func (r *Request) Left(now time.Time) time.Duration {
+func (r *Request) TimeLeft(now time.Time) time.Duration {
 	return r.Deadline.Sub(r.Arrived) - now.Sub(r.ArrivedClock)
 }
 
--- a/internal/rollout/lab/lab.go
+++ b/internal/rollout/lab/lab.go
@@ -233,7 +233,7 @@
 func (p *Process) newIncarnation(number int) *incarnation {
 	f := p.fleet
 	dial := f.cfg.Network.Dialer(p.Peer.Name)
-	services := p.services(p.traffic.Count(dial))
+	services := p.services(p.traffic.WrapDial(dial))
 	inc := &incarnation{number: number}
 	inc.node = rollout.New(rollout.Config{
 		Self: p.Member, Keys: []bundle.PublicKey{f.public},
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -94,13 +94,13 @@
 // Verify verifies a signed manifest. It returns the errors of
 // bundle.OpenManifest.
 func (s *Store) Verify(now time.Time, signed bundle.SignedManifest) (*VerifiedManifest, error) {
-	m, err := bundle.OpenManifest(now, s.snapshot(), []byte(signed.Manifest), []byte(signed.Signature), s.keys)
+	m, err := bundle.AcceptManifest(now, s.snapshot(), []byte(signed.Manifest), []byte(signed.Signature), s.keys)
 	if err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	missing := bundle.Missing(func(d bundle.Digest) bool { return s.sections[d] != nil }, m)
+	missing := bundle.MissingSections(func(d bundle.Digest) bool { return s.sections[d] != nil }, m)
 	return &VerifiedManifest{Missing: missing, signed: signed, manifest: m}, nil
 }
 
--- a/internal/route/change.go
+++ b/internal/route/change.go
@@ -7,10 +7,10 @@
 )
 
 // RouteID identifies a route by host and prefix. It is unique within a configuration.
-type Place struct{ Host, Prefix string }
+type RouteID struct{ Host, Prefix string }
 
 // ID returns the route's ID.
-func (r *Route) Place() Place { return Place{Host: normalizeHost(r.Host), Prefix: r.Prefix} }
+func (r *Route) ID() RouteID { return RouteID{Host: normalizeHost(r.Host), Prefix: r.Prefix} }
 
 // Change is the difference between a configuration and a later one.
 type Change struct {
@@ -19,8 +19,8 @@
 	From uint64
 	To   uint64
 	// Routes holds new and changed routes, Gone the IDs of removed ones.
-	Routes []Route `json:",omitempty"`
-	Gone   []Place `json:",omitempty"`
+	Routes []Route   `json:",omitempty"`
+	Gone   []RouteID `json:",omitempty"`
 	// Shared is nil if only routes have changed.
 	Shared *Shared `json:",omitempty"`
 }
@@ -37,12 +37,12 @@
 }
 
 // FullChange returns a change that holds the full configuration.
-func (c *Config) Whole() Change {
+func (c *Config) FullChange() Change {
 	return Change{To: c.Version, Routes: c.Routes, Shared: c.shared()}
 }
 
 // ErrVersionMismatch means that a change applies to another version than the given one.
-var ErrOtherVersion = errors.New("route: the change applies to another version")
+var ErrVersionMismatch = errors.New("route: the change applies to another version")
 
 // Apply returns the configuration that results from applying the change to base, which isn't
 // modified. base may be nil for a change that holds the full configuration.
@@ -54,21 +54,21 @@
 		return &next, nil
 	}
 	if base == nil || base.Version != ch.From {
-		return nil, ErrOtherVersion
+		return nil, ErrVersionMismatch
 	}
-	next.KeyForm = base.KeyForm
+	next.EncodeKey = base.EncodeKey
 	next.applyShared(base.shared())
 	next.applyShared(ch.Shared)
-	replaced := make(map[Place]bool, len(ch.Routes)+len(ch.Gone))
+	replaced := make(map[RouteID]bool, len(ch.Routes)+len(ch.Gone))
 	for i := range ch.Routes {
-		replaced[ch.Routes[i].Place()] = true
+		replaced[ch.Routes[i].ID()] = true
 	}
 	for _, id := range ch.Gone {
 		replaced[id] = true
 	}
 	next.Routes = make([]Route, 0, len(base.Routes)+len(ch.Routes))
 	for i := range base.Routes {
-		if !replaced[base.Routes[i].Place()] {
+		if !replaced[base.Routes[i].ID()] {
 			next.Routes = append(next.Routes, base.Routes[i])
 		}
 	}
@@ -90,7 +90,7 @@
 	// from them can be computed.
 	versions map[uint64]bool
 	// changed and removed hold the version that changed or removed a route.
-	changed, removed map[Place]uint64
+	changed, removed map[RouteID]uint64
 	sharedChangedIn  uint64 // the version that last changed anything but routes
 }
 
@@ -101,7 +101,7 @@
 )
 
 // Record adds a configuration to the history.
-func (h *History) Show(c *Config) {
+func (h *History) Record(c *Config) {
 	if h.last != nil && c.Version <= h.last.Version {
 		return
 	}
@@ -109,7 +109,7 @@
 	h.last = c
 	if old == nil || len(h.removed) > maxRemoved || len(h.versions) > maxVersions {
 		h.sharedChangedIn, h.versions = c.Version, map[uint64]bool{c.Version: true}
-		h.changed, h.removed = make(map[Place]uint64), make(map[Place]uint64)
+		h.changed, h.removed = make(map[RouteID]uint64), make(map[RouteID]uint64)
 		return
 	}
 	h.versions[c.Version] = true
@@ -120,12 +120,12 @@
 	if !reflect.DeepEqual(old.shared(), c.shared()) {
 		h.sharedChangedIn = c.Version
 	}
-	before := make(map[Place]*Route, len(old.Routes))
+	before := make(map[RouteID]*Route, len(old.Routes))
 	for i := range old.Routes {
-		before[old.Routes[i].Place()] = &old.Routes[i]
+		before[old.Routes[i].ID()] = &old.Routes[i]
 	}
 	for i := range c.Routes {
-		id := c.Routes[i].Place()
+		id := c.Routes[i].ID()
 		if previous := before[id]; previous == nil || !reflect.DeepEqual(*previous, c.Routes[i]) {
 			h.changed[id] = c.Version
 			delete(h.removed, id)
@@ -140,13 +140,13 @@
 
 // ChangeSince returns the change from the given version to the last recorded one; the full
 // configuration if that version isn't recorded.
-func (h *History) Since(version uint64) Change {
+func (h *History) ChangeSince(version uint64) Change {
 	if !h.versions[version] {
-		return h.last.Whole()
+		return h.last.FullChange()
 	}
 	ch := Change{From: version, To: h.last.Version}
 	for i := range h.last.Routes {
-		if h.changed[h.last.Routes[i].Place()] > version {
+		if h.changed[h.last.Routes[i].ID()] > version {
 			ch.Routes = append(ch.Routes, h.last.Routes[i])
 		}
 	}
