--- a/internal/route/change_test.go
+++ b/internal/route/change_test.go
@@ -48,13 +48,13 @@
 			all = append(all, drawConfig(t, uint64(2*n+1)))
 			// This router may skip versions that others have put in force.
 			if rapid.Bool().Draw(t, "shown") {
-				h.Show(all[n])
+				h.Record(all[n])
 			}
 		}
 		newest := all[len(all)-1]
-		h.Show(newest)
+		h.Record(newest)
 		for _, base := range all {
-			ch := h.Since(base.Version)
+			ch := h.ChangeSince(base.Version)
 			encoded, err := json.Marshal(ch)
 			g.Expect(err).NotTo(HaveOccurred())
 			var decoded route.Change
@@ -70,9 +70,9 @@
 	g := NewWithT(t)
 	var h route.History
 	c := &route.Config{Version: 4, Routes: []route.Route{newRoute("r", "h", "/")}, Services: []route.Service{{Name: "s"}}}
-	h.Show(c)
+	h.Record(c)
 	for _, version := range []uint64{0, 3, 9} {
-		ch := h.Since(version)
+		ch := h.ChangeSince(version)
 		g.Expect(ch.From).To(BeZero())
 		next, err := ch.Apply(nil)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -84,7 +84,7 @@
 	g := NewWithT(t)
 	ch := route.Change{From: 3, To: 4}
 	_, err := ch.Apply(nil)
-	g.Expect(err).To(MatchError(route.ErrOtherVersion))
+	g.Expect(err).To(MatchError(route.ErrVersionMismatch))
 	_, err = ch.Apply(&route.Config{Version: 2})
-	g.Expect(err).To(MatchError(route.ErrOtherVersion))
+	g.Expect(err).To(MatchError(route.ErrVersionMismatch))
 }
--- a/internal/route/residency.go
+++ b/internal/route/residency.go
@@ -16,7 +16,7 @@
 
 // Unservable returns the names of the routes and teams that may be served in none of the
 // regions.
-func (c *Config) Nowhere(regions []string) (routes, teams []string) {
+func (c *Config) Unservable(regions []string) (routes, teams []string) {
 	served := func(r *Residency) bool { return r == nil || slices.ContainsFunc(regions, r.Allows) }
 	for i := range c.Routes {
 		if !served(c.Routes[i].Residency) {
--- a/internal/route/residency_test.go
+++ b/internal/route/residency_test.go
@@ -47,7 +47,7 @@
 		Routes: []route.Route{{Name: "any"}, {Name: "east", Residency: in("east", "moon")}, {Name: "moon", Residency: in("moon")}, {Name: "none", Residency: in()}},
 		Teams:  map[string]*route.Team{"k1": {Name: "b", Residency: in("moon")}, "k2": {Name: "b", Residency: in("moon")}, "k3": {Name: "a"}},
 	}
-	routes, teams := c.Nowhere([]string{"east", "west"})
+	routes, teams := c.Unservable([]string{"east", "west"})
 	NewWithT(t).Expect(routes).To(Equal([]string{"moon", "none"}))
 	NewWithT(t).Expect(teams).To(Equal([]string{"b"}))
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -126,8 +126,8 @@
 	Teams map[string]*Team
 	// EncodeKey converts an API key to the form used as key of Teams; nil if Teams holds plain
 	// keys.
-	KeyForm func(key string) string `json:"-"`
-	Limits  Limits
+	EncodeKey func(key string) string `json:"-"`
+	Limits    Limits
 }
 
 // Table is an immutable route table.
@@ -152,7 +152,7 @@
 		services:          make(map[string]*Service, len(c.Services)),
 		teams:             c.Teams,
 		routes:            c.Routes,
-		encodeKey:         c.KeyForm,
+		encodeKey:         c.EncodeKey,
 		longestObjectives: make(map[string]time.Duration, len(c.Services)),
 		ranks:             computeRanks(c),
 	}
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -31,11 +31,11 @@
 // CloseCallerConnections closes each caller connection after its next answer. The load balancer
 // then opens new ones to other routers, and no idle connection is left when the router stops: a
 // request sent on an idle connection while it closes would be lost.
-func (rt *Router) Leave() { rt.drain.closeConns.Store(true) }
+func (rt *Router) CloseCallerConnections() { rt.drain.closeConns.Store(true) }
 
 // RefuseNewRequests refuses new requests from now on, which leaves the rest of the drain time
 // to the open ones.
-func (rt *Router) Refuse() { rt.drain.refuseNew.Store(true) }
+func (rt *Router) RefuseNewRequests() { rt.drain.refuseNew.Store(true) }
 
 // stoppingError is returned for requests that arrive after RefuseNewRequests.
 type stoppingError struct{}
@@ -52,7 +52,7 @@
 
 // AbortOpenRequests aborts the requests that didn't finish within the drain time, with a typed
 // error.
-func (rt *Router) EndOpen() { rt.drain.abort(errAborted) }
+func (rt *Router) AbortOpenRequests() { rt.drain.abort(errAborted) }
 
 // withAbort returns a context that is canceled with errAborted when open requests are aborted.
 // The returned function must be called once the request has ended.
@@ -75,7 +75,7 @@
 
 func (rt *Router) closesConnections() bool {
 	c := rt.cfg.Routing
-	return c != nil && c.TurnAway != nil && c.TurnAway()
+	return c != nil && c.ShouldCloseConnections != nil && c.ShouldCloseConnections()
 }
 
 // abortError is returned for a request that the router's stop aborted. It doesn't unwrap to
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -80,7 +80,7 @@
 	result := resultOf(err)
 	rt.metrics.requests.WithLabelValues(class, result).Inc()
 	rt.metrics.attempts.Add(float64(len(r.Tried)))
-	rt.metrics.endpointsLost.Add(float64(r.Lost))
+	rt.metrics.endpointsLost.Add(float64(r.EndpointsLost))
 	rt.metrics.limitAnswers.Add(float64(countLimitAnswers(r.Trail)))
 	rt.metrics.extraConnections.Add(float64(countExtraConnections(r.Trail)))
 	if r.Delivered.Tokens > 0 {
@@ -122,19 +122,19 @@
 // addLostEndpoints logs the number of lost endpoints and the request's identity, which is the
 // same at all routers and for all retries by callers.
 func addLostEndpoints(log *zerolog.Event, r *request.Request) {
-	if r.Lost > 0 {
-		log.Int("lost", r.Lost).Stringer(logging.FieldIdentity, r.Identity())
+	if r.EndpointsLost > 0 {
+		log.Int("lost", r.EndpointsLost).Stringer(logging.FieldIdentity, r.Identity())
 	}
 }
 
 // recordSLO counts the request towards the objective of its class. Requests that end before
 // their class is known have no objective.
 func (rt *Router) recordSLO(r *request.Request, err error) {
-	if rt.cfg.Service == nil || r.Class == nil {
+	if rt.cfg.SLO == nil || r.Class == nil {
 		return
 	}
 	tier := r.Snapshot.Bundle().Tiers[r.Tier].Name
-	rt.cfg.Service.Record(slo.Key{Class: r.Class.Name, Tier: tier}, sloOutcome(r, err, time.Now()))
+	rt.cfg.SLO.Record(slo.Key{Class: r.Class.Name, Tier: tier}, sloOutcome(r, err, time.Now()))
 }
 
 // sloOutcome returns how a request that ends now counts towards its objective.
--- a/internal/router/outcome_test.go
+++ b/internal/router/outcome_test.go
@@ -38,7 +38,7 @@
 			Class:     &bundle.Class{FirstToken: units.Duration(2 * time.Second)},
 			Delivered: request.Delivered{FirstToken: c.first},
 		}
-		got := slo.Judge(sloOutcome(r, c.err, after(c.ended)))
+		got := slo.Classify(sloOutcome(r, c.err, after(c.ended)))
 		NewWithT(t).Expect(got).To(Equal(c.want), c.name)
 	}
 }
--- a/internal/router/routed.go
+++ b/internal/router/routed.go
@@ -42,7 +42,7 @@
 	// ShouldCloseConnections reports whether callers are better served by other routers, for example
 	// because this one will soon have to refuse their keys. Their connections close after the
 	// next answer. nil means never.
-	TurnAway func() bool
+	ShouldCloseConnections func() bool
 }
 
 // routedRetryAfter is the Retry-After of refused routed requests. Within 100 ms a queue of a
@@ -91,7 +91,7 @@
 
 // ResumeFromCopies cancels the streams at unresponsive endpoints that have a copy of their run
 // at a usable endpoint, so that they resume from it. Without Routing it does nothing.
-func (rt *Router) LeaveSilent(endpoints []string) {
+func (rt *Router) ResumeFromCopies(endpoints []string) {
 	if rt.directDispatch == nil {
 		return
 	}
@@ -107,11 +107,11 @@
 // ServeRouted serves a request by the route table.
 func (rt *Router) ServeRouted(w http.ResponseWriter, req *http.Request) {
 	rt.serve(w, req, &request.Request{
-		Kind:   wire.KindRouted,
-		Method: req.Method,
-		Host:   req.Host,
-		Target: req.RequestURI,
-		Table:  rt.cfg.Routing.Table(),
+		Kind:       wire.KindRouted,
+		Method:     req.Method,
+		Host:       req.Host,
+		RequestURI: req.RequestURI,
+		Table:      rt.cfg.Routing.Table(),
 	})
 }
 
@@ -141,7 +141,7 @@
 	}
 	out := *api.From(err)
 	out.RequestID = r.ID
-	out.Fractions = true
+	out.FractionalRetryAfter = true
 	out.Status = safeStatus(out.Status, out.Run)
 	if out.Run == wire.RunNot && out.RetryAfter > 0 && !hasOwnRetryAfter(err) {
 		out.RetryAfter = min(out.RetryAfter, routedRetryAfter)
@@ -199,11 +199,11 @@
 		Dur("left", time.Until(r.Deadline)).Dur("first", timeToFirstPart(r))
 	addLostEndpoints(log, r)
 	if r.Prompt.Tokens > 0 {
-		log.Uint64("home", r.Prompt.Home()).Int("prompt", r.Prompt.Tokens).Bool("tight", r.Tight).Int("kept", r.Kept).
-			Dur("expected", r.Wait).Dur("max_gap", r.Delivered.MaxGap).Int("output", r.Prompt.Output)
+		log.Uint64("home", r.Prompt.SharedPrefixID()).Int("prompt", r.Prompt.Tokens).Bool("tight", r.TightGap).Int("kept", r.TightGapEndpoints).
+			Dur("expected", r.ExpectedWait).Dur("max_gap", r.Delivered.MaxGap).Int("output", r.Prompt.ExpectedOutput)
 	}
-	if r.Copy != nil {
-		log.Str("copy", r.Copy.Name)
+	if r.CopyTo != nil {
+		log.Str("copy", r.CopyTo.Name)
 	}
 }
 
--- a/internal/router/routed_test.go
+++ b/internal/router/routed_test.go
@@ -33,12 +33,12 @@
 type testProtocol struct{}
 
 func (testProtocol) Incoming(h http.Header) upstream.Incoming {
-	in := upstream.Incoming{ID: h.Get("Id"), Key: h.Get("Key"), LastEvent: h.Get("Last")}
+	in := upstream.Incoming{ID: h.Get("Id"), APIKey: h.Get("Key"), LastEvent: h.Get("Last")}
 	if h.Get("Patience") != "" {
-		in.Patience, _ = time.ParseDuration(h.Get("Patience"))
+		in.CallerTimeout, _ = time.ParseDuration(h.Get("Patience"))
 	}
 	if h.Get("Prompt") != "" {
-		in.Prompt = prompt.Prompt{Tokens: 100, Output: 50}
+		in.Prompt = prompt.Prompt{Tokens: 100, ExpectedOutput: 50}
 	}
 	return in
 }
@@ -47,8 +47,8 @@
 	h.Del("Key")
 	h.Set("Team", a.Team)
 	h.Set("Meant-For", a.Endpoint)
-	h.Set("Left", a.Left.String())
-	h.Set("Tier", fmt.Sprint(a.Tier))
+	h.Set("Left", a.TimeLeft.String())
+	h.Set("Tier", fmt.Sprint(a.Rank))
 	if a.LastEvent != "" {
 		h.Set("Last", a.LastEvent)
 	}
@@ -61,7 +61,7 @@
 func (testProtocol) Decode(resp *http.Response) upstream.Reply {
 	return upstream.Reply{
 		ID: resp.Header.Get("Id"), NotRun: resp.Header.Get("Not-Run") != "",
-		Moved: resp.StatusCode == http.StatusMisdirectedRequest, Signed: resp.Header.Get("Signed") != "",
+		WrongInstance: resp.StatusCode == http.StatusMisdirectedRequest, Signed: resp.Header.Get("Signed") != "",
 		RateLimit: parseRateLimit(resp.Header.Get("Limit")),
 	}
 }
@@ -71,7 +71,7 @@
 	if err != nil {
 		return upstream.RateLimit{}
 	}
-	return upstream.RateLimit{Statement: upstream.LimitNamed, PerSecond: n}
+	return upstream.RateLimit{Kind: upstream.LimitSet, PerSecond: n}
 }
 
 // arrival is a request as an endpoint received it.
@@ -159,7 +159,7 @@
 				Region:    func(e *bundle.Endpoint) string { return w.regions[e.Name] },
 				Protocol:  testProtocol{}, Client: client,
 				KeyAge: func() time.Duration { return w.keyAge }, MaxKeyAge: func() time.Duration { return maxKeyAge },
-				TurnAway: func() bool { return w.closeConnections },
+				ShouldCloseConnections: func() bool { return w.closeConnections },
 			},
 		})
 		l, err := w.net.Listen(address)
@@ -373,10 +373,10 @@
 
 func TestStoppingRouterRefusesNewRequests(t *testing.T) {
 	runRouted(t, func(g *WithT, w *routerFixture, client *http.Client) {
-		w.router.Leave()
+		w.router.CloseCallerConnections()
 		got := call(g, client, "POST", "/once/", "x")
 		g.Expect(got.status).To(Equal(200))
-		w.router.Refuse()
+		w.router.RefuseNewRequests()
 		got = call(g, client, "POST", "/once/", "x")
 		g.Expect(got.status).To(Equal(503))
 		g.Expect(w.receivedCount()).To(Equal(1))
@@ -388,7 +388,7 @@
 		w.handle = func(string, *http.Request, net.Conn) { time.Sleep(time.Minute) }
 		go func() {
 			time.Sleep(200 * time.Millisecond)
-			w.router.EndOpen()
+			w.router.AbortOpenRequests()
 		}()
 		got := call(g, client, "POST", "/once/", "x")
 		g.Expect(got.status).To(Equal(502)) // 503 would guarantee that it didn't run
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -52,7 +52,7 @@
 	// Throttle configures load shedding of requests that endpoints would refuse.
 	Throttle throttle.Config
 	// IgnoreIdempotencyKeys sends requests with an idempotency key to any endpoint, for comparison runs.
-	IgnoreKeys bool
+	IgnoreIdempotencyKeys bool
 	// LateBinding queues a request at two endpoints if none is known to have a free slot.
 	LateBinding bool
 	// Rand returns random numbers from [0, 1); nil uses math/rand.
@@ -76,7 +76,7 @@
 	// Observer receives the results of attempts; nil disables this.
 	Observer dispatch.Observer
 	// SLO counts how requests of each class and tier met their objectives; nil disables this.
-	Service *slo.Tracker
+	SLO *slo.Tracker
 	// Routing enables serving by a route table; nil disables it.
 	Routing *Routing
 	Log     zerolog.Logger
@@ -169,7 +169,7 @@
 func (rt *Router) choose(subsetFilter *narrow.Filter) *choose.Filter {
 	return choose.New(choose.Config{
 		Pool: rt.cfg.Pool, Latest: subsetFilter.Latest,
-		IgnoreKeys: rt.cfg.IgnoreKeys, LateBinding: rt.cfg.LateBinding,
+		IgnoreKeys: rt.cfg.IgnoreIdempotencyKeys, LateBinding: rt.cfg.LateBinding,
 	})
 }
 
--- a/internal/router/serve.go
+++ b/internal/router/serve.go
@@ -45,7 +45,7 @@
 	r.Arrived = time.Now()
 	r.ArrivedClock = rt.cfg.Clock()
 	r.Snapshot = rt.snapshot.Load()
-	r.Latest = rt.snapshot.Load
+	r.LatestSnapshot = rt.snapshot.Load
 	r.Header = req.Header
 	r.Writer = w
 	rt.announceClose(w)
@@ -116,7 +116,7 @@
 	if r.Kind == wire.KindService {
 		panic(http.ErrAbortHandler)
 	}
-	api.GiveTime(r.Writer)
+	api.ExtendWriteDeadline(r.Writer)
 	_ = sse.WriteError(r.Writer, string(out.JSON())) // the caller may have disconnected
 }
 
@@ -134,7 +134,7 @@
 	for _, m := range r.Snapshot.Bundle().Models {
 		list.Data = append(list.Data, openai.Model{ID: m.Name, Object: "model", OwnedBy: "coveferry"})
 	}
-	api.GiveTime(r.Writer)
+	api.ExtendWriteDeadline(r.Writer)
 	r.Writer.Header().Set("Content-Type", "application/json")
 	return json.NewEncoder(r.Writer).Encode(list)
 }
--- a/internal/sched/schedtest/overload_test.go
+++ b/internal/sched/schedtest/overload_test.go
@@ -90,14 +90,14 @@
 	for _, share := range []float64{0.01, 0.02, 0.05, 0.1, 0.2} {
 		add(fmt.Sprint("share=", share), tiered.Config{Preempt: true, ReserveShare: share})
 	}
-	add("reserve=off", tiered.Config{Preempt: true, Off: tiered.Switches{Reserve: true}})
+	add("reserve=off", tiered.Config{Preempt: true, Disabled: tiered.Mechanisms{Reserve: true}})
 	for _, maxPreemptions := range []int{1, 2, 5} {
 		add(fmt.Sprint("preemptions=", maxPreemptions), tiered.Config{Preempt: true, MaxPreemptions: maxPreemptions})
 	}
 	add("preempt=off", tiered.Config{})
 	add("refuselate=on", tiered.Config{Preempt: true, RefuseLateFirstToken: true})
-	add("latedrop=off", tiered.Config{Preempt: true, Off: tiered.Switches{LateDrop: true}})
-	add("earlyrefusal=off", tiered.Config{Preempt: true, Off: tiered.Switches{EarlyRefusal: true}})
+	add("latedrop=off", tiered.Config{Preempt: true, Disabled: tiered.Mechanisms{LateDrop: true}})
+	add("earlyrefusal=off", tiered.Config{Preempt: true, Disabled: tiered.Mechanisms{EarlyRefusal: true}})
 	for _, load := range []float64{1, 2} {
 		for name, policy := range policies {
 			b.Run(fmt.Sprintf("load=%v/%s", load, name), func(b *testing.B) { reportOverload(b, policy, load) })
--- a/internal/sched/schedtest/property_test.go
+++ b/internal/sched/schedtest/property_test.go
@@ -84,11 +84,11 @@
 
 // measureStarvation floods an engine and returns the longest time that a class
 // went without service, and its bound.
-func measureStarvation(pick chooser, off tiered.Switches) (got, limit time.Duration) {
+func measureStarvation(pick chooser, off tiered.Mechanisms) (got, limit time.Duration) {
 	const tiers = 3
 	cfg := tiered.Config{
 		Slots: 1 + pick(4), Preempt: pick(2) == 0, QueueEntries: 1 + pick(50), MaxPreemptions: 2,
-		ReserveShare: []float64{0.1, 0.3}[pick(2)], ReserveAfter: time.Second, Off: off,
+		ReserveShare: []float64{0.1, 0.3}[pick(2)], ReserveAfter: time.Second, Disabled: off,
 	}
 	e := schedtest.Engine{Policy: tiered.New(cfg), Prefill: 50 * time.Millisecond, PreemptionDuration: 20 * time.Millisecond}
 	slotTime := longestRun + e.Prefill + e.PreemptionDuration + time.Millisecond
@@ -104,12 +104,12 @@
 func TestStarvationBoundUnderSustainedLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
-		got, limit := measureStarvation(fromSeed(seed), tiered.Switches{})
+		got, limit := measureStarvation(fromSeed(seed), tiered.Mechanisms{})
 		if got > limit {
 			t.Fatalf("a class went without service for %v, bound %v", got, limit)
 		}
 	})
-	got, limit := measureStarvation(fromSeed(1), tiered.Switches{Reserve: true})
+	got, limit := measureStarvation(fromSeed(1), tiered.Mechanisms{Reserve: true})
 	NewWithT(t).Expect(got).To(BeNumerically(">", limit), "without the reserve")
 }
 
@@ -123,7 +123,7 @@
 
 // measureUnfairness runs two teams of one tier that always have waiting jobs and
 // returns the largest difference in tokens served, and its bound.
-func measureUnfairness(pick chooser, off tiered.Switches) (got, limit int) {
+func measureUnfairness(pick chooser, off tiered.Mechanisms) (got, limit int) {
 	const longest = 400
 	slots := 1 + pick(4)
 	off.Reserve = true
@@ -133,7 +133,7 @@
 	}
 	served := map[string]int{}
 	seen := map[sched.JobID]int{}
-	e := schedtest.Engine{Policy: tiered.New(tiered.Config{Slots: slots, Off: off})}
+	e := schedtest.Engine{Policy: tiered.New(tiered.Config{Slots: slots, Disabled: off})}
 	e.Observe = func(_ time.Time, running []*schedtest.Run) {
 		for _, r := range running {
 			served[r.Job.Team] += r.Produced - seen[r.Job.ID]
@@ -149,11 +149,11 @@
 // served to two busy teams, and that it fails without fairness.
 func TestBusyTeamsGetEqualShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		got, limit := measureUnfairness(fromSeed(rapid.Uint64().Draw(t, "seed")), tiered.Switches{})
+		got, limit := measureUnfairness(fromSeed(rapid.Uint64().Draw(t, "seed")), tiered.Mechanisms{})
 		if got > limit {
 			t.Fatalf("the teams are %d tokens apart, bound %d", got, limit)
 		}
 	})
-	got, limit := measureUnfairness(fromSeed(1), tiered.Switches{Fairness: true})
+	got, limit := measureUnfairness(fromSeed(1), tiered.Mechanisms{Fairness: true})
 	NewWithT(t).Expect(got).To(BeNumerically(">", limit), "without fairness")
 }
--- a/internal/sched/tiered/account.go
+++ b/internal/sched/tiered/account.go
@@ -7,7 +7,7 @@
 // startCharge returns the tokens charged when the job starts: the estimated
 // length of the answer, since the actual length isn't known yet.
 func (s *Scheduler) startCharge(it *item) int64 {
-	if s.cfg.Off.StartCharge {
+	if s.cfg.Disabled.StartCharge {
 		return 0
 	}
 	return it.class.estimatedTokens()
@@ -26,7 +26,7 @@
 }
 
 func (s *Scheduler) setCharge(it *item, tokens int64) {
-	if s.cfg.Off.Fairness {
+	if s.cfg.Disabled.Fairness {
 		return
 	}
 	s.tiers[it.job.Tier].charge(it.team, tokens-it.charged)
--- a/internal/sched/tiered/admit.go
+++ b/internal/sched/tiered/admit.go
@@ -55,14 +55,14 @@
 
 // tooLate reports whether a start at the given time is at or after the limit.
 func (s *Scheduler) tooLate(limit, by int64) bool {
-	return by != never && limit >= by && !s.cfg.Off.EarlyRefusal
+	return by != never && limit >= by && !s.cfg.Disabled.EarlyRefusal
 }
 
 // startBy returns the time after which the job is unlikely to finish by its
 // deadline, given the run times of its class.
 func (s *Scheduler) startBy(now time.Time, c *class, j sched.Job) int64 {
 	deadline := unixNano(j.Deadline)
-	if deadline == never || s.cfg.Off.LateDrop {
+	if deadline == never || s.cfg.Disabled.LateDrop {
 		return deadline
 	}
 	return deadline - c.deadlineMargin(deadline-now.UnixNano())
@@ -125,7 +125,7 @@
 		entries -= s.tiers[i].boundedEntries
 		bytes -= s.tiers[i].boundedBytes
 	}
-	if s.cfg.Off.Displacement || !s.fits(j.Bytes, entries, bytes) {
+	if s.cfg.Disabled.Displacement || !s.fits(j.Bytes, entries, bytes) {
 		return false
 	}
 	for !s.fits(j.Bytes, s.boundedEntries, s.boundedBytes) {
--- a/internal/sched/tiered/bench_test.go
+++ b/internal/sched/tiered/bench_test.go
@@ -63,7 +63,7 @@
 	}
 	s := tiered.New(tiered.Config{
 		Slots: benchSlots, QueueEntries: 2 * queued, QueueBytes: 1 << 40,
-		Preempt: true, Off: tiered.Switches{EarlyRefusal: true},
+		Preempt: true, Disabled: tiered.Mechanisms{EarlyRefusal: true},
 	})
 	now := epoch
 	var id uint64
--- a/internal/sched/tiered/config.go
+++ b/internal/sched/tiered/config.go
@@ -34,13 +34,13 @@
 	// first-token target but not its deadline.
 	RefuseLateFirstToken bool
 	// Disabled turns off single mechanisms. It is for tests only.
-	Off Switches
+	Disabled Mechanisms
 }
 
 // Mechanisms lists mechanisms to turn off, so that tests can show that each of
 // them is effective. Setting a field turns that mechanism off; the field's
 // comment states the resulting behaviour. Don't set any in production.
-type Switches struct {
+type Mechanisms struct {
 	Fairness           bool // charge no tokens
 	CounterLift        bool // let an idle team save up service
 	StartCharge        bool // charge nothing when a job starts
--- a/internal/sched/tiered/mechanism_test.go
+++ b/internal/sched/tiered/mechanism_test.go
@@ -13,18 +13,18 @@
 // The condition of each entry holds with its mechanism enabled and fails with it
 // disabled.
 var _ = DescribeTable("a mechanism has its effect",
-	func(off tiered.Switches, holds func(off tiered.Switches) bool) {
-		Expect(holds(tiered.Switches{})).To(BeTrue(), "enabled")
+	func(off tiered.Mechanisms, holds func(off tiered.Mechanisms) bool) {
+		Expect(holds(tiered.Mechanisms{})).To(BeTrue(), "enabled")
 		Expect(holds(off)).To(BeFalse(), "disabled")
 	},
-	Entry("fairness", tiered.Switches{Fairness: true}, func(off tiered.Switches) bool {
+	Entry("fairness", tiered.Mechanisms{Fairness: true}, func(off tiered.Mechanisms) bool {
 		return quietTeamStarts(off, 0) >= 4
 	}),
-	Entry("counter lift", tiered.Switches{CounterLift: true}, func(off tiered.Switches) bool {
+	Entry("counter lift", tiered.Mechanisms{CounterLift: true}, func(off tiered.Mechanisms) bool {
 		return quietTeamStarts(off, 50) <= 6
 	}),
-	Entry("start charge", tiered.Switches{StartCharge: true}, func(off tiered.Switches) bool {
-		s := newSchedulerTest(tiered.Config{Slots: 4, Off: off})
+	Entry("start charge", tiered.Mechanisms{StartCharge: true}, func(off tiered.Mechanisms) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 4, Disabled: off})
 		quiet := map[sched.JobID]bool{}
 		for range 4 {
 			s.add(0, sched.Job{Team: "busy"})
@@ -32,13 +32,13 @@
 		}
 		return countOf(s.starts(0), quiet) == 2
 	}),
-	Entry("reserve", tiered.Switches{Reserve: true}, func(off tiered.Switches) bool {
-		s := newSchedulerTest(tiered.Config{Slots: 1, ReserveAfter: time.Second, Off: off})
+	Entry("reserve", tiered.Mechanisms{Reserve: true}, func(off tiered.Mechanisms) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 1, ReserveAfter: time.Second, Disabled: off})
 		low := s.add(0, sched.Job{Tier: 1})
 		return startsWithin(s, low, 2)
 	}),
-	Entry("oldest protection", tiered.Switches{OldestProtection: true}, func(off tiered.Switches) bool {
-		s := newSchedulerTest(tiered.Config{Slots: 1, QueueEntries: 2, Off: off})
+	Entry("oldest protection", tiered.Mechanisms{OldestProtection: true}, func(off tiered.Mechanisms) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 1, QueueEntries: 2, Disabled: off})
 		s.offer(0, sched.Job{Tier: 1})
 		s.offer(0, sched.Job{Tier: 1})
 		for range 4 {
@@ -46,16 +46,16 @@
 		}
 		return s.Load(at(0)).Queued[1] == 1
 	}),
-	Entry("displacement", tiered.Switches{Displacement: true}, func(off tiered.Switches) bool {
-		s := newSchedulerTest(tiered.Config{Slots: 1, QueueEntries: 1, Off: off})
+	Entry("displacement", tiered.Mechanisms{Displacement: true}, func(off tiered.Mechanisms) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 1, QueueEntries: 1, Disabled: off})
 		s.add(0, sched.Job{})
 		s.add(0, sched.Job{Tier: 1})
 		s.add(0, sched.Job{Tier: 1})
 		_, v := s.offer(0, sched.Job{})
 		return v.Admitted
 	}),
-	Entry("early refusal", tiered.Switches{EarlyRefusal: true}, func(off tiered.Switches) bool {
-		s := newSchedulerTest(tiered.Config{Slots: 1, Off: off})
+	Entry("early refusal", tiered.Mechanisms{EarlyRefusal: true}, func(off tiered.Mechanisms) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 1, Disabled: off})
 		s.run(0, 1000, "x", 1)
 		for range 5 {
 			s.add(1000, sched.Job{})
@@ -64,29 +64,29 @@
 		_, v := s.offer(1000, sched.Job{Tier: 1, Deadline: at(3000)})
 		return v.Reason == sched.ReasonTooLate && v.RetryAfter > 2*time.Second
 	}),
-	Entry("late drop", tiered.Switches{LateDrop: true}, func(off tiered.Switches) bool {
+	Entry("late drop", tiered.Mechanisms{LateDrop: true}, func(off tiered.Mechanisms) bool {
 		return decisionAt(off, 3500).Reason == sched.ReasonTooLate
 	}),
-	Entry("expiry", tiered.Switches{Expiry: true}, func(off tiered.Switches) bool {
+	Entry("expiry", tiered.Mechanisms{Expiry: true}, func(off tiered.Mechanisms) bool {
 		return decisionAt(off, 5000).Reason == sched.ReasonExpired
 	}),
-	Entry("preemption benefit", tiered.Switches{PreemptionBenefit: true}, func(off tiered.Switches) bool {
-		s := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, Off: off})
+	Entry("preemption benefit", tiered.Mechanisms{PreemptionBenefit: true}, func(off tiered.Mechanisms) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, Disabled: off})
 		s.run(0, 100, "x", 1)
 		s.add(100, sched.Job{Tier: 1, Preemptible: true})
 		s.starts(100)
 		s.add(100, sched.Job{FirstTokenBy: at(9000)})
 		return s.Next(at(100)).Action == sched.ActionNone
 	}),
-	Entry("reserved protection", tiered.Switches{ReservedProtection: true}, func(off tiered.Switches) bool {
-		s := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, ReserveAfter: 1, Off: off})
+	Entry("reserved protection", tiered.Mechanisms{ReservedProtection: true}, func(off tiered.Mechanisms) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, ReserveAfter: 1, Disabled: off})
 		s.add(0, sched.Job{Tier: 1, Preemptible: true})
 		s.add(0, sched.Job{FirstTokenBy: at(500)})
 		Expect(s.Next(at(1)).Action).To(Equal(sched.ActionStart))
 		return s.Next(at(2)).Action == sched.ActionNone
 	}),
-	Entry("earmark", tiered.Switches{Earmark: true}, func(off tiered.Switches) bool {
-		s := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, ReserveAfter: 5 * time.Millisecond, Off: off})
+	Entry("earmark", tiered.Mechanisms{Earmark: true}, func(off tiered.Mechanisms) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, ReserveAfter: 5 * time.Millisecond, Disabled: off})
 		low := s.add(0, sched.Job{Tier: 1, Preemptible: true})
 		s.starts(0)
 		s.add(0, sched.Job{Tier: 2})
@@ -95,8 +95,8 @@
 		s.Requeue(at(11), low)
 		return s.Next(at(11)) == startOf(high)
 	}),
-	Entry("preemption limit", tiered.Switches{PreemptionLimit: true}, func(off tiered.Switches) bool {
-		s := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, MaxPreemptions: 1, Off: off})
+	Entry("preemption limit", tiered.Mechanisms{PreemptionLimit: true}, func(off tiered.Mechanisms) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 1, Preempt: true, MaxPreemptions: 1, Disabled: off})
 		low := s.add(0, sched.Job{Tier: 1, Preemptible: true})
 		s.starts(0)
 		high := s.add(0, sched.Job{FirstTokenBy: at(500)})
@@ -108,8 +108,8 @@
 		s.add(301, sched.Job{FirstTokenBy: at(500)})
 		return s.Next(at(301)).Action == sched.ActionNone
 	}),
-	Entry("one preemption at a time", tiered.Switches{SinglePreemption: true}, func(off tiered.Switches) bool {
-		s := newSchedulerTest(tiered.Config{Slots: 2, Preempt: true, Off: off})
+	Entry("one preemption at a time", tiered.Mechanisms{SinglePreemption: true}, func(off tiered.Mechanisms) bool {
+		s := newSchedulerTest(tiered.Config{Slots: 2, Preempt: true, Disabled: off})
 		s.add(0, sched.Job{Tier: 1, Preemptible: true})
 		s.add(0, sched.Job{Tier: 1, Preemptible: true})
 		s.starts(0)
@@ -121,8 +121,8 @@
 // quietTeamStarts runs a busy team alone, then adds a quiet one, and returns how
 // many of the next ten starts are the quiet team's, or with busyRuns 0 the busy
 // team's.
-func quietTeamStarts(off tiered.Switches, busyRuns int) int {
-	s := newSchedulerTest(tiered.Config{Slots: 1, Off: off})
+func quietTeamStarts(off tiered.Mechanisms, busyRuns int) int {
+	s := newSchedulerTest(tiered.Config{Slots: 1, Disabled: off})
 	quiet := map[sched.JobID]bool{}
 	quiet[s.add(0, sched.Job{Team: "quiet"})] = true
 	runAll(s, 0)
@@ -187,9 +187,9 @@
 // decisionAt queues a job with a five-second deadline behind a running one, for
 // a class with a measured run time of one second, and returns the decision at
 // the given time.
-func decisionAt(off tiered.Switches, ms int) sched.Decision {
+func decisionAt(off tiered.Mechanisms, ms int) sched.Decision {
 	off.LateDrop = off.LateDrop || ms >= 5000
-	s := newSchedulerTest(tiered.Config{Slots: 1, Off: off})
+	s := newSchedulerTest(tiered.Config{Slots: 1, Disabled: off})
 	s.run(-1000, 1000, "a", 1)
 	s.add(0, sched.Job{Class: "x"})
 	s.starts(0)
--- a/internal/sched/tiered/preempt.go
+++ b/internal/sched/tiered/preempt.go
@@ -8,11 +8,11 @@
 
 // mayBePreempted reports whether a running job may be preempted.
 func (s *Scheduler) mayBePreempted(it *item) bool {
-	limitReached := it.preemptions >= s.cfg.MaxPreemptions && !s.cfg.Off.PreemptionLimit
+	limitReached := it.preemptions >= s.cfg.MaxPreemptions && !s.cfg.Disabled.PreemptionLimit
 	if !it.job.Preemptible || limitReached {
 		return false
 	}
-	return !it.reserved || s.cfg.Off.ReservedProtection
+	return !it.reserved || s.cfg.Disabled.ReservedProtection
 }
 
 // victimsBelow returns the number of running jobs of lower tiers that a job of
@@ -48,7 +48,7 @@
 // preempt, else nil. Only one preemption is in progress at a time, and the
 // number of waiting preempted jobs is limited to the number of slots.
 func (s *Scheduler) preemptor() *item {
-	pending := s.preemptionsInProgress > 0 && !s.cfg.Off.SinglePreemption
+	pending := s.preemptionsInProgress > 0 && !s.cfg.Disabled.SinglePreemption
 	if !s.cfg.Preempt || pending || len(s.resumed) >= s.cfg.Slots {
 		return nil
 	}
@@ -63,7 +63,7 @@
 // is expected to miss its first-token target without a preemption now and to
 // meet it with one.
 func (s *Scheduler) preemptionHelps(now time.Time, head *item) bool {
-	if s.cfg.Off.PreemptionBenefit {
+	if s.cfg.Disabled.PreemptionBenefit {
 		return true
 	}
 	first, newest := s.preemptionWindows(head)
--- a/internal/sched/tiered/queue.go
+++ b/internal/sched/tiered/queue.go
@@ -13,17 +13,17 @@
 		s.addBounded(it)
 	}
 	it.class.unstarted.append(it)
-	if it.startBy != never && !s.cfg.Off.Expiry {
+	if it.startBy != never && !s.cfg.Disabled.Expiry {
 		s.expiry.add(node[*item]{key: it.startBy, tie: it.arrival, pos: &it.expiryPos, val: it})
 	}
-	s.tiers[it.job.Tier].push(now, it, !s.cfg.Off.CounterLift)
+	s.tiers[it.job.Tier].push(now, it, !s.cfg.Disabled.CounterLift)
 	s.markUnserved(now, it.class)
 }
 
 // protected reports whether a new job of the class would be its oldest that
 // hasn't started. Such a job doesn't count towards the queue's limits.
 func (s *Scheduler) protected(c *class) bool {
-	return c.unstarted.head == nil && !s.cfg.Off.OldestProtection
+	return c.unstarted.head == nil && !s.cfg.Disabled.OldestProtection
 }
 
 // dequeue removes a waiting job from the queue. If another job becomes the
@@ -41,7 +41,7 @@
 		s.expiry.remove(it.expiryPos)
 	}
 	it.class.unstarted.remove(it)
-	if next := it.class.unstarted.head; next != nil && next.bounded && !s.cfg.Off.OldestProtection {
+	if next := it.class.unstarted.head; next != nil && next.bounded && !s.cfg.Disabled.OldestProtection {
 		s.removeBounded(next)
 	}
 }
--- a/internal/sched/tiered/reserve.go
+++ b/internal/sched/tiered/reserve.go
@@ -55,10 +55,10 @@
 // service, or nil if the reserve may not start one. Slots freed by preemption
 // are earmarked for the tier that preempted and not used by the reserve.
 func (s *Scheduler) nextReserved(now time.Time, free int) *item {
-	if s.cfg.Off.Earmark {
+	if s.cfg.Disabled.Earmark {
 		free += s.earmarked
 	}
-	if s.cfg.Off.Reserve || free <= s.earmarked || !s.reserve.available() {
+	if s.cfg.Disabled.Reserve || free <= s.earmarked || !s.reserve.available() {
 		return nil
 	}
 	var longestUnserved *class
--- a/internal/sched/tiered/scheduler.go
+++ b/internal/sched/tiered/scheduler.go
@@ -166,7 +166,7 @@
 	s.settleCharge(it)
 	it.state = waiting
 	s.resumed = append(s.resumed, it)
-	s.tiers[it.job.Tier].push(now, it, !s.cfg.Off.CounterLift)
+	s.tiers[it.job.Tier].push(now, it, !s.cfg.Disabled.CounterLift)
 	s.markUnserved(now, it.class)
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -42,7 +42,7 @@
 	// closes connections. net/http closes a connection as soon as its
 	// response ends. A peer whose response header didn't announce this may send
 	// its next request at that moment, and the request would be lost.
-	Linger time.Duration
+	QuietPeriod time.Duration
 }
 
 // Server is an HTTP server.
@@ -120,7 +120,7 @@
 	defer cancel()
 	s.stopping.Store(true)
 	_ = s.cfg.Listener.Close() // a failure must not keep open requests from completing
-	s.requests.waitIdle(ctx, s.cfg.Linger)
+	s.requests.waitIdle(ctx, s.cfg.QuietPeriod)
 	return s.shutdown(ctx, grace)
 }
 
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -27,7 +27,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		begun := make(chan struct{}, 2)
 		srv := server.New(server.Config{
-			Listener: l, Linger: time.Second,
+			Listener: l, QuietPeriod: time.Second,
 			Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(http.StatusOK)
 				_ = http.NewResponseController(w).Flush()
@@ -71,7 +71,7 @@
 			at := make(chan time.Duration, 3)
 			start := time.Now()
 			record := func() { at <- time.Since(start) }
-			p := server.Plan{Notice: time.Second, Grace: c.grace, Margin: c.margin}
+			p := server.ShutdownPlan{DrainTime: time.Second, Grace: c.grace, HandoverMargin: c.margin}
 			g.Expect(p.Run(record, record, func() error {
 				record()
 				time.Sleep(c.grace)
@@ -81,7 +81,7 @@
 		})
 	}
 	synctest.Test(t, func(t *testing.T) { // no handover if all requests end before it
-		p := server.Plan{Grace: time.Minute, Margin: time.Second}
+		p := server.ShutdownPlan{Grace: time.Minute, HandoverMargin: time.Second}
 		g := NewWithT(t)
 		g.Expect(p.Run(func() {}, func() { t.Error("called") }, func() error { return nil })).To(Succeed())
 		time.Sleep(time.Hour)
--- a/internal/slo/event.go
+++ b/internal/slo/event.go
@@ -49,7 +49,7 @@
 // Classify returns the result of an outcome. A complete answer counts as complete
 // even if the caller disconnected right after it. A request that its caller
 // canceled while it was queued counts as canceled, although it did not run.
-func Judge(o Outcome) Result {
+func Classify(o Outcome) Result {
 	switch {
 	case o.Complete && o.FirstToken <= o.Target:
 		return Good
--- a/internal/slo/recorder.go
+++ b/internal/slo/recorder.go
@@ -136,7 +136,7 @@
 
 // Rows returns a row for each key with results in the windows that end now, sorted
 // by class and tier.
-func (r *Recorder) Burn(now time.Time, o Objectives) []Row {
+func (r *Recorder) Rows(now time.Time, o Objectives) []Row {
 	sums := r.sumByKey(bucketNumber(now))
 	rows := make([]Row, 0, len(sums))
 	for key, counts := range sums {
--- a/internal/slo/slo_test.go
+++ b/internal/slo/slo_test.go
@@ -66,7 +66,7 @@
 
 func compare(t *rapid.T, rec *slo.Recorder, events []event, keys []slo.Key, now time.Time) {
 	rows := make(map[slo.Key]slo.Row)
-	for _, row := range rec.Burn(now, slo.Objectives{}) {
+	for _, row := range rec.Rows(now, slo.Objectives{}) {
 		rows[slo.Key{Class: row.Class, Tier: row.Tier}] = row
 	}
 	for _, key := range keys {
@@ -90,7 +90,7 @@
 	for i := range names {
 		rec.Record(start, slo.Key{Class: fmt.Sprint("c", i), Tier: "t"}, slo.Good)
 	}
-	rows := rec.Burn(start, slo.Objectives{})
+	rows := rec.Rows(start, slo.Objectives{})
 	g.Expect(len(rows)).To(gomega.BeNumerically("<=", 257))
 	total := uint64(0)
 	for _, row := range rows {
@@ -102,7 +102,7 @@
 	later := start.Add(7 * time.Hour)
 	key := slo.Key{Class: "new", Tier: "t"}
 	g.Expect(rec.Record(later, key, slo.Good)).To(gomega.Equal(key))
-	g.Expect(rec.Burn(later, slo.Objectives{})).To(gomega.HaveLen(1))
+	g.Expect(rec.Rows(later, slo.Objectives{})).To(gomega.HaveLen(1))
 }
 
 func TestClassify(t *testing.T) {
@@ -119,7 +119,7 @@
 		{slo.Outcome{FirstToken: 1, Target: target, Complete: true, Canceled: true}, slo.Good},
 		{slo.Outcome{Target: target, Refused: true, Canceled: true}, slo.Canceled},
 	} {
-		gomega.NewWithT(t).Expect(slo.Judge(c.o)).To(gomega.Equal(c.want), "%+v", c.o)
+		gomega.NewWithT(t).Expect(slo.Classify(c.o)).To(gomega.Equal(c.want), "%+v", c.o)
 	}
 }
 
@@ -157,7 +157,7 @@
 		for _, b := range c.batches {
 			record(rec, start, b.ago, b.res, b.n)
 		}
-		rows := rec.Burn(start, slo.Objectives{})
+		rows := rec.Rows(start, slo.Objectives{})
 		gomega.NewWithT(t).Expect(rows[0].Alert).To(gomega.Equal(c.want), "%s: %+v", c.name, rows[0])
 	}
 }
@@ -169,7 +169,7 @@
 	record(idle, start, 0, slo.Late, 2)
 	record(busy, start, 0, slo.Good, 1000)
 	report := func(name string, rec *slo.Recorder, objective float64) slo.Report {
-		return slo.Report{Format: slo.Format, Routers: []string{name}, At: start, Rows: rec.Burn(start, slo.Objectives{Default: objective})}
+		return slo.Report{Format: slo.Format, Routers: []string{name}, At: start, Rows: rec.Rows(start, slo.Objectives{Default: objective})}
 	}
 	merged := slo.Merge(report("r2", busy, 0.9), report("r1", idle, 0.95))
 	g.Expect(merged.Routers).To(gomega.Equal([]string{"r1", "r2"}))
@@ -212,7 +212,7 @@
 func TestFetchRefuses(t *testing.T) {
 	rec := slo.NewRecorder()
 	record(rec, start, 0, slo.Good, 1)
-	rows := rec.Burn(start, slo.Objectives{})
+	rows := rec.Rows(start, slo.Objectives{})
 	rows[0].Objective = 1
 	certain, err := json.Marshal(slo.Report{Format: slo.Format, Rows: rows})
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/slo/tracker.go
+++ b/internal/slo/tracker.go
@@ -40,12 +40,12 @@
 
 // Record counts a request that has just ended.
 func (t *Tracker) Record(key Key, o Outcome) {
-	res := Judge(o)
+	res := Classify(o)
 	key = t.rec.Record(t.cfg.Now(), key, res)
 	t.metrics.Count(key, res)
 }
 
-func (t *Tracker) rows() []Row { return t.rec.Burn(t.cfg.Now(), t.cfg.Objectives()) }
+func (t *Tracker) rows() []Row { return t.rec.Rows(t.cfg.Now(), t.cfg.Objectives()) }
 
 // Report returns the current report.
 func (t *Tracker) Report() Report {
--- a/internal/telemetry/note_test.go
+++ b/internal/telemetry/note_test.go
@@ -20,7 +20,7 @@
 		g.Expect(json.Unmarshal(w.Body.Bytes(), &h)).To(gomega.Succeed())
 		return w.Code, h
 	}
-	r.Note("bundle", "not confirmed")
+	r.SetNote("bundle", "not confirmed")
 	status, h := getHealth()
 	g.Expect(status).To(gomega.Equal(http.StatusServiceUnavailable))
 	g.Expect(h).To(gomega.Equal(Health{Waiting: []string{"serving"}, Notes: map[string]string{"bundle": "not confirmed"}}))
@@ -28,7 +28,7 @@
 	status, h = getHealth()
 	g.Expect(status).To(gomega.Equal(http.StatusOK))
 	g.Expect(h).To(gomega.Equal(Health{Ready: true, Notes: map[string]string{"bundle": "not confirmed"}}))
-	r.Note("bundle", "")
+	r.SetNote("bundle", "")
 	_, h = getHealth()
 	g.Expect(h).To(gomega.Equal(Health{Ready: true}))
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -59,7 +59,7 @@
 
 // SetNote sets the note of a topic in the health report. Notes don't affect
 // readiness. An empty text removes the note.
-func (r *Readiness) Note(topic, text string) {
+func (r *Readiness) SetNote(topic, text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if text == "" {
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -31,7 +31,7 @@
 	// refused.
 	MinRequests int
 	// Disabled turns the throttle off, for comparison.
-	Off bool
+	Disabled bool
 }
 
 // Throttle throttles requests to one group of endpoints, such as those of one
@@ -74,7 +74,7 @@
 
 // RefusalProbability returns the share of the tier's requests to refuse now.
 func (t *Throttle) RefusalProbability(now time.Time, tier int) float64 {
-	if t.cfg.Off {
+	if t.cfg.Disabled {
 		return 0
 	}
 	return refusalProbability(t.tiers.Sums(now), tier, t.cfg)
--- a/internal/upstream/plain.go
+++ b/internal/upstream/plain.go
@@ -28,10 +28,10 @@
 func (Plain) Incoming(h http.Header) Incoming {
 	in := Incoming{ID: h.Get(headerRequestID), LastEvent: h.Get(headerLastEvent)}
 	if key, ok := strings.CutPrefix(h.Get(headerAuthorization), bearerPrefix); ok {
-		in.Key = key
+		in.APIKey = key
 	}
 	if d, err := time.ParseDuration(h.Get(headerDeadline)); err == nil && d > 0 {
-		in.Patience = d
+		in.CallerTimeout = d
 	}
 	return in
 }
@@ -41,8 +41,8 @@
 	h.Del(headerAuthorization)
 	h.Del(headerTeam)
 	h.Set(headerRequestID, a.ID)
-	h.Set(headerDeadline, a.Left.String())
-	h.Set(headerTier, strconv.Itoa(a.Tier))
+	h.Set(headerDeadline, a.TimeLeft.String())
+	h.Set(headerTier, strconv.Itoa(a.Rank))
 	if a.Team != "" {
 		h.Set(headerTeam, a.Team)
 	}
--- a/internal/upstream/plain_test.go
+++ b/internal/upstream/plain_test.go
@@ -17,9 +17,9 @@
 		"Last-Event-Id": {"3"}, "Coveferry-Team": {"forged"},
 	}
 	g.Expect(upstream.Plain{}.Incoming(h)).To(Equal(upstream.Incoming{
-		ID: "a", Key: "k", Patience: 1500 * time.Millisecond, LastEvent: "3",
+		ID: "a", APIKey: "k", CallerTimeout: 1500 * time.Millisecond, LastEvent: "3",
 	}))
-	upstream.Plain{}.Encode(h, upstream.Attempt{ID: "a", Tier: 1, Left: time.Second, LastEvent: "5"})
+	upstream.Plain{}.Encode(h, upstream.Attempt{ID: "a", Rank: 1, TimeLeft: time.Second, LastEvent: "5"})
 	g.Expect(h).To(Equal(http.Header{
 		"Coveferry-Deadline": {"1s"}, "Coveferry-Request-Id": {"a"}, "Last-Event-Id": {"5"}, "Coveferry-Tier": {"1"},
 	}))
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -17,9 +17,9 @@
 	// detected.
 	ID string
 	// APIKey is empty if the caller sent none.
-	Key string
+	APIKey string
 	// CallerTimeout is how long the caller waits; 0 if unknown.
-	Patience time.Duration
+	CallerTimeout time.Duration
 	// LastEvent is the ID of the last event of a stream that the caller has received; empty for
 	// none.
 	LastEvent string
@@ -35,9 +35,9 @@
 	// Team is empty for a request without a key.
 	Team string
 	// Rank is the rank by which the endpoint admits the request.
-	Tier int
+	Rank int
 	// TimeLeft is how long the endpoint may work on the request.
-	Left time.Duration
+	TimeLeft time.Duration
 	// FetchFrom is the address of another endpoint from whose cache missing parts of the prompt
 	// may be fetched; empty for none.
 	FetchFrom string
@@ -60,7 +60,7 @@
 	// NotRun is the endpoint's guarantee that it didn't and won't run the request.
 	NotRun bool
 	// WrongInstance says that another instance has the address.
-	Moved bool
+	WrongInstance bool
 	// Signed says that the answer comes from the endpoint itself, not from an intermediary.
 	Signed bool
 	// Load is the endpoint's load report; nil if the answer has none.
@@ -71,27 +71,27 @@
 
 // RateLimit is an endpoint's limit on the requests per second from all routers together.
 type RateLimit struct {
-	Statement LimitStatement
+	Kind LimitKind
 	// PerSecond is the limit, 0 or more, if Kind is LimitSet.
 	PerSecond float64
 }
 
 // LimitKind is the kind of a RateLimit.
-type LimitStatement uint8
+type LimitKind uint8
 
 const (
 	// LimitNone: the answer states no limit.
-	LimitNone LimitStatement = iota
+	LimitNone LimitKind = iota
 	// LimitSet: the answer states a limit.
-	LimitNamed
+	LimitSet
 	// LimitUnreadable: the limit can't be parsed. Any limit known before remains valid.
 	LimitUnreadable
 )
 
 // String formats the limit for logs; empty if there is none.
 func (l RateLimit) String() string {
-	switch l.Statement {
-	case LimitNamed:
+	switch l.Kind {
+	case LimitSet:
 		return strconv.FormatFloat(l.PerSecond, 'g', 4, 64) + "/s"
 	case LimitUnreadable:
 		return "unreadable"
@@ -102,7 +102,7 @@
 // Health is the result of a health check in addition to whether the endpoint is healthy.
 type Health struct {
 	// Connected says that a connection was established.
-	Sent bool
+	Connected bool
 	// Cold is how much longer the endpoint stays cold.
 	Cold time.Duration
 	// RateLimit is the endpoint's statement of its own limit.
--- a/internal/wire/keys.go
+++ b/internal/wire/keys.go
@@ -9,7 +9,7 @@
 
 // EarlierRequest is the request that used an idempotency key before. If Request is empty and
 // State is "unknown", an earlier use can't be ruled out.
-type Earlier struct {
+type EarlierRequest struct {
 	Request string `json:"request,omitempty"`
 	// State is a once.State.
 	State string `json:"state"`
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -69,8 +69,8 @@
 	// AgentClock is the latest reading of the receiving agent's clock that the router has, and
 	// AgentClockAgeMillis its age when the attempt was sent; zero if it has none. From it the
 	// agent computes how long the attempt was in transit.
-	Heard          Clock `json:"heard,omitzero"`
-	HeardAgoMillis int64 `json:"heard_ago_ms,omitempty"`
+	AgentClock          Clock `json:"heard,omitzero"`
+	AgentClockAgeMillis int64 `json:"heard_ago_ms,omitempty"`
 	// SentUnixMillis is the router's wall clock, for attempts without AgentClock.
 	SentUnixMillis int64 `json:"sent_ms"`
 
@@ -124,20 +124,20 @@
 	EngineBody   string `json:"engine_body,omitempty"`
 	// Earlier is set if another request has used or may have used the key. With
 	// ReasonDuplicate, Run refers to that request.
-	Earlier *Earlier `json:"earlier,omitempty"`
+	Earlier *EarlierRequest `json:"earlier,omitempty"`
 }
 
 // Reasons of a refusal in addition to those of the scheduler.
 const (
-	ReasonLeaving      = "leaving"
-	ReasonStale        = "stale"          // arrived after its deadline
-	ReasonNotHere      = "wrong_endpoint" // the address belongs to another endpoint
-	ReasonBadEnvelope  = "bad_envelope"
-	ReasonEngineDown   = "engine_down"   // connection failed, nothing was sent
-	ReasonEngineFailed = "engine_failed" // failed after the request was sent
-	ReasonEngineSaysNo = "engine_refused"
-	ReasonCancelled    = "cancelled"
-	ReasonDuplicate    = "duplicate_key"
+	ReasonLeaving       = "leaving"
+	ReasonStale         = "stale"          // arrived after its deadline
+	ReasonWrongEndpoint = "wrong_endpoint" // the address belongs to another endpoint
+	ReasonBadEnvelope   = "bad_envelope"
+	ReasonEngineDown    = "engine_down"   // connection failed, nothing was sent
+	ReasonEngineFailed  = "engine_failed" // failed after the request was sent
+	ReasonEngineRefused = "engine_refused"
+	ReasonCancelled     = "cancelled"
+	ReasonDuplicate     = "duplicate_key"
 )
 
 // RetryAfter returns how long to wait before a retry.
@@ -194,7 +194,7 @@
 }
 
 // Validate reports what is invalid in an envelope; errors are marked ErrMalformed.
-func (e *Envelope) Check() error {
+func (e *Envelope) Validate() error {
 	switch {
 	case e.Request == "":
 		return errors.Mark(errors.New("envelope: request is missing"), ErrMalformed)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -32,7 +32,7 @@
 		g.Expect(errors.Is(err, wire.ErrMalformed)).To(BeTrue(), text)
 	}
 	good := wire.Envelope{Request: "r", Epoch: 1, Kind: wire.KindChat, DeadlineMillis: 1}
-	g.Expect(good.Check()).To(Succeed())
+	g.Expect(good.Validate()).To(Succeed())
 	for _, invalidate := range []func(*wire.Envelope){
 		func(e *wire.Envelope) { e.Request = "" },
 		func(e *wire.Envelope) { e.Epoch = 0 },
@@ -43,7 +43,7 @@
 	} {
 		bad := good
 		invalidate(&bad)
-		g.Expect(errors.Is(bad.Check(), wire.ErrMalformed)).To(BeTrue())
+		g.Expect(errors.Is(bad.Validate(), wire.ErrMalformed)).To(BeTrue())
 	}
 }
 
@@ -53,9 +53,9 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		h := http.Header{wire.HeaderEnvelope: {text}, wire.HeaderEnd: {text}, wire.HeaderLoad: {text}}
 		var env wire.Envelope
-		if wire.Decode(h, wire.HeaderEnvelope, &env) == nil && env.Check() == nil {
+		if wire.Decode(h, wire.HeaderEnvelope, &env) == nil && env.Validate() == nil {
 			var report load.Report
-			report.Below(env.Tier) // valid envelopes have a tier in range
+			report.CountBelow(env.Tier) // valid envelopes have a tier in range
 		}
 		var end wire.End
 		_ = wire.Decode(h, wire.HeaderEnd, &end)
