--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs routers, agents and stand-in engines in one process, over
-// real sockets on the loopback interface. It is what coveferryd standalone and
-// the experiments of coveferryctl bench run; the routers and agents are those
+// Package fleet runs routers, agents and stub engines in one process, over
+// real sockets on the loopback interface. coveferryd standalone and the
+// experiments of coveferryctl bench use it; the routers and agents are those
 // of the daemons.
 package fleet
 
@@ -41,50 +41,50 @@
 
 // Spec describes a fleet.
 type Spec struct {
-	// Bundle names teams, classes, tiers, models and limits. Its endpoints
-	// are filled in here: one for each engine, which serves all models.
+	// Bundle defines teams, classes, tiers, models and limits. Start adds one
+	// endpoint for each engine, which serves all models.
 	Bundle bundle.Bundle
 	// Engines are the engines, one agent each.
 	Engines []engine.Config
 	Routers int
-	// RouterAddress is where the first router listens; empty is any port of
-	// the loopback interface.
+	// RouterAddress is the listen address of the first router; empty means any
+	// port of the loopback interface.
 	RouterAddress string
-	// ShutdownGrace is how long Stop waits for open requests.
+	// ShutdownGrace is the time for which Stop waits for open requests.
 	ShutdownGrace time.Duration
-	// RouterStop and AgentStop are how processes stop that are replaced.
+	// RouterStop and AgentStop are the stop plans of replaced processes.
 	RouterStop, AgentStop server.Plan
 	Profile               Profile
 	Membership            Membership
-	// Network is what the parts talk over; nil is the loopback interface.
+	// Network connects the parts; nil means the loopback interface.
 	Network Network
-	// NewID names the routers' requests; nil makes random names.
+	// NewID generates the routers' request IDs; nil means random IDs.
 	NewID func() string
-	// Rand returns the routers' random numbers from [0, 1); nil is a source
-	// of their own.
+	// Rand returns the routers' random numbers from [0, 1); nil means that each
+	// router has its own source.
 	Rand func() float64
-	// Clock is that of routers and agents; nil is clock.Boot.
+	// Clock is the clock of routers and agents; nil means clock.Boot.
 	Clock clock.Clock
-	// Placement is what the i-th endpoint is to hold; nil leaves the engines as
-	// they start, with all models. What is held is what is served.
+	// Placement returns the placement of the i-th endpoint, which then serves only
+	// the models placed there; nil leaves the engines with all models.
 	Placement func(i int) bundle.Placement
-	// Keys is by what agents vouch for idempotency keys; nil is the default,
-	// without waiting for those that may hold an earlier list.
+	// Keys configures the handling of idempotency keys at agents; nil means the
+	// default without a wait for processes that may hold an earlier list.
 	Keys    *once.Config
 	Log     zerolog.Logger
 	Metrics prometheus.Registerer // of the first router; may be nil
-	// Service counts how the first router met its targets; may be nil.
+	// Service tracks the service levels of the first router; may be nil.
 	Service *slo.Tracker
 }
 
-// Network is what a fleet's parts talk over.
+// Network connects the parts of a fleet.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	// Dialer returns the dial function of the named part.
 	Dialer(from string) func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// loopback is the machine's own network.
+// loopback is the loopback interface of the machine.
 type loopback struct{}
 
 func (loopback) Listen(address string) (net.Listener, error) { return net.Listen("tcp", address) }
@@ -93,23 +93,23 @@
 	return (&net.Dialer{}).DialContext
 }
 
-// Fleet is a running set of processes' parts.
+// Fleet is a running set of routers, agents and engines.
 type Fleet struct {
 	spec      Spec
 	authority *identity.Authority
 	network   *partition
-	// mu guards what follows while processes are replaced.
+	// mu guards the fields below while processes are replaced.
 	mu      sync.Mutex
 	agents  []*AgentNode
 	routers []*RouterNode
-	// controls are where routers are called, one for each.
-	controls []*front
-	bundle   *bundle.Bundle
-	rolled   int
-	retired  retired
+	// controls are the control listeners, one per router.
+	controls          []*front
+	bundle            *bundle.Bundle
+	agentReplacements int
+	retired           retired
 }
 
-// Start starts all parts; when it returns they serve.
+// Start starts all parts and returns once they serve.
 func Start(spec Spec) (*Fleet, error) {
 	authority, err := identity.Ephemeral()
 	if err != nil {
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// fillBundle adds an endpoint for each agent to the spec's bundle, which keeps
-// those that are reached directly.
+// fillBundle returns the spec's bundle with one endpoint for each agent. Of the
+// spec's own endpoints it keeps only direct ones.
 func (f *Fleet) fillBundle() *bundle.Bundle {
 	b := f.spec.Bundle
 	b.Endpoints = slices.DeleteFunc(slices.Clone(b.Endpoints), func(e bundle.Endpoint) bool { return !e.Direct })
@@ -169,26 +169,26 @@
 			Models:        models,
 			Slots:         f.spec.Engines[i].Slots,
 		})
-		f.place(i, &b.Endpoints[len(b.Endpoints)-1])
+		f.applyPlacement(i, &b.Endpoints[len(b.Endpoints)-1])
 	}
 	return &b
 }
 
-// Bundle is the bundle in force; it must not be changed.
+// Bundle returns the bundle in force; it must not be changed.
 func (f *Fleet) Bundle() *bundle.Bundle {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.bundle
 }
 
-// Agents are the present agents with their engines.
+// Agents returns the current agents with their engines.
 func (f *Fleet) Agents() []*AgentNode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.agents)
 }
 
-// Routers are the present routers.
+// Routers returns the current routers.
 func (f *Fleet) Routers() []*RouterNode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -196,7 +196,7 @@
 }
 
 // Stop stops the routers gracefully, then the agents, then the engines. It
-// goes on after an error and returns them all.
+// continues after errors and returns all of them.
 func (f *Fleet) Stop() error {
 	var errs error
 	for _, r := range f.Routers() {
@@ -210,8 +210,9 @@
 	return errors.CombineErrors(errs, f.retired.errs)
 }
 
-// maxBody bounds an attempt's body at an agent. The router has held it to the
-// bundle's bound; the answer so far comes on top when a request is resumed.
+// maxBody returns the maximum body size of an attempt at an agent. That is twice
+// the limit that routers enforce, since a resumed request also contains the
+// answer so far.
 func maxBody(limits bundle.Limits) int64 {
 	if limits.RequestBytes <= 0 {
 		return math.MaxInt64
--- a/internal/fleet/front.go
+++ b/internal/fleet/front.go
@@ -7,13 +7,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// front stands in for the balancer before one router: it keeps the address
-// while the routers behind it replace one another. New connections go to the
-// latest of them.
+// front simulates the balancer in front of one router. It keeps the listen
+// address while the router is replaced, and passes new connections to the
+// newest instance.
 type front struct {
 	listener net.Listener
 	mu       sync.Mutex
-	current  *inlet
+	current  *frontListener
 }
 
 func newFront(l net.Listener) *front {
@@ -22,10 +22,10 @@
 	return f
 }
 
-// next makes the listener of the next router, to which connections go from now
-// on.
-func (f *front) next() *inlet {
-	in := &inlet{front: f, conns: make(chan net.Conn), closed: make(chan struct{})}
+// next returns the listener of the next router instance, which gets all
+// connections from now on.
+func (f *front) next() *frontListener {
+	in := &frontListener{front: f, conns: make(chan net.Conn), closed: make(chan struct{})}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.current = in
@@ -42,14 +42,15 @@
 	}
 }
 
-// pass hands a connection to the current router. One whose router closed in
-// that moment goes to the next; before the first router none is taken.
+// pass hands a connection to the current router. If that router closes its
+// listener meanwhile, the connection goes to its replacement. Before the first
+// router starts, connections are closed.
 func (f *front) pass(conn net.Conn) {
 	f.mu.Lock()
 	in := f.current
 	f.mu.Unlock()
 	if in == nil {
-		_ = conn.Close() // nobody serves yet
+		_ = conn.Close() // no router has started yet
 		return
 	}
 	select {
@@ -66,8 +67,8 @@
 	}
 }
 
-// inlet is the listener of one router behind a front.
-type inlet struct {
+// frontListener is the listener of one router instance behind a front.
+type frontListener struct {
 	front  *front
 	conns  chan net.Conn
 	once   sync.Once
@@ -75,7 +76,7 @@
 }
 
 // Accept implements net.Listener.
-func (in *inlet) Accept() (net.Conn, error) {
+func (in *frontListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-in.conns:
 		return conn, nil
@@ -84,11 +85,11 @@
 	}
 }
 
-// Close implements net.Listener. The front stays for the next router.
-func (in *inlet) Close() error {
+// Close implements net.Listener. The front stays open for the next router.
+func (in *frontListener) Close() error {
 	in.once.Do(func() { close(in.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (in *inlet) Addr() net.Addr { return in.front.listener.Addr() }
+func (in *frontListener) Addr() net.Addr { return in.front.listener.Addr() }
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -11,9 +11,9 @@
 	"coveferry/internal/server"
 )
 
-// keyConfig is by what an agent vouches for idempotency keys. All processes of
-// a fleet here go by the same clock, and all that held an earlier list are told
-// of each new one, so that there is nobody to wait for.
+// keyConfig returns an agent's configuration for idempotency keys. By default it
+// has no clock skew and no settling time, since all processes of the fleet share
+// one clock and get each new list at once.
 func (f *Fleet) keyConfig(name string) once.Config {
 	cfg := once.DefaultConfig(once.Member{Name: name, VM: vmOf(name)})
 	if f.spec.Keys != nil {
@@ -38,18 +38,18 @@
 	}
 }
 
-// peerClient reaches the other agents as the agent of that identity.
+// peerClient returns a client for calls to other agents with the given identity.
 func (f *Fleet) peerClient(name string, id *identity.Identity) *http.Client {
 	return server.NewClient(id.ClientConfig(identity.RoleAgent, identity.AnyName), f.network.Dialer(name))
 }
 
-// runKeys has the agent look after its keys until the node's end.
+// runKeys maintains the agent's idempotency keys until stopKeys is called.
 func (n *AgentNode) runKeys() {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = n.Agent.RunKeys(ctx) // it ends with the context alone
+		_ = n.Agent.RunKeys(ctx) // it returns only when the context ends
 	}()
 	n.stopKeys = func() {
 		cancel()
@@ -58,8 +58,8 @@
 	}
 }
 
-// adopt puts a bundle's endpoints in force at the agents, for their keys and
-// their placement.
+// adopt applies a bundle's endpoints to the agents' idempotency keys and
+// placement.
 func adopt(b *bundle.Bundle, agents ...*AgentNode) {
 	s := bundle.NewSnapshot(b)
 	for _, n := range agents {
@@ -68,9 +68,9 @@
 	}
 }
 
-// RestartAgent ends an agent at once and starts one without memory in its
-// place, at the same address and with the same engine. It takes keys by what
-// Spec.Keys says of a start.
+// RestartAgent kills an agent and starts a new one without its state, at the same
+// address and with the same engine. Spec.Keys defines how it handles keys after
+// its start.
 func (f *Fleet) RestartAgent(i int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,5 +95,5 @@
 	return nil
 }
 
-// AdoptAt puts a bundle in force at one agent alone, as while a bundle spreads.
+// AdoptAt applies a bundle to one agent only, as during its distribution.
 func (f *Fleet) AdoptAt(i int, b *bundle.Bundle) { adopt(b, f.Agents()[i]) }
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -12,7 +12,7 @@
 	"coveferry/internal/limits"
 )
 
-// teamLimits are a router's part in the limits of teams.
+// teamLimits enforces the limits of teams at one router.
 type teamLimits struct {
 	limiter *limits.Limiter
 	pool    *control.Pool
@@ -29,8 +29,8 @@
 	})}
 }
 
-// start has the router ask others; without a control server at each of them
-// the profile must have it limit alone.
+// start runs the exchange with the other routers. If they have no control servers,
+// the profile must set limits.Alone.
 func (t *teamLimits) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.cancel = cancel
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -20,19 +20,19 @@
 	"coveferry/internal/server"
 )
 
-// Membership is how a fleet's routers learn which endpoints leave, besides
-// what they see on their connections.
+// Membership configures how a fleet's routers learn which endpoints leave, in
+// addition to what they observe on their connections.
 type Membership struct {
-	// VMList are the base URLs of the platform's list; there may be none.
+	// VMList has the base URLs of the platform's VM list; may be empty.
 	VMList []string
-	// Silent keeps agents from telling routers that they leave.
+	// Silent disables the leave notices of agents to routers.
 	Silent bool
-	// Observe changes what routers learn from attempts; nil leaves it as it is.
+	// Observe wraps the routers' observer of attempts; nil keeps it.
 	Observe func(dispatch.Observer) dispatch.Observer
 }
 
-// member is a router's part in membership.
-type member struct {
+// memberNode is the membership component of one router.
+type memberNode struct {
 	tracker *membership.Tracker
 	prober  *membership.Prober
 	feed    *membership.Feed
@@ -41,8 +41,8 @@
 	work    sync.WaitGroup
 }
 
-// openControls opens the addresses at which routers are called, so that the
-// first bundle can name them.
+// openControls opens the routers' control listeners, so that the first bundle
+// can contain their addresses.
 func (f *Fleet) openControls() error {
 	for range f.spec.Routers {
 		l, err := f.network.Listen(anyPort)
@@ -62,7 +62,7 @@
 	return errs
 }
 
-// listRouters are the routers as the bundle names them.
+// listRouters returns the routers as the bundle lists them.
 func (f *Fleet) listRouters() []bundle.Router {
 	routers := make([]bundle.Router, len(f.controls))
 	for i, c := range f.controls {
@@ -77,12 +77,12 @@
 func domainOf(i int) string { return fmt.Sprintf("domain-%d", i%failureDomains) }
 
 // newMember returns nil for a profile that ignores membership.
-func (f *Fleet) newMember(i int, id *identity.Identity, pool *balance.Pool, client *http.Client, reg prometheus.Registerer, log zerolog.Logger) *member {
+func (f *Fleet) newMember(i int, id *identity.Identity, pool *balance.Pool, client *http.Client, reg prometheus.Registerer, log zerolog.Logger) *memberNode {
 	if f.spec.Profile.IgnoreMembership {
 		return nil
 	}
 	name := routerName(i)
-	m := &member{tracker: membership.NewTracker(membership.Config{
+	m := &memberNode{tracker: membership.NewTracker(membership.Config{
 		Name: name, Pool: pool, Tuning: membership.Tuning{Seed: uint64(i)}, Log: log, Metrics: reg,
 	})}
 	m.tracker.SetBundle(f.bundle)
@@ -115,8 +115,8 @@
 	return control.ClientConfig{Identity: id, Dial: f.network.Dialer(name), Log: f.spec.Log}
 }
 
-// observer is what the router's attempts are told to; nil for nobody.
-func (m *member) observer(s Membership) dispatch.Observer {
+// observer returns the observer of the router's attempts; nil means none.
+func (m *memberNode) observer(s Membership) dispatch.Observer {
 	switch {
 	case m == nil:
 		return nil
@@ -126,18 +126,18 @@
 	return m.tracker
 }
 
-func (m *member) start() {
+func (m *memberNode) start() {
 	if m == nil {
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
-	m.work.Go(func() { _ = m.control.Run() }) // it ends with Stop
+	m.work.Go(func() { _ = m.control.Run() }) // it returns after Stop
 	m.work.Go(func() { m.prober.Run(ctx) })
 	m.work.Go(func() { m.feed.Run(ctx) })
 }
 
-func (m *member) stop() error {
+func (m *memberNode) stop() error {
 	if m == nil {
 		return nil
 	}
@@ -147,7 +147,7 @@
 	return ignoreClosed(err)
 }
 
-// ignoreClosed lets a listener be closed twice.
+// ignoreClosed drops the error of closing a listener twice.
 func ignoreClosed(err error) error {
 	if errors.Is(err, net.ErrClosed) {
 		return nil
@@ -155,14 +155,14 @@
 	return err
 }
 
-func (m *member) setBundle(b *bundle.Bundle) {
+func (m *memberNode) setBundle(b *bundle.Bundle) {
 	if m != nil {
 		m.tracker.SetBundle(b)
 	}
 }
 
-// Members is what the router makes of the endpoints; nil for a profile that
-// ignores membership.
+// Members returns the router's membership tracker; nil for a profile that ignores
+// membership.
 func (n *RouterNode) Members() *membership.Tracker {
 	if n.member == nil {
 		return nil
@@ -170,7 +170,7 @@
 	return n.member.tracker
 }
 
-// newAnnouncer returns what an agent tells routers with when it leaves.
+// newAnnouncer returns the announcer by which an agent notifies routers that it leaves.
 func (f *Fleet) newAnnouncer(n *AgentNode, id *identity.Identity) *membership.Announcer {
 	return membership.NewAnnouncer(membership.AnnouncerConfig{
 		Status:  n.Agent.Status,
@@ -180,23 +180,23 @@
 	})
 }
 
-// Leave makes the agent leave and tells the routers that it heard from.
+// Leave has the agent leave and notifies the routers that have contacted it.
 func (n *AgentNode) Leave() {
 	n.leave()
-	if n.goodbye != nil {
-		n.goodbye.Say()
+	if n.leaveNotice != nil {
+		n.leaveNotice.Say()
 	}
 }
 
-// leaveTaken waits until all routers have been told, if they are.
-func (n *AgentNode) leaveTaken() {
-	if n.goodbye != nil {
-		n.goodbye.Wait()
+// awaitLeaveNotice waits until all routers have been notified, if notices are enabled.
+func (n *AgentNode) awaitLeaveNotice() {
+	if n.leaveNotice != nil {
+		n.leaveNotice.Wait()
 	}
 }
 
-// Kill ends an agent's process and its engine without a word, as when its VM
-// fails. The bundle names it still.
+// Kill stops an agent and its engine without notice, as when its VM fails. The
+// bundle still lists it.
 func (f *Fleet) Kill(agent int) error {
 	n := f.Agents()[agent]
 	n.Engine.Crash()
--- a/internal/fleet/nodes.go
+++ b/internal/fleet/nodes.go
@@ -27,31 +27,31 @@
 	server       *server.Server
 	engineServer *server.Server
 	engineClient *http.Client
-	// peerClient reaches other agents; stopKeys ends the talk with them.
+	// peerClient is for calls to other agents; stopKeys ends them.
 	peerClient *http.Client
 	stopKeys   func()
-	// Placement gives orders to the engine; nil without Spec.Placement.
+	// Placement applies the placement to the engine; nil without Spec.Placement.
 	Placement     *placement.Runner
 	stopPlacement func()
-	// goodbye tells routers that the agent leaves; nil if it tells none.
-	goodbye *membership.Goodbye
+	// leaveNotice notifies routers that the agent leaves; nil if disabled.
+	leaveNotice *membership.Goodbye
 }
 
-// Address is where the agent takes attempts.
+// Address returns the address at which the agent accepts attempts.
 func (n *AgentNode) Address() string { return n.server.Addr() }
 
-// EngineURL is the base of the engine's own interface.
+// EngineURL returns the base URL of the engine.
 func (n *AgentNode) EngineURL() string { return "http://" + n.engineServer.Addr() }
 
-// stop ends the agent at a fleet's end, when no router is left to tell.
+// stop stops the agent with its fleet, when no router is left to notify.
 func (n *AgentNode) stop() error {
 	return n.stopBy(server.Plan{Grace: n.server.Grace()}, n.leave)
 }
 
-// replace ends the agent while routers go on.
+// replace stops the agent while the routers keep running, and notifies them.
 func (n *AgentNode) replace(p server.Plan) error {
 	err := n.stopBy(p, n.Leave)
-	n.leaveTaken()
+	n.awaitLeaveNotice()
 	return err
 }
 
@@ -63,17 +63,17 @@
 	return errors.CombineErrors(err, n.engineServer.Stop())
 }
 
-// RouterNode is a router.
+// RouterNode is a router with its server and clients.
 type RouterNode struct {
 	Router *router.Router
 	server *server.Server
 	client *http.Client
 	front  *front
 	limits *teamLimits
-	member *member // nil for a profile that ignores membership
+	member *memberNode // nil for a profile that ignores membership
 }
 
-// stop ends the router and its front.
+// stop stops the router and its front.
 func (n *RouterNode) stop() error {
 	err := n.stopBy(server.Plan{Grace: n.server.Grace()})
 	return errors.CombineErrors(err, n.front.listener.Close())
@@ -87,7 +87,7 @@
 	return err
 }
 
-// URL is the base that callers use.
+// URL returns the base URL for callers.
 func (n *RouterNode) URL() string { return "http://" + n.server.Addr() }
 
 func (f *Fleet) startAgent(name string, cfg engine.Config) (*AgentNode, error) {
@@ -112,7 +112,7 @@
 	handler := f.withPlacement(node, node.Agent.Handler())
 	if !f.spec.Membership.Silent && !f.spec.Profile.IgnoreMembership {
 		announcer := f.newAnnouncer(node, id)
-		node.goodbye = membership.NewGoodbye(announcer)
+		node.leaveNotice = membership.NewGoodbye(announcer)
 		handler = announcer.Wrap(handler)
 	}
 	node.server, err = f.serve(anyPort, handler, id)
@@ -138,9 +138,9 @@
 
 func routerName(i int) string { return fmt.Sprintf("router-%02d", i) }
 
-// startRouter starts a router behind the front, or behind a new one if that is
-// nil.
-func (f *Fleet) startRouter(i int, before *front) (*RouterNode, error) {
+// startRouter starts a router behind the given front, or behind a new one if
+// that is nil.
+func (f *Fleet) startRouter(i int, existing *front) (*RouterNode, error) {
 	name := routerName(i)
 	id, err := f.identity(identity.RoleRouter, name)
 	if err != nil {
@@ -168,7 +168,7 @@
 		Log:          f.spec.Log.With().Str("role", "router").Logger(),
 	}
 	address := anyPort
-	if i == 0 && before == nil {
+	if i == 0 && existing == nil {
 		cfg.Metrics = f.spec.Metrics
 		cfg.Service = f.spec.Service
 		if f.spec.RouterAddress != "" {
@@ -187,20 +187,20 @@
 		cfg.Routing = router.BundleRouting(inForce, server.NewClient(nil, f.network.Dialer(name)))
 	}
 	rt = router.New(cfg)
-	if before == nil {
+	if existing == nil {
 		l, err := f.network.Listen(address)
 		if err != nil {
 			return nil, errors.Wrapf(err, "fleet: listen on %s", address)
 		}
-		before = newFront(l)
+		existing = newFront(l)
 	}
-	srv := f.serveOn(before.next(), rt.Handler(), nil)
+	srv := f.serveOn(existing.next(), rt.Handler(), nil)
 	member.start()
 	teams.start()
-	return &RouterNode{Router: rt, server: srv, client: client, front: before, limits: teams, member: member}, nil
+	return &RouterNode{Router: rt, server: srv, client: client, front: existing, limits: teams, member: member}, nil
 }
 
-// identity makes a certificate that lives as long as the fleet may.
+// identity issues a certificate that is valid longer than the fleet runs.
 func (f *Fleet) identity(role identity.Role, name string) (*identity.Identity, error) {
 	pair, err := f.authority.Issue(role, name, certValidity)
 	if err != nil {
@@ -210,7 +210,7 @@
 	return id, errors.Wrapf(err, "fleet: identity of %s", name)
 }
 
-// serve starts a server; with an identity it talks to routers and agents only.
+// serve starts a server; with an identity it accepts only routers and agents.
 func (f *Fleet) serve(address string, h http.Handler, id *identity.Identity) (*server.Server, error) {
 	l, err := f.network.Listen(address)
 	if err != nil {
--- a/internal/fleet/partition.go
+++ b/internal/fleet/partition.go
@@ -8,30 +8,30 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errCut is what a dial across a partition ends with.
-var errCut = errors.New("fleet: no answer across the partition")
+// errPartitioned is the error of a dial across a partition.
+var errPartitioned = errors.New("fleet: no answer across the partition")
 
-// partition is a network on which pairs of parts can be cut off from each other.
-// Nothing passes a cut and nobody is told: connections stay, as in a network
-// that drops packets. It is safe for concurrent use.
+// partition is a network that can be partitioned between a part and an address.
+// Connections stay open but transfer nothing, as in a network that drops
+// packets. It is safe for concurrent use.
 type partition struct {
 	Network
 	mu   sync.Mutex
-	cuts map[way]chan struct{} // closed at the heal
+	cuts map[path]chan struct{} // closed by heal
 }
 
-// way leads from a part to an address.
-type way struct{ from, to string }
+// path is the connection from a part to an address.
+type path struct{ from, to string }
 
 func newPartition(n Network) *partition {
-	return &partition{Network: n, cuts: make(map[way]chan struct{})}
+	return &partition{Network: n, cuts: make(map[path]chan struct{})}
 }
 
 // Dialer implements Network.
 func (p *partition) Dialer(from string) func(context.Context, string, string) (net.Conn, error) {
 	dial := p.Network.Dialer(from)
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		w := way{from: from, to: address}
+		w := path{from: from, to: address}
 		if err := p.await(ctx, w); err != nil {
 			return nil, err
 		}
@@ -40,12 +40,12 @@
 			return nil, err
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		return &cutConn{Conn: conn, partition: p, way: w, open: ctx, close: cancel}, nil
+		return &partitionConn{Conn: conn, partition: p, path: w, open: ctx, close: cancel}, nil
 	}
 }
 
-// await waits until the way isn't cut.
-func (p *partition) await(ctx context.Context, w way) error {
+// await waits until the path isn't cut.
+func (p *partition) await(ctx context.Context, w path) error {
 	p.mu.Lock()
 	healed := p.cuts[w]
 	p.mu.Unlock()
@@ -56,11 +56,11 @@
 	case <-healed:
 		return nil
 	case <-ctx.Done():
-		return errors.Mark(context.Cause(ctx), errCut)
+		return errors.Mark(context.Cause(ctx), errPartitioned)
 	}
 }
 
-func (p *partition) cut(w way) {
+func (p *partition) cut(w path) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cuts[w] == nil {
@@ -77,48 +77,47 @@
 	}
 }
 
-// cutConn is a connection on which nothing passes while its way is cut.
-type cutConn struct {
+// partitionConn is a connection that transfers nothing while its path is cut.
+type partitionConn struct {
 	net.Conn
 	partition *partition
-	way       way
+	path      path
 	// open ends when the connection is closed.
 	open  context.Context
 	close context.CancelFunc
 }
 
-// Read implements net.Conn. What had come before the cut arrives behind it.
-func (c *cutConn) Read(b []byte) (int, error) {
+// Read implements net.Conn. Data received before the cut is returned after it.
+func (c *partitionConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if cut := c.partition.await(c.open, c.way); cut != nil {
+	if cut := c.partition.await(c.open, c.path); cut != nil {
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *cutConn) Write(b []byte) (int, error) {
-	if cut := c.partition.await(c.open, c.way); cut != nil {
+func (c *partitionConn) Write(b []byte) (int, error) {
+	if cut := c.partition.await(c.open, c.path); cut != nil {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(b)
 }
 
 // Close implements net.Conn.
-func (c *cutConn) Close() error {
+func (c *partitionConn) Close() error {
 	c.close()
 	return c.Conn.Close()
 }
 
-// Cut lets nothing pass between the first half of the routers and an agent until
-// Heal.
+// Cut partitions the first half of the routers from an agent until Heal.
 func (f *Fleet) Cut(agent int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range (len(f.routers) + 1) / 2 {
-		f.network.cut(way{from: routerName(i), to: f.agents[agent].Address()})
+		f.network.cut(path{from: routerName(i), to: f.agents[agent].Address()})
 	}
 }
 
-// Heal ends all cuts.
+// Heal ends all partitions.
 func (f *Fleet) Heal() { f.network.heal() }
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -8,8 +8,9 @@
 	"coveferry/internal/placement"
 )
 
-// withPlacement starts what gives orders to a node's engine, if the fleet has
-// placements, and has the handler tell others what the node keeps.
+// withPlacement starts the placement runner of a node, if the fleet has
+// placements, and wraps the handler so that other agents can query what the
+// node keeps.
 func (f *Fleet) withPlacement(n *AgentNode, h http.Handler) http.Handler {
 	n.stopPlacement = func() {}
 	if f.spec.Placement == nil {
@@ -28,7 +29,7 @@
 	return n.Placement.Wrap(h)
 }
 
-// runPlacement has the node give orders until its end.
+// runPlacement runs the node's placement until stopPlacement is called.
 func (n *AgentNode) runPlacement() {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -43,8 +44,8 @@
 	}
 }
 
-// leave has the agent refuse new attempts, and what its engine holds count for
-// nobody.
+// leave has the agent refuse new attempts. Other nodes no longer count the models
+// that its engine holds.
 func (n *AgentNode) leave() {
 	if n.Placement != nil {
 		n.Placement.Leave()
@@ -52,15 +53,15 @@
 	n.Agent.Leave()
 }
 
-// followPlacement has the node act by a bundle's placement.
+// followPlacement applies a bundle's placement to the node.
 func (n *AgentNode) followPlacement(b *bundle.Bundle) {
 	if n.Placement != nil {
 		n.Placement.Follow(b)
 	}
 }
 
-// place fills in what an endpoint is to hold, and so what it serves.
-func (f *Fleet) place(i int, e *bundle.Endpoint) {
+// applyPlacement sets an endpoint's placement and the models that it serves.
+func (f *Fleet) applyPlacement(i int, e *bundle.Endpoint) {
 	if f.spec.Placement == nil {
 		return
 	}
--- a/internal/fleet/profile.go
+++ b/internal/fleet/profile.go
@@ -12,33 +12,33 @@
 	"coveferry/internal/throttle"
 )
 
-// Profile is the set of decisions that a fleet works by, so that the same
-// processes can be run with coveferry's own and with others to compare.
+// Profile is the set of policies of a fleet. It allows comparing coveferry's own
+// policies with others in the same processes.
 type Profile struct {
 	Name string
 	// Balance chooses endpoints at the routers.
 	Balance balance.Policy
-	// Scheduler makes the policy of one agent.
+	// Scheduler returns a new scheduling policy for one agent.
 	Scheduler func(slots int, limits bundle.Limits) sched.Policy
-	// Retry makes the policy of one router.
+	// Retry returns a new retry policy for one router.
 	Retry    func() attempts.Policy
 	Throttle throttle.Config
-	// LateBinding has requests wait at two endpoints.
+	// LateBinding lets a request wait at two endpoints at once.
 	LateBinding bool
-	// IgnoreKeys has idempotency keys not acted on.
+	// IgnoreKeys disables idempotency keys.
 	IgnoreKeys bool
-	// TeamLimits is how teams' limits hold across routers.
+	// TeamLimits is the way in which routers enforce the limits of teams.
 	TeamLimits limits.Mode
-	// IgnoreMembership has routers learn nothing of endpoints that leave but by
-	// the refusals of their own attempts.
+	// IgnoreMembership disables membership: a router learns that an endpoint leaves
+	// only when its own attempts are refused.
 	IgnoreMembership bool
 }
 
-// Attempts of a request, the first included.
+// defaultMaxAttempts includes the first attempt of a request.
 const defaultMaxAttempts = 3
 
-// Baseline is the naive way: endpoints in turn, a queue in order of arrival,
-// and another attempt after any error.
+// Baseline returns naive policies for comparison: round robin, FIFO queues and a
+// retry after any error.
 func Baseline() Profile {
 	return Profile{
 		Name:      "baseline",
@@ -53,7 +53,7 @@
 	}
 }
 
-// Product is coveferry's own way.
+// Product returns coveferry's own policies.
 func Product() Profile {
 	return Profile{
 		Name:        "product",
--- a/internal/fleet/roll.go
+++ b/internal/fleet/roll.go
@@ -10,12 +10,12 @@
 	"coveferry/internal/bundle"
 )
 
-// retired holds the processes that were replaced and are still stopping.
+// retired holds the replaced processes, which may still be stopping.
 type retired struct {
 	stopping sync.WaitGroup
 	mu       sync.Mutex
 	errs     error
-	// agents and routers are guarded by the fleet's lock.
+	// agents and routers are guarded by Fleet.mu.
 	agents  []*AgentNode
 	routers []*RouterNode
 }
@@ -29,8 +29,8 @@
 	})
 }
 
-// RollRouter replaces a router by a new process at the same address. It returns
-// once the new one serves; the old one stops by the fleet's plan meanwhile.
+// RollRouter replaces a router by a new one at the same address. It returns once
+// the new one serves; the old one stops in the background by Spec.RouterStop.
 func (f *Fleet) RollRouter(i int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,14 +45,14 @@
 	return nil
 }
 
-// RollAgent replaces an agent with its engine by new processes at another
-// address, as if its VM were replaced, and puts a bundle in force that names
-// them. The old ones stop by the fleet's plan meanwhile.
+// RollAgent replaces an agent and its engine by new ones at another address, as
+// if its VM were replaced, and applies a bundle that lists them. The old ones
+// stop in the background by Spec.AgentStop.
 func (f *Fleet) RollAgent(i int) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rolled++
-	node, err := f.startAgent(fmt.Sprintf("engine-%02d-r%d", i, f.rolled), f.spec.Engines[i])
+	f.agentReplacements++
+	node, err := f.startAgent(fmt.Sprintf("engine-%02d-r%d", i, f.agentReplacements), f.spec.Engines[i])
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 	f.agents[i] = node
 	f.retired.agents = append(f.retired.agents, old)
 	f.bundle = f.fillBundle()
-	f.bundle.Version += uint64(f.rolled)
+	f.bundle.Version += uint64(f.agentReplacements)
 	adopt(f.bundle, slices.Concat(f.agents, f.retired.agents)...)
 	snapshot := bundle.NewSnapshot(f.bundle)
 	for _, r := range slices.Concat(f.routers, f.retired.routers) {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// Retired are the agents that were replaced, whose engines' records stay.
+// Retired returns the replaced agents, whose engines keep their records.
 func (f *Fleet) Retired() []*AgentNode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
