--- a/internal/fleet/bench_test.go
+++ b/internal/fleet/bench_test.go
@@ -13,8 +13,8 @@
 	"coveferry/internal/standin/engine"
 )
 
-// BenchmarkRequest is the cost of a whole request of three tokens over the
-// loopback interface: caller, router, agent and engine together.
+// BenchmarkRequest measures a complete request of three tokens over the loopback
+// interface, through caller, router, agent and engine.
 func BenchmarkRequest(b *testing.B) {
 	s := spec()
 	s.Engines = []engine.Config{{Slots: 256, TokenTime: time.Microsecond}}
--- a/internal/fleet/cut.go
+++ b/internal/fleet/cut.go
@@ -1,8 +1,8 @@
 package fleet
 
-// CutRouter partitions a router from the other routers' control addresses, in both
+// PartitionRouter partitions a router from the other routers' control addresses, in both
 // directions, until Heal.
-func (f *Fleet) CutRouter(router int) {
+func (f *Fleet) PartitionRouter(router int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.controls {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -63,7 +63,7 @@
 	return resp, string(text)
 }
 
-func TestStreamedAnswerIsWhole(t *testing.T) {
+func TestStreamedAnswerIsComplete(t *testing.T) {
 	g := NewWithT(t)
 	f := start(t)
 	resp, text := post(g, f.Routers()[0].URL()+"/v1/chat/completions",
@@ -74,7 +74,7 @@
 	g.Expect(strings.Count(text, `"content":`)).To(BeNumerically(">=", 5))
 }
 
-func TestWholeAnswerInOnePiece(t *testing.T) {
+func TestNonStreamedAnswer(t *testing.T) {
 	g := NewWithT(t)
 	f := start(t)
 	resp, text := post(g, f.Routers()[0].URL()+"/v1/completions",
--- a/internal/fleet/keys_test.go
+++ b/internal/fleet/keys_test.go
@@ -19,15 +19,15 @@
 	"coveferry/internal/server"
 )
 
-// keyedSpec is the usual fleet with two routers.
+// keyedSpec returns the default fleet with two routers.
 func keyedSpec() fleet.Spec {
 	sp := spec()
 	sp.Routers = 2
 	return sp
 }
 
-// homedAt finds a key that the named engine is the home of, among both.
-func (s *session) homedAt(name string) string {
+// keyWithHome returns an idempotency key whose home is the named engine.
+func (s *session) keyWithHome(name string) string {
 	list := once.ViewOf(s.fleet.Bundle()).Lists[once.ModelTarget("stand-in")]
 	for i := 0; ; i++ {
 		if id := fmt.Sprint("filing-", i); list.Home("registry", id) == name {
@@ -36,12 +36,12 @@
 	}
 }
 
-// file sends a filing, which must not run twice, and notes what came of it.
-func (s *session) file(router int, id string, issued time.Time) {
+// sendAndRecord sends a non-idempotent request with a key and records its result.
+func (s *session) sendAndRecord(router int, id string, issued time.Time) {
 	status, body := s.send(router, id, issued)
-	s.note("router %d, %s: status %d, %d tokens", router, id, status, bytes.Count(body, []byte(`"content":`)))
+	s.record("router %d, %s: status %d, %d tokens", router, id, status, bytes.Count(body, []byte(`"content":`)))
 	if status != http.StatusOK {
-		s.note("%s", body)
+		s.record("%s", body)
 	}
 }
 
@@ -74,13 +74,13 @@
 			done <- status
 		}()
 		synctest.Wait()
-		s.file(1, "filing", issued)
+		s.sendAndRecord(1, "filing", issued)
 		s.g.Expect(<-done).To(Equal(http.StatusOK))
-		s.file(1, "filing", issued)
-		s.file(0, "filing", issued.Add(time.Second))
-		s.file(0, "filing", time.Time{})
+		s.sendAndRecord(1, "filing", issued)
+		s.sendAndRecord(0, "filing", issued.Add(time.Second))
+		s.sendAndRecord(0, "filing", time.Time{})
 		time.Sleep(16 * time.Minute) // fake time
-		s.file(0, "filing", issued)
+		s.sendAndRecord(0, "filing", issued)
 		s.g.Expect(s.runs()).To(Equal(1))
 	})
 }
@@ -90,67 +90,68 @@
 	cfg := once.DefaultConfig(once.Member{})
 	sp.Keys = &cfg
 	runSession(t, sp, func(s *session) {
-		time.Sleep(5 * time.Second) // the margin of clocks; all is fake time
-		id := s.homedAt("engine-00")
+		time.Sleep(5 * time.Second) // the clock skew allowed; fake time
+		id := s.keyWithHome("engine-00")
 		issued := time.Now()
-		s.file(0, id, issued)
+		s.sendAndRecord(0, id, issued)
 		s.g.Expect(s.fleet.RestartAgent(0)).To(Succeed())
-		s.file(1, id, issued)
+		s.sendAndRecord(1, id, issued)
 		time.Sleep(cfg.Settle + 2*time.Second)
-		s.file(1, id, issued)
+		s.sendAndRecord(1, id, issued)
 		s.g.Expect(s.runs()).To(Equal(1))
 		time.Sleep(5 * time.Second)
-		s.file(1, id+" anew", time.Now())
+		s.sendAndRecord(1, id+" anew", time.Now())
 	})
 }
 
-// A router and an agent hold a list without engine-00, the others still the one
-// with it.
+// One router and one agent hold a list without engine-00, while the others still hold
+// the list that includes it.
 func TestSessionKeyWithDifferentLists(t *testing.T) {
 	sp := keyedSpec()
 	cfg := once.DefaultConfig(once.Member{})
 	sp.Keys = &cfg
 	runSession(t, sp, func(s *session) {
 		time.Sleep(5 * time.Second)
-		id := s.homedAt("engine-00")
+		id := s.keyWithHome("engine-00")
 		issued := time.Now()
 		later := *s.fleet.Bundle()
 		later.Version++
 		later.Endpoints = later.Endpoints[1:]
 		s.fleet.AdoptAt(1, &later)
 		s.fleet.Routers()[1].Router.Swap(bundle.NewSnapshot(&later))
-		s.file(1, id, issued)
-		s.file(0, id, issued)
-		s.file(1, id, issued)
+		s.sendAndRecord(1, id, issued)
+		s.sendAndRecord(0, id, issued)
+		s.sendAndRecord(1, id, issued)
 		s.g.Expect(s.runs()).To(Equal(1))
 		s.fleet.AdoptAt(0, &later)
-		s.file(0, id, issued)
+		s.sendAndRecord(0, id, issued)
 		time.Sleep(2 * time.Second)
-		s.file(1, id, issued)
+		s.sendAndRecord(1, id, issued)
 		s.g.Expect(s.runs()).To(Equal(1))
 		time.Sleep(5 * time.Second)
-		s.file(1, id+" anew", time.Now())
+		s.sendAndRecord(1, id+" anew", time.Now())
 	})
 }
 
-// What certainly did not run leaves its key free; what may have run doesn't.
+// The key of a request that certainly didn't run can be used again; that of a request
+// that may have run can't.
 func TestSessionKeyOfWhatDidNotRun(t *testing.T) {
 	runSession(t, keyedSpec(), func(s *session) {
 		issued := time.Now()
-		id := s.homedAt("engine-00")
+		id := s.keyWithHome("engine-00")
 		home := s.fleet.Agents()[0]
 		address := strings.TrimPrefix(home.EngineURL(), "http://")
 		s.net.Cut("engine-00", address)
-		s.file(0, id, issued)
+		s.sendAndRecord(0, id, issued)
 		s.net.Heal("engine-00", address)
-		s.file(1, id, issued)
-		s.file(0, id, issued)
+		s.sendAndRecord(1, id, issued)
+		s.sendAndRecord(0, id, issued)
 		s.g.Expect(s.runs()).To(Equal(1))
-		id = s.homedAt("engine-01")
+		id = s.keyWithHome("engine-01")
 		s.fleet.Agents()[1].Engine.Crash()
-		s.file(0, id, issued)
+		s.sendAndRecord(0, id, issued)
 		s.fleet.Agents()[1].Engine.Restart()
-		s.file(1, id, issued)
+		s.sendAndRecord(1, id, issued)
 		s.g.Expect(s.runs()).To(Equal(1))
 	})
 }
--- a/internal/fleet/late_test.go
+++ b/internal/fleet/late_test.go
@@ -11,7 +11,8 @@
 	"coveferry/internal/fleet"
 )
 
-// pairSpec has two engines of one slot, 10 ms a token, and late binding.
+// pairSpec returns a fleet of two engines with one slot and 10 ms per token, with late
+// binding.
 func pairSpec() fleet.Spec {
 	sp := spec()
 	for i := range sp.Engines {
@@ -21,34 +22,34 @@
 	return sp
 }
 
-// occupy fills both engines' slots, the first for longer. Keys take the calls
-// to the one engine or the other.
-func (s *session) occupy() {
+// fillSlots fills both engines' slots, the first one for longer. Idempotency keys
+// direct each call to its engine.
+func (s *session) fillSlots() {
 	for i, tokens := range []int{30, 10} {
-		s.aside(http.Header{
-			api.HeaderIdempotencyKey: {s.homedAt(s.fleet.Agents()[i].Name)},
+		s.callInBackground(http.Header{
+			api.HeaderIdempotencyKey: {s.keyWithHome(s.fleet.Agents()[i].Name)},
 			api.HeaderKeyTime:        {time.Now().Format(time.RFC3339Nano)},
 		}, tokens)
 	}
 }
 
-// A request that waits at two endpoints runs at the one that is free first, and
-// the other forgets it.
+// A request that waits at two endpoints runs at the one that is free first, and the
+// other one drops it.
 func TestSessionLateBinding(t *testing.T) {
 	runSession(t, pairSpec(), func(s *session) {
-		s.occupy()
+		s.fillSlots()
 		s.call(s.t.Context(), chatPath, chat(2), nonIdempotent(), nil)
-		time.Sleep(time.Second) // fake time, in which engine-00 becomes free
+		time.Sleep(time.Second) // fake time, until engine-00 is free
 		s.g.Expect(s.fleet.Agents()[0].Engine.Record()).To(HaveLen(1))
 		s.g.Expect(s.fleet.Agents()[1].Engine.Record()).To(HaveLen(2))
 	})
 }
 
-// The endpoint that got a request is cut off before it answers: the other one,
-// where the request waited too, must not run it.
+// The endpoint that runs a request is partitioned before it answers. The other one,
+// where the request also waited, must not run it.
 func TestSessionLateBindingWinnerLost(t *testing.T) {
 	runSession(t, pairSpec(), func(s *session) {
-		s.occupy()
+		s.fillSlots()
 		winner := s.fleet.Agents()[1]
 		time.AfterFunc(105*time.Millisecond, winner.Engine.Hang)
 		time.AfterFunc(150*time.Millisecond, func() { s.net.Cut("router-00", winner.Address()) })
@@ -61,7 +62,7 @@
 // One of the two endpoints refuses; the request still runs at the other.
 func TestSessionLateBindingOneLeaves(t *testing.T) {
 	runSession(t, pairSpec(), func(s *session) {
-		s.occupy()
+		s.fillSlots()
 		time.AfterFunc(50*time.Millisecond, s.fleet.Agents()[1].Agent.Leave)
 		s.call(s.t.Context(), chatPath, chat(2), nonIdempotent(), nil)
 		s.g.Expect(s.fleet.Agents()[0].Engine.Record()).To(HaveLen(2))
--- a/internal/fleet/leaving_test.go
+++ b/internal/fleet/leaving_test.go
@@ -13,29 +13,29 @@
 	"coveferry/internal/standin/engine"
 )
 
-// oneSlot is two engines with a slot each.
-func oneSlot() (first, second engine.Config) {
+// oneSlotEngines returns two engines with one slot each.
+func oneSlotEngines() (first, second engine.Config) {
 	one := engine.Config{Slots: 1, TokenTime: 10 * time.Millisecond, Priorities: true}
 	return one, one
 }
 
-// What waits at an endpoint that leaves begins elsewhere, also if it must not
-// run twice: it truly didn't run.
+// Requests that wait at a leaving endpoint run elsewhere, even non-idempotent ones,
+// since they haven't started.
 func TestSessionLeavingGivesBackItsQueue(t *testing.T) {
 	sp := spec()
-	a, b := oneSlot()
+	a, b := oneSlotEngines()
 	sp.Engines = []engine.Config{a, b}
 	runSession(t, sp, func(s *session) {
-		s.aside(nil, 100)
-		s.aside(nil, 10)
+		s.callInBackground(nil, 100)
+		s.callInBackground(nil, 10)
 		time.AfterFunc(20*time.Millisecond, s.fleet.Agents()[0].Agent.Leave)
 		s.call(s.t.Context(), chatPath, chat(2), nonIdempotent(), nil)
 		s.g.Expect(s.fleet.Agents()[0].Engine.Record()).To(HaveLen(1))
 	})
 }
 
-// At the last call an answer that may run twice is finished elsewhere, seen by
-// its caller as one; one that must not stays until its end.
+// At a handover, an idempotent request is resumed elsewhere and its caller gets one
+// continuous answer; a non-idempotent one stays until it ends.
 func TestSessionHandOver(t *testing.T) {
 	sp := spec()
 	sp.Engines = append(sp.Engines, sp.Engines[0])
@@ -48,9 +48,9 @@
 			stays = quiet.call(s.t.Context(), chatPath, chat(12), nonIdempotent(), nil)
 		})
 		synctest.Wait()
-		s.aside(nil, 1)
-		time.Sleep(2 * time.Millisecond) // so that they end one after the other
-		s.aside(nil, 1)
+		s.callInBackground(nil, 1)
+		time.Sleep(2 * time.Millisecond) // so that the two end at different times
+		s.callInBackground(nil, 1)
 		got := s.call(s.t.Context(), chatPath, chat(12), nil, func(pieces int) {
 			if pieces == 4 {
 				first.Agent.Leave()
@@ -59,7 +59,7 @@
 			}
 		})
 		wg.Wait()
-		s.g.Expect(text(got)).To(Equal(text(s.whole(chatPath, chat(12)))))
+		s.g.Expect(text(got)).To(Equal(text(s.uninterrupted(chatPath, chat(12)))))
 		s.g.Expect(text(stays)).To(Equal(text(got)))
 		ends := []engine.End{}
 		for _, run := range first.Engine.Record() {
@@ -69,13 +69,13 @@
 	})
 }
 
-// Every process is replaced while requests come, and each gets a whole answer.
-func TestRollingReplacementCutsOffNothing(t *testing.T) {
+// Every process is replaced under load, and each request gets a complete answer.
+func TestRollingReplacementInterruptsNoAnswer(t *testing.T) {
 	sp := spec()
 	sp.Routers = 2
 	sp.RouterStop = server.Plan{Notice: time.Second, Grace: time.Minute, Margin: time.Second}
 	sp.AgentStop = server.Plan{Notice: 500 * time.Millisecond, Grace: 4 * time.Second, Margin: 2 * time.Second}
-	playSession(t, sp, func(s *session) {
+	runInBubble(t, sp, func(s *session) {
 		before := s.fleet.Bundle().Version
 		var wg sync.WaitGroup
 		for i := range 30 {
@@ -101,7 +101,7 @@
 		moved := 0
 		for _, old := range s.fleet.Retired() {
 			for _, run := range old.Engine.Record() {
-				s.g.Expect(run.Start).To(BeTemporally("<", s.start.Add(3*time.Second)), "an agent that left began nothing")
+				s.g.Expect(run.Start).To(BeTemporally("<", s.start.Add(3*time.Second)), "an agent that has left must not start requests")
 				if run.End == engine.EndCancelled {
 					moved++
 				}
@@ -111,7 +111,7 @@
 	})
 }
 
-// A router's stop doesn't suffice for an answer: its caller is told.
+// An answer takes longer than a router's planned stop: its caller gets an error.
 func TestSessionRouterEnds(t *testing.T) {
 	runSession(t, spec(), func(s *session) {
 		rt := s.fleet.Routers()[0].Router
--- a/internal/fleet/limits_test.go
+++ b/internal/fleet/limits_test.go
@@ -17,7 +17,7 @@
 	"coveferry/internal/server"
 )
 
-// limitedSpec is a fleet of two routers whose team has limits.
+// limitedSpec returns a fleet of two routers whose team has the given limits.
 func limitedSpec(l bundle.TeamLimits) fleet.Spec {
 	s := spec()
 	s.Routers = 2
@@ -25,8 +25,8 @@
 	return s
 }
 
-// via sends a short request through a router and notes the answer.
-func (s *session) via(router int) int {
+// sendThrough sends a short request through a router and records the answer.
+func (s *session) sendThrough(router int) int {
 	client := server.NewClient(nil, s.net.Dialer("caller"))
 	defer client.CloseIdleConnections()
 	url := s.fleet.Routers()[router].URL() + chatPath
@@ -38,43 +38,45 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	s.g.Expect(err).NotTo(HaveOccurred())
-	s.note("router %d: status %d, retry after %q", router, resp.StatusCode, resp.Header.Get(api.HeaderRetryAfter))
+	s.record("router %d: status %d, retry after %q", router, resp.StatusCode, resp.Header.Get(api.HeaderRetryAfter))
 	if resp.StatusCode != http.StatusOK {
-		s.note("%q", body)
+		s.record("%q", body)
 	}
 	return resp.StatusCode
 }
 
-// A team with one request a second uses it through both routers. Each lets the
-// first request of a quiet team in and owes it; the limit then counts for both.
+// A team with a limit of one request per second sends through both routers. Each
+// router admits the first request of an idle team on credit; after that the limit
+// applies to both together.
 func TestSessionTeamLimitThroughTwoRouters(t *testing.T) {
 	runSession(t, limitedSpec(bundle.TeamLimits{RequestsPerSecond: 1}), func(s *session) {
-		s.wholeSeconds = true // two routers ask at the same instants
+		s.ignoreMillis = true // two routers send requests at the same time
 		time.Sleep(2 * time.Second)
 		var got []int
 		for _, router := range []int{0, 0, 1, 1, 0} {
-			got = append(got, s.via(router))
+			got = append(got, s.sendThrough(router))
 			time.Sleep(90 * time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
-		got = append(got, s.via(1))
+		got = append(got, s.sendThrough(1))
 		s.g.Expect(got).To(Equal([]int{200, 429, 200, 429, 429, 200}))
 	})
 }
 
-// admitted counts what two routers let in of a demand beyond the limit.
-func admitted(t *testing.T, mode limits.Mode, cut bool) int {
+// countAdmitted returns the number of requests that two routers admit if the demand
+// exceeds the limit.
+func countAdmitted(t *testing.T, mode limits.Mode, cut bool) int {
 	count := 0
 	s := limitedSpec(bundle.TeamLimits{RequestsPerSecond: 20})
 	s.Profile.TeamLimits = mode
-	playSession(t, s, func(s *session) {
+	runInBubble(t, s, func(s *session) {
 		time.Sleep(2 * time.Second)
 		if cut {
-			s.fleet.CutRouter(0)
+			s.fleet.PartitionRouter(0)
 		}
 		for range 400 {
 			for router := range 2 {
-				if s.via(router) == http.StatusOK {
+				if s.sendThrough(router) == http.StatusOK {
 					count++
 				}
 			}
@@ -85,12 +87,12 @@
 	return count
 }
 
-func TestTeamLimitHoldsAcrossRoutersOfAFleet(t *testing.T) {
-	// 400 rounds of two requests, of some 25 ms each when they are let in.
-	alone := admitted(t, limits.Alone, false)
+func TestTeamLimitHoldsAcrossRouters(t *testing.T) {
+	// 400 rounds of two requests, which take some 25 ms each if admitted.
+	alone := countAdmitted(t, limits.Alone, false)
 	for _, cut := range []bool{false, true} {
 		t.Run(fmt.Sprint("cut ", cut), func(t *testing.T) {
-			NewWithT(t).Expect(admitted(t, limits.Shared, cut)).To(BeNumerically("<", alone*7/10))
+			NewWithT(t).Expect(countAdmitted(t, limits.Shared, cut)).To(BeNumerically("<", alone*7/10))
 		})
 	}
 }
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -25,8 +25,8 @@
 type Membership struct {
 	// VMList has the base URLs of the platform's VM list; may be empty.
 	VMList []string
-	// Silent disables the leave notices of agents to routers.
-	Silent bool
+	// DisableNotices disables the leave notices of agents to routers.
+	DisableNotices bool
 	// Observe wraps the routers' observer of attempts; nil keeps it.
 	Observe func(dispatch.Observer) dispatch.Observer
 }
--- a/internal/fleet/membership_test.go
+++ b/internal/fleet/membership_test.go
@@ -23,61 +23,61 @@
 	"coveferry/internal/wire"
 )
 
-// bound is within what time a leaving endpoint gets no new work any more.
-const bound = 3 * time.Second
+// leaveBound is the time after which a leaving endpoint must get no new work.
+const leaveBound = 3 * time.Second
 
-// source is one way in which routers learn that an endpoint leaves, with all
-// others shut off.
-type source struct {
+// leaveSignal is a signal by which routers learn that an endpoint leaves, with all
+// other signals disabled.
+type leaveSignal struct {
 	name string
-	// lag is that of the platform's list, if it tells; 0 if not.
-	lag time.Duration
-	// silent and deaf shut off notices and what attempts show.
-	silent, deaf bool
-	// knows says that the agent itself leaves.
-	knows bool
-	// dies says that the agent's process ends without a word.
-	dies bool
-}
-
-func sources() []source {
-	return []source{
-		{name: "reports", silent: true, knows: true},
-		{name: "notice", deaf: true, knows: true},
-		{name: "refused connections", silent: true, dies: true},
-		{name: "list", lag: 2 * time.Second, silent: true},
+	// listDelay is the delay of the platform's VM list; 0 means that it isn't used.
+	listDelay time.Duration
+	// ignoreAttempts disables leave notices, ignoreAttempts the results of attempts.
+	ignoreAttempts, deaf bool
+	// agentLeaves has the agent itself leave.
+	agentLeaves bool
+	// crashes has the agent's process end without notice.
+	crashes bool
+}
+
+func leaveSignals() []leaveSignal {
+	return []leaveSignal{
+		{name: "reports", ignoreAttempts: true, agentLeaves: true},
+		{name: "notice", deaf: true, agentLeaves: true},
+		{name: "refused connections", ignoreAttempts: true, crashes: true},
+		{name: "list", listDelay: 2 * time.Second, ignoreAttempts: true},
 	}
 }
 
-// witness notes when routers send attempts to the first endpoint. If it is deaf,
-// the router learns nothing from them.
-type witness struct {
+// attemptObserver counts the attempts of routers at the first endpoint. With
+// ignoreAttempts the router learns nothing from them.
+type attemptObserver struct {
 	dispatch.Observer
-	deaf  bool
-	tries *tries
+	ignoreAttempts bool
+	attempts       *add
 }
 
-// tries are the attempts at the first endpoint since a moment.
-type tries struct {
+// add counts the attempts at the first endpoint since a given time.
+type add struct {
 	mu    sync.Mutex
 	since time.Time // zero before it counts
 	count int
 	last  time.Duration
 }
 
-func (w witness) Answered(endpoint string, clock wire.Clock, sent time.Time, report load.Report) bool {
-	w.tries.note(endpoint)
-	return !w.deaf && w.Observer.Answered(endpoint, clock, sent, report)
+func (w attemptObserver) Answered(endpoint string, clock wire.Clock, sent time.Time, report load.Report) bool {
+	w.attempts.note(endpoint)
+	return !w.ignoreAttempts && w.Observer.Answered(endpoint, clock, sent, report)
 }
 
-func (w witness) Failed(endpoint, incarnation string, sent bool) {
-	w.tries.note(endpoint)
-	if !w.deaf {
+func (w attemptObserver) Failed(endpoint, incarnation string, sent bool) {
+	w.attempts.note(endpoint)
+	if !w.ignoreAttempts {
 		w.Observer.Failed(endpoint, incarnation, sent)
 	}
 }
 
-func (tr *tries) note(endpoint string) {
+func (tr *add) note(endpoint string) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	if endpoint == "engine-00" && !tr.since.IsZero() {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (tr *tries) begin() time.Time {
+func (tr *add) begin() time.Time {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.since = time.Now()
@@ -95,14 +95,14 @@
 
 const listURL = "http://10.9.0.1:80"
 
-// platform is the platform's list of the VMs of two engines.
-type platform struct {
+// vmListServer serves the vmListServer's list of the engines' VMs.
+type vmListServer struct {
 	list   *vmlist.List
 	server *http.Server
 }
 
-func newPlatform(s *session, lag time.Duration) *platform {
-	p := &platform{list: vmlist.New(lag)}
+func newVMListServer(s *session, lag time.Duration) *vmListServer {
+	p := &vmListServer{list: vmlist.New(lag)}
 	p.server = &http.Server{Handler: p.list.Handler()}
 	l, err := s.net.Listen(strings.TrimPrefix(listURL, "http://"))
 	s.g.Expect(err).NotTo(HaveOccurred())
@@ -111,8 +111,8 @@
 	return p
 }
 
-// set lists the VM of the first engine in a state and the others as live.
-func (p *platform) set(first vmlist.State) {
+// set sets the state of the first engine's VM and lists the others as live.
+func (p *vmListServer) set(first vmlist.State) {
 	vms := []vmlist.VM{{Name: "vm-engine-00", State: first}}
 	for i := 1; i < 4; i++ {
 		vms = append(vms, vmlist.VM{Name: fmt.Sprintf("vm-engine-%02d", i), State: vmlist.Live})
@@ -120,9 +120,9 @@
 	p.list.Set(vms...)
 }
 
-// load10 sends each router a request each 100 ms until stop is closed. Answers
-// that aren't whole are errors.
-func load10(s *session, net *memnet.Net, stop <-chan struct{}) *sync.WaitGroup {
+// startLoad sends a request to each router every 100 ms until stop is closed. It
+// expects complete answers.
+func startLoad(s *session, net *memnet.Net, stop <-chan struct{}) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for _, r := range s.fleet.Routers() {
 		all.Go(func() {
@@ -148,72 +148,73 @@
 	return &all
 }
 
-// learnt is what went to an endpoint after it had left: the last work that began
-// there and the last attempt that was sent, by the time since, and how many.
-type learnt struct {
-	work, try time.Duration
-	tries     int
+// leaveResult describes the requests to an endpoint after it began to leave: the
+// times since then of the last run and the last attempt, and the number of attempts.
+type leaveResult struct {
+	lastAttempt, try time.Duration
+	attempts         int
 }
 
-// leave plays one leaving endpoint, of four, under load.
-func leave(t *testing.T, src source, routers int) learnt {
-	var out learnt
+// runLeave has one of four endpoints runLeave under load.
+func runLeave(t *testing.T, src leaveSignal, routers int) leaveResult {
+	var out leaveResult
 	sp := spec()
 	sp.Profile = fleet.Product()
 	sp.Routers = routers
 	one := engine.Config{Slots: 64, TokenTime: time.Millisecond, Priorities: true}
 	sp.Engines = []engine.Config{one, one, one, one}
-	seen := &tries{}
-	sp.Membership = fleet.Membership{Silent: src.silent, Observe: func(o dispatch.Observer) dispatch.Observer {
-		return witness{Observer: o, deaf: src.deaf, tries: seen}
+	seen := &add{}
+	sp.Membership = fleet.Membership{DisableNotices: src.ignoreAttempts, Observe: func(o dispatch.Observer) dispatch.Observer {
+		return attemptObserver{Observer: o, ignoreAttempts: src.deaf, attempts: seen}
 	}}
-	if src.lag > 0 {
+	if src.listDelay > 0 {
 		sp.Membership.VMList = []string{listURL}
 	}
-	playSession(t, sp, func(s *session) {
-		p := newPlatform(s, max(src.lag, time.Nanosecond))
+	runInBubble(t, sp, func(s *session) {
+		p := newVMListServer(s, max(src.listDelay, time.Nanosecond))
 		defer p.server.Close()
 		stop := make(chan struct{})
-		callers := load10(s, s.net, stop)
+		callers := startLoad(s, s.net, stop)
 		time.Sleep(5 * time.Second)
 		first := s.fleet.Agents()[0]
 		at := seen.begin()
 		switch {
-		case src.dies:
+		case src.crashes:
 			s.g.Expect(s.fleet.Kill(0)).To(Succeed())
-		case src.knows:
+		case src.agentLeaves:
 			first.Leave()
 		default:
 			p.set(vmlist.Leaving)
 		}
-		time.Sleep(2 * bound)
+		time.Sleep(2 * leaveBound)
 		close(stop)
 		callers.Wait()
-		out.try, out.tries = seen.last, seen.count
+		out.try, out.attempts = seen.last, seen.count
 		for _, run := range first.Engine.Record() {
-			out.work = max(out.work, run.Start.Sub(at))
+			out.lastAttempt = max(out.lastAttempt, run.Start.Sub(at))
 		}
 	})
 	return out
 }
 
-// A router that can't reach a leaving agent hears of it from the list, and sends
-// nothing once it reaches the agent again, which itself knows of nothing.
-func TestRouterCutOffFromALeavingAgentStops(t *testing.T) {
+// A router that is partitioned from an agent learns from the VM list that the agent
+// leaves. It must send nothing after the partition heals, although the agent itself
+// doesn't know that it leaves.
+func TestPartitionedRouterLearnsOfLeavingAgentFromList(t *testing.T) {
 	sp := spec()
 	sp.Profile = fleet.Product()
 	sp.Routers = 2
-	sp.Membership = fleet.Membership{Silent: true, VMList: []string{listURL}}
-	playSession(t, sp, func(s *session) {
-		p := newPlatform(s, time.Second)
+	sp.Membership = fleet.Membership{DisableNotices: true, VMList: []string{listURL}}
+	runInBubble(t, sp, func(s *session) {
+		p := newVMListServer(s, time.Second)
 		defer p.server.Close()
 		time.Sleep(5 * time.Second)
-		s.fleet.Cut(0)
+		s.fleet.PartitionAgent(0)
 		p.set(vmlist.Leaving)
-		time.Sleep(time.Second + bound)
+		time.Sleep(time.Second + leaveBound)
 		s.fleet.Heal()
 		stop := make(chan struct{})
-		callers := load10(s, s.net, stop)
+		callers := startLoad(s, s.net, stop)
 		time.Sleep(time.Minute)
 		close(stop)
 		callers.Wait()
@@ -222,29 +223,29 @@
 	})
 }
 
-// measured are the numbers of routers for docs/design/0010-membership.md.
+// measured adds the fleet size of the measurements in docs/design/0010-membership.md.
 var measured = flag.Bool("membership.measure", false, "also play 32 routers, which takes longer")
 
-func TestEachSourceAloneEndsNewWorkInTime(t *testing.T) {
+func TestEachLeaveSignalAloneStopsNewWork(t *testing.T) {
 	sizes := []int{2, 8}
 	if *measured {
 		sizes = append(sizes, 32)
 	}
-	for _, src := range sources() {
+	for _, src := range leaveSignals() {
 		for _, routers := range sizes {
 			t.Run(fmt.Sprintf("%s/%d", src.name, routers), func(t *testing.T) {
 				g := NewWithT(t)
-				got := leave(t, src, routers)
-				t.Logf("last work %s, last attempt %s, %d attempts", got.work, got.try.Round(time.Millisecond), got.tries)
-				g.Expect(got.work).To(BeNumerically("<=", bound))
+				got := runLeave(t, src, routers)
+				t.Logf("last work %s, last attempt %s, %d attempts", got.lastAttempt, got.try.Round(time.Millisecond), got.attempts)
+				g.Expect(got.lastAttempt).To(BeNumerically("<=", leaveBound))
 				switch {
-				case src.knows && src.deaf || src.lag > 0:
-					g.Expect(got.try).To(BeNumerically("<=", bound))
+				case src.agentLeaves && src.deaf || src.listDelay > 0:
+					g.Expect(got.try).To(BeNumerically("<=", leaveBound))
 				default:
-					g.Expect(got.tries).To(BeNumerically("<=", routers), "each router finds out once")
+					g.Expect(got.attempts).To(BeNumerically("<=", routers), "each router must need at most one attempt")
 				}
-				if src.knows || src.dies {
-					g.Expect(got.work).To(BeZero())
+				if src.agentLeaves || src.crashes {
+					g.Expect(got.lastAttempt).To(BeZero())
 				}
 			})
 		}
--- a/internal/fleet/nodes.go
+++ b/internal/fleet/nodes.go
@@ -110,7 +110,7 @@
 	}
 	node.Agent = f.newAgent(node, cfg)
 	handler := f.withPlacement(node, node.Agent.Handler())
-	if !f.spec.Membership.Silent && !f.spec.Profile.IgnoreMembership {
+	if !f.spec.Membership.DisableNotices && !f.spec.Profile.IgnoreMembership {
 		announcer := f.newAnnouncer(node, id)
 		node.leaveNotice = membership.NewGoodbye(announcer)
 		handler = announcer.Wrap(handler)
--- a/internal/fleet/pause_test.go
+++ b/internal/fleet/pause_test.go
@@ -16,89 +16,89 @@
 	"coveferry/internal/standin/engine"
 )
 
-const pause = 20 * time.Second
+const pauseDuration = 20 * time.Second
 
-// gate is a network on which something happens as a part writes: between the
-// making of a message and its sending, where a process can be paused.
-type gate struct {
+// writeHook is a network that calls a function when a part writes. It simulates a
+// process that is paused between creating a message and sending it.
+type writeHook struct {
 	fleet.Network
 	part string
-	// onWrite is called at the next write of the part, once.
+	// onWrite is called once, at the next write of the part.
 	onWrite atomic.Pointer[func()]
 }
 
-func (n *gate) Dialer(from string) func(context.Context, string, string) (net.Conn, error) {
+func (n *writeHook) Dialer(from string) func(context.Context, string, string) (net.Conn, error) {
 	dial := n.Network.Dialer(from)
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil || from != n.part {
 			return conn, err
 		}
-		return &gatedConn{Conn: conn, gate: n}, nil
+		return &hookedConn{Conn: conn, hook: n}, nil
 	}
 }
 
-type gatedConn struct {
+type hookedConn struct {
 	net.Conn
-	gate *gate
+	hook *writeHook
 }
 
-func (c *gatedConn) Write(b []byte) (int, error) {
-	if onWrite := c.gate.onWrite.Swap(nil); onWrite != nil {
+func (c *hookedConn) Write(b []byte) (int, error) {
+	if onWrite := c.hook.onWrite.Swap(nil); onWrite != nil {
 		(*onWrite)()
 	}
 	return c.Conn.Write(b)
 }
 
-// suspend lets time pass by the clock while no timer fires.
+// suspend advances the processes' clock without firing timers.
 func (s *session) suspend(d time.Duration) { s.suspended.Add(int64(d)) }
 
 func deadline(d string) http.Header {
 	return http.Header{api.HeaderDeadline: {d}, api.HeaderNonIdempotent: {"true"}}
 }
 
-// A router is paused between making an attempt and sending it, and wakes when
-// its deadline has passed: what it then sends does no work.
+// A router is paused between creating an attempt and sending it, and resumes after
+// the deadline: the attempt it then sends must not run.
 func TestSessionPausedRouter(t *testing.T) {
 	sp := spec()
-	g := &gate{part: "router-00"}
+	g := &writeHook{part: "router-00"}
 	sp.Network = g
 	runSession(t, sp, func(s *session) {
-		for range s.fleet.Agents() { // the router hears the agents' clocks
-			s.aside(nil, 1)
+		for range s.fleet.Agents() { // so that the router learns the agents' clocks
+			s.callInBackground(nil, 1)
 			time.Sleep(time.Second)
 		}
 		before := s.runs()
-		wake := func() { s.suspend(pause) }
+		wake := func() { s.suspend(pauseDuration) }
 		g.onWrite.Store(&wake)
 		s.call(s.t.Context(), chatPath, chat(6), deadline("10s"), nil)
-		s.g.Expect(g.onWrite.Load()).To(BeNil(), "the pause took place")
+		s.g.Expect(g.onWrite.Load()).To(BeNil(), "the pause must have taken place")
 		s.g.Expect(s.runs()).To(Equal(before))
 	})
 }
 
-// An agent is paused while a job waits, and wakes when its deadline has passed,
-// which no timer has told yet.
+// An agent is paused while a job waits, and resumes after the job's deadline but
+// before the timer has fired: the job must not run.
 func TestSessionPausedAgent(t *testing.T) {
 	sp := spec()
-	one, _ := oneSlot()
+	one, _ := oneSlotEngines()
 	sp.Engines = []engine.Config{one}
 	runSession(t, sp, func(s *session) {
-		s.aside(nil, 10)
-		time.AfterFunc(50*time.Millisecond, func() { s.suspend(pause) })
+		s.callInBackground(nil, 10)
+		time.AfterFunc(50*time.Millisecond, func() { s.suspend(pauseDuration) })
 		s.call(s.t.Context(), chatPath, chat(6), deadline("10s"), nil)
 		s.g.Expect(s.runs()).To(Equal(1))
 	})
 }
 
-// An agent wakes and a slot becomes free before it has read that the waiting
-// job's router left.
-func TestAnAgentThatWokeReadsBeforeItStarts(t *testing.T) {
+// An agent resumes and a slot becomes free before it has read that the router of
+// the waiting job disconnected: the job must not start.
+func TestResumedAgentReadsBeforeItStartsJobs(t *testing.T) {
 	sp := spec()
-	one, _ := oneSlot()
+	one, _ := oneSlotEngines()
 	sp.Engines = []engine.Config{one}
-	playSession(t, sp, func(s *session) {
-		s.aside(nil, 10)
+	runInBubble(t, sp, func(s *session) {
+		s.callInBackground(nil, 10)
 		time.AfterFunc(95*time.Millisecond, func() { s.suspend(2 * time.Second) })
 		ctx, cancel := context.WithTimeout(s.t.Context(), 120*time.Millisecond)
 		defer cancel()
--- a/internal/fleet/session_test.go
+++ b/internal/fleet/session_test.go
@@ -29,29 +29,29 @@
 	"coveferry/internal/standin/engine"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// session is a whole fleet in memory and fake time. Its transcript holds what
-// the caller got, when, and what the processes decided.
+// session is a fleet in memory and fake time. Its transcript holds the events that
+// the caller got, with times, and the log lines of the processes.
 type session struct {
-	// wholeSeconds compares waits by their header alone, in seconds, where the
-	// milliseconds depend on which of two messages of one instant came first.
-	wholeSeconds bool
+	// ignoreMillis compares retry times only by their header, in seconds. The
+	// milliseconds depend on the order of two messages sent at the same time.
+	ignoreMillis bool
 	t            *testing.T
 	g            *WithT
 	fleet        *fleet.Fleet
 	net          *memnet.Net
 	start        time.Time
-	// suspended is in nanoseconds.
+	// suspended is the total time of suspensions in nanoseconds.
 	suspended atomic.Int64
-	// stopped says that the fleet has ended.
-	stopped bool
-	mu      sync.Mutex
-	script  bytes.Buffer
-	log     bytes.Buffer
+	// stopped reports whether the fleet has been stopped.
+	stopped    bool
+	mu         sync.Mutex
+	transcript bytes.Buffer
+	log        bytes.Buffer
 }
 
-// spec is a fleet of two engines of four slots, ten milliseconds a token.
+// spec returns a fleet of two engines with four slots and 10 ms per token.
 func spec() fleet.Spec {
 	one := engine.Config{Slots: 4, TokenTime: 10 * time.Millisecond, Priorities: true}
 	return fleet.Spec{
@@ -59,37 +59,37 @@
 		Engines:       []engine.Config{one, one},
 		Routers:       1,
 		ShutdownGrace: time.Minute,
-		Profile:       inTurn(),
+		Profile:       roundRobinProfile(),
 	}
 }
 
-// inTurn is the product, but for endpoints being chosen in turn and one at a
-// time, so that a session knows where it runs.
-func inTurn() fleet.Profile {
+// roundRobinProfile is the product profile with round robin and without late
+// binding, so that a session knows at which endpoint a request runs.
+func roundRobinProfile() fleet.Profile {
 	p := fleet.Product()
 	p.Balance = &balance.RoundRobin{}
 	p.LateBinding = false
 	return p
 }
 
-// runSession runs play in a bubble of fake time and compares the transcript
-// with its golden file.
+// runSession runs play in a synctest bubble and compares the transcript with its
+// golden file.
 func runSession(t *testing.T, s fleet.Spec, play func(*session)) {
 	t.Helper()
-	playSession(t, s, func(se *session) {
+	runInBubble(t, s, func(se *session) {
 		play(se)
 		se.stop()
 		se.compare()
 	})
 }
 
-// playSession runs play in a bubble of fake time.
-func playSession(t *testing.T, s fleet.Spec, play func(*session)) {
+// runInBubble runs play in a synctest bubble.
+func runInBubble(t *testing.T, s fleet.Spec, play func(*session)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		se := &session{t: t, g: NewWithT(t), net: memnet.New(), start: time.Now()}
 		var ids atomic.Int64
-		s.Network = through(s.Network, se.net)
+		s.Network = withHook(s.Network, se.net)
 		s.Clock = se.now
 		s.NewID = func() string { return fmt.Sprintf("request-%d", ids.Add(1)) }
 		s.Rand = func() float64 { return 0 }
@@ -102,9 +102,9 @@
 	})
 }
 
-// through is the network in memory, with the test's gate in front if it has one.
-func through(n fleet.Network, memory *memnet.Net) fleet.Network {
-	if g, ok := n.(*gate); ok {
+// withHook returns the in-memory network, wrapped by the test's writeHook if it has one.
+func withHook(n fleet.Network, memory *memnet.Net) fleet.Network {
+	if g, ok := n.(*writeHook); ok {
 		g.Network = memory
 		return g
 	}
@@ -118,7 +118,7 @@
 	}
 	s.stopped = true
 	s.g.Expect(s.fleet.Stop()).To(Succeed())
-	time.Sleep(time.Minute) // fake time, in which engines end their last step
+	time.Sleep(time.Minute) // fake time, so that engines end their last step
 }
 
 type lockedWriter struct {
@@ -132,23 +132,23 @@
 	return l.w.Write(p)
 }
 
-// now is the clock of all processes: fake time, and on top the time for which
-// they were suspended, which timers don't count.
+// now is the clock of all processes: fake time plus the total time of suspensions,
+// which timers don't count.
 func (s *session) now() time.Time { return time.Now().Add(time.Duration(s.suspended.Load())) }
 
-func (s *session) note(format string, args ...any) {
+func (s *session) record(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fmt.Fprintf(&s.script, "%8s  ", time.Since(s.start))
-	fmt.Fprintf(&s.script, format+"\n", args...)
+	fmt.Fprintf(&s.transcript, "%8s  ", time.Since(s.start))
+	fmt.Fprintf(&s.transcript, format+"\n", args...)
 }
 
-// millis is the exact wait in an error's body.
+// millis matches the retry time in an error's body.
 var millis = regexp.MustCompile(`retry_after_ms\\":\d+`)
 
 func (s *session) compare() {
-	got := "# what the caller got\n" + s.script.String() + "# what was decided\n" + s.decisions()
-	if s.wholeSeconds {
+	got := "# what the caller got\n" + s.transcript.String() + "# what was decided\n" + s.sortedLogLines()
+	if s.ignoreMillis {
 		got = millis.ReplaceAllString(got, `retry_after_ms\":#`)
 	}
 	file := filepath.Join("testdata", s.t.Name()+".golden")
@@ -160,10 +160,11 @@
 	s.g.Expect(got).To(Equal(string(want)))
 }
 
-// decisions are the processes' own lines of the log, each process's in its
-// order. Which of two processes writes first isn't defined; nor is what the
-// libraries report, without a role, of connections that end with the session.
-func (s *session) decisions() string {
+// sortedLogLines returns the log lines of the processes, grouped by process and in
+// order within each. The order between processes is undefined. Lines without a
+// role are dropped, since libraries log connections that end with the session in
+// an undefined way.
+func (s *session) sortedLogLines() string {
 	s.mu.Lock()
 	lines := strings.SplitAfter(s.log.String(), "\n")
 	s.mu.Unlock()
@@ -176,9 +177,9 @@
 	return strings.Join(lines, "")
 }
 
-// call sends a request and notes each piece of its answer as it comes. onPiece,
-// which may be nil, is called with the number of pieces so far.
-func (s *session) call(ctx context.Context, path, body string, header http.Header, onPiece func(int)) string {
+// call sends a request and records each event of its answer. onEvent, which may be
+// nil, is called with the number of events so far.
+func (s *session) call(ctx context.Context, path, body string, header http.Header, onEvent func(int)) string {
 	client := server.NewClient(nil, s.net.Dialer("caller"))
 	defer client.CloseIdleConnections()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.fleet.Routers()[0].URL()+path, bytes.NewBufferString(body))
@@ -189,38 +190,38 @@
 	req.Header.Set(api.HeaderAuthorization, "Bearer "+key)
 	resp, err := client.Do(req)
 	if err != nil {
-		s.note("error: %v", err)
+		s.record("error: %v", err)
 		return ""
 	}
 	defer resp.Body.Close()
-	s.note("status %d, retry after %q", resp.StatusCode, resp.Header.Get(api.HeaderRetryAfter))
+	s.record("status %d, retry after %q", resp.StatusCode, resp.Header.Get(api.HeaderRetryAfter))
 	if resp.Close {
-		s.note("the connection closes behind the answer")
+		s.record("the connection closes behind the answer")
 	}
-	return s.readPieces(resp.Body, onPiece)
+	return s.readEvents(resp.Body, onEvent)
 }
 
-// readPieces notes each event as it comes. How many of them share a read is up
-// to what lies between and no part of the answer.
-func (s *session) readPieces(body io.Reader, onPiece func(int)) string {
+// readEvents records each event. It splits reads into events, since the number of
+// events per read depends on the network.
+func (s *session) readEvents(body io.Reader, onEvent func(int)) string {
 	var all bytes.Buffer
 	buf := make([]byte, 32<<10)
-	pieces := 0
+	events := 0
 	for {
 		n, err := body.Read(buf)
 		all.Write(buf[:n])
-		for piece := range bytes.SplitAfterSeq(buf[:n], []byte("\n\n")) {
-			if len(piece) == 0 {
-				continue // behind the last event
+		for event := range bytes.SplitAfterSeq(buf[:n], []byte("\n\n")) {
+			if len(event) == 0 {
+				continue // after the last event
 			}
-			s.note("%q", piece)
-			pieces++
-			if err == nil && onPiece != nil {
-				onPiece(pieces)
+			s.record("%q", event)
+			events++
+			if err == nil && onEvent != nil {
+				onEvent(events)
 			}
 		}
 		if err != nil {
-			s.note("end: %v", err)
+			s.record("end: %v", err)
 			return all.String()
 		}
 	}
--- a/internal/fleet/sessions_test.go
+++ b/internal/fleet/sessions_test.go
@@ -19,7 +19,7 @@
 
 const chatPath = "/v1/chat/completions"
 
-// chat is the body of a streamed call for an answer of the given length.
+// chat returns the body of a streamed request for an answer of the given length.
 func chat(tokens int) string {
 	return fmt.Sprintf(`{"model":"stand-in","stream":true,"messages":[{"role":"user","content":"hello [[tokens=%d]]"}]}`, tokens)
 }
@@ -28,8 +28,8 @@
 
 func ofClass(name string) http.Header { return http.Header{api.HeaderClass: {name}} }
 
-// aside makes a call beside the one that the transcript shows.
-func (s *session) aside(header http.Header, tokens int) {
+// callInBackground makes a call that isn't part of the transcript.
+func (s *session) callInBackground(header http.Header, tokens int) {
 	go func() {
 		quiet := &session{t: s.t, g: s.g, net: s.net, fleet: s.fleet, start: s.start}
 		quiet.call(s.t.Context(), chatPath, chat(tokens), header, nil)
@@ -51,11 +51,11 @@
 			}
 		})
 		whole := s.call(s.t.Context(), chatPath, chat(6), nil, nil)
-		s.g.Expect(text(got)).To(Equal(text(whole)), "the resumed answer is the uninterrupted one")
+		s.g.Expect(text(got)).To(Equal(text(whole)), "the resumed answer must equal the uninterrupted one")
 	})
 }
 
-// A request that must not run twice isn't resumed: its caller hears that it ran.
+// A non-idempotent request isn't resumed; its caller learns that it has run.
 func TestSessionCrashNonIdempotent(t *testing.T) {
 	runSession(t, spec(), func(s *session) {
 		s.call(s.t.Context(), chatPath, chat(6), nonIdempotent(), func(pieces int) {
@@ -67,8 +67,8 @@
 	})
 }
 
-// The connection to the agent breaks before its word: nobody knows whether the
-// request ran, so one that must not run twice isn't sent again.
+// The connection to the agent breaks before its answer. The router can't know
+// whether the request ran, so it must not retry a non-idempotent one.
 func TestSessionUnknownOutcome(t *testing.T) {
 	runSession(t, spec(), func(s *session) {
 		s.fleet.Agents()[0].Engine.Pause()
@@ -86,7 +86,7 @@
 	sp.Engines = []engine.Config{{Slots: 1, TokenTime: 200 * time.Millisecond, Priorities: true}}
 	sp.Profile = fleet.Product()
 	runSession(t, sp, func(s *session) {
-		time.AfterFunc(450*time.Millisecond, func() { s.aside(ofClass("queries"), 3) })
+		time.AfterFunc(450*time.Millisecond, func() { s.callInBackground(ofClass("queries"), 3) })
 		s.call(s.t.Context(), chatPath, chat(20), ofClass("reviews"), nil)
 	})
 }
@@ -97,9 +97,9 @@
 	sp.Engines[0].Slots = 1
 	sp.Bundle.Limits.QueueEntries = 1
 	runSession(t, sp, func(s *session) {
-		// One runs, one waits as the oldest of its class, one fills the queue.
+		// One request runs, one waits as the oldest of its class, one fills the queue.
 		for range 3 {
-			s.aside(nil, 100)
+			s.callInBackground(nil, 100)
 		}
 		s.call(s.t.Context(), chatPath, chat(6), nil, nil)
 		s.g.Expect(s.runs()).To(Equal(1))
@@ -115,7 +115,7 @@
 	})
 }
 
-// A caller that leaves stops the work at the engine.
+// The engine stops working on a request when its caller disconnects.
 func TestSessionCallerLeaves(t *testing.T) {
 	runSession(t, spec(), func(s *session) {
 		ctx, cancel := context.WithCancel(s.t.Context())
@@ -140,7 +140,7 @@
 	})
 }
 
-// runs counts what all engines began.
+// runs returns the number of runs that all engines began.
 func (s *session) runs() int {
 	runs := 0
 	for _, a := range s.fleet.Agents() {
@@ -149,7 +149,7 @@
 	return runs
 }
 
-// text joins the contents of an answer's chunks.
+// text concatenates the contents of an answer's chunks.
 func text(stream string) string {
 	var all strings.Builder
 	for _, piece := range strings.Split(stream, `"content":"`)[1:] {
@@ -159,8 +159,8 @@
 	return all.String()
 }
 
-// An address that has come to another endpoint's VM gets no request, though its
-// agent is a genuine one.
+// An address that now belongs to another endpoint's VM must get no request, even
+// though that agent has a valid certificate.
 func TestSessionAddressOfAnotherEndpoint(t *testing.T) {
 	runSession(t, spec(), func(s *session) {
 		b := *s.fleet.Bundle()
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -13,21 +13,20 @@
 )
 
 const (
-	// patience is how long a caller waits, and streamEvents and eventPause make up
-	// an answer that is a stream: long enough to meet faults on its way.
-	patience     = 4 * time.Second
-	streamEvents = 20
-	eventPause   = 25 * time.Millisecond
-	// meanThink is the mean time between a caller's requests.
-	meanThink = 60 * time.Millisecond
-	// leaveChance is how often a caller leaves in the middle of an answer, after
-	// up to leaveAfter.
-	leaveChance = 0.05
-	leaveAfter  = 300 * time.Millisecond
+	// callerTimeout is the timeout of a caller. streamEvents and eventPause define a
+	// streamed answer, which lasts long enough to overlap with faults.
+	callerTimeout = 4 * time.Second
+	streamEvents  = 20
+	eventPause    = 25 * time.Millisecond
+	// meanRequestGap is the mean pause between a caller's requests.
+	meanRequestGap = 60 * time.Millisecond
+	// leaveChance is the probability that a caller disconnects during a streamed
+	// answer, at a random time up to leaveAfter.
+	leaveChance   = 0.05
+	maxLeaveDelay = 300 * time.Millisecond
 )
 
-// caller sends requests to one router, one after another, on connections that it
-// keeps.
+// caller sends requests to one router, one after another, on persistent connections.
 type caller struct {
 	number int
 	router int
@@ -38,7 +37,7 @@
 
 func (c *caller) run(ctx context.Context) {
 	for n := 0; ctx.Err() == nil; n++ {
-		time.Sleep(time.Duration(c.rnd.ExpFloat64() * float64(meanThink)))
+		time.Sleep(time.Duration(c.rnd.ExpFloat64() * float64(meanRequestGap)))
 		route, added := c.soak.pickRoute(c.rnd)
 		key, team := c.soak.keys.pick(c.rnd)
 		call := c.call(route, fmt.Sprintf("c%d-%d", c.number, n), key, team)
@@ -51,31 +50,31 @@
 func (c *caller) call(route Route, id, key, team string) Call {
 	call := Call{
 		ID: id, Key: key, Team: team, Service: route.Service, Router: c.router,
-		Repeatable: route.Repeatable, Stream: route.Stream, Deadly: route.Deadly,
+		Repeatable: route.Repeatable, Stream: route.Stream, Crashing: route.Crashing,
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
-	if route.Stream && !route.Deadly && c.rnd.Float64() < leaveChance {
-		call.Left = true
-		time.AfterFunc(upTo(c.rnd, leaveAfter), cancel)
+	if route.Stream && !route.Crashing && c.rnd.Float64() < leaveChance {
+		call.CallerLeft = true
+		time.AfterFunc(randomDuration(c.rnd, maxLeaveDelay), cancel)
 	}
-	req, err := c.soak.wire.Request(ctx, c.soak.routers[c.router].router.Callers, route, id, key, patience)
+	req, err := c.soak.wire.Request(ctx, c.soak.routers[c.router].router.Callers, route, id, key, callerTimeout)
 	if err != nil {
-		panic(err) // the soak's own request is malformed
+		panic(err) // the soak built a malformed request
 	}
 	call.Sent = time.Now()
 	resp, err := c.client.Do(req)
 	if err == nil {
 		call.Status = resp.StatusCode
-		call.Whole, call.Wrong = c.read(resp, route, id)
+		call.Complete, call.ContentError = c.read(resp, route, id)
 		resp.Body.Close()
 	}
 	call.End = time.Now()
 	return call
 }
 
-// read reads an answer and says whether it ended in good order, and what is wrong
-// with one that did or with the part that came.
+// read reads an answer. It reports whether the answer was complete, and what is wrong
+// with its content, if anything.
 func (c *caller) read(resp *http.Response, route Route, id string) (whole bool, wrong string) {
 	if resp.StatusCode != http.StatusOK {
 		_, err := io.Copy(io.Discard, resp.Body)
@@ -94,7 +93,7 @@
 	return readStream(resp.Body, id)
 }
 
-// readStream reads events that are numbered from 1.
+// readStream reads a stream of events, which must be numbered from 1.
 func readStream(body io.Reader, id string) (whole bool, wrong string) {
 	lines := bufio.NewScanner(body)
 	last := 0
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -8,121 +8,122 @@
 	"time"
 )
 
-// Promise is what a violation breaks.
+// Promise is a guarantee to callers or operators that the soak checks.
 type Promise string
 
 // The promises that are checked.
 const (
-	PromiseWhole    Promise = "each caller gets the whole of its own answer, or none that looks whole"
-	PromiseOnce     Promise = "what may not be repeated runs at most once"
-	PromiseNotRun   Promise = "what was refused as not run did not run"
-	PromiseRevoked  Promise = "a revoked key no longer works after the bound"
-	PromiseValid    Promise = "a valid key is not said to be unknown"
-	PromiseConfig   Promise = "a route of the configuration is known after the bound"
-	PromiseDrain    Promise = "a leaving endpoint gets no new work after the bound"
-	PromiseRoute    Promise = "a request runs at its route's service, for its team"
-	PromiseCancel   Promise = "work ends soon after its caller has left"
-	PromiseRetries  Promise = "repeats stay within their share of the requests"
-	PromiseTold     Promise = "a router tells of all that it sends"
-	PromisePlaces   Promise = "a request runs at no more endpoints than its route allows"
-	PromiseStop     Promise = "a planned stop cuts off no request"
-	PromiseRecovery Promise = "after the last fault requests are served again"
-	PromiseDeadly   Promise = "a request that ends endpoints is sent to few"
-	PromiseAlive    Promise = "no program ends by itself"
-	PromiseEvacuate Promise = "an evacuated failure domain gets no new work after the bound"
-	PromiseLimit    Promise = "an endpoint that names a limit gets no more than that from all routers"
-	PromiseCold     Promise = "a cold endpoint gets no more than it takes from all routers"
+	PromiseComplete     Promise = "each caller gets the whole of its own answer, or none that looks whole"
+	PromiseOnce         Promise = "what may not be repeated runs at most once"
+	PromiseNotRun       Promise = "what was refused as not run did not run"
+	PromiseRevoked      Promise = "a revoked key no longer works after the bound"
+	PromiseValid        Promise = "a valid key is not said to be unknown"
+	PromiseConfig       Promise = "a route of the configuration is known after the bound"
+	PromiseDrain        Promise = "a leaving endpoint gets no new work after the bound"
+	PromiseRoute        Promise = "a request runs at its route's service, for its team"
+	PromiseCancel       Promise = "work ends soon after its caller has left"
+	PromiseRetries      Promise = "repeats stay within their share of the requests"
+	PromiseLogged       Promise = "a router tells of all that it sends"
+	PromiseMaxEndpoints Promise = "a request runs at no more endpoints than its route allows"
+	PromiseStop         Promise = "a planned stop cuts off no request"
+	PromiseRecovery     Promise = "after the last fault requests are served again"
+	PromiseQuarantine   Promise = "a request that ends endpoints is sent to few"
+	PromiseNoExit       Promise = "no program ends by itself"
+	PromiseEvacuate     Promise = "an evacuated failure domain gets no new work after the bound"
+	PromiseLimit        Promise = "an endpoint that names a limit gets no more than that from all routers"
+	PromiseCold         Promise = "a cold endpoint gets no more than it takes from all routers"
 )
 
-// Bounds are what the promises allow.
+// Bounds are the limits that the promises allow.
 type Bounds struct {
-	// Where one of them is 0, nothing is demanded there.
+	// A bound of 0 is not checked.
 	Revoke, Drain, Config time.Duration
-	// Slack is added to each for what the machine adds.
+	// Slack is added to each of them for delays of the machine.
 	Slack time.Duration
-	// Contact is how long after a fault a router isn't held to Drain, Config and Cancel.
-	Contact time.Duration
-	Cancel  time.Duration
-	// RetryRatio of the requests for a service in a RetryWindow, and RetrySlack more, is how
-	// often it may get a request again from all routers.
+	// FaultMargin is the time before and after a fault in which Drain, Config and Cancel are
+	// not checked.
+	FaultMargin time.Duration
+	Cancel      time.Duration
+	// RetryRatio times the requests for a service in a RetryWindow, plus RetrySlack, is the
+	// number of retries that it may get from all routers.
 	RetryRatio  float64
 	RetrySlack  int
 	RetryWindow time.Duration
-	// RetrySlackStated says that routers are told of the slack.
+	// RetrySlackStated reports whether the routers' settings state the slack.
 	RetrySlackStated bool
-	// Evacuate is how soon a failure domain must get nothing. ColdExcess times what a cold
-	// endpoint takes in a second, and ColdSlack more, is what it may get in one.
+	// Evacuate is the time after which an evacuated failure domain must get no requests.
+	// A cold endpoint may get ColdExcess times its rate limit, plus ColdSlack, in a second.
 	Evacuate   time.Duration
 	ColdExcess float64
 	ColdSlack  int
-	// LimitExcess times what an endpoint that names a limit takes in LimitWindow, and
-	// LimitSlack more, is what it may get in one, from LimitWithin after it first names it.
+	// An endpoint that states a rate limit may get LimitExcess times that limit, plus
+	// LimitSlack, in a LimitWindow, from LimitWithin after it first states it.
 	LimitExcess              float64
 	LimitSlack               int
 	LimitWithin, LimitWindow time.Duration
 }
 
-// Call is a request as its caller saw it.
+// Call is a request as observed by its caller.
 type Call struct {
 	ID, Key, Team, Service string
 	Router                 int
-	// Repeatable says that the request may run more than once.
+	// Repeatable reports whether the request may run more than once.
 	Repeatable bool
 	Stream     bool
-	// Deadly says that it ends each endpoint that runs it.
-	Deadly    bool
+	// Crashing marks a crash request, which crashes each endpoint that runs it.
+	Crashing  bool
 	Sent, End time.Time
-	// Added is when the request's route was added; zero if it stood from the start.
+	// Added is the time at which the request's route was added; zero for initial routes.
 	Added time.Time
-	// Left says that the caller left before the answer.
-	Left bool
-	// Status is 0 if no answer came. Whole says that the answer ended in good
-	// order, and Wrong what is wrong with its body, if anything.
-	Status int
-	Whole  bool
-	Wrong  string
+	// CallerLeft reports whether the caller disconnected before the end of the answer.
+	CallerLeft bool
+	// Status is 0 without an answer. Whole reports whether the answer ended without a
+	// transport error. Wrong describes an error in its content, if any.
+	Status       int
+	Complete     bool
+	ContentError string
 }
 
-// Execution is a request as an endpoint ran it.
+// Execution is a run of a request at an endpoint.
 type Execution struct {
 	ID, Endpoint, Service, Team string
-	// Resumed says that the run goes on from an earlier one of the same request.
+	// Resumed reports whether the run resumes an earlier one of the same request.
 	Resumed    bool
-	Begin, End time.Time // End is zero if the endpoint didn't live to tell
+	Begin, End time.Time // End is zero if the endpoint crashed before it recorded the end
 }
 
-// Span is a time for which something held.
+// Span is a time span.
 type Span struct{ From, To time.Time }
 
 func (s Span) touches(from, to time.Time) bool { return s.From.Before(to) && s.To.After(from) }
 
-// Seen is all that was seen from outside.
-type Seen struct {
+// Observations holds all observations of a run, made from outside the programs.
+type Observations struct {
 	Calls []Call
 	Runs  []Execution
-	// Revoked is when each key was taken away, Drained when each endpoint said
-	// that it leaves.
+	// Revoked has the time at which each key was revoked, Drained that at which each
+	// endpoint was marked as draining.
 	Revoked, Drained map[string]time.Time
-	// Harmed are the times at which each router, its ways or the store had faults.
-	Harmed map[int][]Span
-	// Down are the times at which each router's process didn't run.
+	// RouterFaults has the times of faults of each router, its connections or the store.
+	RouterFaults map[int][]Span
+	// Down has the times at which each router's process was not running.
 	Down map[int][]Span
-	// Stops are the planned stops of each router, from SIGTERM to its end.
+	// Stops has the planned stops of each router, from SIGTERM to the end of its process.
 	Stops map[int][]Span
-	// EndpointHarmed are the harms of endpoints.
-	EndpointHarmed map[string][]Span
-	// Domains has the failure domain of each endpoint, Evacuated the times at which each had
-	// an order to evacuate, and Cold those at which each endpoint was cold.
+	// EndpointFaults has the times of faults of each endpoint.
+	EndpointFaults map[string][]Span
+	// Domains has the failure domain of each endpoint, Evacuated the times at which each
+	// domain was evacuated, and Cold those at which each endpoint was cold.
 	Domains   map[string]string
 	Evacuated map[string][]Span
 	Cold      map[string][]Span
-	// Limited are the times at which each endpoint named a limit.
-	Limited map[string][]Limited
-	// Told is how many attempts at endpoints a request's router tells of, by request.
-	Told map[string]int
-	// Exits are programs that ended by themselves.
+	// RateLimited has the times at which each endpoint stated a rate limit.
+	RateLimited map[string][]LimitSpan
+	// LoggedAttempts has the number of attempts at endpoints that the router logged for each request.
+	LoggedAttempts map[string]int
+	// Exits describes programs that ended unexpectedly.
 	Exits []string
-	// LastFault is when the last fault had ended.
+	// LastFault is the time at which the last fault ended.
 	LastFault time.Time
 }
 
@@ -133,15 +134,15 @@
 	What    string  `json:"what"`
 }
 
-// recoveryWithin is how long after the last fault all must be well again, and
-// recoveredShare the share of the requests from then on that must be served.
+// recoveryWithin is the time after the last fault in which the system must recover.
+// recoveredShare is the share of requests that must be served from then on.
 const (
 	recoveryWithin = 5 * time.Second
 	recoveredShare = 0.9
 )
 
-// Check lists the broken promises, ordered by request.
-func Check(seen Seen, b Bounds) []Violation {
+// Check returns the broken promises, ordered by request.
+func Check(seen Observations, b Bounds) []Violation {
 	c := checker{seen: seen, bounds: b, runs: make(map[string][]Execution)}
 	for _, r := range seen.Runs {
 		c.runs[r.ID] = append(c.runs[r.ID], r)
@@ -157,35 +158,35 @@
 		}
 	}
 	c.retries()
-	c.repeats()
-	c.told()
-	c.places()
-	c.deadly()
+	c.retryBudget()
+	c.loggedAttempts()
+	c.endpointsPerRequest()
+	c.crashRequests()
 	c.cold()
 	c.limits()
 	c.recovery()
 	for _, exit := range seen.Exits {
-		c.add(PromiseAlive, "", "%s", exit)
+		c.add(PromiseNoExit, "", "%s", exit)
 	}
-	slices.SortStableFunc(c.found, func(a, b Violation) int { return cmp.Compare(a.Request, b.Request) })
-	return c.found
+	slices.SortStableFunc(c.violations, func(a, b Violation) int { return cmp.Compare(a.Request, b.Request) })
+	return c.violations
 }
 
 type checker struct {
-	seen   Seen
-	bounds Bounds
-	runs   map[string][]Execution
-	found  []Violation
+	seen       Observations
+	bounds     Bounds
+	runs       map[string][]Execution
+	violations []Violation
 }
 
 func (c *checker) add(p Promise, request, format string, args ...any) {
-	c.found = append(c.found, Violation{Promise: p, Request: request, What: fmt.Sprintf(format, args...)})
+	c.violations = append(c.violations, Violation{Promise: p, Request: request, What: fmt.Sprintf(format, args...)})
 }
 
 func (c *checker) call(call Call) {
 	runs := c.runs[call.ID]
-	if call.Wrong != "" {
-		c.add(PromiseWhole, call.ID, "%s", call.Wrong)
+	if call.ContentError != "" {
+		c.add(PromiseComplete, call.ID, "%s", call.ContentError)
 	}
 	if !call.Repeatable && len(runs) > 1 {
 		c.add(PromiseOnce, call.ID, "it ran %d times, at %s and %s", len(runs), runs[0].Endpoint, runs[1].Endpoint)
@@ -207,20 +208,20 @@
 	c.stop(call, runs)
 }
 
-// mustKnowRoute says whether the request's route must be in force at its router.
+// mustKnowRoute reports whether the request's route must be in force at its router.
 func (c *checker) mustKnowRoute(call Call) bool {
 	if call.Added.IsZero() {
 		return true
 	}
 	late := c.bounds.Config > 0 && call.Sent.Sub(call.Added) > c.bounds.Config+c.bounds.Slack
-	return late && c.inTouch(call, Execution{})
+	return late && c.undisturbed(call, Execution{})
 }
 
-// stop judges a request that ran while its router was stopping as planned.
+// stop checks a request that ran during a planned stop of its router.
 func (c *checker) stop(call Call, runs []Execution) {
 	stopping := slices.ContainsFunc(c.seen.Stops[call.Router], func(s Span) bool { return s.touches(call.Sent, call.End) })
-	cut := call.Status == 0 || call.Status == 200 && !call.Whole
-	if stopping && cut && !call.Left && len(runs) > 0 && c.inTouch(call, runs[len(runs)-1]) {
+	cut := call.Status == 0 || call.Status == 200 && !call.Complete
+	if stopping && cut && !call.CallerLeft && len(runs) > 0 && c.undisturbed(call, runs[len(runs)-1]) {
 		c.add(PromiseStop, call.ID, "it ran at %s and was cut off by its router's stop", runs[len(runs)-1].Endpoint)
 	}
 }
@@ -232,30 +233,31 @@
 	if at, ok := c.seen.Revoked[call.Key]; ok && c.bounds.Revoke > 0 && call.Sent.Sub(at) > c.bounds.Revoke+c.bounds.Slack {
 		c.add(PromiseRevoked, call.ID, "it was sent %s after its key was taken away and ran at %s", call.Sent.Sub(at), r.Endpoint)
 	}
-	if at, ok := c.seen.Drained[r.Endpoint]; ok && c.bounds.Drain > 0 && r.Begin.Sub(at) > c.bounds.Drain+c.bounds.Slack && c.inTouch(call, r) {
+	if at, ok := c.seen.Drained[r.Endpoint]; ok && c.bounds.Drain > 0 && r.Begin.Sub(at) > c.bounds.Drain+c.bounds.Slack && c.undisturbed(call, r) {
 		c.add(PromiseDrain, call.ID, "it ran at %s %s after that said that it leaves", r.Endpoint, r.Begin.Sub(at))
 	}
 	for _, s := range c.seen.Evacuated[c.seen.Domains[r.Endpoint]] {
-		if late := r.Begin.Sub(s.From); r.Begin.Before(s.To) && late > c.bounds.Evacuate+c.bounds.Slack && c.inTouch(call, r) {
+		if late := r.Begin.Sub(s.From); r.Begin.Before(s.To) && late > c.bounds.Evacuate+c.bounds.Slack && c.undisturbed(call, r) {
 			c.add(PromiseEvacuate, call.ID, "it ran at %s %s after its failure domain was evacuated", r.Endpoint, late)
 		}
 	}
 	left := call.End.Add(c.bounds.Cancel + c.bounds.Slack)
-	if call.Left && call.Repeatable && r.End.After(left) && c.inTouch(call, r) {
+	if call.CallerLeft && call.Repeatable && r.End.After(left) && c.undisturbed(call, r) {
 		c.add(PromiseCancel, call.ID, "%s worked on for %s after its caller had left", r.Endpoint, r.End.Sub(call.End))
 	}
 }
 
-// inTouch says that neither the request's router nor the endpoint was harmed
-// shortly before the run or during it.
-func (c *checker) inTouch(call Call, r Execution) bool {
-	from, to := call.Sent.Add(-c.bounds.Contact), call.End.Add(c.bounds.Contact)
+// undisturbed reports whether neither the request's router nor the endpoint had a fault
+// during the request or within Bounds.Contact of it.
+func (c *checker) undisturbed(call Call, r Execution) bool {
+	from, to := call.Sent.Add(-c.bounds.FaultMargin), call.End.Add(c.bounds.FaultMargin)
 	touches := func(s Span) bool { return s.touches(from, to) }
-	return !slices.ContainsFunc(c.seen.Harmed[call.Router], touches) &&
-		!slices.ContainsFunc(c.seen.EndpointHarmed[r.Endpoint], touches)
+	return !slices.ContainsFunc(c.seen.RouterFaults[call.Router], touches) &&
+		!slices.ContainsFunc(c.seen.EndpointFaults[r.Endpoint], touches)
 }
 
-// retries compares the runs beyond the first with the requests.
+// retries checks the number of runs beyond the first of each request against the total
+// number of requests.
 func (c *checker) retries() {
 	repeats := 0
 	for _, runs := range c.runs {
@@ -271,49 +273,50 @@
 	}
 }
 
-// cold counts what endpoints got in each second in which they were cold. It holds for all
-// routers, harmed or not.
+// cold checks the number of requests that endpoints got in each second in which they were
+// cold. The limit applies to all routers together, with faults or not.
 func (c *checker) cold() {
 	runs := make(map[string][]Execution)
 	for _, r := range c.seen.Runs {
 		runs[r.Endpoint] = append(runs[r.Endpoint], r)
 	}
-	most := int(c.bounds.ColdExcess*coldRate) + c.bounds.ColdSlack
+	allowed := int(c.bounds.ColdExcess*coldRate) + c.bounds.ColdSlack
 	for endpoint, spans := range c.seen.Cold {
 		for _, s := range spans {
-			if in := busiest(runs[endpoint], s, time.Second); len(in) > most {
+			if in := busiestWindow(runs[endpoint], s, time.Second); len(in) > allowed {
 				c.add(PromiseCold, "", "%s began %d requests in a second while it was cold, over %d: cold from %s, %s",
-					endpoint, len(in), most, s.From.Format(momentFormat), beginsOf(in))
+					endpoint, len(in), allowed, s.From.Format(timeFormat), formatStarts(in))
 			}
 		}
 	}
 }
 
-// momentFormat is how a broken promise names a moment, as the processes' lines do.
-const momentFormat = "15:04:05.000"
+// timeFormat is the time format in violations, the same as in the processes' logs.
+const timeFormat = "15:04:05.000"
 
-// busiest are the runs that begin in the window of a span in which most do, in order.
-func busiest(runs []Execution, span Span, window time.Duration) []Execution {
+// busiestWindow returns the runs that begin in the window with the most of them, within a span,
+// in order.
+func busiestWindow(runs []Execution, span Span, window time.Duration) []Execution {
 	in := slices.DeleteFunc(slices.Clone(runs), func(r Execution) bool { return r.Begin.Before(span.From) || r.Begin.After(span.To) })
 	slices.SortFunc(in, func(a, b Execution) int { return a.Begin.Compare(b.Begin) })
-	var most []Execution
+	var busiest []Execution
 	from := 0
 	for i, r := range in {
 		for r.Begin.Sub(in[from].Begin) >= window {
 			from++
 		}
-		if i-from+1 > len(most) {
-			most = in[from : i+1]
+		if i-from+1 > len(busiest) {
+			busiest = in[from : i+1]
 		}
 	}
-	return most
+	return busiest
 }
 
-// beginsOf names runs and when each began.
-func beginsOf(runs []Execution) string {
+// formatStarts formats the IDs and start times of runs.
+func formatStarts(runs []Execution) string {
 	names := make([]string, len(runs))
 	for i, r := range runs {
-		names[i] = r.ID + " at " + r.Begin.Format(momentFormat)
+		names[i] = r.ID + " at " + r.Begin.Format(timeFormat)
 	}
 	return strings.Join(names, ", ")
 }
@@ -323,11 +326,11 @@
 	all, served := 0, 0
 	for _, call := range c.seen.Calls {
 		_, revoked := c.seen.Revoked[call.Key]
-		if call.Sent.Before(from) || call.Left || call.Deadly || revoked {
+		if call.Sent.Before(from) || call.CallerLeft || call.Crashing || revoked {
 			continue
 		}
 		all++
-		if call.Whole && call.Status == 200 {
+		if call.Complete && call.Status == 200 {
 			served++
 		}
 	}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -14,26 +14,26 @@
 	return epoch.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// good is a run in which nothing is wrong: two requests, served by two endpoints.
-func good() Seen {
-	return Seen{
+// validRun returns a run without violations: two requests, served by two endpoints.
+func validRun() Observations {
+	return Observations{
 		Calls: []Call{
-			{ID: "a", Key: "k", Team: "t", Service: "s", Sent: at(10), End: at(11), Status: 200, Whole: true},
-			{ID: "b", Key: "k", Team: "t", Service: "s", Sent: at(10), End: at(11), Status: 200, Whole: true, Repeatable: true},
+			{ID: "a", Key: "k", Team: "t", Service: "s", Sent: at(10), End: at(11), Status: 200, Complete: true},
+			{ID: "b", Key: "k", Team: "t", Service: "s", Sent: at(10), End: at(11), Status: 200, Complete: true, Repeatable: true},
 		},
 		Runs: []Execution{
 			{ID: "a", Endpoint: "e1", Service: "s", Team: "t", Begin: at(10.1), End: at(10.9)},
 			{ID: "b", Endpoint: "e2", Service: "s", Team: "t", Begin: at(10.1), End: at(10.9)},
 		},
-		Revoked: map[string]time.Time{}, Drained: map[string]time.Time{}, Harmed: map[int][]Span{},
-		Stops: map[int][]Span{}, EndpointHarmed: map[string][]Span{},
-		Domains: map[string]string{}, Evacuated: map[string][]Span{}, Cold: map[string][]Span{}, Limited: map[string][]Limited{},
+		Revoked: map[string]time.Time{}, Drained: map[string]time.Time{}, RouterFaults: map[int][]Span{},
+		Stops: map[int][]Span{}, EndpointFaults: map[string][]Span{},
+		Domains: map[string]string{}, Evacuated: map[string][]Span{}, Cold: map[string][]Span{}, RateLimited: map[string][]LimitSpan{},
 		LastFault: at(0),
 	}
 }
 
-// promises are those that a run breaks.
-func promises(s Seen) []Promise {
+// brokenPromises returns the brokenPromises that a run breaks.
+func brokenPromises(s Observations) []Promise {
 	var broken []Promise
 	bounds := DefaultBounds()
 	bounds.Config = configWithin
@@ -43,157 +43,157 @@
 	return broken
 }
 
-func TestEachBrokenPromiseIsFound(t *testing.T) {
-	NewWithT(t).Expect(promises(good())).To(BeEmpty())
+func TestCheckFindsEachViolation(t *testing.T) {
+	NewWithT(t).Expect(brokenPromises(validRun())).To(BeEmpty())
 	for _, c := range []struct {
-		promise Promise
-		spoil   func(*Seen)
+		promise      Promise
+		breakPromise func(*Observations)
 	}{
-		{PromiseWhole, func(s *Seen) { s.Calls[0].Wrong = "another's answer" }},
-		{PromiseOnce, func(s *Seen) { s.Runs[1].ID = "a" }},
-		{PromiseNotRun, func(s *Seen) { s.Calls[0].Status, s.Calls[0].Whole, s.LastFault = 503, false, at(10) }},
-		{PromiseRevoked, func(s *Seen) { s.Revoked["k"] = at(4) }},
-		{PromiseValid, func(s *Seen) { s.Calls[0].Status, s.LastFault = 401, at(10) }},
-		{PromiseConfig, func(s *Seen) { s.Calls[0].Status, s.Calls[0].Whole, s.LastFault = 404, false, at(10) }},
-		{PromiseConfig, func(s *Seen) {
-			s.Calls[0].Status, s.Calls[0].Whole, s.LastFault = 404, false, at(10)
+		{PromiseComplete, func(s *Observations) { s.Calls[0].ContentError = "another's answer" }},
+		{PromiseOnce, func(s *Observations) { s.Runs[1].ID = "a" }},
+		{PromiseNotRun, func(s *Observations) { s.Calls[0].Status, s.Calls[0].Complete, s.LastFault = 503, false, at(10) }},
+		{PromiseRevoked, func(s *Observations) { s.Revoked["k"] = at(4) }},
+		{PromiseValid, func(s *Observations) { s.Calls[0].Status, s.LastFault = 401, at(10) }},
+		{PromiseConfig, func(s *Observations) { s.Calls[0].Status, s.Calls[0].Complete, s.LastFault = 404, false, at(10) }},
+		{PromiseConfig, func(s *Observations) {
+			s.Calls[0].Status, s.Calls[0].Complete, s.LastFault = 404, false, at(10)
 			s.Calls[0].Added = at(6)
 		}},
-		{PromiseDrain, func(s *Seen) { s.Drained["e1"] = at(7) }},
-		{PromiseRoute, func(s *Seen) { s.Runs[0].Service = "other" }},
-		{PromiseRoute, func(s *Seen) { s.Runs[0].Team = "other" }},
-		{PromiseRoute, func(s *Seen) { s.Runs[0].ID = "unheard of" }},
-		{PromiseCancel, func(s *Seen) { s.Calls[1].Left, s.Runs[1].End = true, at(12.5) }},
-		{PromiseStop, func(s *Seen) {
-			s.Calls[0].Whole, s.LastFault = false, at(10)
+		{PromiseDrain, func(s *Observations) { s.Drained["e1"] = at(7) }},
+		{PromiseRoute, func(s *Observations) { s.Runs[0].Service = "other" }},
+		{PromiseRoute, func(s *Observations) { s.Runs[0].Team = "other" }},
+		{PromiseRoute, func(s *Observations) { s.Runs[0].ID = "unheard of" }},
+		{PromiseCancel, func(s *Observations) { s.Calls[1].CallerLeft, s.Runs[1].End = true, at(12.5) }},
+		{PromiseStop, func(s *Observations) {
+			s.Calls[0].Complete, s.LastFault = false, at(10)
 			s.Stops[0] = []Span{{From: at(10.5), To: at(16)}}
 		}},
-		{PromiseRecovery, func(s *Seen) { s.Calls[0].Status = 502 }},
-		{PromiseDeadly, func(s *Seen) {
+		{PromiseRecovery, func(s *Observations) { s.Calls[0].Status = 502 }},
+		{PromiseQuarantine, func(s *Observations) {
 			for i := range 7 {
 				id := fmt.Sprint("deadly-", i)
-				s.Calls = append(s.Calls, Call{ID: id, Key: "k", Team: "t", Service: "s", Sent: at(10 + float64(2*i)), End: at(10.1 + float64(2*i)), Deadly: true})
+				s.Calls = append(s.Calls, Call{ID: id, Key: "k", Team: "t", Service: "s", Sent: at(10 + float64(2*i)), End: at(10.1 + float64(2*i)), Crashing: true})
 				s.Runs = append(s.Runs, Execution{ID: id, Endpoint: fmt.Sprint("m", i), Service: "s", Team: "t", Begin: at(10 + float64(2*i))})
 			}
 			s.Runs = append(s.Runs, Execution{ID: "deadly-6", Endpoint: "m9", Service: "s", Team: "t", Begin: at(23)})
 			s.Runs = append(s.Runs, Execution{ID: "deadly-6", Endpoint: "m10", Service: "s", Team: "t", Begin: at(24)})
 		}},
-		{PromiseEvacuate, func(s *Seen) {
+		{PromiseEvacuate, func(s *Observations) {
 			s.Domains["e1"], s.Evacuated["d"] = "d", []Span{{From: at(4), To: at(11)}}
 		}},
-		{PromiseCold, func(s *Seen) {
+		{PromiseCold, func(s *Observations) {
 			s.Cold["e1"] = []Span{{From: at(9), To: at(12)}}
 			for i := range 13 {
 				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(10 + float64(i)/20)})
 			}
 		}},
-		{PromiseLimit, func(s *Seen) {
-			s.Limited["e1"] = []Limited{{Span: Span{From: at(5), To: at(14)}, PerSecond: 1}}
+		{PromiseLimit, func(s *Observations) {
+			s.RateLimited["e1"] = []LimitSpan{{Span: Span{From: at(5), To: at(14)}, PerSecond: 1}}
 			for i := range 12 {
 				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(9 + float64(i)/4)})
 			}
 		}},
-		{PromiseAlive, func(s *Seen) { s.Exits = []string{"router-0 ended by itself"} }},
-		{PromiseRetries, func(s *Seen) {
+		{PromiseNoExit, func(s *Observations) { s.Exits = []string{"router-0 ended by itself"} }},
+		{PromiseRetries, func(s *Observations) {
 			for range 60 {
 				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Begin: at(10.5)})
 			}
 		}},
-		{PromiseRetries, func(s *Seen) {
+		{PromiseRetries, func(s *Observations) {
 			for range 60 {
 				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(10.5)})
 			}
 		}},
-		{PromiseRetries, func(s *Seen) { // few in all, many in a window
+		{PromiseRetries, func(s *Observations) { // within the budget in total, but not in one window
 			for i := range 1000 {
-				s.Calls = append(s.Calls, Call{ID: fmt.Sprint("c", i), Key: "k", Service: "s", Sent: at(100 + float64(i)), Status: 200, Whole: true})
+				s.Calls = append(s.Calls, Call{ID: fmt.Sprint("c", i), Key: "k", Service: "s", Sent: at(100 + float64(i)), Status: 200, Complete: true})
 			}
 			for i := range 60 {
 				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Begin: at(11 + float64(i)/10)})
 			}
 		}},
-		{PromiseTold, func(s *Seen) {
-			s.Told = map[string]int{"b": 1}
+		{PromiseLogged, func(s *Observations) {
+			s.LoggedAttempts = map[string]int{"b": 1}
 			s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Begin: at(10.5)})
 		}},
-		{PromisePlaces, func(s *Seen) {
+		{PromiseMaxEndpoints, func(s *Observations) {
 			s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Begin: at(10.5)})
 			s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e3", Service: "s", Team: "t", Begin: at(10.6)})
 		}},
 	} {
-		seen := good()
-		c.spoil(&seen)
-		NewWithT(t).Expect(promises(seen)).To(ContainElement(c.promise), "%s", c.promise)
+		seen := validRun()
+		c.breakPromise(&seen)
+		NewWithT(t).Expect(brokenPromises(seen)).To(ContainElement(c.promise), "%s", c.promise)
 	}
 }
 
-func TestWhatFaultsExplainIsNoBrokenPromise(t *testing.T) {
-	for name, c := range map[string]func(*Seen){
-		"a leaving endpoint at a router that was cut off": func(s *Seen) {
+func TestCheckToleratesEffectsOfFaults(t *testing.T) {
+	for name, c := range map[string]func(*Observations){
+		"a draining endpoint, at a partitioned router": func(s *Observations) {
 			s.Drained["e1"] = at(7)
-			s.Harmed[0] = []Span{{From: at(6), To: at(8)}}
+			s.RouterFaults[0] = []Span{{From: at(6), To: at(8)}}
 		},
-		"work after its caller left, at a paused endpoint": func(s *Seen) {
-			s.Calls[1].Left, s.Runs[1].End = true, at(12.5)
-			s.EndpointHarmed["e2"] = []Span{{From: at(10), To: at(12)}}
+		"work after the caller disconnected, at a paused endpoint": func(s *Observations) {
+			s.Calls[1].CallerLeft, s.Runs[1].End = true, at(12.5)
+			s.EndpointFaults["e2"] = []Span{{From: at(10), To: at(12)}}
 		},
-		"a revoked key within the bound": func(s *Seen) { s.Revoked["k"] = at(6) },
-		"a stop after the answer": func(s *Seen) {
+		"a revoked key within the bound": func(s *Observations) { s.Revoked["k"] = at(6) },
+		"a stop after the answer": func(s *Observations) {
 			s.Stops[0] = []Span{{From: at(12), To: at(16)}}
 		},
-		"an evacuation that is over, or within the bound": func(s *Seen) {
+		"an evacuation that has ended, or is within the bound": func(s *Observations) {
 			s.Domains["e1"] = "d"
 			s.Evacuated["d"] = []Span{{From: at(1), To: at(10)}, {From: at(6), To: at(20)}}
 		},
-		"a cold endpoint that gets its rate": func(s *Seen) {
+		"a cold endpoint within its rate limit": func(s *Observations) {
 			s.Cold["e1"] = []Span{{From: at(9), To: at(12)}}
 			for i := range 13 {
 				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(9 + float64(i)/5)})
 			}
 		},
-		"an endpoint that gets its limit, and more in the time in which routers hear of it": func(s *Seen) {
-			s.Limited["e1"] = []Limited{{Span: Span{From: at(7), To: at(14)}, PerSecond: 1}}
+		"an endpoint within its stated limit, except before routers must enforce it": func(s *Observations) {
+			s.RateLimited["e1"] = []LimitSpan{{Span: Span{From: at(7), To: at(14)}, PerSecond: 1}}
 			for i := range 20 {
 				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(8 + float64(i)/5)})
 			}
 		},
-		"an endpoint that names a limit, at a router that was paused": func(s *Seen) {
-			s.Limited["e1"] = []Limited{{Span: Span{From: at(5), To: at(14)}, PerSecond: 1}}
-			s.Harmed[0] = []Span{{From: at(6), To: at(9)}}
+		"an endpoint over its stated limit, at a paused router": func(s *Observations) {
+			s.RateLimited["e1"] = []LimitSpan{{Span: Span{From: at(5), To: at(14)}, PerSecond: 1}}
+			s.RouterFaults[0] = []Span{{From: at(6), To: at(9)}}
 			for i := range 12 {
 				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(9 + float64(i)/4)})
 			}
 		},
-		"runs that go on from others, within the operator's bound": func(s *Seen) {
+		"resumed runs within the retry budget": func(s *Observations) {
 			for range 50 {
 				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(10.5)})
 			}
 		},
 	} {
-		seen := good()
+		seen := validRun()
 		c(&seen)
-		NewWithT(t).Expect(promises(seen)).To(BeEmpty(), name)
+		NewWithT(t).Expect(brokenPromises(seen)).To(BeEmpty(), name)
 	}
 }
 
-func TestAPlanFollowsFromItsSeed(t *testing.T) {
+func TestPlanIsDeterminedBySeed(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(Plan(7, 30*time.Second)).To(Equal(Plan(7, 30*time.Second)))
 	g.Expect(Plan(7, 30*time.Second)).NotTo(Equal(Plan(8, 30*time.Second)))
-	struck := make(map[Kind]bool)
+	injected := make(map[Kind]bool)
 	overlap := 0
 	for seed := range uint64(20) {
 		plan := Plan(seed, 30*time.Second)
 		g.Expect(plan).NotTo(BeEmpty())
 		for i, f := range plan {
-			struck[f.Kind] = true
-			g.Expect(f.At).To(BeNumerically(">=", calmStart))
+			injected[f.Kind] = true
+			g.Expect(f.At).To(BeNumerically(">=", faultFreeStart))
 			g.Expect(f.At + f.For).To(BeNumerically("<=", 30*time.Second-CalmEnd))
 			if i > 0 && plan[i-1].At+plan[i-1].For > f.At {
 				overlap++
 			}
 		}
 	}
-	g.Expect(struck).To(HaveLen(len(kinds)+3), "and growth, restarts and strange entries")
+	g.Expect(injected).To(HaveLen(len(kinds)+3), "plus growth, restarts and invalid entries")
 	g.Expect(overlap).To(BeNumerically(">", 100))
 }
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// ColdFor is how long an endpoint is cold after its start, and coldRate how many
-	// requests a second it takes meanwhile from all routers, fewer than callers make.
+	// ColdFor is the time for which an endpoint is cold after its start. coldRate is its
+	// rate limit meanwhile over all routers, in requests per second; callers send more.
 	ColdFor  = 3 * time.Second
 	coldRate = 5.0
 )
 
-// coldRate is 0 in seeds in which nothing is cold.
+// coldRate returns 0 in seeds without cold endpoints.
 func (r *run) coldRate() float64 {
-	if EvacuatingOf(r.opts.Seed) {
+	if HasEvacuations(r.opts.Seed) {
 		return coldRate
 	}
 	return 0
 }
 
-// noteStart has an endpoint that starts during the run be cold, in seeds that have that, and
-// notes where it is.
-func (r *run) noteStart(e *Endpoint) {
+// recordStart records the failure domain of an endpoint that starts. In seeds with cold
+// endpoints it also makes an endpoint cold that starts during the run.
+func (r *run) recordStart(e *Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen.Domains[e.Name] = e.FailureDomain
+	r.observed.Domains[e.Name] = e.FailureDomain
 	r.endLimit(e.Name)
-	if !EvacuatingOf(r.opts.Seed) || len(r.routers) == 0 {
+	if !HasEvacuations(r.opts.Seed) || len(r.routers) == 0 {
 		return
 	}
 	e.Cold = ColdFor
-	r.seen.Cold[e.Name] = append(r.seen.Cold[e.Name], Span{From: e.Born, To: e.Born.Add(ColdFor)})
+	r.observed.Cold[e.Name] = append(r.observed.Cold[e.Name], Span{From: e.StartedAt, To: e.StartedAt.Add(ColdFor)})
 }
 
-// evacuate orders that a failure domain gets nothing and removes the order later. Of two
-// that overlap the earlier one holds until it ends.
+// evacuate evacuates a failure domain for a while. If two such faults overlap, the second
+// one is ignored.
 func (r *run) evacuate(ctx context.Context, f Fault) {
 	domain := domainOf(f.Target)
 	r.mu.Lock()
@@ -53,5 +53,5 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.evacuating[domain] = false
-	r.seen.Evacuated[domain] = append(r.seen.Evacuated[domain], Span{From: from, To: to})
+	r.observed.Evacuated[domain] = append(r.observed.Evacuated[domain], Span{From: from, To: to})
 }
--- a/internal/soak/failing.go
+++ b/internal/soak/failing.go
@@ -8,96 +8,96 @@
 	"time"
 )
 
-// FailingOf says whether in a seed endpoints fail a part of what they have read: every second
-// four thousand of seeds.
-func FailingOf(seed uint64) bool { return seed/4000%2 == 1 }
+// HasFailingEndpoints reports whether endpoints fail a share of the requests that they have read in the
+// runs of a seed: every second block of 4000 seeds.
+func HasFailingEndpoints(seed uint64) bool { return seed/4000%2 == 1 }
 
-// Failing is how an endpoint fails requests that it has read. The zero value fails none.
+// Failing defines how an endpoint fails requests that it has read. The zero value fails none.
 type Failing struct {
-	// Share of the requests is failed, from 0 to 1.
+	// Share is the share of requests to fail, from 0 to 1.
 	Share float64 `json:"share"`
-	// After is how long after it has read one it fails it.
+	// After is the time between reading a request and failing it.
 	After time.Duration `json:"after"`
 	How   FailHow       `json:"how"`
 }
 
-// FailHow is what becomes of a request that is failed.
+// FailHow is the way in which a request is failed.
 type FailHow string
 
-// The ways to fail one.
+// The ways to fail a request.
 const (
-	// FailReset: its connection is reset.
+	// FailReset resets its connection.
 	FailReset FailHow = ""
-	// FailClose: its connection ends in good order, without an answer.
+	// FailClose closes its connection in an orderly way, without an answer.
 	FailClose FailHow = "close"
-	// FailCut: it ends in the middle of the answer.
+	// FailCut closes its connection in the middle of the answer.
 	FailCut FailHow = "cut"
-	// FailSilent: nothing comes, until its caller leaves.
+	// FailSilent sends no answer and waits until the caller disconnects.
 	FailSilent FailHow = "silent"
-	// FailBusy: it is refused as not run.
+	// FailBusy refuses it as not run.
 	FailBusy FailHow = "busy"
 )
 
 const (
-	// meanFailingGap is the mean time between two endpoints that begin to fail, which thereby
-	// overlap; they do so for shortestFailing to longestFailing.
+	// meanFailingGap is the mean time between two endpoints that begin to fail. They fail
+	// for shortestFailing to longestFailing, so that these times overlap.
 	meanFailingGap  = 1200 * time.Millisecond
 	shortestFailing = 3 * time.Second
 	longestFailing  = 9 * time.Second
-	// allFail is of how many such faults one strikes all endpoints of a service.
-	allFail = 3
+	// wholeServiceInterval: one in wholeServiceInterval of these faults hits all endpoints of a service.
+	wholeServiceInterval = 3
 )
 
-// failings are soon and late, some and most: a second try that follows a late one has less
-// time left than the first.
-var failings = []Failing{
+// failureModes combines early and late failures and different shares. A retry after a late failure
+// has less time left than the first attempt.
+var failureModes = []Failing{
 	{Share: 0.3, After: 10 * time.Millisecond},
 	{Share: 0.7, After: 10 * time.Millisecond},
 	{Share: 0.5, After: 800 * time.Millisecond},
 }
 
-// failing has random numbers of its own, as growth.
+// failing uses its own random source, like growth.
 func failing(seed uint64, end time.Duration) []Fault {
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	var plan []Fault
-	for at := calmStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanFailingGap)) {
-		f := Fault{At: at, Kind: EndpointFailing, Target: rnd.IntN(1 << 16), For: shortestFailing + upTo(rnd, longestFailing-shortestFailing)}
+	for at := faultFreeStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanFailingGap)) {
+		f := Fault{At: at, Kind: EndpointFailing, Target: rnd.IntN(1 << 16), For: shortestFailing + randomDuration(rnd, longestFailing-shortestFailing)}
 		f.For = min(f.For, end-at)
 		plan = append(plan, f)
 	}
 	return plan
 }
 
-// failEndpoints has an endpoint, or now and then all of its service, fail a part of their
-// requests for a while. Of two faults that strike the same one the later counts, until the
-// first of them ends.
+// failEndpoints has an endpoint, or sometimes all endpoints of its service, fail a share of
+// their requests for a while. If two such faults hit the same endpoint, the later one applies
+// until either of them ends.
 func (r *run) failEndpoints(ctx context.Context, f Fault) {
-	struck := r.failing(f.Target)
-	if len(struck) == 0 {
+	failing := r.pickFailing(f.Target)
+	if len(failing) == 0 {
 		return
 	}
-	how := failings[f.Target%len(failings)]
+	mode := failureModes[f.Target%len(failureModes)]
 	from := time.Now()
 	var open sync.WaitGroup
-	for _, e := range struck {
+	for _, e := range failing {
 		open.Go(func() {
-			r.tellFailing(ctx, e, how)
+			r.setFailing(ctx, e, mode)
 			sleepUntil(ctx, from.Add(f.For))
-			r.tellFailing(ctx, e, Failing{})
+			r.setFailing(ctx, e, Failing{})
 		})
 	}
 	open.Wait()
 }
 
-// failing picks the endpoints that fail.
-func (r *run) failing(target int) []*endpointProc {
+// pickFailing returns the endpoints that a fault hits.
+func (r *run) pickFailing(target int) []*endpointProc {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.endpoints) == 0 {
 		return nil
 	}
 	one := r.endpoints[target%len(r.endpoints)]
-	if target/len(failings)%allFail != 0 {
+	if target/len(failureModes)%wholeServiceInterval != 0 {
 		return []*endpointProc{one}
 	}
 	var all []*endpointProc
@@ -109,9 +109,10 @@
 	return all
 }
 
-// tellFailing tells an endpoint how to fail. One that is gone or stands still hears nothing.
-func (r *run) tellFailing(ctx context.Context, e *endpointProc, how Failing) {
-	if err := r.wire.Fail(ctx, e.listens, how); err != nil {
+// setFailing sets how an endpoint fails requests. It fails if the endpoint has ended or is
+// paused.
+func (r *run) setFailing(ctx context.Context, e *endpointProc, mode Failing) {
+	if err := r.wire.Fail(ctx, e.listenAddr, mode); err != nil {
 		fmt.Fprintln(r.opts.Progress, "endpoint", e.endpoint.Name, "can't be told how to fail:", err)
 	}
 }
--- a/internal/soak/kept.go
+++ b/internal/soak/kept.go
@@ -1,21 +1,21 @@
 package soak
 
-// KeptSeed is a seed that once failed.
+// KeptSeed is a seed that once failed, with the cause.
 type KeptSeed struct {
 	Seed  uint64
 	Cause string
 }
 
-// Kept lists the seeds that once failed, which run again before each landing.
+// Kept returns the seeds that once failed. They run again before each release.
 func Kept() []KeptSeed {
 	return []KeptSeed{
-		{Seed: 1, Cause: "a second SIGTERM during a planned stop ended the router at once and cut its streams off"},
-		{Seed: 10, Cause: "the soak's own: soaks that ran at once in one folder wrote each other's settings files, so that routers took others' ports"},
-		{Seed: 7, Cause: "calls to the store whose answer was long were given up as silent while it came, since single reads took as long as the silence that was allowed"},
-		{Seed: 5, Cause: "the same"},
-		{Seed: 2, Cause: "the HTTP library repeated requests by itself on connections that it had kept"},
-		{Seed: 3010, Cause: "an endpoint that started again behind a proxy was taken for the process before, and sent more than a cold one bears"},
-		{Seed: 1005, Cause: "after a reader stopped in the middle of a version each version that was missed was read, whole"},
-		{Seed: 4001, Cause: "the same, at endpoints that reset connections"},
+		{Seed: 1, Cause: "a second SIGTERM during a planned stop ended the router at once and interrupted its streams"},
+		{Seed: 10, Cause: "a fault of the soak itself: concurrent soaks in one folder overwrote each other's settings files, so that routers used ports of other soaks"},
+		{Seed: 7, Cause: "calls to the store with a long answer were aborted as idle while data arrived, since single reads took as long as the idle timeout"},
+		{Seed: 5, Cause: "the same cause as seed 7"},
+		{Seed: 2, Cause: "net/http retried requests by itself on reused connections"},
+		{Seed: 3010, Cause: "an endpoint that restarted behind a proxy was taken for the previous process and got more than the rate limit of a cold endpoint"},
+		{Seed: 1005, Cause: "after a reader stalled in the middle of a version, every missed version was read in full"},
+		{Seed: 4001, Cause: "the same cause as seed 1005, with endpoints that reset connections"},
 	}
 }
--- a/internal/soak/keys.go
+++ b/internal/soak/keys.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Teams and keys. All keys are there from the start, so that none is ever unknown
-// before it is taken away.
+// Teams and keys. All keys are valid from the start, so that no key is unknown before it
+// is revoked.
 const (
-	steadyTeam  = "steady"
-	steadyKey   = "steady-key"
-	fadingTeam  = "fading"
-	fadingKeys  = 24
-	fadingShare = 0.4 // of the requests carry a key that is or may be taken away
+	permanentTeam  = "steady"
+	permanentKey   = "steady-key"
+	revocableTeam  = "fading"
+	revocableKeys  = 24
+	revocableShare = 0.4 // share of requests with a key that is or may be revoked
 )
 
-// keyring holds the keys of the run. It is safe for concurrent use.
+// keyring holds the API keys of a run. It is safe for concurrent use.
 type keyring struct {
 	mu      sync.Mutex
 	valid   []string
@@ -27,21 +27,22 @@
 
 func newKeyring() *keyring {
 	k := &keyring{revoked: make(map[string]time.Time)}
-	for i := range fadingKeys {
+	for i := range revocableKeys {
 		k.valid = append(k.valid, fmt.Sprintf("fading-key-%02d", i))
 	}
 	return k
 }
 
-// teams are the keys of each team as they are to be published.
+// teams returns the valid keys of each team, for publication.
 func (k *keyring) teams() map[string][]string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return map[string][]string{steadyTeam: {steadyKey}, fadingTeam: slices.Clone(k.valid)}
+	return map[string][]string{permanentTeam: {permanentKey}, revocableTeam: slices.Clone(k.valid)}
 }
 
-// drop takes a key away; noteRevoked tells when that was published. One key stays.
-func (k *keyring) drop() string {
+// revoke removes a valid key and returns it, or "" if only one is left. After publication the
+// caller records the time with recordRevoked.
+func (k *keyring) revoke() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.valid) == 1 {
@@ -52,20 +53,20 @@
 	return key
 }
 
-func (k *keyring) noteRevoked(key string, at time.Time) {
+func (k *keyring) recordRevoked(key string, at time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.revoked[key] = at
 }
 
-// pick returns a key for a request and its team: often one that was just taken away.
+// pick returns a key and its team for a request, often a key that was just revoked.
 func (k *keyring) pick(rnd *rand.Rand) (key, team string) {
-	if rnd.Float64() >= fadingShare {
-		return steadyKey, steadyTeam
+	if rnd.Float64() >= revocableShare {
+		return permanentKey, permanentTeam
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	n := fadingKeys - len(k.valid) // were taken away
+	n := revocableKeys - len(k.valid) // number of revoked keys
 	last := max(0, n-2)
-	return fmt.Sprintf("fading-key-%02d", last+rnd.IntN(min(4, fadingKeys-last))), fadingTeam
+	return fmt.Sprintf("fading-key-%02d", last+rnd.IntN(min(4, revocableKeys-last))), revocableTeam
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,7 +1,7 @@
 // Package soak runs the real programs as separate processes on one machine, injects
-// faults from outside them, and checks the promises to callers by what callers sent
-// and got and what endpoints ran. Everything that happens follows from a seed, but
-// for the times that the machine adds.
+// faults from the outside, and checks the promises to callers against the requests and
+// answers of callers and the runs of endpoints. A run is determined by its seed, except
+// for the timing of the machine.
 package soak
 
 import (
@@ -14,118 +14,119 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds of fault. Routers and endpoints are processes that get signals; ways
-// are the connections from a router to the store or from all routers to an endpoint,
-// which lead through a proxy; changes are the operator's.
+// The kinds of fault. Faults of routers and endpoints are signals to their processes.
+// Faults of connections, from a router to the store or from all routers to an endpoint,
+// are injected by a proxy. Changes of the configuration are the operator's.
 const (
-	RouterKill   Kind = "router_kill"   // SIGKILL, and started again
-	RouterStop   Kind = "router_stop"   // SIGTERM, and started again once it has ended
-	RouterPause  Kind = "router_pause"  // SIGSTOP, and SIGCONT
-	RouterReload Kind = "router_reload" // the settings file changes, and SIGHUP
-
-	EndpointKill  Kind = "endpoint_kill"  // SIGKILL, its entry lapses, another starts
-	EndpointPause Kind = "endpoint_pause" // SIGSTOP, its entry may lapse, and SIGCONT
-	EndpointDrain Kind = "endpoint_drain" // its entry says draining, SIGTERM later, another starts
-
-	StoreWay    Kind = "store_way"    // a router's way to the store is harmed
-	EndpointWay Kind = "endpoint_way" // the way to an endpoint is harmed
-	StoreFault  Kind = "store_fault"  // the store itself fails its callers
-
-	KeyRevoked Kind = "key_revoked" // a key is taken away, another added
-	Routes     Kind = "routes"      // timeouts of the routes change
-	// ConfigGrow makes the configuration grow by many routes that nobody asks for, or
-	// shrink again, and adds one that callers ask for. Only narrow seeds have it.
+	RouterKill   Kind = "router_kill"   // SIGKILL, then a restart
+	RouterStop   Kind = "router_stop"   // SIGTERM, then a restart once it has ended
+	RouterPause  Kind = "router_pause"  // SIGSTOP, then SIGCONT
+	RouterReload Kind = "router_reload" // a change of the settings file, then SIGHUP
+
+	EndpointKill  Kind = "endpoint_kill"  // SIGKILL; its entry expires and a replacement starts
+	EndpointPause Kind = "endpoint_pause" // SIGSTOP, then SIGCONT; its entry may expire meanwhile
+	EndpointDrain Kind = "endpoint_drain" // its entry is marked as draining, then SIGTERM; a replacement starts
+
+	StoreConn    Kind = "store_way"    // a network fault between a router and the store
+	EndpointConn Kind = "endpoint_way" // a network fault between all routers and an endpoint
+	StoreFault   Kind = "store_fault"  // the store itself fails calls
+
+	KeyRevoked    Kind = "key_revoked" // a key is revoked
+	RouteTimeouts Kind = "routes"      // the timeouts of the routes change
+	// ConfigGrow changes the number of unused routes, so that the configuration grows or
+	// shrinks a lot, and adds one route for callers. Only seeds with narrow links have it.
 	ConfigGrow Kind = "config_grow"
-	// EndpointRestart is SIGKILL, and another process soon has its name and address.
-	// ListEntry is an entry of the list that somebody else writes, under a name of its own
-	// or that of an endpoint, which writes its own again a second later. Only seeds with
-	// strange lists have them.
+	// EndpointRestart is SIGKILL, after which a new process gets the same name and address.
+	// ListEntry is an invalid entry in the list, under an unused name or over the entry of
+	// an endpoint, which writes its own again a second later. Only seeds with invalid
+	// entries have these two.
 	EndpointRestart Kind = "endpoint_restart"
-	ListEntry       Kind = "list_entry"
-	// EndpointLimit is that an endpoint names in its answers how many requests a second it
-	// takes from all routers. Only seeds with limits have it.
+	InvalidEntry    Kind = "list_entry"
+	// EndpointLimit has an endpoint state a rate limit over all routers in its answers.
+	// Only seeds with rate limits have it.
 	EndpointLimit Kind = "endpoint_limit"
-	// EndpointFailing is that an endpoint fails a part of what it has read. Only seeds with
-	// failing endpoints have it.
+	// EndpointFailing has an endpoint fail a share of the requests that it has read. Only
+	// seeds with failing endpoints have it.
 	EndpointFailing Kind = "endpoint_failing"
-	// Evacuate is an order that a failure domain gets nothing, until it is removed. Only
-	// seeds with evacuations have it; endpoints that start in them are cold.
+	// Evacuate is an evacuation order of a failure domain and its removal. Only seeds with
+	// evacuations have it; endpoints that start during those runs are cold.
 	Evacuate Kind = "evacuate"
 )
 
 var kinds = []Kind{
 	RouterKill, RouterStop, RouterPause, RouterReload,
 	EndpointKill, EndpointPause, EndpointDrain,
-	StoreWay, EndpointWay, StoreFault, KeyRevoked, Routes,
+	StoreConn, EndpointConn, StoreFault, KeyRevoked, RouteTimeouts,
 }
 
-// Harm is what a proxy does to connections.
-type Harm string
+// NetFault is a network fault of a proxy's connections.
+type NetFault string
 
-// The harms. A cut one way drops what comes back, silence drops both ways; both
-// leave connections open.
+// The network faults. NetFaultOneWay drops data from the target and NetFaultSilence drops data in
+// both directions; both leave connections open.
 const (
-	HarmNone    Harm = ""
-	HarmDelay   Harm = "delay"
-	HarmReset   Harm = "reset"
-	HarmOneWay  Harm = "one_way"
-	HarmSilence Harm = "silence"
+	NetFaultNone    NetFault = ""
+	NetFaultDelay   NetFault = "delay"
+	NetFaultReset   NetFault = "reset"
+	NetFaultOneWay  NetFault = "one_way"
+	NetFaultSilence NetFault = "silence"
 )
 
-var harms = []Harm{HarmDelay, HarmReset, HarmOneWay, HarmSilence}
+var netFaults = []NetFault{NetFaultDelay, NetFaultReset, NetFaultOneWay, NetFaultSilence}
 
 // Fault is one fault of a plan.
 type Fault struct {
 	At   time.Duration `json:"at"`
 	Kind Kind          `json:"kind"`
-	// Target numbers the router or endpoint that it strikes, modulo those there are.
-	Target int           `json:"target"`
-	For    time.Duration `json:"for"`
-	Harm   Harm          `json:"harm,omitempty"`
+	// Target selects the router or endpoint, modulo their number.
+	Target   int           `json:"target"`
+	For      time.Duration `json:"for"`
+	NetFault NetFault      `json:"harm,omitempty"`
 }
 
 // Times of a plan.
 const (
-	// calmStart is without faults, so that all programs are up and known.
-	calmStart = 3 * time.Second
-	// CalmEnd is without new faults, so that recovery can be judged.
+	// faultFreeStart is the time without faults at the start, in which all programs start and
+	// are listed.
+	faultFreeStart = 3 * time.Second
+	// CalmEnd is the time without new faults at the end, in which recovery is checked.
 	CalmEnd = 9 * time.Second
-	// longestFault is longer than a list keeps an endpoint that fell silent and
-	// than the bound on revoked keys.
+	// longestFault exceeds both the time after which the list drops an endpoint without
+	// heartbeats and the bound on revoked keys.
 	longestFault  = 7 * time.Second
 	shortestFault = 300 * time.Millisecond
-	// storeFactor makes faults of the store longer, so that some outlast the bound
-	// on revoked keys, and unseenAfter is when calls that waited there have ended.
-	storeFactor = 1.5
-	unseenAfter = 1200 * time.Millisecond
-	// meanGap is the mean time between two faults, which thereby overlap.
-	meanGap = 900 * time.Millisecond
-	// seriesChance is how often a fault is followed by another of its kind at once.
+	// storeFaultFactor extends faults of the store, so that some outlast the bound on revoked
+	// keys. unseenAfter is the time after which long polls at the store have ended.
+	storeFaultFactor      = 1.5
+	unobservedRevokeDelay = 1200 * time.Millisecond
+	// meanFaultGap is the mean time between two faults, short enough that they overlap.
+	meanFaultGap = 900 * time.Millisecond
+	// seriesChance is the probability that a fault is followed by another of its kind.
 	seriesChance = 0.25
-	// meanGrowGap is the mean time between two faults of kind ConfigGrow: some seconds,
-	// as a value of a megabyte takes one over a narrow link.
+	// meanGrowGap is the mean time between two ConfigGrow faults: some seconds, since a
+	// value of a megabyte takes one second over a narrow link.
 	meanGrowGap = 4 * time.Second
 )
 
-// NarrowOf says whether the routers of a seed reach the store over narrow links while
-// the configuration grows: the last four of eight seeds.
-func NarrowOf(seed uint64) bool { return seed/4%2 == 1 }
+// HasNarrowLinks reports whether the routers of a seed reach the store over narrow links while
+// the configuration grows: the last four of each eight seeds.
+func HasNarrowLinks(seed uint64) bool { return seed/4%2 == 1 }
 
-// StrangeListOf says whether in a seed endpoints start again under their names and others
-// write to the list: the third of four seeds.
-func StrangeListOf(seed uint64) bool { return seed%4 == 2 }
+// HasInvalidEntries reports whether a seed has restarts of endpoints under the same name and
+// invalid entries in the list: the third of each four seeds.
+func HasInvalidEntries(seed uint64) bool { return seed%4 == 2 }
 
-// meanStrangeGap is the mean time between two faults of strange lists.
-const meanStrangeGap = 2 * time.Second
+// meanInvalidEntryGap is the mean time between two faults of invalidEntries.
+const meanInvalidEntryGap = 2 * time.Second
 
-// strangeList has random numbers of its own, as growth.
-func strangeList(seed uint64, end time.Duration) []Fault {
+// invalidEntries uses its own random source, like growth.
+func invalidEntries(seed uint64, end time.Duration) []Fault {
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	var plan []Fault
-	for at := calmStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanStrangeGap)) {
-		f := Fault{At: at, Kind: EndpointRestart, Target: rnd.IntN(1 << 16), For: shortestFault + upTo(rnd, longestFault-shortestFault)}
+	for at := faultFreeStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanInvalidEntryGap)) {
+		f := Fault{At: at, Kind: EndpointRestart, Target: rnd.IntN(1 << 16), For: shortestFault + randomDuration(rnd, longestFault-shortestFault)}
 		if rnd.IntN(2) == 0 {
-			f.Kind = ListEntry
+			f.Kind = InvalidEntry
 		}
 		f.For = min(f.For, end-at)
 		plan = append(plan, f)
@@ -133,79 +134,79 @@
 	return plan
 }
 
-// EvacuatingOf says whether in a seed failure domains are evacuated and endpoints start
-// cold: every second thousand of seeds, so that those below are what they were.
-func EvacuatingOf(seed uint64) bool { return seed/1000%2 == 1 }
+// HasEvacuations reports whether a seed has evacuations and cold endpoints: every second block
+// of 1000 seeds, which leaves the plans of earlier seeds unchanged.
+func HasEvacuations(seed uint64) bool { return seed/1000%2 == 1 }
 
-// meanEvacuateGap is the mean time between two orders to evacuate, which thereby overlap.
+// meanEvacuateGap is the mean time between two evacuations, short enough that they overlap.
 const meanEvacuateGap = 4 * time.Second
 
-// evacuations has random numbers of its own, as growth.
+// evacuations uses its own random source, like growth.
 func evacuations(seed uint64, end time.Duration) []Fault {
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	var plan []Fault
-	for at := calmStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanEvacuateGap)) {
-		f := Fault{At: at, Kind: Evacuate, Target: rnd.IntN(1 << 16), For: shortestFault + upTo(rnd, longestFault-shortestFault)}
+	for at := faultFreeStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanEvacuateGap)) {
+		f := Fault{At: at, Kind: Evacuate, Target: rnd.IntN(1 << 16), For: shortestFault + randomDuration(rnd, longestFault-shortestFault)}
 		f.For = min(f.For, end-at)
 		plan = append(plan, f)
 	}
 	return plan
 }
 
-// Plan is what happens in a run of the seed that lasts so long.
+// Plan returns the faults of a run with the given seed and length, ordered by time.
 func Plan(seed uint64, length time.Duration) []Fault {
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	var plan []Fault
 	end := length - CalmEnd
-	for at := calmStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanGap)) {
-		f := Fault{At: at, Kind: kinds[rnd.IntN(len(kinds))], Target: rnd.IntN(1 << 16), Harm: harms[rnd.IntN(len(harms))]}
-		f.For = shortestFault + upTo(rnd, longestFault-shortestFault)
+	for at := faultFreeStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanFaultGap)) {
+		f := Fault{At: at, Kind: kinds[rnd.IntN(len(kinds))], Target: rnd.IntN(1 << 16), NetFault: netFaults[rnd.IntN(len(netFaults))]}
+		f.For = shortestFault + randomDuration(rnd, longestFault-shortestFault)
 		if f.Kind == StoreFault {
-			f.For = time.Duration(storeFactor * float64(f.For))
-			// A key that goes while the store answers nobody, its waiting calls
-			// included, must stop working although nobody can be told.
-			plan = append(plan, Fault{At: min(at+unseenAfter, end), Kind: KeyRevoked})
+			f.For = time.Duration(storeFaultFactor * float64(f.For))
+			// A key that is revoked while the store answers no call, not even open long
+			// polls, must stop working although no router can learn of it.
+			plan = append(plan, Fault{At: min(at+unobservedRevokeDelay, end), Kind: KeyRevoked})
 		}
 		f.For = min(f.For, end-at)
 		plan = append(plan, f)
 		for rnd.Float64() < seriesChance {
-			f.At += upTo(rnd, f.For)
+			f.At += randomDuration(rnd, f.For)
 			f.Target = rnd.IntN(1 << 16)
 			f.For = min(f.For, end-f.At)
 			plan = append(plan, f)
 		}
 	}
-	if NarrowOf(seed) {
+	if HasNarrowLinks(seed) {
 		plan = append(plan, growth(seed, end)...)
 	}
-	if StrangeListOf(seed) {
-		plan = append(plan, strangeList(seed, end)...)
+	if HasInvalidEntries(seed) {
+		plan = append(plan, invalidEntries(seed, end)...)
 	}
-	if EvacuatingOf(seed) {
+	if HasEvacuations(seed) {
 		plan = append(plan, evacuations(seed, end)...)
 	}
-	if LimitingOf(seed) {
-		plan = append(plan, limiting(seed, end)...)
+	if HasRateLimits(seed) {
+		plan = append(plan, rateLimits(seed, end)...)
 	}
-	if FailingOf(seed) {
+	if HasFailingEndpoints(seed) {
 		plan = append(plan, failing(seed, end)...)
 	}
 	slices.SortStableFunc(plan, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return plan
 }
 
-// growth has random numbers of its own, so that the other faults of a seed are the same
-// with and without it.
+// growth uses its own random source, so that the other faults of a seed are the same with
+// and without it.
 func growth(seed uint64, end time.Duration) []Fault {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	var plan []Fault
-	for at := calmStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanGrowGap)) {
+	for at := faultFreeStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanGrowGap)) {
 		plan = append(plan, Fault{At: at, Kind: ConfigGrow, Target: rnd.IntN(1 << 16)})
 	}
 	return plan
 }
 
-// upTo is a random time from 0 to d.
-func upTo(rnd *rand.Rand, d time.Duration) time.Duration {
+// randomDuration returns a random duration from 0 to d.
+func randomDuration(rnd *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(rnd.Float64() * float64(d))
 }
--- a/internal/soak/ports.go
+++ b/internal/soak/ports.go
@@ -8,38 +8,38 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Ports of the programs lie below those that the kernel gives to connections (from
-// 32768 on), which could otherwise take the port of a program that is being
-// restarted. Each soak has a block of its own, so that several may run at once.
+// The programs' ports are below the kernel's ephemeral ports (from 32768 on), since an
+// outgoing connection could otherwise take the port of a program that is being restarted.
+// Each soak has its own block of ports, so that several can run at once.
 const (
 	firstPort  = 12000
 	blockPorts = 400
 	blocks     = 50
 )
 
-// ports hands out addresses that nobody listens on, each once.
+// ports allocates unused listen addresses, each once.
 type ports struct {
 	mu          sync.Mutex
 	first, next int
-	// held is a listener on the block's first port, by which other soaks know that
-	// the block is taken.
-	held net.Listener
+	// lock is a listener on the block's first port, which reserves the block against
+	// other soaks.
+	lock net.Listener
 }
 
-// newPorts takes a block that no other soak has, beginning the search at a number.
+// newPorts reserves a block that no other soak uses. The search starts at block number begin.
 func newPorts(begin int) (*ports, error) {
 	for i := range blocks {
 		first := firstPort + (begin+i)%blocks*blockPorts
 		held, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", first))
 		if err == nil {
-			return &ports{first: first, next: first + 1, held: held}, nil
+			return &ports{first: first, next: first + 1, lock: held}, nil
 		}
 	}
 	return nil, errors.Newf("soak: other programs hold all %d blocks of ports from %d on", blocks, firstPort)
 }
 
-// release lets other soaks have the block.
-func (p *ports) release() { _ = p.held.Close() }
+// release frees the block for other soaks.
+func (p *ports) release() { _ = p.lock.Close() }
 
 func (p *ports) free(n int) ([]string, error) {
 	p.mu.Lock()
@@ -49,7 +49,7 @@
 		address := fmt.Sprintf("127.0.0.1:%d", p.next)
 		l, err := net.Listen("tcp", address)
 		if err != nil {
-			continue // somebody has it
+			continue // in use
 		}
 		if err := l.Close(); err != nil {
 			return nil, errors.Wrap(err, "soak: find a free port")
--- a/internal/soak/ports_test.go
+++ b/internal/soak/ports_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestSoaksThatRunAtOnceHaveDifferentPorts(t *testing.T) {
+func TestConcurrentSoaksGetDifferentPorts(t *testing.T) {
 	g := NewWithT(t)
 	one, err := newPorts(7)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -12,25 +12,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Process is a program that the soak started. It is ended by its id alone, and
-// with the soak itself.
+// Process is a program that the soak started. It is signaled only by its process ID,
+// and the kernel kills it when the soak ends.
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
 	done chan struct{}
 	mu   sync.Mutex
-	// expected says that the soak ended it.
+	// expected reports whether the soak ended it or expects its end.
 	expected bool
 	failure  error
 }
 
-// StartProcess starts a program whose lines on standard output go to onLine and to
+// StartProcess starts a program. The lines of its standard output go to onLine and to
 // the log.
 func StartProcess(name string, log io.Writer, onLine func(line []byte), env []string, program string, args ...string) (*Process, error) {
 	cmd := exec.Command(program, args...)
 	cmd.Env = env
 	cmd.Stderr = log
-	// The programs end with the soak, however that ends.
+	// Kills the program even if the soak crashes.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -51,7 +51,7 @@
 		if onLine != nil {
 			onLine(lines.Bytes())
 		}
-		_, _ = log.Write(append(lines.Bytes(), '\n')) // a log that is lost harms no verdict
+		_, _ = log.Write(append(lines.Bytes(), '\n')) // the checks don't depend on the log
 	}
 	err := p.cmd.Wait()
 	p.mu.Lock()
@@ -61,24 +61,24 @@
 	}
 }
 
-// Signal sends a signal. One that ends the process makes its end expected.
+// Signal sends a signal. SIGKILL and SIGTERM mark the end of the process as expected.
 func (p *Process) Signal(sig os.Signal) {
 	if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
 		p.mu.Lock()
 		p.expected = true
 		p.mu.Unlock()
 	}
-	_ = p.cmd.Process.Signal(sig) // one that has ended gets none
+	_ = p.cmd.Process.Signal(sig) // fails only if the process has ended
 }
 
-// ExpectEnd says that the process may end by itself from now on.
+// ExpectEnd allows the process to end by itself from now on.
 func (p *Process) ExpectEnd() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.expected = true
 }
 
-// ended says whether the process has ended.
+// ended reports whether the process has ended.
 func (p *Process) ended() bool {
 	select {
 	case <-p.done:
@@ -88,14 +88,14 @@
 	}
 }
 
-// Failure is how the process ended by itself, nil if it didn't.
+// Failure returns an error if the process ended unexpectedly.
 func (p *Process) Failure() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failure
 }
 
-// WaitFor waits for the end and returns false if it hasn't come in time.
+// WaitFor waits up to d for the process to end and reports whether it did.
 func (p *Process) WaitFor(d time.Duration) bool {
 	select {
 	case <-p.done:
@@ -105,7 +105,7 @@
 	}
 }
 
-// End kills the process and waits for its end.
+// End kills the process and waits until it has ended.
 func (p *Process) End() {
 	p.Signal(syscall.SIGKILL)
 	p.Signal(syscall.SIGCONT)
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -12,49 +12,49 @@
 	"golang.org/x/time/rate"
 )
 
-// proxyDelay is what HarmDelay adds to each piece, one way: more than a region's
-// width, less than the timeouts of single calls.
+// proxyDelay is the delay that NetFaultDelay adds to each chunk in each direction: more than
+// the network latency within a region, less than the timeouts of single calls.
 const proxyDelay = 150 * time.Millisecond
 
-// proxyBytes is what a proxy passes on at once.
+// proxyBytes is the maximum size of a chunk that a proxy forwards.
 const proxyBytes = 16 << 10
 
-// Proxy passes TCP connections on over loopback and harms them on demand.
+// Proxy forwards TCP connections over loopback and injects network faults.
 type Proxy struct {
 	listener net.Listener
 	target   string
-	harm     atomic.Pointer[Harm]
-	// link is what comes back from the target goes over; nil is as fast as it can.
-	link *rate.Limiter
-	mu   sync.Mutex
-	open map[net.Conn]struct{}
+	fault    atomic.Pointer[NetFault]
+	// limiter limits the bandwidth of data from the target; nil means unlimited.
+	limiter *rate.Limiter
+	mu      sync.Mutex
+	open    map[net.Conn]struct{}
 }
 
-// NewProxy returns a proxy that passes connections on to a target.
+// NewProxy returns a proxy that forwards connections to target.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "soak: listen for a proxy")
 	}
 	p := &Proxy{listener: l, target: target, open: make(map[net.Conn]struct{})}
-	p.Set(HarmNone)
+	p.SetFault(NetFaultNone)
 	return p, nil
 }
 
-// Narrow has all that comes back from the target share a link of so many Mbit/s. It is
-// for a proxy that doesn't run yet.
-func (p *Proxy) Narrow(mbps float64) {
+// LimitBandwidth limits the total bandwidth of data from the target to mbps, in Mbit/s. It must be
+// called before Run.
+func (p *Proxy) LimitBandwidth(mbps float64) {
 	const bytesPerMbit = 1e6 / 8
-	p.link = rate.NewLimiter(rate.Limit(mbps*bytesPerMbit), proxyBytes)
+	p.limiter = rate.NewLimiter(rate.Limit(mbps*bytesPerMbit), proxyBytes)
 }
 
-// Address is where the proxy listens.
+// Address returns the listen address of the proxy.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set harms connections from now on; HarmReset resets those that are open.
-func (p *Proxy) Set(h Harm) {
-	p.harm.Store(&h)
-	if h == HarmReset {
+// SetFault sets the fault of all connections from now on. NetFaultReset also resets open ones.
+func (p *Proxy) SetFault(h NetFault) {
+	p.fault.Store(&h)
+	if h == NetFaultReset {
 		p.resetOpen()
 	}
 }
@@ -67,15 +67,15 @@
 	}
 }
 
-// reset closes a connection so that its peer gets a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // a connection that is closed already stays so
+		_ = tcp.SetLinger(0) // fails only on a closed connection
 	}
 	_ = conn.Close()
 }
 
-// Run passes connections on until ctx ends.
+// Run forwards connections until ctx ends.
 func (p *Proxy) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() {
 		_ = p.listener.Close()
@@ -92,24 +92,24 @@
 }
 
 func (p *Proxy) serve(conn net.Conn) {
-	if *p.harm.Load() == HarmReset {
+	if *p.fault.Load() == NetFaultReset {
 		reset(conn)
 		return
 	}
 	up, err := net.Dial("tcp", p.target)
 	if err != nil {
-		reset(conn) // as the target itself would
+		reset(conn) // as if the target refused the connection
 		return
 	}
-	p.keep(conn, up)
-	defer p.drop(conn, up)
+	p.track(conn, up)
+	defer p.untrack(conn, up)
 	var both sync.WaitGroup
-	both.Go(func() { p.pass(up, conn, true) })
-	both.Go(func() { p.pass(conn, up, false) })
+	both.Go(func() { p.relay(up, conn, true) })
+	both.Go(func() { p.relay(conn, up, false) })
 	both.Wait()
 }
 
-func (p *Proxy) keep(conns ...net.Conn) {
+func (p *Proxy) track(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range conns {
@@ -117,7 +117,7 @@
 	}
 }
 
-func (p *Proxy) drop(conns ...net.Conn) {
+func (p *Proxy) untrack(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range conns {
@@ -126,9 +126,9 @@
 	}
 }
 
-// pass copies one way until either end closes, and then closes both. Bytes that
-// come during a cut are lost, as behind a partition whose sender gives up.
-func (p *Proxy) pass(to, from net.Conn, forward bool) {
+// relay copies data in one direction until either end closes, and then closes both.
+// Data received during a cut is lost, as in a partition whose sender gives up.
+func (p *Proxy) relay(to, from net.Conn, forward bool) {
 	defer to.Close()
 	defer from.Close()
 	piece := make([]byte, proxyBytes)
@@ -146,29 +146,29 @@
 	}
 }
 
-// forward passes a piece on; false ends the connection. After a cut it can't go
-// on, since bytes are missing.
+// forward writes a chunk to the other end. It returns false if the connection must be
+// closed, as after a cut, when data is missing.
 func (p *Proxy) forward(to net.Conn, piece []byte, forward bool) bool {
-	switch h := *p.harm.Load(); {
-	case h == HarmDelay:
+	switch h := *p.fault.Load(); {
+	case h == NetFaultDelay:
 		time.Sleep(proxyDelay)
-	case h == HarmSilence, h == HarmOneWay && !forward:
+	case h == NetFaultSilence, h == NetFaultOneWay && !forward:
 		p.waitWhile(h)
 		return false
 	}
-	if p.link != nil && !forward {
-		if err := p.link.WaitN(context.Background(), len(piece)); err != nil {
-			return false // never: a piece is no larger than the limiter's burst
+	if p.limiter != nil && !forward {
+		if err := p.limiter.WaitN(context.Background(), len(piece)); err != nil {
+			return false // can't happen: a chunk is no larger than the limiter's burst
 		}
 	}
 	_, err := to.Write(piece)
 	return err == nil
 }
 
-// waitWhile waits until the harm is another, as a connection behind a partition
-// shows nothing at all.
-func (p *Proxy) waitWhile(h Harm) {
-	for *p.harm.Load() == h {
+// waitWhile waits until the fault changes, since a partitioned connection shows neither
+// data nor an end.
+func (p *Proxy) waitWhile(h NetFault) {
+	for *p.fault.Load() == h {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// echo is a server that sends each line back; it returns its address.
+// echo starts a server that sends each line back, and returns its address.
 func echo(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -33,8 +33,8 @@
 	return l.Addr().String()
 }
 
-// say sends a line and returns what comes back within a moment.
-func say(conn net.Conn, line string) (string, error) {
+// roundTrip sends a line and returns the line received within 400 ms.
+func roundTrip(conn net.Conn, line string) (string, error) {
 	if _, err := fmt.Fprintln(conn, line); err != nil {
 		return "", err
 	}
@@ -44,7 +44,7 @@
 	return bufio.NewReader(conn).ReadString('\n')
 }
 
-func TestAProxyHarmsConnectionsInEachWay(t *testing.T) {
+func TestProxyInjectsNetFaults(t *testing.T) {
 	g := NewWithT(t)
 	p, err := NewProxy(echo(t))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -58,27 +58,27 @@
 		return conn
 	}
 	conn := dial()
-	g.Expect(say(conn, "calm")).To(Equal("calm\n"))
+	g.Expect(roundTrip(conn, "calm")).To(Equal("calm\n"))
 
-	p.Set(HarmDelay)
+	p.SetFault(NetFaultDelay)
 	sent := time.Now()
-	g.Expect(say(conn, "slow")).To(Equal("slow\n"))
+	g.Expect(roundTrip(conn, "slow")).To(Equal("slow\n"))
 	g.Expect(time.Since(sent)).To(BeNumerically(">=", 2*proxyDelay))
 
-	for _, h := range []Harm{HarmOneWay, HarmSilence} {
-		p.Set(h)
-		_, err = say(dial(), "lost")
+	for _, h := range []NetFault{NetFaultOneWay, NetFaultSilence} {
+		p.SetFault(h)
+		_, err = roundTrip(dial(), "lost")
 		var timeout net.Error
 		g.Expect(err).To(BeAssignableToTypeOf(&net.OpError{}), string(h))
 		g.Expect(err).To(Satisfy(func(err error) bool { timeout, _ = err.(net.Error); return timeout.Timeout() }), string(h))
-		p.Set(HarmNone)
+		p.SetFault(NetFaultNone)
 	}
 
 	conn = dial()
-	g.Expect(say(conn, "calm")).To(Equal("calm\n"))
-	p.Set(HarmReset)
-	_, err = say(conn, "reset")
+	g.Expect(roundTrip(conn, "calm")).To(Equal("calm\n"))
+	p.SetFault(NetFaultReset)
+	_, err = roundTrip(conn, "reset")
 	g.Expect(err).To(HaveOccurred())
-	p.Set(HarmNone)
-	g.Expect(say(dial(), "again")).To(Equal("again\n"))
+	p.SetFault(NetFaultNone)
+	g.Expect(roundTrip(dial(), "again")).To(Equal("again\n"))
 }
--- a/internal/soak/repeats.go
+++ b/internal/soak/repeats.go
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// hearRouter takes a line of a router's log.
-func (r *run) hearRouter(line []byte) {
+// handleRouterLog handles a line of a router's log.
+func (r *run) handleRouterLog(line []byte) {
 	var ended struct {
 		Message, Request string
 		Attempts         json.RawMessage
 	}
 	if err := json.Unmarshal(line, &ended); err != nil || ended.Message != "request ended" || ended.Request == "" {
-		return // of something else
+		return // another log line
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen.Told[ended.Request] = AttemptsTold(ended.Attempts)
+	r.observed.LoggedAttempts[ended.Request] = CountAttempts(ended.Attempts)
 }
 
-// AttemptsTold is how many attempts at endpoints a router's line on a request tells of.
-func AttemptsTold(attempts json.RawMessage) int {
-	var told []string
-	if err := json.Unmarshal(attempts, &told); err != nil {
-		return 0 // it ended before there could be any
+// CountAttempts returns the number of attempts at endpoints in a router's log line.
+func CountAttempts(attempts json.RawMessage) int {
+	var logged []string
+	if err := json.Unmarshal(attempts, &logged); err != nil {
+		return 0 // the request ended before its first attempt
 	}
-	return len(slices.DeleteFunc(told, func(a string) bool { return strings.Contains(a, " at : ") }))
+	return len(slices.DeleteFunc(logged, func(a string) bool { return strings.Contains(a, " at : ") }))
 }
 
-// told compares what endpoints got with what routers tell. A router that was killed tells
-// nothing of what it had open, and one with much to tell leaves lines out.
-func (c *checker) told() {
-	for id, attempts := range c.seen.Told {
+// loggedAttempts compares the arrivals at endpoints with the attempts that routers logged. A
+// killed router logs nothing for its open requests, and a busy one drops log lines.
+func (c *checker) loggedAttempts() {
+	for id, attempts := range c.seen.LoggedAttempts {
 		if n := len(c.runs[id]); n > attempts {
-			c.add(PromiseTold, id, "endpoints got it %d times, its router tells of %d attempts", n, attempts)
+			c.add(PromiseLogged, id, "endpoints got it %d times, its router tells of %d attempts", n, attempts)
 		}
 	}
 }
 
-// repeats counts, in each window, what the endpoints of a service got beyond the first
-// arrival of each request. It holds for all routers together, harmed or not.
-func (c *checker) repeats() {
+// retryBudget counts, in each window, the arrivals at the endpoints of a service beyond the
+// first one of each request. The budget applies to all routers together, with faults or not.
+func (c *checker) retryBudget() {
 	sent := make(map[string][]time.Time)
 	repeated := make(map[string][]time.Time)
 	for _, call := range c.seen.Calls {
@@ -57,47 +57,47 @@
 		}
 	}
 	for service, at := range repeated {
-		if n, allowed := MostRepeats(sent[service], at, c.bounds); n > allowed {
+		if n, allowed := MaxRetries(sent[service], at, c.bounds); n > allowed {
 			c.add(PromiseRetries, "", "%s got %d requests again in %s, over %d", service, n, c.bounds.RetryWindow, allowed)
 		}
 	}
 }
 
-// MostRepeats is the window with most repeats over what its requests allow: how many there
-// were, and how many were allowed. Requests count that were sent in the window, half a window
-// before or a window before, whichever are most.
-func MostRepeats(sent, repeated []time.Time, b Bounds) (repeats, allowed int) {
+// MaxRetries returns the number of retries, and the number allowed, in the window that exceeds
+// its retry budget most. The budget is based on the requests sent in the window itself, in one
+// half a window earlier or in one a window earlier, whichever has most.
+func MaxRetries(sent, repeated []time.Time, b Bounds) (repeats, allowed int) {
 	for i, from := range repeated {
-		n, of := countIn(repeated, from, b.RetryWindow), 0
-		for _, back := range []time.Duration{0, b.RetryWindow / 2, b.RetryWindow} {
-			of = max(of, countIn(sent, from.Add(-back), b.RetryWindow))
+		n, requests := countInWindow(repeated, from, b.RetryWindow), 0
+		for _, shift := range []time.Duration{0, b.RetryWindow / 2, b.RetryWindow} {
+			requests = max(requests, countInWindow(sent, from.Add(-shift), b.RetryWindow))
 		}
-		may := int(b.RetryRatio*float64(of)) + b.RetrySlack
-		if i == 0 || n-may > repeats-allowed {
-			repeats, allowed = n, may
+		budget := int(b.RetryRatio*float64(requests)) + b.RetrySlack
+		if i == 0 || n-budget > repeats-allowed {
+			repeats, allowed = n, budget
 		}
 	}
 	return repeats, allowed
 }
 
-// MostPlaces is at how many endpoints a request of a soak's routes may run.
-const MostPlaces = 2
+// MaxEndpoints is the maximum number of endpoints at which a request of a soak may run.
+const MaxEndpoints = 2
 
-// places counts at how many endpoints each request ran.
-func (c *checker) places() {
+// endpointsPerRequest checks the number of endpoints at which each request ran.
+func (c *checker) endpointsPerRequest() {
 	for id, runs := range c.runs {
 		at := make(map[string]bool)
 		for _, r := range runs {
 			at[r.Endpoint] = true
 		}
-		if len(at) > MostPlaces {
-			c.add(PromisePlaces, id, "it ran at %d endpoints, over %d", len(at), MostPlaces)
+		if len(at) > MaxEndpoints {
+			c.add(PromiseMaxEndpoints, id, "it ran at %d endpoints, over %d", len(at), MaxEndpoints)
 		}
 	}
 }
 
-// countIn is how many of the moments lie in the window that begins at one.
-func countIn(at []time.Time, from time.Time, window time.Duration) int {
+// countInWindow returns the number of times in the window that begins at from.
+func countInWindow(at []time.Time, from time.Time, window time.Duration) int {
 	n := 0
 	for _, t := range at {
 		if !t.Before(from) && t.Sub(from) < window {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -17,22 +17,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Options are what a run needs.
+// Options configures a run.
 type Options struct {
 	Seed uint64
 	For  time.Duration
-	// Daemon and Tool are the programs, and Dir a folder in which each seed has one
-	// of its own for settings and logs.
+	// Daemon and Tool are the paths of the programs. Dir is a folder that gets one
+	// subfolder per seed for settings and logs.
 	Daemon, Tool, Dir string
 	Routers           int
-	Endpoints         int // of each service
-	Callers           int // of each router
+	Endpoints         int // per service
+	Callers           int // per router
 	Wire              Wire
-	// Progress takes a line for each fault.
+	// Progress receives a line for each fault.
 	Progress io.Writer
 }
 
-// Result is what a run found.
+// Result is the result of a run.
 type Result struct {
 	Seed       uint64      `json:"seed"`
 	Faults     []Fault     `json:"faults"`
@@ -43,42 +43,43 @@
 	Violations []Violation `json:"violations"`
 }
 
-// Times of the system in a soak, short so that faults outlast them.
+// Timeouts and sizes of a soak. The times are short, so that faults outlast them.
 const (
 	stopWithin   = 6 * time.Second
 	routeTimeout = 4 * time.Second
-	// lapse is the silence after which the list drops an endpoint.
-	lapse = 3 * time.Second
-	// drainFor is how long an endpoint serves on after it said that it leaves.
-	drainFor = 4 * time.Second
-	// startWithin is how long the programs may take to be ready.
-	startWithin = 5 * time.Second
-	// narrowMbps is the link of a router to the store in narrow seeds, maxUnused how many
-	// routes nobody asks for then: together with the others some 900 KB, of the 1 MB that
-	// the store takes and that need over a second on such a link.
+	// listTimeout is the time without heartbeats after which the list drops an endpoint.
+	listTimeout = 3 * time.Second
+	// drainDuration is the time for which a draining endpoint keeps serving.
+	drainDuration = 4 * time.Second
+	// startTimeout is the maximum time until the programs are ready.
+	startTimeout = 5 * time.Second
+	// narrowMbps is the bandwidth of a router's link to the store in seeds with narrow
+	// links, and maxUnused the maximum number of unused routes there. With those the
+	// configuration has some 900 KB, close to the store's maximum of 1 MB, and takes
+	// over a second on such a link.
 	narrowMbps = 10
 	maxUnused  = 4500
-	// addedChance is how often a caller asks for a route that was added.
+	// addedChance is the probability that a request is for an added route.
 	addedChance = 0.1
 )
 
-// configWithin is how soon a configuration must be in force where that is demanded.
+// configWithin is the time after which a configuration must be in force, if that is required.
 const configWithin = 3 * time.Second
 
-// DefaultBounds are those that settings and checker use where all are in force.
+// DefaultBounds returns the bounds for settings and checker with all promises in force.
 func DefaultBounds() Bounds {
 	return Bounds{
 		Revoke: 5 * time.Second, Drain: 2 * time.Second, Slack: 500 * time.Millisecond,
-		Contact: 3 * time.Second, Cancel: 500 * time.Millisecond,
+		FaultMargin: 3 * time.Second, Cancel: 500 * time.Millisecond,
 		RetryRatio: 0.2, RetrySlack: 50, RetryWindow: 10 * time.Second,
 		Evacuate: 5 * time.Second, ColdExcess: 1.5, ColdSlack: 5,
 		LimitExcess: 1.5, LimitSlack: 5, LimitWithin: 3 * time.Second, LimitWindow: 4 * time.Second,
 	}
 }
 
-// BoundsOf are those of a seed. Two seeds of four have them all; of the others one
-// lacks that on revoked keys, and one that on endpoints that leave as well, as the
-// settings of a platform may.
+// BoundsOf returns the bounds of a seed. Two of four seeds have all bounds. One of the
+// others has no bound on revoked keys, and one none on draining endpoints either, as a
+// platform's settings may omit them.
 func BoundsOf(seed uint64) Bounds {
 	b := DefaultBounds()
 	switch seed % 4 {
@@ -87,14 +88,14 @@
 	case 0:
 		b.Revoke, b.Drain = 0, 0
 	}
-	if NarrowOf(seed) {
+	if HasNarrowLinks(seed) {
 		b.Config = configWithin
 	}
-	b.RetrySlackStated = FailingOf(seed)
+	b.RetrySlackStated = HasFailingEndpoints(seed)
 	return b
 }
 
-// routes are the kinds of request: two services, and all ways of repeating.
+// routesOf returns the routes of a soak, with two services and all kinds of retries.
 func routesOf() []Route {
 	return []Route{
 		{Name: "stream", Service: "model", Prefix: "/stream/", Stream: true},
@@ -104,7 +105,7 @@
 	}
 }
 
-// run is a soak that is under way.
+// run is the state of a running soak.
 type run struct {
 	opts    Options
 	wire    Wire
@@ -114,34 +115,34 @@
 	store   string // its address
 	routers []*routerProc
 
-	mu        sync.Mutex
-	version   int
-	timeout   time.Duration
-	unused    int             // routes that nobody asks for
-	added     []added         // routes that were added
-	endpoints []*endpointProc // those that serve; faults take one out
-	started   int             // endpoints, to name them
-	all       []*Process
-	seen      Seen
-	// evacuating are the failure domains with an order to evacuate.
+	mu           sync.Mutex
+	version      int
+	timeout      time.Duration
+	unusedRoutes int             // number of routes without requests
+	addedRoutes  []addedRoute    // routes added by ConfigGrow
+	endpoints    []*endpointProc // serving endpoints; faults remove one for their duration
+	started      int             // number of started endpoints, for their names
+	processes    []*Process
+	observed     Observations
+	// evacuating has the failure domains with an evacuation order.
 	evacuating map[string]bool
-	begun      map[string]int // index in seen.Runs by endpoint and request
+	runIndex   map[string]int // index in seen.Runs by endpoint and request
 	log        *os.File
-	// crashes are the deadly caller and the endpoints that it has ended.
+	// crashes waits for the sender of crash requests and the endpoints that it crashed.
 	crashes sync.WaitGroup
 }
 
-// added is a route that was added to the configuration, and when.
-type added struct {
+// addedRoute is a route that was addedRoute to the configuration, with the time.
+type addedRoute struct {
 	route Route
 	at    time.Time
 }
 
-// Run plays one seed.
+// Run executes the soak of one seed.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// Soaks of other seeds may use the same folder at once.
+	// Soaks of other seeds may use the same folder at the same time.
 	opts.Dir = filepath.Join(opts.Dir, fmt.Sprintf("seed-%d", opts.Seed))
 	if err := os.MkdirAll(opts.Dir, 0o755); err != nil {
 		return nil, errors.Wrap(err, "soak: make the seed's folder")
@@ -158,13 +159,13 @@
 	defer ports.release()
 	r := &run{
 		opts: opts, wire: opts.Wire, ports: ports, routes: routesOf(), keys: newKeyring(), timeout: routeTimeout,
-		begun: make(map[string]int), log: log,
+		runIndex: make(map[string]int), log: log,
 		evacuating: map[string]bool{},
-		seen: Seen{
-			Revoked: map[string]time.Time{}, Drained: map[string]time.Time{}, Harmed: map[int][]Span{},
-			Down: map[int][]Span{}, Stops: map[int][]Span{}, EndpointHarmed: map[string][]Span{},
-			Domains: map[string]string{}, Evacuated: map[string][]Span{}, Cold: map[string][]Span{}, Limited: map[string][]Limited{},
-			Told: map[string]int{},
+		observed: Observations{
+			Revoked: map[string]time.Time{}, Drained: map[string]time.Time{}, RouterFaults: map[int][]Span{},
+			Down: map[int][]Span{}, Stops: map[int][]Span{}, EndpointFaults: map[string][]Span{},
+			Domains: map[string]string{}, Evacuated: map[string][]Span{}, Cold: map[string][]Span{}, RateLimited: map[string][]LimitSpan{},
+			LoggedAttempts: map[string]int{},
 		},
 	}
 	defer r.end()
@@ -176,38 +177,38 @@
 	return r.result(plan), ctx.Err()
 }
 
-// pickRoute picks one of the routes that stand from the start or, now and then, the
-// newest of those that were added, and says when it was.
+// pickRoute returns one of the initial routes or, with probability addedChance, the most
+// recently added one and the time at which it was added.
 func (r *run) pickRoute(rnd *rand.Rand) (Route, time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.added) > 0 && rnd.Float64() < addedChance {
-		newest := r.added[len(r.added)-1]
+	if len(r.addedRoutes) > 0 && rnd.Float64() < addedChance {
+		newest := r.addedRoutes[len(r.addedRoutes)-1]
 		return newest.route, newest.at
 	}
 	return r.routes[rnd.IntN(len(r.routes))], time.Time{}
 }
 
-// hear takes a line of an endpoint's records.
-func (r *run) hear(ctx context.Context, p *endpointProc, e Endpoint, line []byte) {
+// handleRecord handles a line that an endpoint wrote.
+func (r *run) handleRecord(ctx context.Context, p *endpointProc, e Endpoint, line []byte) {
 	var rec Record
 	if err := json.Unmarshal(line, &rec); err != nil || rec.ID == "" {
-		return // a line of its log
+		return // a log line
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := e.Name + " " + rec.ID
 	if rec.Ended {
-		if i, ok := r.begun[key]; ok {
-			r.seen.Runs[i].End = rec.At
+		if i, ok := r.runIndex[key]; ok {
+			r.observed.Runs[i].End = rec.At
 		}
 		return
 	}
-	if strings.HasPrefix(rec.ID, deadlyID) {
+	if strings.HasPrefix(rec.ID, crashRequestID) {
 		r.crashes.Go(func() { r.crash(ctx, p) })
 	}
-	r.begun[key] = len(r.seen.Runs)
-	r.seen.Runs = append(r.seen.Runs, Execution{
+	r.runIndex[key] = len(r.observed.Runs)
+	r.observed.Runs = append(r.observed.Runs, Execution{
 		ID: rec.ID, Endpoint: e.Name, Service: e.Service, Team: rec.Team, Resumed: rec.Resumed, Begin: rec.At,
 	})
 }
@@ -215,10 +216,10 @@
 func (r *run) record(c Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen.Calls = append(r.seen.Calls, c)
+	r.observed.Calls = append(r.observed.Calls, c)
 }
 
-// play has callers call while the faults of the plan strike.
+// play runs the callers and injects the faults of the plan.
 func (r *run) play(ctx context.Context, plan []Fault) {
 	began := time.Now()
 	load, stop := context.WithCancel(ctx)
@@ -232,19 +233,19 @@
 	}
 	faulty, calm := context.WithDeadline(ctx, began.Add(r.opts.For-CalmEnd))
 	defer calm()
-	awaitCrashes := r.startDeadly(faulty)
+	awaitCrashes := r.startCrashRequests(faulty)
 	for _, f := range plan {
 		if !sleepUntil(ctx, began.Add(f.At)) {
 			break
 		}
-		fmt.Fprintf(r.opts.Progress, "%6.2f s  %s %d %s for %s\n", f.At.Seconds(), f.Kind, f.Target, f.Harm, f.For.Round(time.Millisecond))
-		faults.Go(func() { r.strike(ctx, f) })
+		fmt.Fprintf(r.opts.Progress, "%6.2f s  %s %d %s for %s\n", f.At.Seconds(), f.Kind, f.Target, f.NetFault, f.For.Round(time.Millisecond))
+		faults.Go(func() { r.inject(ctx, f) })
 	}
 	faults.Wait()
 	<-faulty.Done()
 	awaitCrashes()
 	r.mu.Lock()
-	r.seen.LastFault = time.Now()
+	r.observed.LastFault = time.Now()
 	r.mu.Unlock()
 	sleepUntil(ctx, maxTime(began.Add(r.opts.For), time.Now().Add(CalmEnd)))
 	stop()
@@ -267,10 +268,10 @@
 	}
 }
 
-// end ends all programs that the soak started, by their ids.
+// end kills all programs that the soak started, by process ID.
 func (r *run) end() {
 	r.mu.Lock()
-	all := r.all
+	all := r.processes
 	r.mu.Unlock()
 	for _, p := range all {
 		p.End()
@@ -280,22 +281,22 @@
 func (r *run) result(plan []Fault) *Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, p := range r.all {
+	for _, p := range r.processes {
 		if err := p.Failure(); err != nil {
-			r.seen.Exits = append(r.seen.Exits, err.Error())
+			r.observed.Exits = append(r.observed.Exits, err.Error())
 		}
 	}
-	res := &Result{Seed: r.opts.Seed, Faults: plan, Requests: len(r.seen.Calls), Runs: len(r.seen.Runs), Processes: len(r.all)}
-	for _, c := range r.seen.Calls {
-		if c.Status == http.StatusOK && c.Whole {
+	res := &Result{Seed: r.opts.Seed, Faults: plan, Requests: len(r.observed.Calls), Runs: len(r.observed.Runs), Processes: len(r.processes)}
+	for _, c := range r.observed.Calls {
+		if c.Status == http.StatusOK && c.Complete {
 			res.Served++
 		}
 	}
-	res.Violations = Check(r.seen, BoundsOf(r.opts.Seed))
+	res.Violations = Check(r.observed, BoundsOf(r.opts.Seed))
 	return res
 }
 
-// signalFor sends a signal, and another one after a while.
+// signalFor sends one signal, and another one after d.
 func signalFor(ctx context.Context, p *Process, first, then syscall.Signal, d time.Duration) {
 	p.Signal(first)
 	sleepUntil(ctx, time.Now().Add(d))
--- a/internal/soak/start.go
+++ b/internal/soak/start.go
@@ -15,21 +15,21 @@
 )
 
 type routerProc struct {
-	router   Router
-	number   int
-	settings string
-	way      *Proxy // to the store
-	starting sync.Mutex
-	mu       sync.Mutex
-	process  *Process
+	router     Router
+	number     int
+	settings   string
+	storeProxy *Proxy // between the router and the store
+	starting   sync.Mutex
+	mu         sync.Mutex
+	process    *Process
 }
 
 type endpointProc struct {
 	endpoint Endpoint
-	// listens is the address of its process, to which the way leads.
-	listens string
-	way     *Proxy
-	process *Process
+	// listenAddr is the address of its process, the target of the proxy.
+	listenAddr string
+	proxy      *Proxy
+	process    *Process
 }
 
 func (r *run) start(ctx context.Context) error {
@@ -52,14 +52,14 @@
 	return r.startRouters(ctx)
 }
 
-// domains is in how many failure domains routers and endpoints are.
-const domains = 2
+// domainCount is the number of failure domainCount of routers and endpoints.
+const domainCount = 2
 
-func domainOf(i int) string { return fmt.Sprintf("domain-%d", i%domains) }
+func domainOf(i int) string { return fmt.Sprintf("domain-%d", i%domainCount) }
 
 func allDomains() []string {
 	var all []string
-	for i := range domains {
+	for i := range domainCount {
 		all = append(all, domainOf(i))
 	}
 	return all
@@ -70,10 +70,10 @@
 	defer r.mu.Unlock()
 	r.version++
 	routes := slices.Clone(r.routes)
-	for _, a := range r.added {
+	for _, a := range r.addedRoutes {
 		routes = append(routes, a.route)
 	}
-	r.wire.Publish(Config{Version: r.version, Routes: routes, Unused: r.unused, Timeout: r.timeout, ColdRate: r.coldRate(), Keys: r.keys.teams()})
+	r.wire.Publish(Config{Version: r.version, Routes: routes, UnusedRoutes: r.unusedRoutes, Timeout: r.timeout, ColdRate: r.coldRate(), Keys: r.keys.teams()})
 }
 
 func (r *run) startRouters(ctx context.Context) error {
@@ -87,21 +87,21 @@
 		seeds = append(seeds, free[each*i+2])
 	}
 	for i := range r.opts.Routers {
-		way, err := NewProxy(r.store)
+		proxy, err := NewProxy(r.store)
 		if err != nil {
 			return err
 		}
-		if NarrowOf(r.opts.Seed) {
-			way.Narrow(narrowMbps)
+		if HasNarrowLinks(r.opts.Seed) {
+			proxy.LimitBandwidth(narrowMbps)
 		}
-		go way.Run(ctx)
-		p := &routerProc{number: i, way: way, settings: filepath.Join(r.opts.Dir, fmt.Sprintf("router-%d.conf", i))}
+		go proxy.Run(ctx)
+		p := &routerProc{number: i, storeProxy: proxy, settings: filepath.Join(r.opts.Dir, fmt.Sprintf("router-%d.conf", i))}
 		p.router = Router{
 			Name: fmt.Sprintf("router-%d", i), FailureDomain: domainOf(i), FailureDomains: allDomains(),
 			Callers: free[each*i], Ready: free[each*i+1], Control: free[each*i+2],
-			Store: way.Address(), Seeds: seeds, Bounds: BoundsOf(r.opts.Seed), StopWithin: stopWithin,
+			Store: proxy.Address(), Seeds: seeds, Bounds: BoundsOf(r.opts.Seed), StopWithin: stopWithin,
 		}
-		if NarrowOf(r.opts.Seed) {
+		if HasNarrowLinks(r.opts.Seed) {
 			p.router.LinkMbps = narrowMbps
 		}
 		r.routers = append(r.routers, p)
@@ -112,9 +112,9 @@
 	return r.awaitRouters()
 }
 
-// awaitRouters waits until all routers take connections.
+// awaitRouters waits until all routers accept connections.
 func (r *run) awaitRouters() error {
-	until := time.Now().Add(startWithin)
+	until := time.Now().Add(startTimeout)
 	for _, p := range r.routers {
 		for {
 			conn, err := net.Dial("tcp", p.router.Callers)
@@ -131,13 +131,13 @@
 	return nil
 }
 
-// startRouter writes the router's settings and starts it. p.mu isn't held.
+// startRouter writes the router's settings and starts it. The caller must not hold p.mu.
 func (r *run) startRouter(p *routerProc) error {
 	if err := os.WriteFile(p.settings, []byte(r.wire.Settings(p.router)), 0o600); err != nil {
 		return errors.Wrap(err, "soak: write settings")
 	}
 	env := []string{r.wire.SettingsVariable() + "=" + p.settings}
-	process, err := StartProcess(p.router.Name, r.log, r.hearRouter, env, r.opts.Daemon, "direct")
+	process, err := StartProcess(p.router.Name, r.log, r.handleRouterLog, env, r.opts.Daemon, "direct")
 	if err != nil {
 		return err
 	}
@@ -145,27 +145,27 @@
 	p.process = process
 	p.mu.Unlock()
 	r.mu.Lock()
-	r.all = append(r.all, process)
+	r.processes = append(r.processes, process)
 	r.mu.Unlock()
 	return nil
 }
 
-// startEndpoint starts an endpoint behind a proxy and lists it.
+// startEndpoint starts an endpoint behind a proxy and adds it to the list.
 func (r *run) startEndpoint(ctx context.Context, service, domain string) error {
 	free, err := r.ports.free(1)
 	if err != nil {
 		return err
 	}
-	way, err := NewProxy(free[0])
+	proxy, err := NewProxy(free[0])
 	if err != nil {
 		return err
 	}
-	go way.Run(ctx)
+	go proxy.Run(ctx)
 	r.mu.Lock()
 	r.started++
 	name := fmt.Sprintf("i-%s-%03d", service, r.started)
 	r.mu.Unlock()
-	e := &endpointProc{way: way, listens: free[0], endpoint: Endpoint{Name: name, Service: service, FailureDomain: domain, Address: way.Address()}}
+	e := &endpointProc{proxy: proxy, listenAddr: free[0], endpoint: Endpoint{Name: name, Service: service, FailureDomain: domain, Address: proxy.Address()}}
 	if err := r.runEndpoint(ctx, e); err != nil {
 		return err
 	}
@@ -178,19 +178,19 @@
 
 // runEndpoint starts an endpoint's process.
 func (r *run) runEndpoint(ctx context.Context, e *endpointProc) error {
-	e.endpoint.Born = time.Now()
-	r.noteStart(&e.endpoint)
-	listens := e.endpoint
-	listens.Address = e.listens
-	args := r.wire.EndpointArgs(listens, eventsOf(listens.Service), eventPause)
-	process, err := StartProcess(listens.Name, r.log, func(line []byte) { r.hear(ctx, e, listens, line) }, nil, r.opts.Tool, args...)
+	e.endpoint.StartedAt = time.Now()
+	r.recordStart(&e.endpoint)
+	served := e.endpoint
+	served.Address = e.listenAddr
+	args := r.wire.EndpointArgs(served, eventsOf(served.Service), eventPause)
+	process, err := StartProcess(served.Name, r.log, func(line []byte) { r.handleRecord(ctx, e, served, line) }, nil, r.opts.Tool, args...)
 	if err != nil {
 		return err
 	}
 	e.process = process
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all = append(r.all, process)
+	r.processes = append(r.processes, process)
 	return nil
 }
 
--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// strike carries a fault out and returns when it has ended.
-func (r *run) strike(ctx context.Context, f Fault) {
+// inject injects a fault and returns when it has ended.
+func (r *run) inject(ctx context.Context, f Fault) {
 	router := r.routers[f.Target%len(r.routers)]
 	switch f.Kind {
 	case RouterKill:
-		r.harmRouter(router, func() { r.endRouter(ctx, router, syscall.SIGKILL, f.For) })
+		r.recordRouterFault(router, func() { r.endRouter(ctx, router, syscall.SIGKILL, f.For) })
 	case RouterStop:
 		r.stopRouter(ctx, router)
 	case RouterPause:
-		r.harmRouter(router, func() {
+		r.recordRouterFault(router, func() {
 			defer r.down(router)()
 			signalFor(ctx, router.current(), syscall.SIGSTOP, syscall.SIGCONT, f.For)
 		})
 	case RouterReload:
 		r.reload(router)
-	case StoreWay:
-		r.harmRouter(router, func() { harmWay(ctx, router.way, f) })
+	case StoreConn:
+		r.recordRouterFault(router, func() { injectProxyFault(ctx, router.storeProxy, f) })
 	case StoreFault:
-		r.harmAll(func() {
-			r.wire.FailStore(f.Harm)
+		r.recordAllRoutersFault(func() {
+			r.wire.FailStore(f.NetFault)
 			sleepUntil(ctx, time.Now().Add(f.For))
-			r.wire.FailStore(HarmNone)
+			r.wire.FailStore(NetFaultNone)
 		})
 	case KeyRevoked:
 		r.revoke()
-	case Routes:
+	case RouteTimeouts:
 		r.mu.Lock()
 		r.timeout = routeTimeout + time.Duration(f.Target%5)*time.Second
 		r.mu.Unlock()
 		r.publish()
 	case ConfigGrow:
 		r.grow(f.Target)
-	case EndpointKill, EndpointPause, EndpointDrain, EndpointWay, EndpointRestart:
-		r.strikeEndpoint(ctx, f)
-	case ListEntry:
-		r.writeStrange(ctx, f)
+	case EndpointKill, EndpointPause, EndpointDrain, EndpointConn, EndpointRestart:
+		r.injectEndpointFault(ctx, f)
+	case InvalidEntry:
+		r.writeInvalidEntry(ctx, f)
 	case Evacuate:
 		r.evacuate(ctx, f)
 	case EndpointLimit:
@@ -59,53 +59,53 @@
 	return p.process
 }
 
-// harmRouter notes the time that a harm of a router takes.
-func (r *run) harmRouter(p *routerProc, harm func()) {
+// recordRouterFault records the duration of a fault of a router.
+func (r *run) recordRouterFault(p *routerProc, inject func()) {
 	from := time.Now()
-	r.noteHarm(r.seen.Harmed, p.number, from)
-	harm()
-	r.endHarm(r.seen.Harmed, p.number, from)
+	r.beginSpan(r.observed.RouterFaults, p.number, from)
+	inject()
+	r.endSpan(r.observed.RouterFaults, p.number, from)
 }
 
-func (r *run) harmAll(harm func()) {
+func (r *run) recordAllRoutersFault(inject func()) {
 	from := time.Now()
 	for _, p := range r.routers {
-		r.noteHarm(r.seen.Harmed, p.number, from)
+		r.beginSpan(r.observed.RouterFaults, p.number, from)
 	}
-	harm()
+	inject()
 	for _, p := range r.routers {
-		r.endHarm(r.seen.Harmed, p.number, from)
+		r.endSpan(r.observed.RouterFaults, p.number, from)
 	}
 }
 
-// openEnd is the end of a harm that hasn't ended.
+// openEnd is the end of a span that hasn't ended yet.
 var openEnd = time.Unix(1<<40, 0)
 
-func (r *run) noteHarm(of map[int][]Span, router int, from time.Time) {
+func (r *run) beginSpan(spans map[int][]Span, router int, from time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	of[router] = append(of[router], Span{From: from, To: openEnd})
+	spans[router] = append(spans[router], Span{From: from, To: openEnd})
 }
 
-func (r *run) endHarm(of map[int][]Span, router int, from time.Time) {
+func (r *run) endSpan(spans map[int][]Span, router int, from time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, s := range of[router] {
+	for i, s := range spans[router] {
 		if s.From.Equal(from) {
-			of[router][i].To = time.Now()
+			spans[router][i].To = time.Now()
 		}
 	}
 }
 
-// down notes that a router's process doesn't run until the function that it returns is called.
+// down records that a router's process is not running until up is called.
 func (r *run) down(p *routerProc) (up func()) {
 	from := time.Now()
-	r.noteHarm(r.seen.Down, p.number, from)
-	return func() { r.endHarm(r.seen.Down, p.number, from) }
+	r.beginSpan(r.observed.Down, p.number, from)
+	return func() { r.endSpan(r.observed.Down, p.number, from) }
 }
 
-// endRouter ends a router's process and starts it again after a while. Where two
-// faults strike the same router, the second finds the process that runs then.
+// endRouter ends a router's process and restarts it after d. If two faults hit the
+// same router, the second affects the process that runs at that time.
 func (r *run) endRouter(ctx context.Context, p *routerProc, sig syscall.Signal, d time.Duration) {
 	process := p.current()
 	defer r.down(p)()
@@ -118,23 +118,23 @@
 	p.starting.Lock()
 	defer p.starting.Unlock()
 	if p.current() != process || ctx.Err() != nil {
-		return // another fault has started it again
+		return // another fault has restarted it
 	}
 	if err := r.startRouter(p); err != nil {
 		fmt.Fprintln(r.opts.Progress, err)
 	}
 }
 
-// stopRouter stops a router as planned. That is no harm until it has ended, and for
-// a while after: its callers find it gone.
+// stopRouter stops a router as planned. The stop is recorded in Stops and not as a
+// fault, so that requests during it are still checked.
 func (r *run) stopRouter(ctx context.Context, p *routerProc) {
 	from := time.Now()
-	r.noteHarm(r.seen.Stops, p.number, from)
+	r.beginSpan(r.observed.Stops, p.number, from)
 	r.endRouter(ctx, p, syscall.SIGTERM, 0)
-	r.endHarm(r.seen.Stops, p.number, from)
+	r.endSpan(r.observed.Stops, p.number, from)
 }
 
-// reload changes the settings file in a way that changes nothing else.
+// reload rewrites the settings file with an unknown field, which must have no effect.
 func (r *run) reload(p *routerProc) {
 	text := r.wire.Settings(p.router) + fmt.Sprintf("new-field=%d\n", time.Now().UnixNano())
 	if err := os.WriteFile(p.settings, []byte(text), 0o600); err != nil {
@@ -144,38 +144,39 @@
 	p.current().Signal(syscall.SIGHUP)
 }
 
-// revoke takes a key away. The moment is that from which the store has the change.
+// revoke revokes a key and records the time at which the store has the change.
 func (r *run) revoke() {
-	if key := r.keys.drop(); key != "" {
+	if key := r.keys.revoke(); key != "" {
 		r.publish()
 		now := time.Now()
-		r.keys.noteRevoked(key, now)
+		r.keys.recordRevoked(key, now)
 		r.mu.Lock()
-		r.seen.Revoked[key] = now
+		r.observed.Revoked[key] = now
 		r.mu.Unlock()
 	}
 }
 
-// grow changes how many routes nobody asks for, and adds one that callers ask for. The
-// moment is that from which the store has the change.
+// grow changes the number of unused routes and adds one route for callers. It records
+// the time just before the store gets the change.
 func (r *run) grow(target int) {
 	r.mu.Lock()
-	r.unused = target % (maxUnused + 1)
-	prefix := fmt.Sprintf("/added-%d/", len(r.added))
-	r.added = append(r.added, added{route: Route{Name: "added" + prefix, Service: "plain", Prefix: prefix, Repeatable: true}, at: time.Now()})
+	r.unusedRoutes = target % (maxUnused + 1)
+	prefix := fmt.Sprintf("/added-%d/", len(r.addedRoutes))
+	r.addedRoutes = append(r.addedRoutes, addedRoute{route: Route{Name: "added" + prefix, Service: "plain", Prefix: prefix, Repeatable: true}, at: time.Now()})
 	r.mu.Unlock()
 	r.publish()
 }
 
-func harmWay(ctx context.Context, way *Proxy, f Fault) {
-	way.Set(f.Harm)
+func injectProxyFault(ctx context.Context, proxy *Proxy, f Fault) {
+	proxy.SetFault(f.NetFault)
 	sleepUntil(ctx, time.Now().Add(f.For))
-	way.Set(HarmNone)
+	proxy.SetFault(NetFaultNone)
 }
 
-// strikeEndpoint harms an endpoint that serves. One of each service stays out of it.
-func (r *run) strikeEndpoint(ctx context.Context, f Fault) {
-	e := r.takeEndpoint(f.Target)
+// injectEndpointFault injects a fault into a serving endpoint. At least one endpoint of each
+// service is left without faults.
+func (r *run) injectEndpointFault(ctx context.Context, f Fault) {
+	e := r.removeEndpoint(f.Target)
 	if e == nil {
 		return
 	}
@@ -183,13 +184,13 @@
 	from := time.Now()
 	if f.Kind != EndpointDrain {
 		r.mu.Lock()
-		r.seen.EndpointHarmed[name] = append(r.seen.EndpointHarmed[name], Span{From: from, To: openEnd})
+		r.observed.EndpointFaults[name] = append(r.observed.EndpointFaults[name], Span{From: from, To: openEnd})
 		r.mu.Unlock()
 	}
 	switch f.Kind {
 	case EndpointKill:
 		e.process.End()
-		sleepUntil(ctx, from.Add(lapse))
+		sleepUntil(ctx, from.Add(listTimeout))
 		r.wire.Unlist(name)
 		r.replace(ctx, e)
 		return
@@ -204,7 +205,7 @@
 			return
 		}
 	default:
-		harmWay(ctx, e.way, f)
+		injectProxyFault(ctx, e.proxy, f)
 	}
 	if e.process.ended() {
 		r.wire.Unlist(name)
@@ -213,14 +214,14 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	spans := r.seen.EndpointHarmed[name]
+	spans := r.observed.EndpointFaults[name]
 	spans[len(spans)-1].To = time.Now()
 	r.endpoints = append(r.endpoints, e)
 }
 
-// takeEndpoint takes one out of those that serve; nil if its service would have
-// fewer than two left.
-func (r *run) takeEndpoint(target int) *endpointProc {
+// removeEndpoint removes an endpoint from the serving ones and returns it; nil if its
+// service has only two left.
+func (r *run) removeEndpoint(target int) *endpointProc {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.endpoints) == 0 {
@@ -250,46 +251,46 @@
 	}
 }
 
-// drain has an endpoint leave as planned: its entry says so, it serves on for a
-// while, ends, and its entry goes.
+// drain stops an endpoint as planned: its entry is marked as draining, it keeps serving
+// for drainDuration, and then its entry is deleted and its process stopped.
 func (r *run) drain(ctx context.Context, e *endpointProc) {
 	leaving := e.endpoint
 	leaving.Draining = true
 	r.wire.List(leaving)
 	r.mu.Lock()
-	r.seen.Drained[leaving.Name] = time.Now()
+	r.observed.Drained[leaving.Name] = time.Now()
 	r.mu.Unlock()
-	sleepUntil(ctx, time.Now().Add(drainFor))
+	sleepUntil(ctx, time.Now().Add(drainDuration))
 	r.wire.Unlist(leaving.Name)
 	e.process.Signal(syscall.SIGTERM)
-	if !e.process.WaitFor(patience) {
+	if !e.process.WaitFor(callerTimeout) {
 		e.process.End()
 	}
 }
 
-// pauseEndpoint stops an endpoint's process for a while. Its entry lapses if that
-// is long, and is back when it wakes.
+// pauseEndpoint pauses an endpoint's process for d. If d exceeds listTimeout, its entry expires
+// and is written again when the process resumes.
 func (r *run) pauseEndpoint(ctx context.Context, e *endpointProc, d time.Duration) {
 	e.process.Signal(syscall.SIGSTOP)
-	sleepUntil(ctx, time.Now().Add(min(d, lapse)))
-	if d > lapse {
+	sleepUntil(ctx, time.Now().Add(min(d, listTimeout)))
+	if d > listTimeout {
 		r.wire.Unlist(e.endpoint.Name)
-		sleepUntil(ctx, time.Now().Add(d-lapse))
+		sleepUntil(ctx, time.Now().Add(d-listTimeout))
 	}
 	e.process.Signal(syscall.SIGCONT)
-	if d > lapse {
+	if d > listTimeout {
 		r.wire.List(e.endpoint)
 	}
 }
 
-// restartEndpoint ends an endpoint's process and starts another with its name and address,
-// before its entry lapses or after.
+// restartEndpoint kills an endpoint's process and starts another one with the same name
+// and address after d. If d exceeds listTimeout, its entry expires meanwhile.
 func (r *run) restartEndpoint(ctx context.Context, e *endpointProc, d time.Duration) bool {
 	e.process.End()
-	sleepUntil(ctx, time.Now().Add(min(d, lapse)))
-	if d > lapse {
+	sleepUntil(ctx, time.Now().Add(min(d, listTimeout)))
+	if d > listTimeout {
 		r.wire.Unlist(e.endpoint.Name)
-		sleepUntil(ctx, time.Now().Add(d-lapse))
+		sleepUntil(ctx, time.Now().Add(d-listTimeout))
 	}
 	if ctx.Err() != nil {
 		return false
@@ -302,21 +303,21 @@
 	return true
 }
 
-// heartbeat is how soon an endpoint writes its entry again that somebody else wrote over.
+// heartbeat is the time after which an endpoint rewrites an overwritten entry.
 const heartbeat = time.Second
 
-// writeStrange writes an entry that names no endpoint to use, half of them over that of an
-// endpoint, which has no entry until it writes its own again.
-func (r *run) writeStrange(ctx context.Context, f Fault) {
+// writeInvalidEntry writes an invalid entry. Half of them overwrite an endpoint's entry, which
+// is missing until the endpoint writes it again.
+func (r *run) writeInvalidEntry(ctx context.Context, f Fault) {
 	if f.Target%2 == 0 {
-		r.wire.ListStrange(fmt.Sprintf("i-strange-%d", f.Target%7), f.Target)
+		r.wire.ListInvalid(fmt.Sprintf("i-strange-%d", f.Target%7), f.Target)
 		return
 	}
-	e := r.takeEndpoint(f.Target / 2)
+	e := r.removeEndpoint(f.Target / 2)
 	if e == nil {
 		return
 	}
-	r.wire.ListStrange(e.endpoint.Name, f.Target)
+	r.wire.ListInvalid(e.endpoint.Name, f.Target)
 	sleepUntil(ctx, time.Now().Add(heartbeat))
 	if e.process.ended() {
 		r.wire.Unlist(e.endpoint.Name)
--- a/internal/soak/wire.go
+++ b/internal/soak/wire.go
@@ -6,58 +6,58 @@
 	"time"
 )
 
-// Router is a router as its settings describe it.
+// Router holds the settings of a router.
 type Router struct {
 	Name, FailureDomain string
-	// FailureDomains are all that there are.
+	// FailureDomains lists all failure domains of the soak.
 	FailureDomains []string
-	// Callers, Ready and Control are what it listens on; Store is where it reaches
-	// the store, and Seeds the control addresses of other routers.
+	// Callers, Ready and Control are its listen addresses. Store is the address of
+	// the store, and Seeds are the control addresses of other routers.
 	Callers, Ready, Control, Store string
 	Seeds                          []string
 	Bounds                         Bounds
-	// LinkMbps is what its settings say of its link; 0 says nothing.
+	// LinkMbps is the bandwidth of its link in the settings; 0 omits it.
 	LinkMbps float64
 	// StopWithin is the time from SIGTERM to SIGKILL.
 	StopWithin time.Duration
 }
 
-// Route is a kind of request.
+// Route is a route of the configuration and the kind of its requests.
 type Route struct {
 	Name, Service string
-	// Prefix begins the paths of its requests.
+	// Prefix is the path prefix of its requests.
 	Prefix             string
 	Stream, Repeatable bool
-	// Deadly says that a request is always the same one, and ends each endpoint that runs it
-	// after DeadlyGrace.
-	Deadly bool
+	// Crashing marks the crash request: all its requests are identical, and crash each
+	// endpoint that runs one after CrashDelay.
+	Crashing bool
 }
 
-// Config is what the operator publishes.
+// Config is the configuration that the operator publishes.
 type Config struct {
 	Version int
 	Routes  []Route
-	// Unused is how many routes there are besides that nobody asks for.
-	Unused  int
-	Timeout time.Duration
-	// ColdRate is how many requests a second a cold endpoint takes from all routers; 0
-	// bounds nothing.
+	// UnusedRoutes is the number of additional routes without requests.
+	UnusedRoutes int
+	Timeout      time.Duration
+	// ColdRate is the rate limit of a cold endpoint over all routers, in requests per
+	// second; 0 means unlimited.
 	ColdRate float64
-	// Keys are those of each team.
+	// Keys maps each team to its API keys.
 	Keys map[string][]string
 }
 
-// Endpoint is an entry of the list.
+// Endpoint is an endpoint's entry in the list.
 type Endpoint struct {
 	Name, Service, FailureDomain, Address string
 	Draining                              bool
-	// Cold is how long it is cold after its start.
+	// Cold is the time for which it is cold after its start.
 	Cold time.Duration
-	// Born is when its process started.
-	Born time.Time
+	// StartedAt is the start time of its process.
+	StartedAt time.Time
 }
 
-// Record is a line by which an endpoint tells what it runs.
+// Record is a line that an endpoint writes when it begins or ends a request.
 type Record struct {
 	ID      string    `json:"id"`
 	Team    string    `json:"team"`
@@ -66,35 +66,35 @@
 	At      time.Time `json:"at"`
 }
 
-// Wire is how the programs are spoken to: names and formats, and stand-ins of the
-// store and of endpoints. Package platformtest has that of the users' platform.
+// Wire adapts the soak to a platform's names and formats, and provides stub servers
+// of its store and endpoints. Package platformtest implements it.
 type Wire interface {
-	// Store serves the store's calls.
+	// Store returns the stub server of the store.
 	Store() http.Handler
 	Publish(Config)
 	List(Endpoint)
 	Unlist(name string)
-	// NameLimit has the stand-in of an endpoint at an address name a limit in its answers, in
-	// requests a second; a negative one is none.
-	NameLimit(ctx context.Context, address string, perSecond float64) error
-	// Fail has the stand-in of an endpoint at an address fail requests from now on.
+	// SetLimit has the stub endpoint at address state a rate limit in its answers, in
+	// requests per second; a negative value means none.
+	SetLimit(ctx context.Context, address string, perSecond float64) error
+	// Fail has the stub endpoint at address fail requests from now on.
 	Fail(ctx context.Context, address string, f Failing) error
-	// Evacuate writes or removes the order that a failure domain gets nothing.
+	// Evacuate writes or removes the evacuation order of a failure domain.
 	Evacuate(domain string, ordered bool)
-	// ListStrange writes an entry under a name that names no endpoint to use; which, the
-	// number says.
-	ListStrange(name string, number int)
-	// FailStore has the store fail its callers; HarmNone ends that.
-	FailStore(Harm)
-	// SettingsVariable names the variable that holds the path of a settings file,
-	// and Settings is its text.
+	// ListInvalid writes an entry that doesn't describe a usable endpoint. The number
+	// selects one of several kinds.
+	ListInvalid(name string, number int)
+	// FailStore injects a fault into the calls to the store; NetFaultNone ends it.
+	FailStore(NetFault)
+	// SettingsVariable returns the name of the environment variable with the path of
+	// the settings file; Settings returns the contents of that file.
 	SettingsVariable() string
 	Settings(Router) string
-	// Request makes a request for a route to a router.
-	Request(ctx context.Context, address string, route Route, id, key string, patience time.Duration) (*http.Request, error)
-	// Signed says whether an answer bears the mark of the endpoint that ran it.
+	// Request returns a request for a route, to the router at address.
+	Request(ctx context.Context, address string, route Route, id, key string, timeout time.Duration) (*http.Request, error)
+	// Signed reports whether an answer has the header by which endpoints mark theirs.
 	Signed(*http.Response) bool
-	// EndpointArgs are the arguments by which the operators' tool runs a stand-in
-	// of an endpoint that writes its records to standard output.
+	// EndpointArgs returns the arguments with which the operators' tool runs a stub
+	// endpoint that writes its records to standard output.
 	EndpointArgs(e Endpoint, events int, pause time.Duration) []string
 }
