--- a/internal/fleet/membership_test.go
+++ b/internal/fleet/membership_test.go
@@ -32,8 +32,8 @@
 	name string
 	// listDelay is the delay of the platform's VM list; 0 means that it isn't used.
 	listDelay time.Duration
-	// ignoreAttempts disables leave notices, ignoreAttempts the results of attempts.
-	ignoreAttempts, deaf bool
+	// noNotices disables leave notices, ignoreAttempts the results of attempts.
+	noNotices, ignoreAttempts bool
 	// agentLeaves has the agent itself leave.
 	agentLeaves bool
 	// crashes has the agent's process end without notice.
@@ -42,10 +42,10 @@
 
 func leaveSignals() []leaveSignal {
 	return []leaveSignal{
-		{name: "reports", ignoreAttempts: true, agentLeaves: true},
-		{name: "notice", deaf: true, agentLeaves: true},
-		{name: "refused connections", ignoreAttempts: true, crashes: true},
-		{name: "list", listDelay: 2 * time.Second, ignoreAttempts: true},
+		{name: "reports", noNotices: true, agentLeaves: true},
+		{name: "notice", ignoreAttempts: true, agentLeaves: true},
+		{name: "refused connections", noNotices: true, crashes: true},
+		{name: "list", listDelay: 2 * time.Second, noNotices: true},
 	}
 }
 
@@ -54,11 +54,11 @@
 type attemptObserver struct {
 	dispatch.Observer
 	ignoreAttempts bool
-	attempts       *add
+	attempts       *attemptCounter
 }
 
-// add counts the attempts at the first endpoint since a given time.
-type add struct {
+// attemptCounter counts the attempts at the first endpoint since a given time.
+type attemptCounter struct {
 	mu    sync.Mutex
 	since time.Time // zero before it counts
 	count int
@@ -66,18 +66,18 @@
 }
 
 func (w attemptObserver) Answered(endpoint string, clock wire.Clock, sent time.Time, report load.Report) bool {
-	w.attempts.note(endpoint)
+	w.attempts.add(endpoint)
 	return !w.ignoreAttempts && w.Observer.Answered(endpoint, clock, sent, report)
 }
 
 func (w attemptObserver) Failed(endpoint, incarnation string, sent bool) {
-	w.attempts.note(endpoint)
+	w.attempts.add(endpoint)
 	if !w.ignoreAttempts {
 		w.Observer.Failed(endpoint, incarnation, sent)
 	}
 }
 
-func (tr *add) note(endpoint string) {
+func (tr *attemptCounter) add(endpoint string) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	if endpoint == "engine-00" && !tr.since.IsZero() {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (tr *add) begin() time.Time {
+func (tr *attemptCounter) begin() time.Time {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.since = time.Now()
@@ -95,7 +95,7 @@
 
 const listURL = "http://10.9.0.1:80"
 
-// vmListServer serves the vmListServer's list of the engines' VMs.
+// vmListServer serves the platform's list of the engines' VMs.
 type vmListServer struct {
 	list   *vmlist.List
 	server *http.Server
@@ -151,11 +151,11 @@
 // leaveResult describes the requests to an endpoint after it began to leave: the
 // times since then of the last run and the last attempt, and the number of attempts.
 type leaveResult struct {
-	lastAttempt, try time.Duration
-	attempts         int
+	lastWork, lastAttempt time.Duration
+	attempts              int
 }
 
-// runLeave has one of four endpoints runLeave under load.
+// runLeave has one of four endpoints leave under load.
 func runLeave(t *testing.T, src leaveSignal, routers int) leaveResult {
 	var out leaveResult
 	sp := spec()
@@ -163,9 +163,9 @@
 	sp.Routers = routers
 	one := engine.Config{Slots: 64, TokenTime: time.Millisecond, Priorities: true}
 	sp.Engines = []engine.Config{one, one, one, one}
-	seen := &add{}
-	sp.Membership = fleet.Membership{DisableNotices: src.ignoreAttempts, Observe: func(o dispatch.Observer) dispatch.Observer {
-		return attemptObserver{Observer: o, ignoreAttempts: src.deaf, attempts: seen}
+	seen := &attemptCounter{}
+	sp.Membership = fleet.Membership{DisableNotices: src.noNotices, Observe: func(o dispatch.Observer) dispatch.Observer {
+		return attemptObserver{Observer: o, ignoreAttempts: src.ignoreAttempts, attempts: seen}
 	}}
 	if src.listDelay > 0 {
 		sp.Membership.VMList = []string{listURL}
@@ -189,9 +189,9 @@
 		time.Sleep(2 * leaveBound)
 		close(stop)
 		callers.Wait()
-		out.try, out.attempts = seen.last, seen.count
+		out.lastAttempt, out.attempts = seen.last, seen.count
 		for _, run := range first.Engine.Record() {
-			out.lastAttempt = max(out.lastAttempt, run.Start.Sub(at))
+			out.lastWork = max(out.lastWork, run.Start.Sub(at))
 		}
 	})
 	return out
@@ -236,16 +236,16 @@
 			t.Run(fmt.Sprintf("%s/%d", src.name, routers), func(t *testing.T) {
 				g := NewWithT(t)
 				got := runLeave(t, src, routers)
-				t.Logf("last work %s, last attempt %s, %d attempts", got.lastAttempt, got.try.Round(time.Millisecond), got.attempts)
-				g.Expect(got.lastAttempt).To(BeNumerically("<=", leaveBound))
+				t.Logf("last work %s, last attempt %s, %d attempts", got.lastWork, got.lastAttempt.Round(time.Millisecond), got.attempts)
+				g.Expect(got.lastWork).To(BeNumerically("<=", leaveBound))
 				switch {
-				case src.agentLeaves && src.deaf || src.listDelay > 0:
-					g.Expect(got.try).To(BeNumerically("<=", leaveBound))
+				case src.agentLeaves && src.ignoreAttempts || src.listDelay > 0:
+					g.Expect(got.lastAttempt).To(BeNumerically("<=", leaveBound))
 				default:
 					g.Expect(got.attempts).To(BeNumerically("<=", routers), "each router must need at most one attempt")
 				}
 				if src.agentLeaves || src.crashes {
-					g.Expect(got.lastAttempt).To(BeZero())
+					g.Expect(got.lastWork).To(BeZero())
 				}
 			})
 		}
--- a/internal/fleet/sessions_test.go
+++ b/internal/fleet/sessions_test.go
@@ -50,8 +50,8 @@
 				s.fleet.Agents()[0].Engine.Crash()
 			}
 		})
-		whole := s.call(s.t.Context(), chatPath, chat(6), nil, nil)
-		s.g.Expect(text(got)).To(Equal(text(whole)), "the resumed answer must equal the uninterrupted one")
+		uninterrupted := s.call(s.t.Context(), chatPath, chat(6), nil, nil)
+		s.g.Expect(text(got)).To(Equal(text(uninterrupted)), "the resumed answer must equal the uninterrupted one")
 	})
 }
 
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -21,7 +21,7 @@
 	// meanRequestGap is the mean pause between a caller's requests.
 	meanRequestGap = 60 * time.Millisecond
 	// leaveChance is the probability that a caller disconnects during a streamed
-	// answer, at a random time up to leaveAfter.
+	// answer, at a random time up to maxLeaveDelay.
 	leaveChance   = 0.05
 	maxLeaveDelay = 300 * time.Millisecond
 )
@@ -58,7 +58,7 @@
 		call.CallerLeft = true
 		time.AfterFunc(randomDuration(c.rnd, maxLeaveDelay), cancel)
 	}
-	req, err := c.soak.wire.Request(ctx, c.soak.routers[c.router].router.Callers, route, id, key, callerTimeout)
+	req, err := c.soak.wire.Request(ctx, c.soak.routers[c.router].router.CallerAddr, route, id, key, callerTimeout)
 	if err != nil {
 		panic(err) // the soak built a malformed request
 	}
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -142,17 +142,17 @@
 )
 
 // Check returns the broken promises, ordered by request.
-func Check(seen Observations, b Bounds) []Violation {
-	c := checker{seen: seen, bounds: b, runs: make(map[string][]Execution)}
-	for _, r := range seen.Runs {
+func Check(observed Observations, b Bounds) []Violation {
+	c := checker{observed: observed, bounds: b, runs: make(map[string][]Execution)}
+	for _, r := range observed.Runs {
 		c.runs[r.ID] = append(c.runs[r.ID], r)
 	}
-	calls := make(map[string]bool, len(seen.Calls))
-	for _, call := range seen.Calls {
+	calls := make(map[string]bool, len(observed.Calls))
+	for _, call := range observed.Calls {
 		calls[call.ID] = true
 		c.call(call)
 	}
-	for _, r := range seen.Runs {
+	for _, r := range observed.Runs {
 		if !calls[r.ID] {
 			c.add(PromiseRoute, r.ID, "%s ran a request that nobody sent", r.Endpoint)
 		}
@@ -165,7 +165,7 @@
 	c.cold()
 	c.limits()
 	c.recovery()
-	for _, exit := range seen.Exits {
+	for _, exit := range observed.Exits {
 		c.add(PromiseNoExit, "", "%s", exit)
 	}
 	slices.SortStableFunc(c.violations, func(a, b Violation) int { return cmp.Compare(a.Request, b.Request) })
@@ -173,7 +173,7 @@
 }
 
 type checker struct {
-	seen       Observations
+	observed   Observations
 	bounds     Bounds
 	runs       map[string][]Execution
 	violations []Violation
@@ -195,7 +195,7 @@
 	if refused && !call.Repeatable && len(runs) > 0 {
 		c.add(PromiseNotRun, call.ID, "it was answered %d and ran at %s", call.Status, runs[0].Endpoint)
 	}
-	_, wasRevoked := c.seen.Revoked[call.Key]
+	_, wasRevoked := c.observed.Revoked[call.Key]
 	if call.Status == 401 && !wasRevoked {
 		c.add(PromiseValid, call.ID, "its key was never taken away")
 	}
@@ -219,7 +219,7 @@
 
 // stop checks a request that ran during a planned stop of its router.
 func (c *checker) stop(call Call, runs []Execution) {
-	stopping := slices.ContainsFunc(c.seen.Stops[call.Router], func(s Span) bool { return s.touches(call.Sent, call.End) })
+	stopping := slices.ContainsFunc(c.observed.Stops[call.Router], func(s Span) bool { return s.touches(call.Sent, call.End) })
 	cut := call.Status == 0 || call.Status == 200 && !call.Complete
 	if stopping && cut && !call.CallerLeft && len(runs) > 0 && c.undisturbed(call, runs[len(runs)-1]) {
 		c.add(PromiseStop, call.ID, "it ran at %s and was cut off by its router's stop", runs[len(runs)-1].Endpoint)
@@ -230,19 +230,19 @@
 	if r.Service != call.Service || r.Team != call.Team {
 		c.add(PromiseRoute, call.ID, "it ran at %s of service %s for team %q", r.Endpoint, r.Service, r.Team)
 	}
-	if at, ok := c.seen.Revoked[call.Key]; ok && c.bounds.Revoke > 0 && call.Sent.Sub(at) > c.bounds.Revoke+c.bounds.Slack {
+	if at, ok := c.observed.Revoked[call.Key]; ok && c.bounds.Revoke > 0 && call.Sent.Sub(at) > c.bounds.Revoke+c.bounds.Slack {
 		c.add(PromiseRevoked, call.ID, "it was sent %s after its key was taken away and ran at %s", call.Sent.Sub(at), r.Endpoint)
 	}
-	if at, ok := c.seen.Drained[r.Endpoint]; ok && c.bounds.Drain > 0 && r.Begin.Sub(at) > c.bounds.Drain+c.bounds.Slack && c.undisturbed(call, r) {
+	if at, ok := c.observed.Drained[r.Endpoint]; ok && c.bounds.Drain > 0 && r.Begin.Sub(at) > c.bounds.Drain+c.bounds.Slack && c.undisturbed(call, r) {
 		c.add(PromiseDrain, call.ID, "it ran at %s %s after that said that it leaves", r.Endpoint, r.Begin.Sub(at))
 	}
-	for _, s := range c.seen.Evacuated[c.seen.Domains[r.Endpoint]] {
+	for _, s := range c.observed.Evacuated[c.observed.Domains[r.Endpoint]] {
 		if late := r.Begin.Sub(s.From); r.Begin.Before(s.To) && late > c.bounds.Evacuate+c.bounds.Slack && c.undisturbed(call, r) {
 			c.add(PromiseEvacuate, call.ID, "it ran at %s %s after its failure domain was evacuated", r.Endpoint, late)
 		}
 	}
-	left := call.End.Add(c.bounds.Cancel + c.bounds.Slack)
-	if call.CallerLeft && call.Repeatable && r.End.After(left) && c.undisturbed(call, r) {
+	allowedUntil := call.End.Add(c.bounds.Cancel + c.bounds.Slack)
+	if call.CallerLeft && call.Repeatable && r.End.After(allowedUntil) && c.undisturbed(call, r) {
 		c.add(PromiseCancel, call.ID, "%s worked on for %s after its caller had left", r.Endpoint, r.End.Sub(call.End))
 	}
 }
@@ -252,8 +252,8 @@
 func (c *checker) undisturbed(call Call, r Execution) bool {
 	from, to := call.Sent.Add(-c.bounds.FaultMargin), call.End.Add(c.bounds.FaultMargin)
 	touches := func(s Span) bool { return s.touches(from, to) }
-	return !slices.ContainsFunc(c.seen.RouterFaults[call.Router], touches) &&
-		!slices.ContainsFunc(c.seen.EndpointFaults[r.Endpoint], touches)
+	return !slices.ContainsFunc(c.observed.RouterFaults[call.Router], touches) &&
+		!slices.ContainsFunc(c.observed.EndpointFaults[r.Endpoint], touches)
 }
 
 // retries checks the number of runs beyond the first of each request against the total
@@ -267,9 +267,9 @@
 			}
 		}
 	}
-	allowed := int(c.bounds.RetryRatio*float64(len(c.seen.Calls))) + c.bounds.RetrySlack
+	allowed := int(c.bounds.RetryRatio*float64(len(c.observed.Calls))) + c.bounds.RetrySlack
 	if repeats > allowed {
-		c.add(PromiseRetries, "", "%d runs beyond the first of %d requests, over %d", repeats, len(c.seen.Calls), allowed)
+		c.add(PromiseRetries, "", "%d runs beyond the first of %d requests, over %d", repeats, len(c.observed.Calls), allowed)
 	}
 }
 
@@ -277,11 +277,11 @@
 // cold. The limit applies to all routers together, with faults or not.
 func (c *checker) cold() {
 	runs := make(map[string][]Execution)
-	for _, r := range c.seen.Runs {
+	for _, r := range c.observed.Runs {
 		runs[r.Endpoint] = append(runs[r.Endpoint], r)
 	}
 	allowed := int(c.bounds.ColdExcess*coldRate) + c.bounds.ColdSlack
-	for endpoint, spans := range c.seen.Cold {
+	for endpoint, spans := range c.observed.Cold {
 		for _, s := range spans {
 			if in := busiestWindow(runs[endpoint], s, time.Second); len(in) > allowed {
 				c.add(PromiseCold, "", "%s began %d requests in a second while it was cold, over %d: cold from %s, %s",
@@ -322,10 +322,10 @@
 }
 
 func (c *checker) recovery() {
-	from := c.seen.LastFault.Add(recoveryWithin)
+	from := c.observed.LastFault.Add(recoveryWithin)
 	all, served := 0, 0
-	for _, call := range c.seen.Calls {
-		_, revoked := c.seen.Revoked[call.Key]
+	for _, call := range c.observed.Calls {
+		_, revoked := c.observed.Revoked[call.Key]
 		if call.Sent.Before(from) || call.CallerLeft || call.Crashing || revoked {
 			continue
 		}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// brokenPromises returns the brokenPromises that a run breaks.
+// brokenPromises returns the promises that a run breaks.
 func brokenPromises(s Observations) []Promise {
 	var broken []Promise
 	bounds := DefaultBounds()
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -77,7 +77,7 @@
 func (c *checker) crashRequests() {
 	var runs []Execution
 	routers := make(map[string]int)
-	for _, call := range c.seen.Calls {
+	for _, call := range c.observed.Calls {
 		if call.Crashing {
 			runs = append(runs, c.runs[call.ID]...)
 			routers[call.ID] = call.Router
@@ -104,5 +104,5 @@
 // exchange with other routers.
 func (c *checker) wasRunning(router int, at time.Time) bool {
 	touches := func(s Span) bool { return s.touches(at.Add(-c.bounds.FaultMargin), at) }
-	return !slices.ContainsFunc(c.seen.Down[router], touches)
+	return !slices.ContainsFunc(c.observed.Down[router], touches)
 }
--- a/internal/soak/failing.go
+++ b/internal/soak/failing.go
@@ -44,7 +44,7 @@
 	meanFailingGap  = 1200 * time.Millisecond
 	shortestFailing = 3 * time.Second
 	longestFailing  = 9 * time.Second
-	// wholeServiceInterval: one in wholeServiceInterval of these faults hits all endpoints of a service.
+	// wholeServiceInterval is N if every N-th of these faults hits all endpoints of a service.
 	wholeServiceInterval = 3
 )
 
--- a/internal/soak/limit.go
+++ b/internal/soak/limit.go
@@ -84,17 +84,17 @@
 // limits checks the number of requests that endpoints got in each window in which they stated
 // a rate limit. It ignores routers and endpoints with faults.
 func (c *checker) limits() {
-	calls := make(map[string]Call, len(c.seen.Calls))
-	for _, call := range c.seen.Calls {
+	calls := make(map[string]Call, len(c.observed.Calls))
+	for _, call := range c.observed.Calls {
 		calls[call.ID] = call
 	}
 	runs := make(map[string][]Execution)
-	for _, r := range c.seen.Runs {
+	for _, r := range c.observed.Runs {
 		if call, known := calls[r.ID]; known && c.undisturbed(call, r) {
 			runs[r.Endpoint] = append(runs[r.Endpoint], r)
 		}
 	}
-	for endpoint, limited := range c.seen.RateLimited {
+	for endpoint, limited := range c.observed.RateLimited {
 		for _, l := range limited {
 			span := Span{From: l.From.Add(c.bounds.LimitWithin), To: l.To}
 			allowed := int(c.bounds.LimitExcess*l.PerSecond*c.bounds.LimitWindow.Seconds()) + c.bounds.LimitSlack
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -96,7 +96,7 @@
 	longestFault  = 7 * time.Second
 	shortestFault = 300 * time.Millisecond
 	// storeFaultFactor extends faults of the store, so that some outlast the bound on revoked
-	// keys. unseenAfter is the time after which long polls at the store have ended.
+	// keys. unobservedRevokeDelay is the time after which long polls at the store have ended.
 	storeFaultFactor      = 1.5
 	unobservedRevokeDelay = 1200 * time.Millisecond
 	// meanFaultGap is the mean time between two faults, short enough that they overlap.
--- a/internal/soak/repeats.go
+++ b/internal/soak/repeats.go
@@ -33,7 +33,7 @@
 // loggedAttempts compares the arrivals at endpoints with the attempts that routers logged. A
 // killed router logs nothing for its open requests, and a busy one drops log lines.
 func (c *checker) loggedAttempts() {
-	for id, attempts := range c.seen.LoggedAttempts {
+	for id, attempts := range c.observed.LoggedAttempts {
 		if n := len(c.runs[id]); n > attempts {
 			c.add(PromiseLogged, id, "endpoints got it %d times, its router tells of %d attempts", n, attempts)
 		}
@@ -45,7 +45,7 @@
 func (c *checker) retryBudget() {
 	sent := make(map[string][]time.Time)
 	repeated := make(map[string][]time.Time)
-	for _, call := range c.seen.Calls {
+	for _, call := range c.observed.Calls {
 		sent[call.Service] = append(sent[call.Service], call.Sent)
 		var begins []time.Time
 		for _, r := range c.runs[call.ID] {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -132,7 +132,7 @@
 	crashes sync.WaitGroup
 }
 
-// addedRoute is a route that was addedRoute to the configuration, with the time.
+// addedRoute is a route that was added to the configuration, with the time.
 type addedRoute struct {
 	route Route
 	at    time.Time
@@ -221,33 +221,33 @@
 
 // play runs the callers and injects the faults of the plan.
 func (r *run) play(ctx context.Context, plan []Fault) {
-	began := time.Now()
-	load, stop := context.WithCancel(ctx)
+	start := time.Now()
+	loadCtx, stop := context.WithCancel(ctx)
 	var callers, faults sync.WaitGroup
 	for i := range r.opts.Routers * r.opts.Callers {
 		c := &caller{
 			number: i, router: i % r.opts.Routers, soak: r, rnd: rand.New(rand.NewPCG(r.opts.Seed, uint64(i+1))),
 			client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
 		}
-		callers.Go(func() { c.run(load) })
+		callers.Go(func() { c.run(loadCtx) })
 	}
-	faulty, calm := context.WithDeadline(ctx, began.Add(r.opts.For-CalmEnd))
+	stopFaults, calm := context.WithDeadline(ctx, start.Add(r.opts.For-CalmEnd))
 	defer calm()
-	awaitCrashes := r.startCrashRequests(faulty)
+	awaitCrashes := r.startCrashRequests(stopFaults)
 	for _, f := range plan {
-		if !sleepUntil(ctx, began.Add(f.At)) {
+		if !sleepUntil(ctx, start.Add(f.At)) {
 			break
 		}
 		fmt.Fprintf(r.opts.Progress, "%6.2f s  %s %d %s for %s\n", f.At.Seconds(), f.Kind, f.Target, f.NetFault, f.For.Round(time.Millisecond))
 		faults.Go(func() { r.inject(ctx, f) })
 	}
 	faults.Wait()
-	<-faulty.Done()
+	<-stopFaults.Done()
 	awaitCrashes()
 	r.mu.Lock()
 	r.observed.LastFault = time.Now()
 	r.mu.Unlock()
-	sleepUntil(ctx, maxTime(began.Add(r.opts.For), time.Now().Add(CalmEnd)))
+	sleepUntil(ctx, maxTime(start.Add(r.opts.For), time.Now().Add(CalmEnd)))
 	stop()
 	callers.Wait()
 }
--- a/internal/soak/start.go
+++ b/internal/soak/start.go
@@ -52,7 +52,7 @@
 	return r.startRouters(ctx)
 }
 
-// domainCount is the number of failure domainCount of routers and endpoints.
+// domainCount is the number of failure domains of routers and endpoints.
 const domainCount = 2
 
 func domainOf(i int) string { return fmt.Sprintf("domain-%d", i%domainCount) }
@@ -98,8 +98,8 @@
 		p := &routerProc{number: i, storeProxy: proxy, settings: filepath.Join(r.opts.Dir, fmt.Sprintf("router-%d.conf", i))}
 		p.router = Router{
 			Name: fmt.Sprintf("router-%d", i), FailureDomain: domainOf(i), FailureDomains: allDomains(),
-			Callers: free[each*i], Ready: free[each*i+1], Control: free[each*i+2],
-			Store: proxy.Address(), Seeds: seeds, Bounds: BoundsOf(r.opts.Seed), StopWithin: stopWithin,
+			CallerAddr: free[each*i], ReadyAddr: free[each*i+1], ControlAddr: free[each*i+2],
+			StoreAddr: proxy.Address(), Seeds: seeds, Bounds: BoundsOf(r.opts.Seed), StopWithin: stopWithin,
 		}
 		if HasNarrowLinks(r.opts.Seed) {
 			p.router.LinkMbps = narrowMbps
@@ -117,7 +117,7 @@
 	until := time.Now().Add(startTimeout)
 	for _, p := range r.routers {
 		for {
-			conn, err := net.Dial("tcp", p.router.Callers)
+			conn, err := net.Dial("tcp", p.router.CallerAddr)
 			if err == nil {
 				_ = conn.Close()
 				break
--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -229,13 +229,13 @@
 	}
 	i := target % len(r.endpoints)
 	e := r.endpoints[i]
-	left := 0
+	serving := 0
 	for _, other := range r.endpoints {
 		if other.endpoint.Service == e.endpoint.Service {
-			left++
+			serving++
 		}
 	}
-	if left <= 2 {
+	if serving <= 2 {
 		return nil
 	}
 	r.endpoints = append(r.endpoints[:i:i], r.endpoints[i+1:]...)
--- a/internal/soak/wire.go
+++ b/internal/soak/wire.go
@@ -11,11 +11,11 @@
 	Name, FailureDomain string
 	// FailureDomains lists all failure domains of the soak.
 	FailureDomains []string
-	// Callers, Ready and Control are its listen addresses. Store is the address of
+	// CallerAddr, ReadyAddr and ControlAddr are its listen addresses. StoreAddr is the address of
 	// the store, and Seeds are the control addresses of other routers.
-	Callers, Ready, Control, Store string
-	Seeds                          []string
-	Bounds                         Bounds
+	CallerAddr, ReadyAddr, ControlAddr, StoreAddr string
+	Seeds                                         []string
+	Bounds                                        Bounds
 	// LinkMbps is the bandwidth of its link in the settings; 0 omits it.
 	LinkMbps float64
 	// StopWithin is the time from SIGTERM to SIGKILL.
