--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -75,7 +75,7 @@
 
 // read reads an answer. It reports whether the answer was complete, and what is wrong
 // with its content, if anything.
-func (c *caller) read(resp *http.Response, route Route, id string) (whole bool, wrong string) {
+func (c *caller) read(resp *http.Response, route Route, id string) (complete bool, contentError string) {
 	if resp.StatusCode != http.StatusOK {
 		_, err := io.Copy(io.Discard, resp.Body)
 		return err == nil, ""
@@ -86,15 +86,15 @@
 	if !route.Stream {
 		body, err := io.ReadAll(resp.Body)
 		if err == nil && !strings.HasSuffix(string(body), " to "+id) {
-			wrong = fmt.Sprintf("the answer is %q", body)
+			contentError = fmt.Sprintf("the answer is %q", body)
 		}
-		return err == nil, wrong
+		return err == nil, contentError
 	}
 	return readStream(resp.Body, id)
 }
 
 // readStream reads a stream of events, which must be numbered from 1.
-func readStream(body io.Reader, id string) (whole bool, wrong string) {
+func readStream(body io.Reader, id string) (complete bool, contentError string) {
 	lines := bufio.NewScanner(body)
 	last := 0
 	for lines.Scan() {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -126,7 +126,7 @@
 	observed     Observations
 	// evacuating has the failure domains with an evacuation order.
 	evacuating map[string]bool
-	runIndex   map[string]int // index in seen.Runs by endpoint and request
+	runIndex   map[string]int // index in observed.Runs by endpoint and request
 	log        *os.File
 	// crashes waits for the sender of crash requests and the endpoints that it crashed.
 	crashes sync.WaitGroup
