--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -173,8 +173,8 @@
 	proxy.SetFault(NetFaultNone)
 }
 
-// injectEndpointFault injects a fault into a serving endpoint. At least one endpoint of each
-// service is left without faults.
+// injectEndpointFault injects a fault into a serving endpoint. At least two endpoints of each
+// service are left without faults.
 func (r *run) injectEndpointFault(ctx context.Context, f Fault) {
 	e := r.removeEndpoint(f.Target)
 	if e == nil {
