--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -47,7 +47,7 @@
 	r.mu.Unlock()
 	r.wire.Evacuate(domain, true)
 	from := time.Now()
-	sleepUntil(ctx, from.Add(f.For))
+	sleepUntil(ctx, from.Add(f.Duration))
 	to := time.Now()
 	r.wire.Evacuate(domain, false)
 	r.mu.Lock()
--- a/internal/soak/failing.go
+++ b/internal/soak/failing.go
@@ -61,8 +61,8 @@
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	var plan []Fault
 	for at := faultFreeStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanFailingGap)) {
-		f := Fault{At: at, Kind: EndpointFailing, Target: rnd.IntN(1 << 16), For: shortestFailing + randomDuration(rnd, longestFailing-shortestFailing)}
-		f.For = min(f.For, end-at)
+		f := Fault{At: at, Kind: EndpointFailing, Target: rnd.IntN(1 << 16), Duration: shortestFailing + randomDuration(rnd, longestFailing-shortestFailing)}
+		f.Duration = min(f.Duration, end-at)
 		plan = append(plan, f)
 	}
 	return plan
@@ -82,7 +82,7 @@
 	for _, e := range failing {
 		open.Go(func() {
 			r.setFailing(ctx, e, mode)
-			sleepUntil(ctx, from.Add(f.For))
+			sleepUntil(ctx, from.Add(f.Duration))
 			r.setFailing(ctx, e, Failing{})
 		})
 	}
--- a/internal/soak/limit.go
+++ b/internal/soak/limit.go
@@ -28,8 +28,8 @@
 	rnd := rand.New(rand.NewPCG(seed, 4))
 	var plan []Fault
 	for at := faultFreeStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanLimitGap)) {
-		f := Fault{At: at, Kind: EndpointLimit, Target: rnd.IntN(1 << 16), For: shortestLimit + randomDuration(rnd, longestLimit-shortestLimit)}
-		f.For = min(f.For, end-at)
+		f := Fault{At: at, Kind: EndpointLimit, Target: rnd.IntN(1 << 16), Duration: shortestLimit + randomDuration(rnd, longestLimit-shortestLimit)}
+		f.Duration = min(f.Duration, end-at)
 		plan = append(plan, f)
 	}
 	return plan
@@ -62,7 +62,7 @@
 	if err := r.wire.SetLimit(ctx, address, perSecond); err != nil {
 		fmt.Fprintln(r.opts.Progress, "endpoint", name, "names no limit:", err)
 	} else {
-		sleepUntil(ctx, time.Now().Add(f.For))
+		sleepUntil(ctx, time.Now().Add(f.Duration))
 	}
 	r.mu.Lock()
 	r.endLimit(name)
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -80,7 +80,7 @@
 	Kind Kind          `json:"kind"`
 	// Target selects the router or endpoint, modulo their number.
 	Target   int           `json:"target"`
-	For      time.Duration `json:"for"`
+	Duration time.Duration `json:"for"`
 	NetFault NetFault      `json:"harm,omitempty"`
 }
 
@@ -124,11 +124,11 @@
 	rnd := rand.New(rand.NewPCG(seed, 2))
 	var plan []Fault
 	for at := faultFreeStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanInvalidEntryGap)) {
-		f := Fault{At: at, Kind: EndpointRestart, Target: rnd.IntN(1 << 16), For: shortestFault + randomDuration(rnd, longestFault-shortestFault)}
+		f := Fault{At: at, Kind: EndpointRestart, Target: rnd.IntN(1 << 16), Duration: shortestFault + randomDuration(rnd, longestFault-shortestFault)}
 		if rnd.IntN(2) == 0 {
 			f.Kind = InvalidEntry
 		}
-		f.For = min(f.For, end-at)
+		f.Duration = min(f.Duration, end-at)
 		plan = append(plan, f)
 	}
 	return plan
@@ -146,8 +146,8 @@
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	var plan []Fault
 	for at := faultFreeStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanEvacuateGap)) {
-		f := Fault{At: at, Kind: Evacuate, Target: rnd.IntN(1 << 16), For: shortestFault + randomDuration(rnd, longestFault-shortestFault)}
-		f.For = min(f.For, end-at)
+		f := Fault{At: at, Kind: Evacuate, Target: rnd.IntN(1 << 16), Duration: shortestFault + randomDuration(rnd, longestFault-shortestFault)}
+		f.Duration = min(f.Duration, end-at)
 		plan = append(plan, f)
 	}
 	return plan
@@ -160,19 +160,19 @@
 	end := length - CalmEnd
 	for at := faultFreeStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanFaultGap)) {
 		f := Fault{At: at, Kind: kinds[rnd.IntN(len(kinds))], Target: rnd.IntN(1 << 16), NetFault: netFaults[rnd.IntN(len(netFaults))]}
-		f.For = shortestFault + randomDuration(rnd, longestFault-shortestFault)
+		f.Duration = shortestFault + randomDuration(rnd, longestFault-shortestFault)
 		if f.Kind == StoreFault {
-			f.For = time.Duration(storeFaultFactor * float64(f.For))
+			f.Duration = time.Duration(storeFaultFactor * float64(f.Duration))
 			// A key that is revoked while the store answers no call, not even open long
 			// polls, must stop working although no router can learn of it.
 			plan = append(plan, Fault{At: min(at+unobservedRevokeDelay, end), Kind: KeyRevoked})
 		}
-		f.For = min(f.For, end-at)
+		f.Duration = min(f.Duration, end-at)
 		plan = append(plan, f)
 		for rnd.Float64() < seriesChance {
-			f.At += randomDuration(rnd, f.For)
+			f.At += randomDuration(rnd, f.Duration)
 			f.Target = rnd.IntN(1 << 16)
-			f.For = min(f.For, end-f.At)
+			f.Duration = min(f.Duration, end-f.At)
 			plan = append(plan, f)
 		}
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -168,7 +168,7 @@
 			LoggedAttempts: map[string]int{},
 		},
 	}
-	defer r.end()
+	defer r.endProcesses()
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
@@ -238,7 +238,7 @@
 		if !sleepUntil(ctx, start.Add(f.At)) {
 			break
 		}
-		fmt.Fprintf(r.opts.Progress, "%6.2f s  %s %d %s for %s\n", f.At.Seconds(), f.Kind, f.Target, f.NetFault, f.For.Round(time.Millisecond))
+		fmt.Fprintf(r.opts.Progress, "%6.2f s  %s %d %s for %s\n", f.At.Seconds(), f.Kind, f.Target, f.NetFault, f.Duration.Round(time.Millisecond))
 		faults.Go(func() { r.inject(ctx, f) })
 	}
 	faults.Wait()
@@ -268,8 +268,8 @@
 	}
 }
 
-// end kills all programs that the soak started, by process ID.
-func (r *run) end() {
+// endProcesses kills all programs that the soak started, by process ID.
+func (r *run) endProcesses() {
 	r.mu.Lock()
 	all := r.processes
 	r.mu.Unlock()
--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -13,13 +13,13 @@
 	router := r.routers[f.Target%len(r.routers)]
 	switch f.Kind {
 	case RouterKill:
-		r.recordRouterFault(router, func() { r.endRouter(ctx, router, syscall.SIGKILL, f.For) })
+		r.recordRouterFault(router, func() { r.endRouter(ctx, router, syscall.SIGKILL, f.Duration) })
 	case RouterStop:
 		r.stopRouter(ctx, router)
 	case RouterPause:
 		r.recordRouterFault(router, func() {
-			defer r.down(router)()
-			signalFor(ctx, router.current(), syscall.SIGSTOP, syscall.SIGCONT, f.For)
+			defer r.markDown(router)()
+			signalFor(ctx, router.current(), syscall.SIGSTOP, syscall.SIGCONT, f.Duration)
 		})
 	case RouterReload:
 		r.reload(router)
@@ -28,7 +28,7 @@
 	case StoreFault:
 		r.recordAllRoutersFault(func() {
 			r.wire.FailStore(f.NetFault)
-			sleepUntil(ctx, time.Now().Add(f.For))
+			sleepUntil(ctx, time.Now().Add(f.Duration))
 			r.wire.FailStore(NetFaultNone)
 		})
 	case KeyRevoked:
@@ -97,8 +97,8 @@
 	}
 }
 
-// down records that a router's process is not running until up is called.
-func (r *run) down(p *routerProc) (up func()) {
+// markDown records that a router's process is not running until up is called.
+func (r *run) markDown(p *routerProc) (up func()) {
 	from := time.Now()
 	r.beginSpan(r.observed.Down, p.number, from)
 	return func() { r.endSpan(r.observed.Down, p.number, from) }
@@ -108,7 +108,7 @@
 // same router, the second affects the process that runs at that time.
 func (r *run) endRouter(ctx context.Context, p *routerProc, sig syscall.Signal, d time.Duration) {
 	process := p.current()
-	defer r.down(p)()
+	defer r.markDown(p)()
 	process.Signal(sig)
 	process.Signal(syscall.SIGCONT)
 	if !process.WaitFor(stopWithin) {
@@ -169,7 +169,7 @@
 
 func injectProxyFault(ctx context.Context, proxy *Proxy, f Fault) {
 	proxy.SetFault(f.NetFault)
-	sleepUntil(ctx, time.Now().Add(f.For))
+	sleepUntil(ctx, time.Now().Add(f.Duration))
 	proxy.SetFault(NetFaultNone)
 }
 
@@ -199,9 +199,9 @@
 		r.replace(ctx, e)
 		return
 	case EndpointPause:
-		r.pauseEndpoint(ctx, e, f.For)
+		r.pauseEndpoint(ctx, e, f.Duration)
 	case EndpointRestart:
-		if !r.restartEndpoint(ctx, e, f.For) {
+		if !r.restartEndpoint(ctx, e, f.Duration) {
 			return
 		}
 	default:
