--- a/internal/fleet/failures_test.go
+++ b/internal/fleet/failures_test.go
@@ -21,8 +21,8 @@
 // An engine ends an aborted answer in the same form as a complete one.
 func TestSessionAborted(t *testing.T) {
 	runSession(t, spec(), func(s *session) {
-		got := s.call(s.t.Context(), chatPath, chat(6), nil, func(pieces int) {
-			if pieces == 3 {
+		got := s.call(s.t.Context(), chatPath, chat(6), nil, func(events int) {
+			if events == 3 {
 				s.fleet.Agents()[0].Engine.Abort("request-1.1", engine.EndCancelled)
 			}
 		})
@@ -41,8 +41,8 @@
 // All engines crash; one restarts after a second, before the deadline.
 func TestSessionAllCrashAndOneReturns(t *testing.T) {
 	runSession(t, spec(), func(s *session) {
-		got := s.call(s.t.Context(), chatPath, chat(6), nil, func(pieces int) {
-			if pieces != 3 {
+		got := s.call(s.t.Context(), chatPath, chat(6), nil, func(events int) {
+			if events != 3 {
 				return
 			}
 			for _, a := range s.fleet.Agents() {
@@ -59,8 +59,8 @@
 	for at := 1; at <= 8; at++ {
 		t.Run(fmt.Sprint(at), func(t *testing.T) {
 			runInBubble(t, spec(), func(s *session) {
-				got := s.call(s.t.Context(), chatPath, chat(6), nil, func(pieces int) {
-					if pieces == at {
+				got := s.call(s.t.Context(), chatPath, chat(6), nil, func(events int) {
+					if events == at {
 						s.fleet.Agents()[0].Engine.Crash()
 					}
 				})
@@ -97,8 +97,8 @@
 func TestAnswerIsResumedWhenEngineHangs(t *testing.T) {
 	runInBubble(t, spec(), func(s *session) {
 		first := s.fleet.Agents()[0].Engine
-		got := s.call(s.t.Context(), chatPath, chat(6), nil, func(pieces int) {
-			if pieces == 3 {
+		got := s.call(s.t.Context(), chatPath, chat(6), nil, func(events int) {
+			if events == 3 {
 				first.Pause()
 			}
 		})
@@ -110,8 +110,8 @@
 	})
 	runInBubble(t, spec(), func(s *session) {
 		first := s.fleet.Agents()[0].Engine
-		got := s.call(s.t.Context(), chatPath, chat(6), nonIdempotent(), func(pieces int) {
-			if pieces == 3 {
+		got := s.call(s.t.Context(), chatPath, chat(6), nonIdempotent(), func(events int) {
+			if events == 3 {
 				first.Pause()
 				time.AfterFunc(20*time.Second, first.Resume)
 			}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -56,7 +56,7 @@
 	RouterStop, AgentStop server.Plan
 	Profile               Profile
 	Membership            Membership
-	// Network connects the parts; nil means the loopback interface.
+	// Network connects the processes; nil means the loopback interface.
 	Network Network
 	// NewID generates the routers' request IDs; nil means random IDs.
 	NewID func() string
@@ -77,10 +77,10 @@
 	Service *slo.Tracker
 }
 
-// Network connects the parts of a fleet.
+// Network connects the routers, agents and engines of a fleet.
 type Network interface {
 	Listen(address string) (net.Listener, error)
-	// Dialer returns the dial function of the named part.
+	// Dialer returns the dial function of the named router, agent or caller.
 	Dialer(from string) func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -109,7 +109,7 @@
 	retired           retired
 }
 
-// Start starts all parts and returns once they serve.
+// Start starts the engines, agents and routers and returns once they serve.
 func Start(spec Spec) (*Fleet, error) {
 	authority, err := identity.Ephemeral()
 	if err != nil {
--- a/internal/fleet/leaving_test.go
+++ b/internal/fleet/leaving_test.go
@@ -51,8 +51,8 @@
 		s.callInBackground(nil, 1)
 		time.Sleep(2 * time.Millisecond) // so that the two end at different times
 		s.callInBackground(nil, 1)
-		got := s.call(s.t.Context(), chatPath, chat(12), nil, func(pieces int) {
-			if pieces == 4 {
+		got := s.call(s.t.Context(), chatPath, chat(12), nil, func(events int) {
+			if events == 4 {
 				first.Agent.Leave()
 				moved, stay := first.Agent.HandOver()
 				s.g.Expect([]int{moved, stay}).To(Equal([]int{1, 1}))
@@ -116,8 +116,8 @@
 	runSession(t, spec(), func(s *session) {
 		rt := s.fleet.Routers()[0].Router
 		rt.Leave()
-		s.call(s.t.Context(), chatPath, chat(100), nil, func(pieces int) {
-			if pieces == 3 {
+		s.call(s.t.Context(), chatPath, chat(100), nil, func(events int) {
+			if events == 3 {
 				rt.EndOpen()
 			}
 		})
--- a/internal/fleet/membership_test.go
+++ b/internal/fleet/membership_test.go
@@ -65,15 +65,15 @@
 	last  time.Duration
 }
 
-func (w attemptObserver) Answered(endpoint string, clock wire.Clock, sent time.Time, report load.Report) bool {
-	w.attempts.add(endpoint)
-	return !w.ignoreAttempts && w.Observer.Answered(endpoint, clock, sent, report)
+func (observer attemptObserver) Answered(endpoint string, clock wire.Clock, sent time.Time, report load.Report) bool {
+	observer.attempts.add(endpoint)
+	return !observer.ignoreAttempts && observer.Observer.Answered(endpoint, clock, sent, report)
 }
 
-func (w attemptObserver) Failed(endpoint, incarnation string, sent bool) {
-	w.attempts.add(endpoint)
-	if !w.ignoreAttempts {
-		w.Observer.Failed(endpoint, incarnation, sent)
+func (observer attemptObserver) Failed(endpoint, incarnation string, sent bool) {
+	observer.attempts.add(endpoint)
+	if !observer.ignoreAttempts {
+		observer.Observer.Failed(endpoint, incarnation, sent)
 	}
 }
 
@@ -101,8 +101,8 @@
 	server *http.Server
 }
 
-func newVMListServer(s *session, lag time.Duration) *vmListServer {
-	p := &vmListServer{list: vmlist.New(lag)}
+func newVMListServer(s *session, listDelay time.Duration) *vmListServer {
+	p := &vmListServer{list: vmlist.New(listDelay)}
 	p.server = &http.Server{Handler: p.list.Handler()}
 	l, err := s.net.Listen(strings.TrimPrefix(listURL, "http://"))
 	s.g.Expect(err).NotTo(HaveOccurred())
@@ -156,7 +156,7 @@
 }
 
 // runLeave has one of four endpoints leave under load.
-func runLeave(t *testing.T, src leaveSignal, routers int) leaveResult {
+func runLeave(t *testing.T, signal leaveSignal, routers int) leaveResult {
 	var out leaveResult
 	sp := spec()
 	sp.Profile = fleet.Product()
@@ -164,14 +164,14 @@
 	one := engine.Config{Slots: 64, TokenTime: time.Millisecond, Priorities: true}
 	sp.Engines = []engine.Config{one, one, one, one}
 	seen := &attemptCounter{}
-	sp.Membership = fleet.Membership{DisableNotices: src.noNotices, Observe: func(o dispatch.Observer) dispatch.Observer {
-		return attemptObserver{Observer: o, ignoreAttempts: src.ignoreAttempts, attempts: seen}
+	sp.Membership = fleet.Membership{DisableNotices: signal.noNotices, Observe: func(o dispatch.Observer) dispatch.Observer {
+		return attemptObserver{Observer: o, ignoreAttempts: signal.ignoreAttempts, attempts: seen}
 	}}
-	if src.listDelay > 0 {
+	if signal.listDelay > 0 {
 		sp.Membership.VMList = []string{listURL}
 	}
 	runInBubble(t, sp, func(s *session) {
-		p := newVMListServer(s, max(src.listDelay, time.Nanosecond))
+		p := newVMListServer(s, max(signal.listDelay, time.Nanosecond))
 		defer p.server.Close()
 		stop := make(chan struct{})
 		callers := startLoad(s, s.net, stop)
@@ -179,9 +179,9 @@
 		first := s.fleet.Agents()[0]
 		at := seen.begin()
 		switch {
-		case src.crashes:
+		case signal.crashes:
 			s.g.Expect(s.fleet.Kill(0)).To(Succeed())
-		case src.agentLeaves:
+		case signal.agentLeaves:
 			first.Leave()
 		default:
 			p.set(vmlist.Leaving)
@@ -223,28 +223,29 @@
 	})
 }
 
-// measured adds the fleet size of the measurements in docs/design/0010-membership.md.
-var measured = flag.Bool("membership.measure", false, "also play 32 routers, which takes longer")
+// measured also runs the test with 32 routers, the size measured in
+// docs/design/0010-membership.md.
+var measured = flag.Bool("membership.measure", false, "also run with 32 routers, which takes longer")
 
 func TestEachLeaveSignalAloneStopsNewWork(t *testing.T) {
 	sizes := []int{2, 8}
 	if *measured {
 		sizes = append(sizes, 32)
 	}
-	for _, src := range leaveSignals() {
+	for _, signal := range leaveSignals() {
 		for _, routers := range sizes {
-			t.Run(fmt.Sprintf("%s/%d", src.name, routers), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d", signal.name, routers), func(t *testing.T) {
 				g := NewWithT(t)
-				got := runLeave(t, src, routers)
+				got := runLeave(t, signal, routers)
 				t.Logf("last work %s, last attempt %s, %d attempts", got.lastWork, got.lastAttempt.Round(time.Millisecond), got.attempts)
 				g.Expect(got.lastWork).To(BeNumerically("<=", leaveBound))
 				switch {
-				case src.agentLeaves && src.ignoreAttempts || src.listDelay > 0:
+				case signal.agentLeaves && signal.ignoreAttempts || signal.listDelay > 0:
 					g.Expect(got.lastAttempt).To(BeNumerically("<=", leaveBound))
 				default:
 					g.Expect(got.attempts).To(BeNumerically("<=", routers), "each router must need at most one attempt")
 				}
-				if src.agentLeaves || src.crashes {
+				if signal.agentLeaves || signal.crashes {
 					g.Expect(got.lastWork).To(BeZero())
 				}
 			})
--- a/internal/fleet/nodes.go
+++ b/internal/fleet/nodes.go
@@ -30,9 +30,9 @@
 	// peerClient is for calls to other agents; stopKeys ends them.
 	peerClient *http.Client
 	stopKeys   func()
-	// Placement applies the placement to the engine; nil without Spec.Placement.
-	Placement     *placement.Runner
-	stopPlacement func()
+	// PlacementRunner runs the engine's placement; nil without Spec.Placement.
+	PlacementRunner *placement.Runner
+	stopPlacement   func()
 	// leaveNotice notifies routers that the agent leaves; nil if disabled.
 	leaveNotice *membership.Goodbye
 }
--- a/internal/fleet/partition.go
+++ b/internal/fleet/partition.go
@@ -11,7 +11,7 @@
 // errPartitioned is the error of a dial across a partition.
 var errPartitioned = errors.New("fleet: no answer across the partition")
 
-// partition is a network that can be partitioned between a part and an address.
+// partition is a network that can be partitioned between a process and an address.
 // Connections stay open but transfer nothing, as in a network that drops
 // packets. It is safe for concurrent use.
 type partition struct {
@@ -20,7 +20,7 @@
 	cuts map[path]chan struct{} // closed by heal
 }
 
-// path is the connection from a part to an address.
+// path is the connection from a process to an address.
 type path struct{ from, to string }
 
 func newPartition(n Network) *partition {
@@ -31,8 +31,8 @@
 func (p *partition) Dialer(from string) func(context.Context, string, string) (net.Conn, error) {
 	dial := p.Network.Dialer(from)
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		w := path{from: from, to: address}
-		if err := p.await(ctx, w); err != nil {
+		route := path{from: from, to: address}
+		if err := p.await(ctx, route); err != nil {
 			return nil, err
 		}
 		conn, err := dial(ctx, network, address)
@@ -40,14 +40,14 @@
 			return nil, err
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		return &partitionConn{Conn: conn, partition: p, path: w, open: ctx, close: cancel}, nil
+		return &partitionConn{Conn: conn, partition: p, path: route, open: ctx, close: cancel}, nil
 	}
 }
 
 // await waits until the path isn't cut.
-func (p *partition) await(ctx context.Context, w path) error {
+func (p *partition) await(ctx context.Context, route path) error {
 	p.mu.Lock()
-	healed := p.cuts[w]
+	healed := p.cuts[route]
 	p.mu.Unlock()
 	if healed == nil {
 		return nil
@@ -90,7 +90,7 @@
 // Read implements net.Conn. Data received before the cut is returned after it.
 func (c *partitionConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if cut := c.partition.await(c.open, c.path); cut != nil {
+	if err := c.partition.await(c.open, c.path); err != nil {
 		return 0, net.ErrClosed
 	}
 	return n, err
@@ -98,7 +98,7 @@
 
 // Write implements net.Conn.
 func (c *partitionConn) Write(b []byte) (int, error) {
-	if cut := c.partition.await(c.open, c.path); cut != nil {
+	if err := c.partition.await(c.open, c.path); err != nil {
 		return 0, net.ErrClosed
 	}
 	return c.Conn.Write(b)
--- a/internal/fleet/pause_test.go
+++ b/internal/fleet/pause_test.go
@@ -18,12 +18,12 @@
 
 const pauseDuration = 20 * time.Second
 
-// writeHook is a network that calls a function when a part writes. It simulates a
+// writeHook is a network that calls a function when a process writes. It simulates a
 // process that is paused between creating a message and sending it.
 type writeHook struct {
 	fleet.Network
-	part string
-	// onWrite is called once, at the next write of the part.
+	process string
+	// onWrite is called once, at the next write of the process.
 	onWrite atomic.Pointer[func()]
 }
 
@@ -31,7 +31,7 @@
 	dial := n.Network.Dialer(from)
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
-		if err != nil || from != n.part {
+		if err != nil || from != n.process {
 			return conn, err
 		}
 		return &hookedConn{Conn: conn, hook: n}, nil
@@ -61,18 +61,18 @@
 // the deadline: the attempt it then sends must not run.
 func TestSessionPausedRouter(t *testing.T) {
 	sp := spec()
-	g := &writeHook{part: "router-00"}
-	sp.Network = g
+	hook := &writeHook{process: "router-00"}
+	sp.Network = hook
 	runSession(t, sp, func(s *session) {
 		for range s.fleet.Agents() { // so that the router learns the agents' clocks
 			s.callInBackground(nil, 1)
 			time.Sleep(time.Second)
 		}
 		before := s.runs()
-		wake := func() { s.suspend(pauseDuration) }
-		g.onWrite.Store(&wake)
+		pause := func() { s.suspend(pauseDuration) }
+		hook.onWrite.Store(&pause)
 		s.call(s.t.Context(), chatPath, chat(6), deadline("10s"), nil)
-		s.g.Expect(g.onWrite.Load()).To(BeNil(), "the pause must have taken place")
+		s.g.Expect(hook.onWrite.Load()).To(BeNil(), "the pause must have taken place")
 		s.g.Expect(s.runs()).To(Equal(before))
 	})
 }
--- a/internal/fleet/placement.go
+++ b/internal/fleet/placement.go
@@ -16,7 +16,7 @@
 	if f.spec.Placement == nil {
 		return h
 	}
-	n.Placement = placement.New(placement.Config{
+	n.PlacementRunner = placement.New(placement.Config{
 		Endpoint:  n.Name,
 		EngineURL: n.EngineURL(),
 		Engine:    n.engineClient,
@@ -26,14 +26,14 @@
 		Log:       f.spec.Log,
 	})
 	n.runPlacement()
-	return n.Placement.Wrap(h)
+	return n.PlacementRunner.Wrap(h)
 }
 
 // runPlacement runs the node's placement until stopPlacement is called.
 func (n *AgentNode) runPlacement() {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	runner := n.Placement
+	runner := n.PlacementRunner
 	go func() {
 		defer close(done)
 		runner.Run(ctx)
@@ -47,16 +47,16 @@
 // leave has the agent refuse new attempts. Other nodes no longer count the models
 // that its engine holds.
 func (n *AgentNode) leave() {
-	if n.Placement != nil {
-		n.Placement.Leave()
+	if n.PlacementRunner != nil {
+		n.PlacementRunner.Leave()
 	}
 	n.Agent.Leave()
 }
 
 // followPlacement applies a bundle's placement to the node.
 func (n *AgentNode) followPlacement(b *bundle.Bundle) {
-	if n.Placement != nil {
-		n.Placement.Follow(b)
+	if n.PlacementRunner != nil {
+		n.PlacementRunner.Follow(b)
 	}
 }
 
--- a/internal/fleet/session_test.go
+++ b/internal/fleet/session_test.go
@@ -104,9 +104,9 @@
 
 // withHook returns the in-memory network, wrapped by the test's writeHook if it has one.
 func withHook(n fleet.Network, memory *memnet.Net) fleet.Network {
-	if g, ok := n.(*writeHook); ok {
-		g.Network = memory
-		return g
+	if hook, ok := n.(*writeHook); ok {
+		hook.Network = memory
+		return hook
 	}
 	return memory
 }
--- a/internal/fleet/sessions_test.go
+++ b/internal/fleet/sessions_test.go
@@ -45,8 +45,8 @@
 
 func TestSessionCrashAndResume(t *testing.T) {
 	runSession(t, spec(), func(s *session) {
-		got := s.call(s.t.Context(), chatPath, chat(6), nil, func(pieces int) {
-			if pieces == 3 {
+		got := s.call(s.t.Context(), chatPath, chat(6), nil, func(events int) {
+			if events == 3 {
 				s.fleet.Agents()[0].Engine.Crash()
 			}
 		})
@@ -58,8 +58,8 @@
 // A non-idempotent request isn't resumed; its caller learns that it has run.
 func TestSessionCrashNonIdempotent(t *testing.T) {
 	runSession(t, spec(), func(s *session) {
-		s.call(s.t.Context(), chatPath, chat(6), nonIdempotent(), func(pieces int) {
-			if pieces == 3 {
+		s.call(s.t.Context(), chatPath, chat(6), nonIdempotent(), func(events int) {
+			if events == 3 {
 				s.fleet.Agents()[0].Engine.Crash()
 			}
 		})
@@ -119,8 +119,8 @@
 func TestSessionCallerLeaves(t *testing.T) {
 	runSession(t, spec(), func(s *session) {
 		ctx, cancel := context.WithCancel(s.t.Context())
-		s.call(ctx, chatPath, chat(100), nil, func(pieces int) {
-			if pieces == 3 {
+		s.call(ctx, chatPath, chat(100), nil, func(events int) {
+			if events == 3 {
 				cancel()
 			}
 		})
--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -74,7 +74,7 @@
 }
 
 // read reads an answer. It reports whether the answer was complete, and what is wrong
-// with its content, if anything.
+// with its content, if anything, also in the received part of an incomplete answer.
 func (c *caller) read(resp *http.Response, route Route, id string) (complete bool, contentError string) {
 	if resp.StatusCode != http.StatusOK {
 		_, err := io.Copy(io.Discard, resp.Body)
@@ -114,7 +114,7 @@
 		return false, ""
 	}
 	if last != streamEvents {
-		return true, fmt.Sprintf("the stream ended in good order after event %d of %d", last, streamEvents)
+		return true, fmt.Sprintf("the stream ended without an error after event %d of %d", last, streamEvents)
 	}
 	return true, ""
 }
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -40,8 +40,9 @@
 	Revoke, Drain, Config time.Duration
 	// Slack is added to each of them for delays of the machine.
 	Slack time.Duration
-	// FaultMargin is the time before and after a fault in which Drain, Config and Cancel are
-	// not checked.
+	// FaultMargin is the time before and after a fault in which the promises that undisturbed
+	// exempts are not checked (drain, config, cancel, stop, evacuate, limit). It is also the
+	// time in which routers must share a quarantine.
 	FaultMargin time.Duration
 	Cancel      time.Duration
 	// RetryRatio times the requests for a service in a RetryWindow, plus RetrySlack, is the
@@ -77,8 +78,8 @@
 	Added time.Time
 	// CallerLeft reports whether the caller disconnected before the end of the answer.
 	CallerLeft bool
-	// Status is 0 without an answer. Whole reports whether the answer ended without a
-	// transport error. Wrong describes an error in its content, if any.
+	// Status is 0 without an answer. Complete reports whether the answer ended without a
+	// transport error. ContentError describes an error in its content, if any.
 	Status       int
 	Complete     bool
 	ContentError string
@@ -99,8 +100,8 @@
 
 // Observations holds all observations of a run, made from outside the programs.
 type Observations struct {
-	Calls []Call
-	Runs  []Execution
+	Calls      []Call
+	Executions []Execution
 	// Revoked has the time at which each key was revoked, Drained that at which each
 	// endpoint was marked as draining.
 	Revoked, Drained map[string]time.Time
@@ -144,7 +145,7 @@
 // Check returns the broken promises, ordered by request.
 func Check(observed Observations, b Bounds) []Violation {
 	c := checker{observed: observed, bounds: b, runs: make(map[string][]Execution)}
-	for _, r := range observed.Runs {
+	for _, r := range observed.Executions {
 		c.runs[r.ID] = append(c.runs[r.ID], r)
 	}
 	calls := make(map[string]bool, len(observed.Calls))
@@ -152,7 +153,7 @@
 		calls[call.ID] = true
 		c.call(call)
 	}
-	for _, r := range observed.Runs {
+	for _, r := range observed.Executions {
 		if !calls[r.ID] {
 			c.add(PromiseRoute, r.ID, "%s ran a request that nobody sent", r.Endpoint)
 		}
@@ -197,7 +198,7 @@
 	}
 	_, wasRevoked := c.observed.Revoked[call.Key]
 	if call.Status == 401 && !wasRevoked {
-		c.add(PromiseValid, call.ID, "its key was never taken away")
+		c.add(PromiseValid, call.ID, "its key was never revoked")
 	}
 	if call.Status == 404 && c.mustKnowRoute(call) {
 		c.add(PromiseConfig, call.ID, "its route was added %s before", call.Sent.Sub(call.Added))
@@ -231,10 +232,10 @@
 		c.add(PromiseRoute, call.ID, "it ran at %s of service %s for team %q", r.Endpoint, r.Service, r.Team)
 	}
 	if at, ok := c.observed.Revoked[call.Key]; ok && c.bounds.Revoke > 0 && call.Sent.Sub(at) > c.bounds.Revoke+c.bounds.Slack {
-		c.add(PromiseRevoked, call.ID, "it was sent %s after its key was taken away and ran at %s", call.Sent.Sub(at), r.Endpoint)
+		c.add(PromiseRevoked, call.ID, "it was sent %s after its key was revoked and ran at %s", call.Sent.Sub(at), r.Endpoint)
 	}
 	if at, ok := c.observed.Drained[r.Endpoint]; ok && c.bounds.Drain > 0 && r.Begin.Sub(at) > c.bounds.Drain+c.bounds.Slack && c.undisturbed(call, r) {
-		c.add(PromiseDrain, call.ID, "it ran at %s %s after that said that it leaves", r.Endpoint, r.Begin.Sub(at))
+		c.add(PromiseDrain, call.ID, "it ran at %s %s after that endpoint was marked as draining", r.Endpoint, r.Begin.Sub(at))
 	}
 	for _, s := range c.observed.Evacuated[c.observed.Domains[r.Endpoint]] {
 		if late := r.Begin.Sub(s.From); r.Begin.Before(s.To) && late > c.bounds.Evacuate+c.bounds.Slack && c.undisturbed(call, r) {
@@ -243,12 +244,12 @@
 	}
 	allowedUntil := call.End.Add(c.bounds.Cancel + c.bounds.Slack)
 	if call.CallerLeft && call.Repeatable && r.End.After(allowedUntil) && c.undisturbed(call, r) {
-		c.add(PromiseCancel, call.ID, "%s worked on for %s after its caller had left", r.Endpoint, r.End.Sub(call.End))
+		c.add(PromiseCancel, call.ID, "%s kept working for %s after the caller disconnected", r.Endpoint, r.End.Sub(call.End))
 	}
 }
 
 // undisturbed reports whether neither the request's router nor the endpoint had a fault
-// during the request or within Bounds.Contact of it.
+// during the request or within Bounds.FaultMargin of it.
 func (c *checker) undisturbed(call Call, r Execution) bool {
 	from, to := call.Sent.Add(-c.bounds.FaultMargin), call.End.Add(c.bounds.FaultMargin)
 	touches := func(s Span) bool { return s.touches(from, to) }
@@ -259,17 +260,17 @@
 // retries checks the number of runs beyond the first of each request against the total
 // number of requests.
 func (c *checker) retries() {
-	repeats := 0
+	retries := 0
 	for _, runs := range c.runs {
 		for _, r := range runs[1:] {
 			if !r.Resumed {
-				repeats++
+				retries++
 			}
 		}
 	}
 	allowed := int(c.bounds.RetryRatio*float64(len(c.observed.Calls))) + c.bounds.RetrySlack
-	if repeats > allowed {
-		c.add(PromiseRetries, "", "%d runs beyond the first of %d requests, over %d", repeats, len(c.observed.Calls), allowed)
+	if retries > allowed {
+		c.add(PromiseRetries, "", "%d runs beyond the first of %d requests, over %d", retries, len(c.observed.Calls), allowed)
 	}
 }
 
@@ -277,7 +278,7 @@
 // cold. The limit applies to all routers together, with faults or not.
 func (c *checker) cold() {
 	runs := make(map[string][]Execution)
-	for _, r := range c.observed.Runs {
+	for _, r := range c.observed.Executions {
 		runs[r.Endpoint] = append(runs[r.Endpoint], r)
 	}
 	allowed := int(c.bounds.ColdExcess*coldRate) + c.bounds.ColdSlack
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -21,7 +21,7 @@
 			{ID: "a", Key: "k", Team: "t", Service: "s", Sent: at(10), End: at(11), Status: 200, Complete: true},
 			{ID: "b", Key: "k", Team: "t", Service: "s", Sent: at(10), End: at(11), Status: 200, Complete: true, Repeatable: true},
 		},
-		Runs: []Execution{
+		Executions: []Execution{
 			{ID: "a", Endpoint: "e1", Service: "s", Team: "t", Begin: at(10.1), End: at(10.9)},
 			{ID: "b", Endpoint: "e2", Service: "s", Team: "t", Begin: at(10.1), End: at(10.9)},
 		},
@@ -50,7 +50,7 @@
 		breakPromise func(*Observations)
 	}{
 		{PromiseComplete, func(s *Observations) { s.Calls[0].ContentError = "another's answer" }},
-		{PromiseOnce, func(s *Observations) { s.Runs[1].ID = "a" }},
+		{PromiseOnce, func(s *Observations) { s.Executions[1].ID = "a" }},
 		{PromiseNotRun, func(s *Observations) { s.Calls[0].Status, s.Calls[0].Complete, s.LastFault = 503, false, at(10) }},
 		{PromiseRevoked, func(s *Observations) { s.Revoked["k"] = at(4) }},
 		{PromiseValid, func(s *Observations) { s.Calls[0].Status, s.LastFault = 401, at(10) }},
@@ -60,10 +60,10 @@
 			s.Calls[0].Added = at(6)
 		}},
 		{PromiseDrain, func(s *Observations) { s.Drained["e1"] = at(7) }},
-		{PromiseRoute, func(s *Observations) { s.Runs[0].Service = "other" }},
-		{PromiseRoute, func(s *Observations) { s.Runs[0].Team = "other" }},
-		{PromiseRoute, func(s *Observations) { s.Runs[0].ID = "unheard of" }},
-		{PromiseCancel, func(s *Observations) { s.Calls[1].CallerLeft, s.Runs[1].End = true, at(12.5) }},
+		{PromiseRoute, func(s *Observations) { s.Executions[0].Service = "other" }},
+		{PromiseRoute, func(s *Observations) { s.Executions[0].Team = "other" }},
+		{PromiseRoute, func(s *Observations) { s.Executions[0].ID = "unheard of" }},
+		{PromiseCancel, func(s *Observations) { s.Calls[1].CallerLeft, s.Executions[1].End = true, at(12.5) }},
 		{PromiseStop, func(s *Observations) {
 			s.Calls[0].Complete, s.LastFault = false, at(10)
 			s.Stops[0] = []Span{{From: at(10.5), To: at(16)}}
@@ -73,10 +73,10 @@
 			for i := range 7 {
 				id := fmt.Sprint("deadly-", i)
 				s.Calls = append(s.Calls, Call{ID: id, Key: "k", Team: "t", Service: "s", Sent: at(10 + float64(2*i)), End: at(10.1 + float64(2*i)), Crashing: true})
-				s.Runs = append(s.Runs, Execution{ID: id, Endpoint: fmt.Sprint("m", i), Service: "s", Team: "t", Begin: at(10 + float64(2*i))})
+				s.Executions = append(s.Executions, Execution{ID: id, Endpoint: fmt.Sprint("m", i), Service: "s", Team: "t", Begin: at(10 + float64(2*i))})
 			}
-			s.Runs = append(s.Runs, Execution{ID: "deadly-6", Endpoint: "m9", Service: "s", Team: "t", Begin: at(23)})
-			s.Runs = append(s.Runs, Execution{ID: "deadly-6", Endpoint: "m10", Service: "s", Team: "t", Begin: at(24)})
+			s.Executions = append(s.Executions, Execution{ID: "deadly-6", Endpoint: "m9", Service: "s", Team: "t", Begin: at(23)})
+			s.Executions = append(s.Executions, Execution{ID: "deadly-6", Endpoint: "m10", Service: "s", Team: "t", Begin: at(24)})
 		}},
 		{PromiseEvacuate, func(s *Observations) {
 			s.Domains["e1"], s.Evacuated["d"] = "d", []Span{{From: at(4), To: at(11)}}
@@ -84,24 +84,24 @@
 		{PromiseCold, func(s *Observations) {
 			s.Cold["e1"] = []Span{{From: at(9), To: at(12)}}
 			for i := range 13 {
-				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(10 + float64(i)/20)})
+				s.Executions = append(s.Executions, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(10 + float64(i)/20)})
 			}
 		}},
 		{PromiseLimit, func(s *Observations) {
 			s.RateLimited["e1"] = []LimitSpan{{Span: Span{From: at(5), To: at(14)}, PerSecond: 1}}
 			for i := range 12 {
-				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(9 + float64(i)/4)})
+				s.Executions = append(s.Executions, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(9 + float64(i)/4)})
 			}
 		}},
 		{PromiseNoExit, func(s *Observations) { s.Exits = []string{"router-0 ended by itself"} }},
 		{PromiseRetries, func(s *Observations) {
 			for range 60 {
-				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Begin: at(10.5)})
+				s.Executions = append(s.Executions, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Begin: at(10.5)})
 			}
 		}},
 		{PromiseRetries, func(s *Observations) {
 			for range 60 {
-				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(10.5)})
+				s.Executions = append(s.Executions, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(10.5)})
 			}
 		}},
 		{PromiseRetries, func(s *Observations) { // within the budget in total, but not in one window
@@ -109,16 +109,16 @@
 				s.Calls = append(s.Calls, Call{ID: fmt.Sprint("c", i), Key: "k", Service: "s", Sent: at(100 + float64(i)), Status: 200, Complete: true})
 			}
 			for i := range 60 {
-				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Begin: at(11 + float64(i)/10)})
+				s.Executions = append(s.Executions, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Begin: at(11 + float64(i)/10)})
 			}
 		}},
 		{PromiseLogged, func(s *Observations) {
 			s.LoggedAttempts = map[string]int{"b": 1}
-			s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Begin: at(10.5)})
+			s.Executions = append(s.Executions, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Begin: at(10.5)})
 		}},
 		{PromiseMaxEndpoints, func(s *Observations) {
-			s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Begin: at(10.5)})
-			s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e3", Service: "s", Team: "t", Begin: at(10.6)})
+			s.Executions = append(s.Executions, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Begin: at(10.5)})
+			s.Executions = append(s.Executions, Execution{ID: "b", Endpoint: "e3", Service: "s", Team: "t", Begin: at(10.6)})
 		}},
 	} {
 		seen := validRun()
@@ -134,7 +134,7 @@
 			s.RouterFaults[0] = []Span{{From: at(6), To: at(8)}}
 		},
 		"work after the caller disconnected, at a paused endpoint": func(s *Observations) {
-			s.Calls[1].CallerLeft, s.Runs[1].End = true, at(12.5)
+			s.Calls[1].CallerLeft, s.Executions[1].End = true, at(12.5)
 			s.EndpointFaults["e2"] = []Span{{From: at(10), To: at(12)}}
 		},
 		"a revoked key within the bound": func(s *Observations) { s.Revoked["k"] = at(6) },
@@ -148,25 +148,25 @@
 		"a cold endpoint within its rate limit": func(s *Observations) {
 			s.Cold["e1"] = []Span{{From: at(9), To: at(12)}}
 			for i := range 13 {
-				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(9 + float64(i)/5)})
+				s.Executions = append(s.Executions, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(9 + float64(i)/5)})
 			}
 		},
 		"an endpoint within its stated limit, except before routers must enforce it": func(s *Observations) {
 			s.RateLimited["e1"] = []LimitSpan{{Span: Span{From: at(7), To: at(14)}, PerSecond: 1}}
 			for i := range 20 {
-				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(8 + float64(i)/5)})
+				s.Executions = append(s.Executions, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(8 + float64(i)/5)})
 			}
 		},
 		"an endpoint over its stated limit, at a paused router": func(s *Observations) {
 			s.RateLimited["e1"] = []LimitSpan{{Span: Span{From: at(5), To: at(14)}, PerSecond: 1}}
 			s.RouterFaults[0] = []Span{{From: at(6), To: at(9)}}
 			for i := range 12 {
-				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(9 + float64(i)/4)})
+				s.Executions = append(s.Executions, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(9 + float64(i)/4)})
 			}
 		},
 		"resumed runs within the retry budget": func(s *Observations) {
 			for range 50 {
-				s.Runs = append(s.Runs, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(10.5)})
+				s.Executions = append(s.Executions, Execution{ID: "b", Endpoint: "e1", Service: "s", Team: "t", Resumed: true, Begin: at(10.5)})
 			}
 		},
 	} {
--- a/internal/soak/deadly.go
+++ b/internal/soak/deadly.go
@@ -25,7 +25,7 @@
 	// crashesBeforeQuarantine is the number of crashes after which routers must quarantine the request,
 	// and maxRunsInQuarantine the number of requests that may still reach endpoints after that.
 	crashesBeforeQuarantine, maxRunsInQuarantine = 3, 3
-	// replacementDelay is the time after a crash at which a replacement endpoint starts.
+	// replacementDelay is the time from a crash to the start of the replacement.
 	replacementDelay = 4 * time.Second
 )
 
@@ -60,11 +60,11 @@
 	r.mu.Lock()
 	name := e.endpoint.Name
 	r.observed.EndpointFaults[name] = append(r.observed.EndpointFaults[name], Span{From: from, To: openEnd})
-	served := slices.Contains(r.endpoints, e)
+	wasServing := slices.Contains(r.endpoints, e)
 	r.endpoints = slices.DeleteFunc(r.endpoints, func(other *endpointProc) bool { return other == e })
 	r.mu.Unlock()
 	<-e.process.done
-	if !served {
+	if !wasServing {
 		return // the fault that removed it replaces it
 	}
 	sleepUntil(ctx, from.Add(listTimeout))
@@ -95,12 +95,12 @@
 		}
 	}
 	if late > maxRunsInQuarantine {
-		c.add(PromiseQuarantine, runs[0].ID, "%d more reached endpoints after %d had ended under it; %d in all", late, crashesBeforeQuarantine, len(runs))
+		c.add(PromiseQuarantine, runs[0].ID, "%d more crash requests reached endpoints after the first %d crashes; %d in total", late, crashesBeforeQuarantine, len(runs))
 	}
 }
 
-// wasRunning reports whether a router's process was running during Bounds.Contact before a time.
-// Faults between it and the store or endpoints are ignored, since they don't affect its
+// wasRunning reports whether a router's process was running for all of Bounds.FaultMargin before
+// a time. Faults between it and the store or endpoints are ignored, since they don't affect its
 // exchange with other routers.
 func (c *checker) wasRunning(router int, at time.Time) bool {
 	touches := func(s Span) bool { return s.touches(at.Add(-c.bounds.FaultMargin), at) }
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -12,8 +12,8 @@
 	coldRate = 5.0
 )
 
-// coldRate returns 0 in seeds without cold endpoints.
-func (r *run) coldRate() float64 {
+// configuredColdRate returns 0 in seeds without cold endpoints.
+func (r *run) configuredColdRate() float64 {
 	if HasEvacuations(r.opts.Seed) {
 		return coldRate
 	}
--- a/internal/soak/failing.go
+++ b/internal/soak/failing.go
@@ -113,6 +113,6 @@
 // paused.
 func (r *run) setFailing(ctx context.Context, e *endpointProc, mode Failing) {
 	if err := r.wire.Fail(ctx, e.listenAddr, mode); err != nil {
-		fmt.Fprintln(r.opts.Progress, "endpoint", e.endpoint.Name, "can't be told how to fail:", err)
+		fmt.Fprintln(r.opts.Progress, "endpoint", e.endpoint.Name, "can't set its failures:", err)
 	}
 }
--- a/internal/soak/kept.go
+++ b/internal/soak/kept.go
@@ -6,7 +6,7 @@
 	Cause string
 }
 
-// Kept returns the seeds that once failed. They run again before each release.
+// Kept returns the seeds that once failed. They run again before each merge.
 func Kept() []KeptSeed {
 	return []KeptSeed{
 		{Seed: 1, Cause: "a second SIGTERM during a planned stop ended the router at once and interrupted its streams"},
--- a/internal/soak/limit.go
+++ b/internal/soak/limit.go
@@ -60,7 +60,7 @@
 	r.mu.Unlock()
 	// An endpoint that has ended or is paused states no limit.
 	if err := r.wire.SetLimit(ctx, address, perSecond); err != nil {
-		fmt.Fprintln(r.opts.Progress, "endpoint", name, "names no limit:", err)
+		fmt.Fprintln(r.opts.Progress, "endpoint", name, "can't set its rate limit:", err)
 	} else {
 		sleepUntil(ctx, time.Now().Add(f.Duration))
 	}
@@ -68,7 +68,7 @@
 	r.endLimit(name)
 	r.mu.Unlock()
 	if err := r.wire.SetLimit(ctx, address, -1); err != nil {
-		fmt.Fprintln(r.opts.Progress, "endpoint", name, "goes on naming a limit:", err)
+		fmt.Fprintln(r.opts.Progress, "endpoint", name, "can't clear its rate limit:", err)
 	}
 }
 
@@ -82,14 +82,14 @@
 }
 
 // limits checks the number of requests that endpoints got in each window in which they stated
-// a rate limit. It ignores routers and endpoints with faults.
+// a rate limit. It ignores requests whose router or endpoint had a fault, see undisturbed.
 func (c *checker) limits() {
 	calls := make(map[string]Call, len(c.observed.Calls))
 	for _, call := range c.observed.Calls {
 		calls[call.ID] = call
 	}
 	runs := make(map[string][]Execution)
-	for _, r := range c.observed.Runs {
+	for _, r := range c.observed.Executions {
 		if call, known := calls[r.ID]; known && c.undisturbed(call, r) {
 			runs[r.Endpoint] = append(runs[r.Endpoint], r)
 		}
@@ -99,7 +99,7 @@
 			span := Span{From: l.From.Add(c.bounds.LimitWithin), To: l.To}
 			allowed := int(c.bounds.LimitExcess*l.PerSecond*c.bounds.LimitWindow.Seconds()) + c.bounds.LimitSlack
 			if in := busiestWindow(runs[endpoint], span, c.bounds.LimitWindow); len(in) > allowed {
-				c.add(PromiseLimit, "", "%s began %d requests in %s while it named a limit of %g a second, over %d: %s",
+				c.add(PromiseLimit, "", "%s began %d requests in %s while it stated a limit of %g a second, over %d: %s",
 					endpoint, len(in), c.bounds.LimitWindow, l.PerSecond, allowed, formatStarts(in))
 			}
 		}
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -37,7 +37,7 @@
 	// shrinks a lot, and adds one route for callers. Only seeds with narrow links have it.
 	ConfigGrow Kind = "config_grow"
 	// EndpointRestart is SIGKILL, after which a new process gets the same name and address.
-	// ListEntry is an invalid entry in the list, under an unused name or over the entry of
+	// InvalidEntry is an invalid entry in the list, under an unused name or over the entry of
 	// an endpoint, which writes its own again a second later. Only seeds with invalid
 	// entries have these two.
 	EndpointRestart Kind = "endpoint_restart"
@@ -96,7 +96,8 @@
 	longestFault  = 7 * time.Second
 	shortestFault = 300 * time.Millisecond
 	// storeFaultFactor extends faults of the store, so that some outlast the bound on revoked
-	// keys. unobservedRevokeDelay is the time after which long polls at the store have ended.
+	// keys. unobservedRevokeDelay is the time from the start of a store fault to a revocation:
+	// all long polls have ended by then, so that no router observes it.
 	storeFaultFactor      = 1.5
 	unobservedRevokeDelay = 1200 * time.Millisecond
 	// meanFaultGap is the mean time between two faults, short enough that they overlap.
@@ -135,7 +136,7 @@
 }
 
 // HasEvacuations reports whether a seed has evacuations and cold endpoints: every second block
-// of 1000 seeds, which leaves the plans of earlier seeds unchanged.
+// of 1000 seeds, which leaves the plans of the seeds below 1000 unchanged.
 func HasEvacuations(seed uint64) bool { return seed/1000%2 == 1 }
 
 // meanEvacuateGap is the mean time between two evacuations, short enough that they overlap.
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -52,9 +52,9 @@
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
 // SetFault sets the fault of all connections from now on. NetFaultReset also resets open ones.
-func (p *Proxy) SetFault(h NetFault) {
-	p.fault.Store(&h)
-	if h == NetFaultReset {
+func (p *Proxy) SetFault(fault NetFault) {
+	p.fault.Store(&fault)
+	if fault == NetFaultReset {
 		p.resetOpen()
 	}
 }
@@ -126,15 +126,16 @@
 	}
 }
 
-// relay copies data in one direction until either end closes, and then closes both.
-// Data received during a cut is lost, as in a partition whose sender gives up.
-func (p *Proxy) relay(to, from net.Conn, forward bool) {
+// relay copies data in one direction, to the target or from it, until either end
+// closes, and then closes both. Data received while NetFaultOneWay or NetFaultSilence
+// drops it is lost, as in a partition whose sender gives up.
+func (p *Proxy) relay(to, from net.Conn, toTarget bool) {
 	defer to.Close()
 	defer from.Close()
-	piece := make([]byte, proxyBytes)
+	chunk := make([]byte, proxyBytes)
 	for {
-		n, err := from.Read(piece)
-		if n > 0 && !p.forward(to, piece[:n], forward) {
+		n, err := from.Read(chunk)
+		if n > 0 && !p.forward(to, chunk[:n], toTarget) {
 			return
 		}
 		if err != nil {
@@ -147,28 +148,28 @@
 }
 
 // forward writes a chunk to the other end. It returns false if the connection must be
-// closed, as after a cut, when data is missing.
-func (p *Proxy) forward(to net.Conn, piece []byte, forward bool) bool {
-	switch h := *p.fault.Load(); {
-	case h == NetFaultDelay:
+// closed, as after a fault that dropped data.
+func (p *Proxy) forward(to net.Conn, chunk []byte, toTarget bool) bool {
+	switch fault := *p.fault.Load(); {
+	case fault == NetFaultDelay:
 		time.Sleep(proxyDelay)
-	case h == NetFaultSilence, h == NetFaultOneWay && !forward:
-		p.waitWhile(h)
+	case fault == NetFaultSilence, fault == NetFaultOneWay && !toTarget:
+		p.waitWhile(fault)
 		return false
 	}
-	if p.limiter != nil && !forward {
-		if err := p.limiter.WaitN(context.Background(), len(piece)); err != nil {
+	if p.limiter != nil && !toTarget {
+		if err := p.limiter.WaitN(context.Background(), len(chunk)); err != nil {
 			return false // can't happen: a chunk is no larger than the limiter's burst
 		}
 	}
-	_, err := to.Write(piece)
+	_, err := to.Write(chunk)
 	return err == nil
 }
 
 // waitWhile waits until the fault changes, since a partitioned connection shows neither
 // data nor an end.
-func (p *Proxy) waitWhile(h NetFault) {
-	for *p.fault.Load() == h {
+func (p *Proxy) waitWhile(fault NetFault) {
+	for *p.fault.Load() == fault {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
--- a/internal/soak/repeats.go
+++ b/internal/soak/repeats.go
@@ -35,7 +35,7 @@
 func (c *checker) loggedAttempts() {
 	for id, attempts := range c.observed.LoggedAttempts {
 		if n := len(c.runs[id]); n > attempts {
-			c.add(PromiseLogged, id, "endpoints got it %d times, its router tells of %d attempts", n, attempts)
+			c.add(PromiseLogged, id, "it arrived at endpoints %d times, its router logged %d attempts", n, attempts)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 // first one of each request. The budget applies to all routers together, with faults or not.
 func (c *checker) retryBudget() {
 	sent := make(map[string][]time.Time)
-	repeated := make(map[string][]time.Time)
+	retries := make(map[string][]time.Time)
 	for _, call := range c.observed.Calls {
 		sent[call.Service] = append(sent[call.Service], call.Sent)
 		var begins []time.Time
@@ -53,12 +53,12 @@
 		}
 		slices.SortFunc(begins, time.Time.Compare)
 		if len(begins) > 1 {
-			repeated[call.Service] = append(repeated[call.Service], begins[1:]...)
+			retries[call.Service] = append(retries[call.Service], begins[1:]...)
 		}
 	}
-	for service, at := range repeated {
+	for service, at := range retries {
 		if n, allowed := MaxRetries(sent[service], at, c.bounds); n > allowed {
-			c.add(PromiseRetries, "", "%s got %d requests again in %s, over %d", service, n, c.bounds.RetryWindow, allowed)
+			c.add(PromiseRetries, "", "service %s got %d retries in %s, allowed are %d", service, n, c.bounds.RetryWindow, allowed)
 		}
 	}
 }
@@ -66,18 +66,18 @@
 // MaxRetries returns the number of retries, and the number allowed, in the window that exceeds
 // its retry budget most. The budget is based on the requests sent in the window itself, in one
 // half a window earlier or in one a window earlier, whichever has most.
-func MaxRetries(sent, repeated []time.Time, b Bounds) (repeats, allowed int) {
-	for i, from := range repeated {
-		n, requests := countInWindow(repeated, from, b.RetryWindow), 0
+func MaxRetries(sent, retryTimes []time.Time, b Bounds) (retries, allowed int) {
+	for i, from := range retryTimes {
+		n, requests := countInWindow(retryTimes, from, b.RetryWindow), 0
 		for _, shift := range []time.Duration{0, b.RetryWindow / 2, b.RetryWindow} {
 			requests = max(requests, countInWindow(sent, from.Add(-shift), b.RetryWindow))
 		}
 		budget := int(b.RetryRatio*float64(requests)) + b.RetrySlack
-		if i == 0 || n-budget > repeats-allowed {
-			repeats, allowed = n, budget
+		if i == 0 || n-budget > retries-allowed {
+			retries, allowed = n, budget
 		}
 	}
-	return repeats, allowed
+	return retries, allowed
 }
 
 // MaxEndpoints is the maximum number of endpoints at which a request of a soak may run.
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -200,15 +200,15 @@
 	key := e.Name + " " + rec.ID
 	if rec.Ended {
 		if i, ok := r.runIndex[key]; ok {
-			r.observed.Runs[i].End = rec.At
+			r.observed.Executions[i].End = rec.At
 		}
 		return
 	}
 	if strings.HasPrefix(rec.ID, crashRequestID) {
 		r.crashes.Go(func() { r.crash(ctx, p) })
 	}
-	r.runIndex[key] = len(r.observed.Runs)
-	r.observed.Runs = append(r.observed.Runs, Execution{
+	r.runIndex[key] = len(r.observed.Executions)
+	r.observed.Executions = append(r.observed.Executions, Execution{
 		ID: rec.ID, Endpoint: e.Name, Service: e.Service, Team: rec.Team, Resumed: rec.Resumed, Begin: rec.At,
 	})
 }
@@ -231,9 +231,9 @@
 		}
 		callers.Go(func() { c.run(loadCtx) })
 	}
-	stopFaults, calm := context.WithDeadline(ctx, start.Add(r.opts.For-CalmEnd))
-	defer calm()
-	awaitCrashes := r.startCrashRequests(stopFaults)
+	faultCtx, cancelFaults := context.WithDeadline(ctx, start.Add(r.opts.For-CalmEnd))
+	defer cancelFaults()
+	awaitCrashes := r.startCrashRequests(faultCtx)
 	for _, f := range plan {
 		if !sleepUntil(ctx, start.Add(f.At)) {
 			break
@@ -242,7 +242,7 @@
 		faults.Go(func() { r.inject(ctx, f) })
 	}
 	faults.Wait()
-	<-stopFaults.Done()
+	<-faultCtx.Done()
 	awaitCrashes()
 	r.mu.Lock()
 	r.observed.LastFault = time.Now()
@@ -286,7 +286,7 @@
 			r.observed.Exits = append(r.observed.Exits, err.Error())
 		}
 	}
-	res := &Result{Seed: r.opts.Seed, Faults: plan, Requests: len(r.observed.Calls), Runs: len(r.observed.Runs), Processes: len(r.processes)}
+	res := &Result{Seed: r.opts.Seed, Faults: plan, Requests: len(r.observed.Calls), Runs: len(r.observed.Executions), Processes: len(r.processes)}
 	for _, c := range r.observed.Calls {
 		if c.Status == http.StatusOK && c.Complete {
 			res.Served++
--- a/internal/soak/start.go
+++ b/internal/soak/start.go
@@ -73,18 +73,19 @@
 	for _, a := range r.addedRoutes {
 		routes = append(routes, a.route)
 	}
-	r.wire.Publish(Config{Version: r.version, Routes: routes, UnusedRoutes: r.unusedRoutes, Timeout: r.timeout, ColdRate: r.coldRate(), Keys: r.keys.teams()})
+	r.wire.Publish(Config{Version: r.version, Routes: routes, UnusedRoutes: r.unusedRoutes, Timeout: r.timeout, ColdRate: r.configuredColdRate(), Keys: r.keys.teams()})
 }
 
 func (r *run) startRouters(ctx context.Context) error {
-	const each = 3
-	free, err := r.ports.free(each * r.opts.Routers)
+	const portsPerRouter = 3
+	free, err := r.ports.free(portsPerRouter * r.opts.Routers)
 	if err != nil {
 		return err
 	}
+	// The first three routers at most are the seeds.
 	var seeds []string
-	for i := range min(each, r.opts.Routers) {
-		seeds = append(seeds, free[each*i+2])
+	for i := range min(portsPerRouter, r.opts.Routers) {
+		seeds = append(seeds, free[portsPerRouter*i+2])
 	}
 	for i := range r.opts.Routers {
 		proxy, err := NewProxy(r.store)
@@ -98,7 +99,7 @@
 		p := &routerProc{number: i, storeProxy: proxy, settings: filepath.Join(r.opts.Dir, fmt.Sprintf("router-%d.conf", i))}
 		p.router = Router{
 			Name: fmt.Sprintf("router-%d", i), FailureDomain: domainOf(i), FailureDomains: allDomains(),
-			CallerAddr: free[each*i], ReadyAddr: free[each*i+1], ControlAddr: free[each*i+2],
+			CallerAddr: free[portsPerRouter*i], ReadyAddr: free[portsPerRouter*i+1], ControlAddr: free[portsPerRouter*i+2],
 			StoreAddr: proxy.Address(), Seeds: seeds, Bounds: BoundsOf(r.opts.Seed), StopWithin: stopWithin,
 		}
 		if HasNarrowLinks(r.opts.Seed) {
@@ -180,10 +181,10 @@
 func (r *run) runEndpoint(ctx context.Context, e *endpointProc) error {
 	e.endpoint.StartedAt = time.Now()
 	r.recordStart(&e.endpoint)
-	served := e.endpoint
-	served.Address = e.listenAddr
-	args := r.wire.EndpointArgs(served, eventsOf(served.Service), eventPause)
-	process, err := StartProcess(served.Name, r.log, func(line []byte) { r.handleRecord(ctx, e, served, line) }, nil, r.opts.Tool, args...)
+	backend := e.endpoint
+	backend.Address = e.listenAddr
+	args := r.wire.EndpointArgs(backend, eventsOf(backend.Service), eventPause)
+	process, err := StartProcess(backend.Name, r.log, func(line []byte) { r.handleRecord(ctx, e, backend, line) }, nil, r.opts.Tool, args...)
 	if err != nil {
 		return err
 	}
