--- a/internal/bench/local/local.go
+++ b/internal/bench/local/local.go
@@ -150,7 +150,7 @@
 }
 
 // Cut implements bench.Partitioner.
-func (r running) Cut(engine int) { r.fleet.Cut(engine) }
+func (r running) Cut(engine int) { r.fleet.PartitionAgent(engine) }
 
 // Heal implements bench.Partitioner.
 func (r running) Heal() { r.fleet.Heal() }
--- a/internal/cli/soakcmd/soakcmd.go
+++ b/internal/cli/soakcmd/soakcmd.go
@@ -45,8 +45,8 @@
 	if c.List {
 		return printKeptSeeds(env.Stdout)
 	}
-	if c.For <= soak.CalmEnd {
-		return cli.BadInput(errors.Newf("--for is %s; write more than %s", c.For, soak.CalmEnd))
+	if c.For <= soak.FaultFreeEnd {
+		return cli.BadInput(errors.Newf("--for is %s; write more than %s", c.For, soak.FaultFreeEnd))
 	}
 	tool, err := os.Executable()
 	if err != nil {
@@ -78,7 +78,7 @@
 }
 
 func printKeptSeeds(w io.Writer) error {
-	for _, kept := range soak.Kept() {
+	for _, kept := range soak.RegressionSeeds() {
 		if _, err := fmt.Fprintf(w, "%d  %s\n", kept.Seed, kept.Cause); err != nil {
 			return errors.Wrap(err, "write the list")
 		}
@@ -89,7 +89,7 @@
 func (c *Cmd) seeds() []uint64 {
 	var seeds []uint64
 	if c.Kept {
-		for _, kept := range soak.Kept() {
+		for _, kept := range soak.RegressionSeeds() {
 			seeds = append(seeds, kept.Seed)
 		}
 		return seeds
@@ -125,7 +125,7 @@
 // runSeed runs one seed with the program paths and the directory of o, and returns the number
 // of violations.
 func (c *Cmd) runSeed(env *cli.Env, seed uint64, o soak.Options) (violations int, err error) {
-	o.Seed, o.For, o.Routers, o.Endpoints, o.Callers = seed, c.For, c.Routers, c.Endpoints, c.Callers
+	o.Seed, o.Duration, o.Routers, o.Endpoints, o.Callers = seed, c.For, c.Routers, c.Endpoints, c.Callers
 	o.Wire, o.Progress = platformtest.NewSoak(), env.Stderr
 	if c.Quiet {
 		o.Progress = io.Discard
--- a/internal/daemon/onplatform/onplatform.go
+++ b/internal/daemon/onplatform/onplatform.go
@@ -23,18 +23,18 @@
 		Seeds:         s.Seeds,
 		Cores:         s.Cores,
 		LinkMbps:      s.LinkMbps,
-		Memory:        s.Memory,
-		Callers:       s.Callers.String(),
-		Ready:         s.Ready.String(),
+		Memory:        s.MemoryBytes,
+		Callers:       s.CallerAddr.String(),
+		Ready:         s.ReadyAddr.String(),
 		ReadyPattern:  platform.ReadyPattern,
-		Store:         platform.NewStore(s.Store.String(), s.MaxValue),
+		Store:         platform.NewStore(s.StoreAddr.String(), s.MaxValueBytes),
 		Protocol:      platform.Protocol{},
 		Health:        platform.Health,
 		Bounds:        boundsOf(s),
 		Reload:        func() (daemon.DirectBounds, error) { return reload(path) },
 	}
-	if s.Control.IsValid() {
-		cfg.Control = s.Control.String()
+	if s.ControlAddr.IsValid() {
+		cfg.Control = s.ControlAddr.String()
 	}
 	if metricsPort > 0 {
 		cfg.Metrics = netip.AddrPortFrom(s.IP, uint16(metricsPort)).String()
@@ -56,7 +56,7 @@
 		DrainWithin:  s.DrainWithin,
 		ConfigWithin: s.ConfigWithin,
 		StopWithin:   s.StopWithin,
-		RetryBounded: s.RetryBounded,
+		RetryBounded: s.RetryRatioStated,
 		RetryRatio:   s.RetryRatio,
 		RetryWindow:  s.RetryWindow,
 		RetrySlack:   s.RetrySlack,
--- a/internal/fleet/membership_test.go
+++ b/internal/fleet/membership_test.go
@@ -209,7 +209,7 @@
 		p := newVMListServer(s, time.Second)
 		defer p.server.Close()
 		time.Sleep(5 * time.Second)
-		s.fleet.Cut(0)
+		s.fleet.PartitionAgent(0)
 		p.set(vmlist.Leaving)
 		time.Sleep(time.Second + leaveBound)
 		s.fleet.Heal()
--- a/internal/fleet/partition.go
+++ b/internal/fleet/partition.go
@@ -110,8 +110,8 @@
 	return c.Conn.Close()
 }
 
-// Cut partitions the first half of the routers from an agent until Heal.
-func (f *Fleet) Cut(agent int) {
+// PartitionAgent partitions the first half of the routers from an agent until Heal.
+func (f *Fleet) PartitionAgent(agent int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range (len(f.routers) + 1) / 2 {
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -188,7 +188,7 @@
 		for i, f := range plan {
 			injected[f.Kind] = true
 			g.Expect(f.At).To(BeNumerically(">=", faultFreeStart))
-			g.Expect(f.At + f.Duration).To(BeNumerically("<=", 30*time.Second-CalmEnd))
+			g.Expect(f.At + f.Duration).To(BeNumerically("<=", 30*time.Second-FaultFreeEnd))
 			if i > 0 && plan[i-1].At+plan[i-1].Duration > f.At {
 				overlap++
 			}
--- a/internal/soak/kept.go
+++ b/internal/soak/kept.go
@@ -1,14 +1,14 @@
 package soak
 
-// KeptSeed is a seed that once failed, with the cause.
-type KeptSeed struct {
+// RegressionSeed is a seed that once failed, with the cause.
+type RegressionSeed struct {
 	Seed  uint64
 	Cause string
 }
 
-// Kept returns the seeds that once failed. They run again before each merge.
-func Kept() []KeptSeed {
-	return []KeptSeed{
+// RegressionSeeds returns the seeds that once failed. They run again before each merge.
+func RegressionSeeds() []RegressionSeed {
+	return []RegressionSeed{
 		{Seed: 1, Cause: "a second SIGTERM during a planned stop ended the router at once and interrupted its streams"},
 		{Seed: 10, Cause: "a fault of the soak itself: concurrent soaks in one folder overwrote each other's settings files, so that routers used ports of other soaks"},
 		{Seed: 7, Cause: "calls to the store with a long answer were aborted as idle while data arrived, since single reads took as long as the idle timeout"},
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -89,8 +89,8 @@
 	// faultFreeStart is the time without faults at the start, in which all programs start and
 	// are listed.
 	faultFreeStart = 3 * time.Second
-	// CalmEnd is the time without new faults at the end, in which recovery is checked.
-	CalmEnd = 9 * time.Second
+	// FaultFreeEnd is the time without new faults at the end, in which recovery is checked.
+	FaultFreeEnd = 9 * time.Second
 	// longestFault exceeds both the time after which the list drops an endpoint without
 	// heartbeats and the bound on revoked keys.
 	longestFault  = 7 * time.Second
@@ -158,7 +158,7 @@
 func Plan(seed uint64, length time.Duration) []Fault {
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	var plan []Fault
-	end := length - CalmEnd
+	end := length - FaultFreeEnd
 	for at := faultFreeStart; at < end; at += time.Duration(rnd.ExpFloat64() * float64(meanFaultGap)) {
 		f := Fault{At: at, Kind: kinds[rnd.IntN(len(kinds))], Target: rnd.IntN(1 << 16), NetFault: netFaults[rnd.IntN(len(netFaults))]}
 		f.Duration = shortestFault + randomDuration(rnd, longestFault-shortestFault)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -19,8 +19,8 @@
 
 // Options configures a run.
 type Options struct {
-	Seed uint64
-	For  time.Duration
+	Seed     uint64
+	Duration time.Duration
 	// Daemon and Tool are the paths of the programs. Dir is a folder that gets one
 	// subfolder per seed for settings and logs.
 	Daemon, Tool, Dir string
@@ -172,7 +172,7 @@
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	plan := Plan(opts.Seed, opts.For)
+	plan := Plan(opts.Seed, opts.Duration)
 	r.play(ctx, plan)
 	return r.result(plan), ctx.Err()
 }
@@ -231,7 +231,7 @@
 		}
 		callers.Go(func() { c.run(loadCtx) })
 	}
-	faultCtx, cancelFaults := context.WithDeadline(ctx, start.Add(r.opts.For-CalmEnd))
+	faultCtx, cancelFaults := context.WithDeadline(ctx, start.Add(r.opts.Duration-FaultFreeEnd))
 	defer cancelFaults()
 	awaitCrashes := r.startCrashRequests(faultCtx)
 	for _, f := range plan {
@@ -247,7 +247,7 @@
 	r.mu.Lock()
 	r.observed.LastFault = time.Now()
 	r.mu.Unlock()
-	sleepUntil(ctx, maxTime(start.Add(r.opts.For), time.Now().Add(CalmEnd)))
+	sleepUntil(ctx, maxTime(start.Add(r.opts.Duration), time.Now().Add(FaultFreeEnd)))
 	stop()
 	callers.Wait()
 }
