--- a/internal/agent/keys.go
+++ b/internal/agent/keys.go
@@ -47,7 +47,7 @@
 	SkipCheck bool
 }
 
-// keys guards the agent's Keeper with a lock. Key times use the wall clock,
+// keys guards the agent's KeyRegistry with a lock. Key times use the wall clock,
 // because it advances during every pause.
 type keys struct {
 	cfg    Keys
@@ -259,7 +259,7 @@
 	return &engineError{Reason: wire.ReasonNotKeyHome, Cause: errKeyMoved}
 }
 
-// keyRefusal converts a Keeper's refusal. For a duplicate, Run describes the
+// keyRefusal converts a KeyRegistry's refusal. For a duplicate, Run describes the
 // request that holds the key, otherwise this one.
 func keyRefusal(v once.Decision) *wire.Refusal {
 	out := &wire.Refusal{
--- a/internal/bundle/check_control.go
+++ b/internal/bundle/check_control.go
@@ -8,7 +8,7 @@
 
 func checkRouterLocations(b *Bundle, f *Findings) {
 	for i := range b.Routers {
-		path := jsonc.ElementPath("routers", i)
+		path := jsonc.IndexPath("routers", i)
 		checkPlainName(path, "failure_domain", b.Routers[i].FailureDomain, f)
 		checkPlainName(path, "region", b.Routers[i].Region, f)
 	}
@@ -23,11 +23,11 @@
 	var out []controlAddress
 	for i := range b.Endpoints {
 		if a := b.Endpoints[i].ControlAddress; a != "" {
-			out = append(out, controlAddress{jsonc.MemberPath(jsonc.ElementPath("endpoints", i), "control_address"), a})
+			out = append(out, controlAddress{jsonc.KeyPath(jsonc.IndexPath("endpoints", i), "control_address"), a})
 		}
 	}
 	for i := range b.Routers {
-		out = append(out, controlAddress{jsonc.MemberPath(jsonc.ElementPath("routers", i), "control_address"), b.Routers[i].ControlAddress})
+		out = append(out, controlAddress{jsonc.KeyPath(jsonc.IndexPath("routers", i), "control_address"), b.Routers[i].ControlAddress})
 	}
 	return out
 }
@@ -44,7 +44,7 @@
 	taken := make(map[netip.AddrPort]string)
 	for i := range b.Endpoints {
 		if addr, ok := parseAddress(b.Endpoints[i].Address); ok {
-			taken[addr] = "address of " + jsonc.ElementPath("endpoints", i)
+			taken[addr] = "address of " + jsonc.IndexPath("endpoints", i)
 		}
 	}
 	for _, c := range controlAddresses(b) {
@@ -68,7 +68,7 @@
 	}
 	for i := range b.Endpoints {
 		if e := &b.Endpoints[i]; e.ControlAddress == "" {
-			f.warnf(jsonc.ElementPath("endpoints", i), "endpoint %q has no control_address, so no process tells its agent of new versions", e.Name)
+			f.warnf(jsonc.IndexPath("endpoints", i), "endpoint %q has no control_address, so no process tells its agent of new versions", e.Name)
 		}
 	}
 }
--- a/internal/bundle/check_endpoints.go
+++ b/internal/bundle/check_endpoints.go
@@ -13,7 +13,7 @@
 func checkEndpointLocations(b *Bundle, f *Findings) {
 	for i := range b.Endpoints {
 		e := &b.Endpoints[i]
-		path := jsonc.ElementPath("endpoints", i)
+		path := jsonc.IndexPath("endpoints", i)
 		checkPlainName(path, "vm", e.VM, f)
 		checkPlainName(path, "failure_domain", e.FailureDomain, f)
 		checkPlainName(path, "region", e.Region, f)
@@ -22,7 +22,7 @@
 
 func checkPlainName(path, key, name string, f *Findings) {
 	if !plainName.matches(name) {
-		f.errorf(jsonc.MemberPath(path, key), "%q is not a valid name; %s", name, plainName.help)
+		f.errorf(jsonc.KeyPath(path, key), "%q is not a valid name; %s", name, plainName.help)
 	}
 }
 
@@ -38,7 +38,7 @@
 
 func checkEndpointAddresses(b *Bundle, f *Findings) {
 	for i := range b.Endpoints {
-		checkAddress(jsonc.MemberPath(jsonc.ElementPath("endpoints", i), "address"), b.Endpoints[i].Address, f)
+		checkAddress(jsonc.KeyPath(jsonc.IndexPath("endpoints", i), "address"), b.Endpoints[i].Address, f)
 	}
 }
 
@@ -56,7 +56,7 @@
 			continue
 		}
 		if j, dup := first[addr]; dup {
-			f.errorf(jsonc.MemberPath(jsonc.ElementPath("endpoints", i), "address"), "%s is already the address of %s", addr, jsonc.ElementPath("endpoints", j))
+			f.errorf(jsonc.KeyPath(jsonc.IndexPath("endpoints", i), "address"), "%s is already the address of %s", addr, jsonc.IndexPath("endpoints", j))
 			continue
 		}
 		first[addr] = i
@@ -66,7 +66,7 @@
 func checkEndpointSlots(b *Bundle, f *Findings) {
 	for i := range b.Endpoints {
 		if n := b.Endpoints[i].Slots; n < 1 || n > MaxSlots {
-			f.errorf(jsonc.MemberPath(jsonc.ElementPath("endpoints", i), "slots"), "%d is outside 1 to %d", n, MaxSlots)
+			f.errorf(jsonc.KeyPath(jsonc.IndexPath("endpoints", i), "slots"), "%d is outside 1 to %d", n, MaxSlots)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	for i := range b.Endpoints {
 		e := &b.Endpoints[i]
 		if len(e.Models) == 0 && len(e.Services) == 0 {
-			f.errorf(jsonc.ElementPath("endpoints", i), "endpoint %q serves nothing; name models or services", e.Name)
+			f.errorf(jsonc.IndexPath("endpoints", i), "endpoint %q serves nothing; name models or services", e.Name)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 		if known.has(name) && !slices.Contains(names[:i], name) {
 			continue
 		}
-		path := jsonc.ElementPath(jsonc.MemberPath(jsonc.ElementPath("endpoints", endpoint), key), i)
+		path := jsonc.IndexPath(jsonc.KeyPath(jsonc.IndexPath("endpoints", endpoint), key), i)
 		if !known.has(name) {
 			f.errorf(path, "%q is not in %s", name, key)
 		} else {
@@ -113,14 +113,14 @@
 func checkModelCoverage(b *Bundle, f *Findings) {
 	domains := domainsOf(b.Endpoints, func(e *Endpoint) []string { return e.Models })
 	for i := range b.Models {
-		checkCoverage(jsonc.ElementPath("models", i), "model", b.Models[i].Name, domains, f)
+		checkCoverage(jsonc.IndexPath("models", i), "model", b.Models[i].Name, domains, f)
 	}
 }
 
 func checkServiceCoverage(b *Bundle, f *Findings) {
 	domains := domainsOf(b.Endpoints, func(e *Endpoint) []string { return e.Services })
 	for i := range b.Services {
-		checkCoverage(jsonc.ElementPath("services", i), "service", b.Services[i].Name, domains, f)
+		checkCoverage(jsonc.IndexPath("services", i), "service", b.Services[i].Name, domains, f)
 	}
 }
 
--- a/internal/bundle/check_general.go
+++ b/internal/bundle/check_general.go
@@ -54,22 +54,22 @@
 		f.errorf("classes", "must hold at least one class")
 	}
 	for i := range b.Classes {
-		c, path := &b.Classes[i], jsonc.ElementPath("classes", i)
+		c, path := &b.Classes[i], jsonc.IndexPath("classes", i)
 		if c.FirstToken <= 0 {
-			f.errorf(jsonc.MemberPath(path, "first_token"), "%s must be above 0", c.FirstToken.Std())
+			f.errorf(jsonc.KeyPath(path, "first_token"), "%s must be above 0", c.FirstToken.Std())
 		}
 		if c.BetweenTokens < 0 {
-			f.errorf(jsonc.MemberPath(path, "between_tokens"), "%s must not be below 0", c.BetweenTokens.Std())
+			f.errorf(jsonc.KeyPath(path, "between_tokens"), "%s must not be below 0", c.BetweenTokens.Std())
 		}
 		if c.Objective < 0 || c.Objective >= 1 {
-			f.errorf(jsonc.MemberPath(path, "objective"), "%v must be at least 0 and below 1, such as 0.95", c.Objective)
+			f.errorf(jsonc.KeyPath(path, "objective"), "%v must be at least 0 and below 1, such as 0.95", c.Objective)
 		}
 	}
 }
 
 func checkDeadlines(b *Bundle, f *Findings) {
 	for i := range b.Classes {
-		c, path := &b.Classes[i], jsonc.MemberPath(jsonc.ElementPath("classes", i), "deadline")
+		c, path := &b.Classes[i], jsonc.KeyPath(jsonc.IndexPath("classes", i), "deadline")
 		switch {
 		case c.Deadline <= 0:
 			f.errorf(path, "%s must be above 0", c.Deadline.Std())
--- a/internal/bundle/check_names.go
+++ b/internal/bundle/check_names.go
@@ -71,7 +71,7 @@
 	for _, list := range b.namedLists() {
 		for i, name := range list.names {
 			if !list.rule.matches(name) {
-				f.errorf(jsonc.MemberPath(jsonc.ElementPath(list.key, i), "name"), "%q is not a valid name; %s", name, list.rule.help)
+				f.errorf(jsonc.KeyPath(jsonc.IndexPath(list.key, i), "name"), "%q is not a valid name; %s", name, list.rule.help)
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 				continue // reported by checkNames
 			}
 			if j, dup := first[name]; dup {
-				f.errorf(jsonc.MemberPath(jsonc.ElementPath(list.key, i), "name"), "%q is already the name of %s", name, jsonc.ElementPath(list.key, j))
+				f.errorf(jsonc.KeyPath(jsonc.IndexPath(list.key, i), "name"), "%q is already the name of %s", name, jsonc.IndexPath(list.key, j))
 				continue
 			}
 			first[name] = i
--- a/internal/bundle/check_placement.go
+++ b/internal/bundle/check_placement.go
@@ -13,9 +13,7 @@
 	MaxWeightFetches = 1_000_000
 )
 
-func placementPath(i int) string {
-	return jsonc.MemberPath(jsonc.ElementPath("endpoints", i), "placement")
-}
+func placementPath(i int) string { return jsonc.KeyPath(jsonc.IndexPath("endpoints", i), "placement") }
 
 func checkPlacements(b *Bundle, f *Findings) {
 	for i := range b.Endpoints {
@@ -24,11 +22,11 @@
 			continue
 		}
 		if len(p.Models) == 0 {
-			f.errorf(jsonc.MemberPath(path, "models"), "a placement names at least one model")
+			f.errorf(jsonc.KeyPath(path, "models"), "a placement names at least one model")
 		}
-		checkAdapters(jsonc.MemberPath(path, "adapters"), p, f)
+		checkAdapters(jsonc.KeyPath(path, "adapters"), p, f)
 		if p.Version != "" && !modelName.matches(p.Version) {
-			f.errorf(jsonc.MemberPath(path, "version"), "%q is not a valid version; %s", p.Version, modelName.help)
+			f.errorf(jsonc.KeyPath(path, "version"), "%q is not a valid version; %s", p.Version, modelName.help)
 		}
 		checkPlainName(path, "role", p.Role, f)
 	}
@@ -38,9 +36,9 @@
 	for i, name := range p.Adapters {
 		switch {
 		case !modelName.matches(name):
-			f.errorf(jsonc.ElementPath(path, i), "%q is not a valid name; %s", name, modelName.help)
+			f.errorf(jsonc.IndexPath(path, i), "%q is not a valid name; %s", name, modelName.help)
 		case slices.Contains(p.Adapters[:i], name) || slices.Contains(p.Models, name):
-			f.errorf(jsonc.ElementPath(path, i), "%q is named twice", name)
+			f.errorf(jsonc.IndexPath(path, i), "%q is named twice", name)
 		}
 	}
 }
@@ -66,12 +64,12 @@
 	known := setOf(namesOf(b.Models, func(m *Model) string { return m.Name }))
 	for i := range b.Endpoints {
 		e := &b.Endpoints[i]
-		path := jsonc.MemberPath(placementPath(i), "models")
+		path := jsonc.KeyPath(placementPath(i), "models")
 		for j, name := range e.Placement.Models {
 			if !known.has(name) {
-				f.errorf(jsonc.ElementPath(path, j), "%q is not in models", name)
+				f.errorf(jsonc.IndexPath(path, j), "%q is not in models", name)
 			} else if slices.Contains(e.Placement.Models[:j], name) {
-				f.errorf(jsonc.ElementPath(path, j), "%q is named twice", name)
+				f.errorf(jsonc.IndexPath(path, j), "%q is named twice", name)
 			}
 		}
 		checkServedIsPlaced(i, e, f)
@@ -84,7 +82,7 @@
 	}
 	for j, name := range e.Models {
 		if !slices.Contains(e.Placement.Models, name) && !slices.Contains(e.Placement.Adapters, name) {
-			path := jsonc.ElementPath(jsonc.MemberPath(jsonc.ElementPath("endpoints", i), "models"), j)
+			path := jsonc.IndexPath(jsonc.KeyPath(jsonc.IndexPath("endpoints", i), "models"), j)
 			f.errorf(path, "%q is served but not in the endpoint's placement", name)
 		}
 	}
--- a/internal/bundle/check_teams.go
+++ b/internal/bundle/check_teams.go
@@ -18,14 +18,14 @@
 
 func checkTeamGrants(b *Bundle, f *Findings) {
 	for i := range b.Teams {
-		path := jsonc.MemberPath(jsonc.ElementPath("teams", i), "grants")
+		path := jsonc.KeyPath(jsonc.IndexPath("teams", i), "grants")
 		if len(b.Teams[i].Grants) == 0 {
 			f.errorf(path, "must hold at least one grant; the first is the team's default class")
 		}
 		seen := make(nameSet)
 		for j, g := range b.Teams[i].Grants {
 			if seen.has(g.Class) {
-				f.errorf(jsonc.MemberPath(jsonc.ElementPath(path, j), "class"), "class %q is already granted to team %q", g.Class, b.Teams[i].Name)
+				f.errorf(jsonc.KeyPath(jsonc.IndexPath(path, j), "class"), "class %q is already granted to team %q", g.Class, b.Teams[i].Name)
 			}
 			seen[g.Class] = struct{}{}
 		}
@@ -36,7 +36,7 @@
 	known := setOf(namesOf(b.Classes, func(c *Class) string { return c.Name }))
 	eachGrant(b, func(path string, g Grant) {
 		if !known.has(g.Class) {
-			f.errorf(jsonc.MemberPath(path, "class"), "%q is not in classes", g.Class)
+			f.errorf(jsonc.KeyPath(path, "class"), "%q is not in classes", g.Class)
 		}
 	})
 }
@@ -45,30 +45,30 @@
 	known := setOf(namesOf(b.Tiers, func(t *Tier) string { return t.Name }))
 	eachGrant(b, func(path string, g Grant) {
 		if !known.has(g.Tier) {
-			f.errorf(jsonc.MemberPath(path, "tier"), "%q is not in tiers", g.Tier)
+			f.errorf(jsonc.KeyPath(path, "tier"), "%q is not in tiers", g.Tier)
 		}
 	})
 }
 
 func eachGrant(b *Bundle, do func(path string, g Grant)) {
 	for i := range b.Teams {
-		list := jsonc.MemberPath(jsonc.ElementPath("teams", i), "grants")
+		list := jsonc.KeyPath(jsonc.IndexPath("teams", i), "grants")
 		for j, g := range b.Teams[i].Grants {
-			do(jsonc.ElementPath(list, j), g)
+			do(jsonc.IndexPath(list, j), g)
 		}
 	}
 }
 
 func checkTeamKeys(b *Bundle, f *Findings) {
 	for i := range b.Teams {
-		path := jsonc.MemberPath(jsonc.ElementPath("teams", i), "key_hashes")
+		path := jsonc.KeyPath(jsonc.IndexPath("teams", i), "key_hashes")
 		if len(b.Teams[i].KeyHashes) == 0 {
 			f.warnf(path, "team %q has no key, so nobody can call in its name", b.Teams[i].Name)
 		}
 		for j, hash := range b.Teams[i].KeyHashes {
 			if !keyHash.MatchString(hash) {
 				// The value isn't included, as it may be a key in plain text.
-				f.errorf(jsonc.ElementPath(path, j), "is not a key hash; write \"sha256:\" and 64 lower-case hexadecimal digits")
+				f.errorf(jsonc.IndexPath(path, j), "is not a key hash; write \"sha256:\" and 64 lower-case hexadecimal digits")
 			}
 		}
 	}
@@ -77,10 +77,10 @@
 func checkSharedKeys(b *Bundle, f *Findings) {
 	owner := make(map[string]int)
 	for i := range b.Teams {
-		path := jsonc.MemberPath(jsonc.ElementPath("teams", i), "key_hashes")
+		path := jsonc.KeyPath(jsonc.IndexPath("teams", i), "key_hashes")
 		for j, hash := range b.Teams[i].KeyHashes {
 			if first, dup := owner[hash]; dup {
-				f.errorf(jsonc.ElementPath(path, j), "is already a key hash of %s", jsonc.ElementPath("teams", first))
+				f.errorf(jsonc.IndexPath(path, j), "is already a key hash of %s", jsonc.IndexPath("teams", first))
 				continue
 			}
 			owner[hash] = i
@@ -90,11 +90,11 @@
 
 func checkTeamLimits(b *Bundle, f *Findings) {
 	for i := range b.Teams {
-		l, path := &b.Teams[i].Limits, jsonc.MemberPath(jsonc.ElementPath("teams", i), "limits")
-		checkRate(jsonc.MemberPath(path, "requests_per_second"), l.RequestsPerSecond, f)
-		checkRate(jsonc.MemberPath(path, "tokens_per_second"), l.TokensPerSecond, f)
+		l, path := &b.Teams[i].Limits, jsonc.KeyPath(jsonc.IndexPath("teams", i), "limits")
+		checkRate(jsonc.KeyPath(path, "requests_per_second"), l.RequestsPerSecond, f)
+		checkRate(jsonc.KeyPath(path, "tokens_per_second"), l.TokensPerSecond, f)
 		if l.Concurrency < 0 || l.Concurrency > MaxTeamConcurrency {
-			f.errorf(jsonc.MemberPath(path, "concurrency"), "%d is outside 1 to %d; leave it out for no limit", l.Concurrency, MaxTeamConcurrency)
+			f.errorf(jsonc.KeyPath(path, "concurrency"), "%d is outside 1 to %d; leave it out for no limit", l.Concurrency, MaxTeamConcurrency)
 		}
 	}
 }
--- a/internal/bundle/diff.go
+++ b/internal/bundle/diff.go
@@ -140,7 +140,7 @@
 	}
 	for _, key := range sortedKeys(before, after) {
 		sub := c
-		sub.Path = jsonc.MemberPath(c.Path, key)
+		sub.Path = jsonc.KeyPath(c.Path, key)
 		d.addFields(sub, orNull(before[key]), orNull(after[key]))
 	}
 }
--- a/internal/bundle/route.go
+++ b/internal/bundle/route.go
@@ -94,18 +94,18 @@
 func checkRoutes(b *Bundle, f *Findings) {
 	for i := range b.Routes {
 		r := &b.Routes[i]
-		path := jsonc.ElementPath("routes", i)
+		path := jsonc.IndexPath("routes", i)
 		switch r.Kind {
 		case RouteNonIdempotent, RouteIdempotent, RouteStream, RouteResumableStream:
 		default:
-			f.errorf(jsonc.MemberPath(path, "kind"), "%q is not a kind; use %q, %q, %q or %q", r.Kind,
+			f.errorf(jsonc.KeyPath(path, "kind"), "%q is not a kind; use %q, %q, %q or %q", r.Kind,
 				RouteNonIdempotent, RouteIdempotent, RouteStream, RouteResumableStream)
 		}
 		if r.Timeout <= 0 {
-			f.errorf(jsonc.MemberPath(path, "timeout"), "must be longer than 0")
+			f.errorf(jsonc.KeyPath(path, "timeout"), "must be longer than 0")
 		}
 		if r.MaxRuns < 0 {
-			f.errorf(jsonc.MemberPath(path, "max_runs"), "%d is negative", r.MaxRuns)
+			f.errorf(jsonc.KeyPath(path, "max_runs"), "%d is negative", r.MaxRuns)
 		}
 	}
 }
@@ -119,13 +119,13 @@
 	known := true
 	for i := range b.Routes {
 		r := &b.Routes[i]
-		path := jsonc.ElementPath("routes", i)
+		path := jsonc.IndexPath("routes", i)
 		if !tiers.has(r.Tier) {
-			f.errorf(jsonc.MemberPath(path, "tier"), "%q is not in tiers", r.Tier)
+			f.errorf(jsonc.KeyPath(path, "tier"), "%q is not in tiers", r.Tier)
 		}
 		if !services.has(r.Service) {
 			known = false
-			f.errorf(jsonc.MemberPath(path, "service"), "%q is not in services", r.Service)
+			f.errorf(jsonc.KeyPath(path, "service"), "%q is not in services", r.Service)
 		}
 		checkRegions(path, r, regions, f)
 	}
@@ -139,7 +139,7 @@
 func checkRegions(path string, r *Route, regions nameSet, f *Findings) {
 	for _, region := range r.Regions {
 		if !regions.has(region) {
-			f.errorf(jsonc.MemberPath(path, "regions"), "no endpoint is in region %q", region)
+			f.errorf(jsonc.KeyPath(path, "regions"), "no endpoint is in region %q", region)
 		}
 	}
 }
--- a/internal/daemon/bundles.go
+++ b/internal/daemon/bundles.go
@@ -164,6 +164,6 @@
 	if r.Confirmed {
 		return ""
 	}
-	return fmt.Sprintf("bundle not confirmed as the latest: %d of %d processes answered, in %d of %d failure domains",
+	return fmt.Sprintf("no other process confirmed yet that there is no newer bundle: %d of %d were heard, in %d of %d failure domains",
 		r.Peers, r.WantPeers, r.Domains, r.WantDomains)
 }
--- a/internal/daemon/direct.go
+++ b/internal/daemon/direct.go
@@ -146,10 +146,10 @@
 	policy := balance.NewPromptAware()
 	d.pool = balance.NewPool(balance.Config{
 		Policy: policy, Seed: membership.SeedOf(cfg.VM), RateShare: d.endpointRateShare, OnLimit: d.logLimit,
-		OnDomainEvent: d.logSilentDomain,
+		OnDomainEvent: d.logDomainEvent,
 	})
 	d.registerLimits()
-	d.registerSilentDomains()
+	d.registerUnresponsiveDomains()
 	d.members = newMembershipTracker(cfg.VM, d.pool, d.reg, log)
 	d.poison = newPoisonTable(cfg.VM, d.reg, log, d.checkCrashed)
 	source, err := d.newSource()
@@ -293,7 +293,7 @@
 	d.addPeers(&g, &failed)
 	addLoop(&g, d.follower.Run)
 	addLoop(&g, membership.NewHealthProber(d.members, d.updater.checkHealth).Run)
-	addLoop(&g, d.watchSilence)
+	addLoop(&g, d.watchUnresponsive)
 	addLoop(&g, d.followSettings)
 	d.ready.Open(gateServing)
 	return errors.CombineErrors(g.Run(), failed)
--- a/internal/daemon/directreading_test.go
+++ b/internal/daemon/directreading_test.go
@@ -69,7 +69,7 @@
 		p := stopPlan(within)
 		g.Expect(p.DrainTime).To(BeNumerically("<=", directNotice))
 		g.Expect(p.DrainTime + p.Grace).To(BeNumerically("<", within))
-		g.Expect(p.DrainTime + p.HandoverDelay()).To(BeNumerically("<", within-directMargin))
+		g.Expect(p.DrainTime + p.HandoverAt()).To(BeNumerically("<", within-directMargin))
 		g.Expect(p.Grace).To(BeNumerically(">", within/2-directMargin))
 	}
 }
--- a/internal/daemon/directsilence.go
+++ b/internal/daemon/directsilence.go
@@ -10,10 +10,10 @@
 	"coveferry/internal/membership"
 )
 
-// watchSilence triggers health checks of endpoints that send nothing although they have open
+// watchUnresponsive triggers health checks of endpoints that send nothing although they have open
 // requests. The requests keep waiting, except streams that have a copy at another endpoint:
 // they resume there once the first endpoint is considered lost.
-func (d *directRouter) watchSilence(ctx context.Context) {
+func (d *directRouter) watchUnresponsive(ctx context.Context) {
 	tick := time.NewTicker(balance.UnresponsiveCheckInterval)
 	defer tick.Stop()
 	for {
@@ -29,8 +29,8 @@
 	}
 }
 
-// logSilentDomain logs when a failure domain becomes unresponsive and when it responds again.
-func (d *directRouter) logSilentDomain(e balance.DomainEvent) {
+// logDomainEvent logs when a failure domain becomes unresponsive and when it responds again.
+func (d *directRouter) logDomainEvent(e balance.DomainEvent) {
 	line := d.log.Warn().Str("failure_domain", e.FailureDomain).Str("of", e.Group)
 	if !e.Unresponsive {
 		line.Msg("failure domain responds again and is no longer avoided")
@@ -39,9 +39,9 @@
 	line.Int("endpoints", e.Endpoints).Msg("failure domain is avoided: none of its endpoints respond")
 }
 
-// registerSilentDomains registers the number of failure domains that are avoided because they
+// registerUnresponsiveDomains registers the number of failure domains that are avoided because they
 // don't respond.
-func (d *directRouter) registerSilentDomains() {
+func (d *directRouter) registerUnresponsiveDomains() {
 	d.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "coveferry_silent_failure_domains",
 		Help: "Failure domains of a service that get no new work, as nothing is heard of their endpoints.",
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -12,9 +12,9 @@
 	"coveferry/internal/limits"
 )
 
-// maxLimitHomes bounds the connections to the routers that keep the counts of team limits. A
+// maxLimitOwners bounds the connections to the routers that keep the counts of team limits. A
 // router that asks more of them in turn keeps reopening connections.
-const maxLimitHomes = 1024
+const maxLimitOwners = 1024
 
 // teamLimits enforces team limits together with the other routers.
 type teamLimits struct {
@@ -23,7 +23,7 @@
 }
 
 func newTeamLimits(id *identity.Identity, reg prometheus.Registerer, log zerolog.Logger) teamLimits {
-	pool := control.NewPool(control.ClientConfig{Identity: id, Log: log}, maxLimitHomes)
+	pool := control.NewPool(control.ClientConfig{Identity: id, Log: log}, maxLimitOwners)
 	return teamLimits{pool: pool, limiter: limits.New(limits.Config{
 		Name: id.Peer().Name, Sender: limits.NewSender(pool), Log: log, Metrics: reg,
 	})}
--- a/internal/filters/dispatch/direct.go
+++ b/internal/filters/dispatch/direct.go
@@ -92,8 +92,8 @@
 	r.Answer = resp
 	defer func() { r.Answer = nil }()
 	err = next(ctx, r)
-	if err != nil && errors.Is(context.Cause(ctx), errEndpointSilent) {
-		return &relay.BrokenError{Cause: errEndpointSilent}
+	if err != nil && errors.Is(context.Cause(ctx), errEndpointUnresponsive) {
+		return &relay.BrokenError{Cause: errEndpointUnresponsive}
 	}
 	return err
 }
--- a/internal/filters/dispatch/silent.go
+++ b/internal/filters/dispatch/silent.go
@@ -10,9 +10,9 @@
 	"coveferry/internal/request"
 )
 
-// errEndpointSilent ends an attempt at an endpoint that is considered lost although no
+// errEndpointUnresponsive ends an attempt at an endpoint that is considered lost although no
 // connection broke. The run resumes from its KV cache copy.
-var errEndpointSilent = errors.New("the endpoint has fallen silent; the run goes on from its copy")
+var errEndpointUnresponsive = errors.New("the endpoint is unresponsive; resuming the run from its copy")
 
 // copiedRuns holds, by endpoint, the attempts whose callers have received part of the
 // response and whose KV cache has a copy elsewhere. It is safe for concurrent use.
@@ -74,7 +74,7 @@
 	canceled := 0
 	for run := range f.copiedRuns.byEndpoint[endpoint] {
 		if inUse(run.copyEndpoint) {
-			run.cancel(errEndpointSilent)
+			run.cancel(errEndpointUnresponsive)
 			canceled++
 		}
 	}
--- a/internal/filters/limit/limit.go
+++ b/internal/filters/limit/limit.go
@@ -78,7 +78,7 @@
 
 // newError converts the limiter's error.
 func newError(t *bundle.Team, err error) error {
-	var reached *limits.ExceededError
+	var reached *limits.Error
 	if !errors.As(err, &reached) {
 		return err
 	}
--- a/internal/filters/quarantine/quarantine.go
+++ b/internal/filters/quarantine/quarantine.go
@@ -29,7 +29,7 @@
 
 // Error implements error.
 func (e *QuarantinedError) Error() string {
-	return fmt.Sprintf("quarantine: %d endpoints ended under this request; it is held back for %s", e.LossCount, e.RetryAfter)
+	return fmt.Sprintf("quarantine: %d endpoints crashed while running this request; it is quarantined for %s", e.LossCount, e.RetryAfter)
 }
 
 // API implements api.Convertible. The status promises that the request didn't run.
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -183,15 +183,15 @@
 // Leave makes the agent leave and tells the routers that it heard from.
 func (n *AgentNode) Leave() {
 	n.leave()
-	if n.goodbye != nil {
-		n.goodbye.Start()
+	if n.delivery != nil {
+		n.delivery.Start()
 	}
 }
 
 // leaveTaken waits until all routers have been told, if they are.
 func (n *AgentNode) leaveTaken() {
-	if n.goodbye != nil {
-		n.goodbye.Wait()
+	if n.delivery != nil {
+		n.delivery.Wait()
 	}
 }
 
--- a/internal/fleet/nodes.go
+++ b/internal/fleet/nodes.go
@@ -33,8 +33,8 @@
 	// Placement gives orders to the engine; nil without Spec.Placement.
 	Placement     *placement.Runner
 	stopPlacement func()
-	// goodbye tells routers that the agent leaves; nil if it tells none.
-	goodbye *membership.Delivery
+	// delivery tells routers that the agent leaves; nil if it tells none.
+	delivery *membership.Delivery
 }
 
 // Address is where the agent takes attempts.
@@ -112,7 +112,7 @@
 	handler := f.withPlacement(node, node.Agent.Handler())
 	if !f.spec.Membership.Silent && !f.spec.Profile.IgnoreMembership {
 		announcer := f.newAnnouncer(node, id)
-		node.goodbye = membership.NewDelivery(announcer)
+		node.delivery = membership.NewDelivery(announcer)
 		handler = announcer.Wrap(handler)
 	}
 	node.server, err = f.serve(anyPort, handler, id)
--- a/internal/follow/source.go
+++ b/internal/follow/source.go
@@ -58,7 +58,7 @@
 }
 
 // Store is the API of the service behind all sources. Since long answers take time, each call
-// reports received parts to its context to extend the timeout: see idle.Heard.
+// reports received parts to its context to extend the timeout: see idle.MarkActive.
 type Store interface {
 	// OperatorState reads all that the operator has set. If the error is ErrUnreadable,
 	// everything but the configuration is valid.
--- a/internal/jsonc/document.go
+++ b/internal/jsonc/document.go
@@ -53,7 +53,7 @@
 	return d, nil
 }
 
-// overlongKey returns the first key that is longer than MaxKey, nil if none is.
+// overlongKey returns the first key that is longer than MaxKeyLength, nil if none is.
 func overlongKey(v *hujson.Value) *hujson.Value {
 	switch node := v.Value.(type) {
 	case *hujson.Array:
--- a/internal/jsonc/path.go
+++ b/internal/jsonc/path.go
@@ -14,8 +14,8 @@
 
 func isPlain(key string) bool { return key != "" && plainKey.FindString(key) == key }
 
-// MemberPath returns the path of a member of the object at path.
-func MemberPath(path, key string) string {
+// KeyPath returns the path of a member of the object at path.
+func KeyPath(path, key string) string {
 	switch {
 	case !isPlain(key):
 		return path + "[" + strconv.Quote(key) + "]"
@@ -26,8 +26,8 @@
 	}
 }
 
-// ElementPath returns the path of an element of the list at path.
-func ElementPath(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
+// IndexPath returns the path of an element of the list at path.
+func IndexPath(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
 
 // chain represents a path as a linked list of steps, from the last one back to the first. It
 // is formatted only for a problem, since formatting the path of each value of a large document
@@ -47,9 +47,9 @@
 	case c == nil:
 		return ""
 	case c.last.isIndex:
-		return ElementPath(c.parent.String(), c.last.index)
+		return IndexPath(c.parent.String(), c.last.index)
 	default:
-		return MemberPath(c.parent.String(), c.last.key)
+		return KeyPath(c.parent.String(), c.last.key)
 	}
 }
 
--- a/internal/jsonc/property_test.go
+++ b/internal/jsonc/property_test.go
@@ -98,7 +98,7 @@
 	})
 }
 
-// shortKey stays below MaxKey even if every rune is escaped.
+// shortKey stays below MaxKeyLength even if every rune is escaped.
 var shortKey = rapid.StringN(0, jsonc.MaxKeyLength/8, -1)
 
 func drawSample(t *rapid.T, depth int) sample {
--- a/internal/limits/errors.go
+++ b/internal/limits/errors.go
@@ -6,8 +6,8 @@
 	"coveferry/internal/credit"
 )
 
-// ExceededError reports that a request exceeds a limit of its team.
-type ExceededError struct {
+// Error reports that a request exceeds a limit of its team.
+type Error struct {
 	// Kind is the kind of the limit.
 	Kind credit.Kind
 	// RetryAfter is the estimated time until a request can be admitted.
@@ -15,6 +15,4 @@
 }
 
 // Error implements error.
-func (e *ExceededError) Error() string {
-	return "limits: the limit of " + string(e.Kind) + " is reached"
-}
+func (e *Error) Error() string { return "limits: the limit of " + string(e.Kind) + " is reached" }
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -113,7 +113,7 @@
 	u := sh.usage(now, l.topology.Load(), team)
 	ticket, err := u.admit(now, tier)
 	if err != nil {
-		var exceeded *ExceededError
+		var exceeded *Error
 		if errors.As(err, &exceeded) {
 			l.metrics.refused.WithLabelValues(string(exceeded.Kind)).Inc()
 		}
--- a/internal/limits/peers.go
+++ b/internal/limits/peers.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// forgetAfter is the time after which an owner grants the share of a silent
+// forgetAfter is the time after which an owner grants the share of an unresponsive
 // holder to the others. The holder may have failed or may be using its fair
 // share behind a partition, which the owner can't distinguish.
 const forgetAfter = 30 * time.Second
@@ -34,7 +34,7 @@
 }
 
 // recordContact records a request of a holder and returns how many routers are
-// reachable. A holder that has been silent for a TTL after a non-empty request
+// reachable. A holder that has been unresponsive for a TTL after a non-empty request
 // is using its fair share and counts as unreachable.
 func (p *peerTracker) recordContact(now time.Time, name string, using bool, ttl time.Duration) reachability {
 	p.mu.Lock()
--- a/internal/limits/usage.go
+++ b/internal/limits/usage.go
@@ -97,7 +97,7 @@
 	u.markCold(now)
 	if u.concurrency != nil && !u.concurrency.start(now, tier) {
 		u.refused = true
-		return Ticket{}, &ExceededError{Kind: credit.KindConcurrency, RetryAfter: concurrencyRetryAfter}
+		return Ticket{}, &Error{Kind: credit.KindConcurrency, RetryAfter: concurrencyRetryAfter}
 	}
 	if err := u.checkRates(now, tier); err != nil {
 		u.refused = true
@@ -111,10 +111,10 @@
 
 func (u *usage) checkRates(now time.Time, tier int) error {
 	if u.tokens != nil && !u.tokens.ready(now, tier) {
-		return &ExceededError{Kind: credit.KindTokens, RetryAfter: u.tokens.retryAfter(now)}
+		return &Error{Kind: credit.KindTokens, RetryAfter: u.tokens.retryAfter(now)}
 	}
 	if u.requests != nil && !u.requests.allow(now, tier) {
-		return &ExceededError{Kind: credit.KindRequests, RetryAfter: u.requests.retryAfter(now)}
+		return &Error{Kind: credit.KindRequests, RetryAfter: u.requests.retryAfter(now)}
 	}
 	return nil
 }
--- a/internal/rollout/message.go
+++ b/internal/rollout/message.go
@@ -83,7 +83,7 @@
 
 func (r PeerReport) check() error {
 	if r.ID == "" || len(r.ID) > maxIDLength || len(r.DigestPrefix) > digestPrefixLength || !r.State.valid() || r.AgeMillis < 0 {
-		return errors.Wrap(ErrBadMessage, "peer report")
+		return errors.Wrap(ErrBadMessage, "sighting")
 	}
 	return nil
 }
@@ -109,7 +109,7 @@
 
 func checkReports(from PeerReport, others []PeerReport) error {
 	if len(others) > maxPeerReports {
-		return errors.Wrapf(ErrBadMessage, "%d peer reports", len(others))
+		return errors.Wrapf(ErrBadMessage, "%d sightings", len(others))
 	}
 	for _, r := range others {
 		if err := r.check(); err != nil {
@@ -159,7 +159,7 @@
 // Check implements control.Checker.
 func (u Update) Check() error {
 	if (u.Manifest == nil) == (u.Whole == nil) {
-		return errors.Wrap(ErrBadMessage, "an update holds either a manifest or a bundle file")
+		return errors.Wrap(ErrBadMessage, "an update is a manifest or a whole file")
 	}
 	if len(u.Sections) > maxSections {
 		return errors.Wrapf(ErrBadMessage, "%d sections", len(u.Sections))
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -92,7 +92,7 @@
 }
 
 // Verify verifies a signed manifest. It returns the errors of
-// bundle.OpenManifest.
+// bundle.AcceptManifest.
 func (s *Store) Verify(now time.Time, signed bundle.SignedManifest) (*VerifiedManifest, error) {
 	m, err := bundle.AcceptManifest(now, s.snapshot(), []byte(signed.Manifest), []byte(signed.Signature), s.keys)
 	if err != nil {
--- a/internal/server/plan.go
+++ b/internal/server/plan.go
@@ -18,11 +18,9 @@
 	QuietPeriod time.Duration
 }
 
-// HandoverDelay returns the time from the end of DrainTime to the handover. It is
+// HandoverAt returns the time from the end of DrainTime to the handover. It is
 // as late as possible, since requests that end before it need no handover.
-func (p ShutdownPlan) HandoverDelay() time.Duration {
-	return p.Grace - min(p.HandoverMargin, p.Grace/2)
-}
+func (p ShutdownPlan) HandoverAt() time.Duration { return p.Grace - min(p.HandoverMargin, p.Grace/2) }
 
 // Run executes the plan. drain makes the process refuse new requests, handOver
 // moves or ends the requests that still run, and stop closes the listener and
@@ -30,7 +28,7 @@
 func (p ShutdownPlan) Run(drain, handOver func(), stop func() error) error {
 	drain()
 	time.Sleep(p.DrainTime)
-	timer := time.AfterFunc(p.HandoverDelay(), handOver)
+	timer := time.AfterFunc(p.HandoverAt(), handOver)
 	defer timer.Stop()
 	return stop()
 }
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -59,7 +59,7 @@
 	var rows []row
 	for sf, value := range v.Fields() {
 		key, _, _ := strings.Cut(sf.Tag.Get("json"), ",")
-		fieldPath := jsonc.MemberPath(path, key)
+		fieldPath := jsonc.KeyPath(path, key)
 		_, isText := reflect.New(sf.Type).Interface().(encoding.TextUnmarshaler)
 		switch {
 		case sf.Anonymous:
