--- a/internal/agent/keys.go
+++ b/internal/agent/keys.go
@@ -50,13 +50,13 @@
 // keys guards the agent's KeyRegistry with a lock. Key times use the wall clock,
 // because it advances during every pause.
 type keys struct {
-	cfg    Keys
-	mu     sync.Mutex
-	keeper *once.KeyRegistry
+	cfg      Keys
+	mu       sync.Mutex
+	registry *once.KeyRegistry
 }
 
 func newKeys(cfg Keys, reg prometheus.Registerer) *keys {
-	k := &keys{cfg: cfg, keeper: once.New(cfg.Once, time.Now())}
+	k := &keys{cfg: cfg, registry: once.New(cfg.Once, time.Now())}
 	if reg != nil {
 		k.register(reg)
 	}
@@ -79,13 +79,13 @@
 func (k *keys) len() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.keeper.Len()
+	return k.registry.Len()
 }
 
 func (k *keys) pendingPeers() []once.Member {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.keeper.PendingMembers()
+	return k.registry.PendingMembers()
 }
 
 // UpdateKeyHomes makes the agent the home of the keys that the endpoints of a
@@ -94,7 +94,7 @@
 	view := once.ViewOf(s.Bundle())
 	ag.keys.mu.Lock()
 	defer ag.keys.mu.Unlock()
-	ag.keys.keeper.SetView(time.Now(), view)
+	ag.keys.registry.SetView(time.Now(), view)
 }
 
 // PendingPeers lists the endpoints whose agreement is missing before this agent
@@ -105,7 +105,7 @@
 func (ag *Agent) RemovePeer(m once.Member) {
 	ag.keys.mu.Lock()
 	defer ag.keys.mu.Unlock()
-	ag.keys.keeper.RecordGone(m)
+	ag.keys.registry.RecordGone(m)
 }
 
 // RunKeys removes old keys and queries other agents for their agreement, until
@@ -143,11 +143,11 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	k.keeper.Tick(now)
+	k.registry.Tick(now)
 	if k.cfg.Peers == nil {
 		return nil
 	}
-	return k.keeper.PendingQueries(now)
+	return k.registry.PendingQueries(now)
 }
 
 // queryPeer sends one query. A peer that doesn't answer is queried again in a
@@ -163,8 +163,8 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	k.keeper.HandleReply(now, q, answer)
-	k.keeper.Tick(now)
+	k.registry.HandleReply(now, q, answer)
+	k.registry.Tick(now)
 }
 
 func (k *keys) exchange(ctx context.Context, q once.OutgoingQuery) (once.ListReply, error) {
@@ -206,7 +206,7 @@
 		}
 	}
 	ag.keys.mu.Lock()
-	answer := ag.keys.keeper.HandleQuery(time.Now(), query)
+	answer := ag.keys.registry.HandleQuery(time.Now(), query)
 	ag.keys.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(answer) // on failure the peer sends the query again
@@ -218,7 +218,7 @@
 	return a.env.KeyIssuedMillis != 0 && !ag.cfg.Keys.SkipCheck
 }
 
-func (a *attempt) keyUse() once.Attempt {
+func (a *attempt) keyAttempt() once.Attempt {
 	return once.Attempt{
 		Target:  a.env.Target,
 		Team:    a.env.Team,
@@ -231,16 +231,16 @@
 // processKeyed is process for an attempt whose idempotency key must not have run
 // before.
 func (ag *Agent) processKeyed(ctx context.Context, a *attempt) (wire.Ending, *wire.Refusal) {
-	use := a.keyUse()
+	keyed := a.keyAttempt()
 	ag.keys.mu.Lock()
-	verdict := ag.keys.keeper.Admit(time.Now(), use)
+	decision := ag.keys.registry.Admit(time.Now(), keyed)
 	ag.keys.mu.Unlock()
-	if verdict.Refused != "" {
-		return "", keyRefusal(verdict)
+	if decision.Refused != "" {
+		return "", keyRefusal(decision)
 	}
 	ending, refusal := ag.process(ctx, a)
 	ag.keys.mu.Lock()
-	ag.keys.keeper.End(use, keyState(ending, refusal))
+	ag.keys.registry.End(keyed, keyState(ending, refusal))
 	ag.keys.mu.Unlock()
 	return ending, refusal
 }
@@ -253,7 +253,7 @@
 	}
 	ag.keys.mu.Lock()
 	defer ag.keys.mu.Unlock()
-	if ag.keys.keeper.Begin(time.Now(), a.keyUse()) {
+	if ag.keys.registry.Begin(time.Now(), a.keyAttempt()) {
 		return nil
 	}
 	return &engineError{Reason: wire.ReasonNotKeyHome, Cause: errKeyMoved}
--- a/internal/cli/rolloutcmd/status.go
+++ b/internal/cli/rolloutcmd/status.go
@@ -60,11 +60,11 @@
 	}
 	pool := control.NewPool(control.ClientConfig{Identity: id}, 0)
 	defer pool.Close()
-	surveyor := rollout.NewStatusClient(pool)
+	client := rollout.NewStatusClient(pool)
 	if c.Watch == 0 {
-		return c.show(env, surveyor)
+		return c.show(env, client)
 	}
-	return c.watch(env, surveyor)
+	return c.watch(env, client)
 }
 
 func (c *StatusCmd) validate() error {
--- a/internal/daemon/direct.go
+++ b/internal/daemon/direct.go
@@ -179,7 +179,7 @@
 	d.callers = server.New(server.Config{
 		Listener: l, Handler: http.HandlerFunc(d.router.ServeRouted),
 		HeaderTimeout: directHeaderTimeout, MaxHeaderBytes: directMaxHeaderBytes,
-		Grace: cfg.Bounds.StopWithin, QuietPeriod: directLinger, Log: log,
+		Grace: cfg.Bounds.StopWithin, QuietPeriod: directQuietPeriod, Log: log,
 	})
 	return d, nil
 }
--- a/internal/daemon/directreading_test.go
+++ b/internal/daemon/directreading_test.go
@@ -67,9 +67,9 @@
 	for _, within := range []time.Duration{2 * time.Second, 8 * time.Second, time.Minute} {
 		g := NewWithT(t)
 		p := stopPlan(within)
-		g.Expect(p.DrainTime).To(BeNumerically("<=", directNotice))
+		g.Expect(p.DrainTime).To(BeNumerically("<=", directDrainTime))
 		g.Expect(p.DrainTime + p.Grace).To(BeNumerically("<", within))
-		g.Expect(p.DrainTime + p.HandoverAt()).To(BeNumerically("<", within-directMargin))
-		g.Expect(p.Grace).To(BeNumerically(">", within/2-directMargin))
+		g.Expect(p.DrainTime + p.HandoverAt()).To(BeNumerically("<", within-directHandoverMargin))
+		g.Expect(p.Grace).To(BeNumerically(">", within/2-directHandoverMargin))
 	}
 }
--- a/internal/daemon/limits.go
+++ b/internal/daemon/limits.go
@@ -12,8 +12,8 @@
 	"coveferry/internal/limits"
 )
 
-// maxLimitOwners bounds the connections to the routers that keep the counts of team limits. A
-// router that asks more of them in turn keeps reopening connections.
+// maxLimitOwners bounds the connections to the owners of team limits. A router that calls more of
+// them in turn keeps reopening connections.
 const maxLimitOwners = 1024
 
 // teamLimits enforces team limits together with the other routers.
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -144,7 +144,7 @@
 		HeaderTimeout:  s.Limits.HeaderTimeout.Std(),
 		MaxHeaderBytes: int(s.Limits.MaxHeaderBytes),
 		Grace:          s.Shutdown.StreamsGrace.Std(),
-		QuietPeriod:    lingerTime,
+		QuietPeriod:    quietPeriod,
 		Log:            log,
 	}), nil
 }
@@ -152,9 +152,9 @@
 // endMargin is the time left at shutdown for telling callers that their responses end early.
 const endMargin = time.Second
 
-// lingerTime is how long a caller's connection must be idle before a stopping router closes
+// quietPeriod is how long a caller's connection must be idle before a stopping router closes
 // it.
-const lingerTime = time.Second
+const quietPeriod = time.Second
 
 func routerPlan(s settings.RouterShutdown) server.ShutdownPlan {
 	return server.ShutdownPlan{DrainTime: s.BalancerGrace.Std(), Grace: s.StreamsGrace.Std(), HandoverMargin: endMargin}
--- a/internal/fleet/leaving_test.go
+++ b/internal/fleet/leaving_test.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// At the last call an answer that may run twice is finished elsewhere, seen by
+// At the handover an answer that may run twice is finished elsewhere, seen by
 // its caller as one; one that must not stays until its end.
 func TestSessionHandOver(t *testing.T) {
 	sp := spec()
--- a/internal/request/request.go
+++ b/internal/request/request.go
@@ -64,7 +64,7 @@
 	TightGap bool
 	// TightGapEndpoints is the number of endpoints dedicated to such streams.
 	TightGapEndpoints int
-	// TokensPerEvent is the number of tokens per event of the answer (route.Engine.TokensPerEvent); 0
+	// TokensPerEvent is the number of tokens per event of the answer (route.Engine.Stride); 0
 	// if unknown.
 	TokensPerEvent int
 	// MaxRuns is the maximum number of endpoints at which the request may run; 0 uses the retry
