--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := engine.Expect(engine.PathChat, body)
+	answer, err := engine.ExpectedAnswer(engine.PathChat, body)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/bench/policy.go
+++ b/internal/bench/policy.go
@@ -126,7 +126,7 @@
 		if err != nil {
 			return nil, err
 		}
-		answer, err := engine.Expect(engine.PathChat, body)
+		answer, err := engine.ExpectedAnswer(engine.PathChat, body)
 		if err != nil {
 			return nil, errors.Wrapf(err, "expected answer to %s", a.ID)
 		}
--- a/internal/standin/configsvc/configsvc.go
+++ b/internal/standin/configsvc/configsvc.go
@@ -1,19 +1,18 @@
-// Package configsvc is a stand-in for the platform's configuration service,
+// Package configsvc is a stub of the platform's configuration service,
 // which the system can read and watch but not write.
 //
 // It imitates a key-value service with long polling, in the manner of Consul's
 // blocking queries and of HTTP entity tags: GET /v1/values/{key} answers with
-// the value, its version in ETag and X-Version, and 304 to If-None-Match with
-// the current version. With ?wait=VERSION the answer waits until there is a
-// later version than that, or for Config.MaxWait, after which it is 304. Each
-// call counts against one rate limit across all readers, a waiting watch as
-// one; beyond it the answer is 429. The service can be down, where it cuts all
-// connections, and it can be pinned to an old version, in reads and watches
-// alike.
+// the value and its version in ETag and X-Version, or with 304 if If-None-Match
+// holds the current version. With ?wait=VERSION the answer is delayed until
+// there is a later version, or for Config.MaxWait, after which it is 304. All
+// calls count against one rate limit shared by all readers, a watch as one call;
+// beyond it the answer is 429. The service can be taken down, which aborts all
+// connections, and pinned to an old version for both reads and watches.
 //
-// Publishing is a method and has no HTTP interface: nothing of the system can
-// write. Left out: authentication, listing, deletion, and replicas that differ
-// from each other; two Services make such replicas.
+// Publishing is a method without an HTTP interface, since the system can't
+// write. Left out: authentication, listing, deletion, and replicas with different
+// content; use two Services for those.
 package configsvc
 
 import (
@@ -30,7 +29,8 @@
 type Config struct {
 	// ReadsPerSecond limits the calls of all readers; 0 means 2,000.
 	ReadsPerSecond float64
-	// Burst is how many calls may come at once; 0 means a tenth of a second's.
+	// Burst is the number of calls allowed at once; 0 means a tenth of
+	// ReadsPerSecond.
 	Burst int
 	// MaxWait bounds how long a watch waits; 0 means 30 s.
 	MaxWait time.Duration
@@ -39,7 +39,7 @@
 const (
 	defaultReads   = 2000
 	defaultMaxWait = 30 * time.Second
-	burstShare     = 10
+	burstDivisor   = 10
 	// historyLimit is how many versions of a value are kept for Pin.
 	historyLimit = 64
 )
@@ -50,7 +50,7 @@
 // PathValues is the prefix of a value's path.
 const PathValues = "/v1/values/"
 
-// HeaderVersion carries the version of the value in an answer.
+// HeaderVersion holds the version of the value in an answer.
 const HeaderVersion = "X-Version"
 
 // The errors of Publish and Pin.
@@ -59,20 +59,20 @@
 	ErrUnknownVersion = errors.New("configsvc: this version of the value isn't kept")
 )
 
-// Stats counts the calls since the service was made.
+// Stats counts the calls since the service was created.
 type Stats struct {
-	// Calls counts all, Watches those with ?wait=, Limited those refused for
-	// the rate limit.
+	// Calls counts all calls, Watches those with ?wait=, Limited those
+	// rejected by the rate limit.
 	Calls       int   `json:"calls"`
 	Watches     int   `json:"watches"`
 	Limited     int   `json:"limited"`
 	NotModified int   `json:"not_modified"`
 	Bytes       int64 `json:"bytes"` // of values sent
-	// Waiting is how many watches wait now.
+	// Waiting is the number of watches waiting now.
 	Waiting int `json:"waiting"`
 }
 
-// Service is one stand-in service. It is safe for concurrent use.
+// Service is a stub service. It is safe for concurrent use.
 type Service struct {
 	cfg     Config
 	limiter *rate.Limiter
@@ -82,7 +82,7 @@
 	values  map[string][]version // oldest first
 	pinned  map[string]uint64
 	stats   Stats
-	changed chan struct{} // closed and renewed with each change
+	changed chan struct{} // closed and replaced with each change
 }
 
 type version struct {
@@ -90,13 +90,13 @@
 	data   []byte
 }
 
-// New returns a service that is up and holds nothing.
+// New returns a service that is up and has no values.
 func New(cfg Config) *Service {
 	if cfg.ReadsPerSecond == 0 {
 		cfg.ReadsPerSecond = defaultReads
 	}
 	if cfg.Burst == 0 {
-		cfg.Burst = max(1, int(cfg.ReadsPerSecond/burstShare))
+		cfg.Burst = max(1, int(cfg.ReadsPerSecond/burstDivisor))
 	}
 	if cfg.MaxWait == 0 {
 		cfg.MaxWait = defaultMaxWait
@@ -111,37 +111,37 @@
 	}
 }
 
-// Publish stores a new version of a value and returns its number, which begins
-// at 1 for each key. It fails with ErrTooLarge.
+// Publish stores a new version of a value and returns its number, which starts
+// at 1 for each key. It returns ErrTooLarge if the value exceeds ValueLimit.
 func (s *Service) Publish(key string, data []byte) (uint64, error) {
 	if len(data) > ValueLimit {
 		return 0, ErrTooLarge
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	kept := s.values[key]
+	versions := s.values[key]
 	next := version{number: 1, data: append([]byte(nil), data...)}
-	if len(kept) > 0 {
-		next.number = kept[len(kept)-1].number + 1
+	if len(versions) > 0 {
+		next.number = versions[len(versions)-1].number + 1
 	}
-	if len(kept) == historyLimit {
-		kept = kept[1:]
+	if len(versions) == historyLimit {
+		versions = versions[1:]
 	}
-	s.values[key] = append(kept, next)
-	s.notify()
+	s.values[key] = append(versions, next)
+	s.notifyWatches()
 	return next.number, nil
 }
 
-// Pin makes reads and watches of the key see this old version until Unpin. It
-// fails with ErrUnknownVersion if the version isn't kept any more.
+// Pin makes reads and watches of the key see this version until Unpin. It
+// returns ErrUnknownVersion if the version isn't kept.
 func (s *Service) Pin(key string, number uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := find(s.values[key], number); !ok {
+	if _, ok := findVersion(s.values[key], number); !ok {
 		return ErrUnknownVersion
 	}
 	s.pinned[key] = number
-	s.notify()
+	s.notifyWatches()
 	return nil
 }
 
@@ -150,11 +150,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.pinned, key)
-	s.notify()
+	s.notifyWatches()
 }
 
-// SetDown takes the service down, which cuts all watches, or up again.
-func (s *Service) SetDown(down bool) { s.gate.Shut(down) }
+// SetDown takes the service down, which aborts all watches, or brings it up.
+func (s *Service) SetDown(down bool) { s.gate.SetClosed(down) }
 
 // Stats returns the counts so far.
 func (s *Service) Stats() Stats {
@@ -163,13 +163,13 @@
 	return s.stats
 }
 
-func (s *Service) notify() {
+func (s *Service) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func find(kept []version, number uint64) (version, bool) {
-	for _, v := range kept {
+func findVersion(versions []version, number uint64) (version, bool) {
+	for _, v := range versions {
 		if v.number == number {
 			return v, true
 		}
--- a/internal/standin/configsvc/configsvc_test.go
+++ b/internal/standin/configsvc/configsvc_test.go
@@ -35,7 +35,7 @@
 	return reply
 }
 
-func TestReadsTheLatestVersionWithItsTag(t *testing.T) {
+func TestReadReturnsTheLatestVersionAndItsETag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, Config{})
 		h.Expect(h.get("").Status).To(gomega.Equal(http.StatusNotFound))
@@ -102,7 +102,7 @@
 	})
 }
 
-func TestDownCutsReadsAndWatches(t *testing.T) {
+func TestSetDownAbortsReadsAndWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(t, Config{})
 		h.publish("one")
--- a/internal/standin/configsvc/handler.go
+++ b/internal/standin/configsvc/handler.go
@@ -23,17 +23,17 @@
 		web.WriteError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if !s.allow(watch) {
+	if !s.allowCall(watch) {
 		w.Header().Set("Retry-After", "1")
 		web.WriteError(w, http.StatusTooManyRequests, "too many reads")
 		return
 	}
 	key := r.PathValue("key")
-	if watch && !s.awaitLater(r.Context(), key, wait) {
+	if watch && !s.waitForNewer(r.Context(), key, wait) {
 		s.writeUnchanged(w, key)
 		return
 	}
-	v, ok := s.visible(key)
+	v, ok := s.currentVersion(key)
 	if !ok {
 		web.WriteError(w, http.StatusNotFound, "no such value")
 		return
@@ -45,7 +45,8 @@
 	s.writeValue(w, v)
 }
 
-// waitParam returns the version that a watch has, and whether it is a watch.
+// waitParam returns the version that a watch already has, and whether the
+// request is a watch.
 func waitParam(r *http.Request) (uint64, bool, error) {
 	text := r.URL.Query().Get("wait")
 	if text == "" {
@@ -55,7 +56,7 @@
 	return wait, true, errors.Wrap(err, "wait")
 }
 
-func (s *Service) allow(watch bool) bool {
+func (s *Service) allowCall(watch bool) bool {
 	ok := s.limiter.Allow()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,34 +70,34 @@
 	return ok
 }
 
-// visible returns the version that readers see now.
-func (s *Service) visible(key string) (version, bool) {
+// currentVersion returns the version that readers see now.
+func (s *Service) currentVersion(key string) (version, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.visibleLocked(key)
+	return s.currentVersionLocked(key)
 }
 
-func (s *Service) visibleLocked(key string) (version, bool) {
-	kept := s.values[key]
+func (s *Service) currentVersionLocked(key string) (version, bool) {
+	versions := s.values[key]
 	if number, ok := s.pinned[key]; ok {
-		return find(kept, number)
+		return findVersion(versions, number)
 	}
-	if len(kept) == 0 {
+	if len(versions) == 0 {
 		return version{}, false
 	}
-	return kept[len(kept)-1], true
+	return versions[len(versions)-1], true
 }
 
-// awaitLater waits for a version later than number. It returns false if none
-// came in time.
-func (s *Service) awaitLater(ctx context.Context, key string, number uint64) bool {
+// waitForNewer waits for a version later than number. It returns false if there
+// is none within Config.MaxWait.
+func (s *Service) waitForNewer(ctx context.Context, key string, number uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.MaxWait)
 	defer cancel()
 	s.addWaiting(1)
 	defer s.addWaiting(-1)
 	for {
 		s.mu.Lock()
-		v, ok := s.visibleLocked(key)
+		v, ok := s.currentVersionLocked(key)
 		changed := s.changed
 		s.mu.Unlock()
 		if ok && v.number > number {
@@ -125,7 +126,7 @@
 
 func (s *Service) writeUnchanged(w http.ResponseWriter, key string) {
 	s.mu.Lock()
-	v, ok := s.visibleLocked(key)
+	v, ok := s.currentVersionLocked(key)
 	s.stats.NotModified++
 	s.mu.Unlock()
 	if ok {
@@ -141,5 +142,5 @@
 	setVersion(w, v.number)
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(v.data)))
-	_, _ = w.Write(v.data) // a reader that left needs no answer
+	_, _ = w.Write(v.data) // the reader may have disconnected
 }
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -38,7 +38,8 @@
 	lengthLimit  = 4096
 )
 
-// answer is what the engine says to one prompt; every engine says the same.
+// answer is the deterministic answer to one prompt; it is the same on every
+// engine.
 type answer struct {
 	key    uint64
 	length int // natural length in tokens, before max_tokens
@@ -65,9 +66,9 @@
 	return min(max(n, 1), lengthLimit)
 }
 
-// referenceMark begins the first token of every answer, which goes on with
-// eight hexadecimal digits of the answer's key. By it the engine finds where
-// an answer begins in a prompt that ends with a part of it.
+// referenceMark begins the first token of every answer, followed by eight
+// hexadecimal digits of the answer's key. The engine uses it to find where the
+// answer begins in a prompt that ends with part of its answer.
 const referenceMark = "ref:"
 
 // appendToken appends the i-th token's text.
@@ -76,40 +77,40 @@
 		return fmt.Appendf(buf, referenceMark+"%08x", uint32(a.key))
 	}
 	buf = append(buf, ' ')
-	return append(buf, vocabulary[mix(a.key+uint64(i))%uint64(len(vocabulary))]...)
+	return append(buf, vocabulary[splitMix64(a.key+uint64(i))%uint64(len(vocabulary))]...)
 }
 
-// cut is a place within an answer: so many whole tokens and the part of the
-// next one that was delivered already.
-type cut struct {
-	tokens int
-	part   int // bytes of the next token
+// answerPosition is an offset within an answer: a number of complete tokens and the
+// bytes of the next one that were already delivered.
+type answerPosition struct {
+	tokens       int
+	partialBytes int // bytes of the next token
 }
 
-// locate finds where text, a beginning of the answer, ends. It returns false
-// if text isn't a beginning.
-func (a answer) locate(text string) (cut, bool) {
+// locate returns the position in the answer at which text, a prefix of it,
+// ends. It returns false if text isn't a prefix.
+func (a answer) locate(text string) (answerPosition, bool) {
 	var buf []byte
 	for i := 0; ; i++ {
 		if text == "" {
-			return cut{tokens: i}, true
+			return answerPosition{tokens: i}, true
 		}
 		if i == a.length {
-			return cut{}, false
+			return answerPosition{}, false
 		}
 		buf = a.appendToken(buf[:0], i)
 		if len(text) < len(buf) {
-			return cut{tokens: i, part: len(text)}, string(buf[:len(text)]) == text
+			return answerPosition{tokens: i, partialBytes: len(text)}, string(buf[:len(text)]) == text
 		}
 		if text[:len(buf)] != string(buf) {
-			return cut{}, false
+			return answerPosition{}, false
 		}
 		text = text[len(buf):]
 	}
 }
 
-// mix is the finaliser of SplitMix64.
-func mix(x uint64) uint64 {
+// splitMix64 is the finalizer of SplitMix64.
+func splitMix64(x uint64) uint64 {
 	x *= 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Config describes one engine. Durations are those at speed 1.
+// Config describes one engine. Durations apply at speed 1.
 type Config struct {
 	// Models are served from the start; empty means DefaultModel alone.
 	Models []string
-	// Slots is how many sequences run at once; 0 means 8.
+	// Slots is the maximum number of running sequences; 0 means 8.
 	Slots int
 	// TokenTime is the time a decode step takes for one running sequence;
 	// 0 means 20 ms.
 	TokenTime time.Duration
-	// BatchSlope is what every further running sequence adds to a step.
+	// BatchSlope is the time that each further running sequence adds to a step.
 	BatchSlope time.Duration
-	// PrefillPerToken is what every prefilled token adds to a step.
+	// PrefillPerToken is the time that each prefilled token adds to a step.
 	PrefillPerToken time.Duration
 	// PrefillChunk bounds the tokens prefilled in one step; 0 means 512.
 	PrefillChunk int
-	// StreamInterval is how many tokens a stream sends at once after its
-	// first; 0 means 1. It is vLLM's option of that name, and saves the cost of
-	// a write for each token.
+	// StreamInterval is how many tokens a stream sends in one write after its
+	// first token; 0 means 1. It is vLLM's option of that name and avoids a
+	// write per token.
 	StreamInterval int
 	// PrefixCacheTokens bounds the prefix cache; 0 means no cache.
 	PrefixCacheTokens int
@@ -31,24 +31,24 @@
 	// MaxModelLen bounds prompt and answer of one request in tokens; it is
 	// KVTokens at most, and 0 means that.
 	MaxModelLen int
-	// LoadLag is the age of what /load reports.
+	// LoadLag is the age of the load that /load reports.
 	LoadLag time.Duration
 	// EventLag is the age at which a KV-cache event is published.
 	EventLag time.Duration
-	// EventLoss is the share of KV-cache events that are never published.
+	// EventLoss is the fraction of KV-cache events that are never published.
 	EventLoss float64
 	// LoadTime is how long an order to load a model or an adapter takes.
 	LoadTime time.Duration
-	// Seed decides which events are lost. It has no bearing on answers.
+	// Seed selects which events are dropped. It doesn't affect answers.
 	Seed uint64
 	// Speed divides the time that a step takes; 0 means 1.
 	Speed float64
-	// Priorities turns priority scheduling on; without it requests run in
-	// the order of their arrival whatever priority they state.
+	// Priorities enables priority scheduling; without it requests run in
+	// order of arrival, regardless of their priority.
 	Priorities bool
-	// Fenced says that orders with an old fencing number are refused.
+	// Fenced makes the engine reject orders with an outdated fencing number.
 	Fenced bool
-	// RecordLimit bounds the record of runs; 0 means 1,000,000.
+	// RecordLimit bounds the number of recorded runs; 0 means 1,000,000.
 	RecordLimit int
 }
 
@@ -75,7 +75,7 @@
 	setDefault(&c.KVTokens, c.Slots*defaultKVPerSlot)
 	setDefault(&c.KVBytesPerToken, defaultKVBytes)
 	setDefault(&c.MaxModelLen, c.KVTokens)
-	c.MaxModelLen = min(c.MaxModelLen, c.KVTokens) // one request always fits
+	c.MaxModelLen = min(c.MaxModelLen, c.KVTokens) // a single request always fits into KV memory
 	setDefault(&c.Speed, 1)
 	setDefault(&c.RecordLimit, defaultRecordLimit)
 	return c
--- a/internal/standin/engine/control.go
+++ b/internal/standin/engine/control.go
@@ -7,7 +7,8 @@
 	"coveferry/internal/standin/web"
 )
 
-// State is what /control/state answers: the switches, and what orders did.
+// State is the response of /control/state: injected faults, load, and the
+// effects of orders.
 type State struct {
 	Speed    float64       `json:"speed"`
 	Crashed  bool          `json:"crashed"`
@@ -24,7 +25,7 @@
 	Orders   []OrderRecord `json:"orders"`
 }
 
-// RecordReply is what /control/record answers.
+// RecordReply is the response of /control/record.
 type RecordReply struct {
 	Totals Totals `json:"totals"`
 	Runs   []Run  `json:"runs"`
@@ -35,15 +36,15 @@
 	Speed float64 `json:"speed"`
 }
 
-// State returns the present state, without any lag.
+// State returns the current state, without LoadLag.
 func (e *Engine) State() State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return State{
 		Speed:    e.speed,
-		Crashed:  e.crash,
+		Crashed:  e.isCrashed,
 		Paused:   e.paused,
-		Hung:     e.hang,
+		Hung:     e.hung,
 		Running:  len(e.running),
 		Waiting:  e.waiting.Len(),
 		KVUsed:   e.kvUsed,
@@ -56,7 +57,7 @@
 	}
 }
 
-// controls serves the switches; they work in every state of the engine.
+// controls serves /control/, in every state of the engine.
 func (e *Engine) controls() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/state", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -9,62 +9,62 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Engine is one stand-in engine. Its methods are safe for concurrent use.
+// Engine is a stub engine. Its methods are safe for concurrent use.
 type Engine struct {
 	cfg Config
 
-	mu      sync.Mutex
-	speed   float64
-	crash   bool
-	hang    bool
-	looping bool
-	arrived uint64
-	waiting waitQueue
-	running []*sequence
-	kvUsed  int
-	rec     recorder
-	load    *loadLog
-	prefix  *prefixCache
-	events  *eventLog
-	imports *simplelru.LRU[string, kvState]
-	assets  assets
-	orders  []OrderRecord
-
-	// crashed is closed by a crash and renewed by a restart.
+	mu        sync.Mutex
+	speed     float64
+	isCrashed bool
+	hung      bool
+	looping   bool
+	arrived   uint64
+	waiting   waitQueue
+	running   []*sequence
+	kvUsed    int
+	rec       recorder
+	load      *loadLog
+	prefix    *prefixCache
+	events    *eventLog
+	imports   *simplelru.LRU[string, kvState]
+	assets    assets
+	orders    []OrderRecord
+
+	// crashed is closed by a crash and replaced by a restart.
 	crashed chan struct{}
-	// thawed is closed unless the engine is paused.
-	thawed chan struct{}
-	paused bool
+	// unpaused is closed unless the engine is paused.
+	unpaused chan struct{}
+	paused   bool
 }
 
-// New returns an engine that is ready to serve. It has no goroutine while it
-// has nothing to do.
+// New returns an engine that is ready to serve. An idle engine runs no
+// goroutine.
 func New(cfg Config) *Engine {
 	cfg = cfg.withDefaults()
 	e := &Engine{
-		cfg:     cfg,
-		speed:   cfg.Speed,
-		rec:     newRecorder(cfg.RecordLimit),
-		waiting: waitQueue{priorities: cfg.Priorities},
-		crashed: make(chan struct{}),
-		thawed:  make(chan struct{}),
-		events:  newEventLog(cfg),
+		cfg:      cfg,
+		speed:    cfg.Speed,
+		rec:      newRecorder(cfg.RecordLimit),
+		waiting:  waitQueue{priorities: cfg.Priorities},
+		crashed:  make(chan struct{}),
+		unpaused: make(chan struct{}),
+		events:   newEventLog(cfg),
 	}
 	e.clearMemory()
-	close(e.thawed)
+	close(e.unpaused)
 	return e
 }
 
-// clearMemory puts everything that a crash loses in its first state.
+// clearMemory resets all state that a crash loses.
 func (e *Engine) clearMemory() {
 	e.load = newLoadLog(e.cfg.LoadLag)
 	e.prefix = newPrefixCache(e.cfg.PrefixCacheTokens)
 	e.assets = newAssets(e.cfg)
-	// The size is positive, which is all that NewLRU asks for.
+	// NewLRU fails only if the size isn't positive.
 	e.imports, _ = simplelru.NewLRU[string, kvState](importLimit, nil)
 }
 
-// Record returns the runs so far, in the order of their start.
+// Record returns the recorded runs, in order of their start.
 func (e *Engine) Record() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -84,7 +84,7 @@
 func (e *Engine) submit(req *request) (*sequence, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if err := e.check(req); err != nil {
+	if err := e.validate(req); err != nil {
 		return nil, err
 	}
 	e.arrived++
@@ -95,13 +95,14 @@
 		crashed: e.crashed,
 	}
 	e.waiting.push(s)
-	e.noteLoad(time.Now())
-	e.kick()
+	e.sampleLoad(time.Now())
+	e.startLoop()
 	return s, nil
 }
 
-// check refuses what the engine can't run.
-func (e *Engine) check(req *request) error {
+// validate rejects requests for an unknown model and prompts that exceed the
+// context length.
+func (e *Engine) validate(req *request) error {
 	if !e.serves(req.model) {
 		return notFound("The model `%s` does not exist.", req.model)
 	}
@@ -115,34 +116,35 @@
 
 func (e *Engine) serves(model string) bool { return e.assets.serves(model) }
 
-// cancel ends a sequence wherever it is; one that has ended stays as it is.
-func (e *Engine) cancel(s *sequence, how End) {
+// cancel ends a waiting or running sequence; it does nothing to one that has
+// ended.
+func (e *Engine) cancel(s *sequence, end End) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.finishNow(s, how)
+	e.finishNow(s, end)
 }
 
-func (e *Engine) finishNow(s *sequence, how End) {
+func (e *Engine) finishNow(s *sequence, end End) {
 	now := time.Now()
-	e.finish(s, now, how)
-	e.noteLoad(now)
+	e.finish(s, now, end)
+	e.sampleLoad(now)
 }
 
-// finish ends a sequence and frees what it holds.
-func (e *Engine) finish(s *sequence, now time.Time, how End) {
+// finish ends a sequence and frees its slot and KV memory.
+func (e *Engine) finish(s *sequence, now time.Time, end End) {
 	if s.end != EndNone {
 		return
 	}
-	s.end = how
+	s.end = end
 	if s.index >= 0 {
 		e.waiting.remove(s)
 	} else {
-		e.vacate(s)
+		e.releaseSlot(s)
 	}
 	if s.run == nil {
 		e.rec.totals.NeverStarted++
 	} else {
-		e.rec.end(s.run, now, how)
+		e.rec.end(s.run, now, end)
 	}
 	s.wake()
 }
@@ -170,17 +172,17 @@
 
 // Abort ends all sequences of a request and returns how many there were. Their
 // answers end with the finish reason "abort".
-func (e *Engine) Abort(id string, how End) int {
+func (e *Engine) Abort(id string, end End) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	found := e.find(id)
 	for _, s := range found {
-		e.finishNow(s, how)
+		e.finishNow(s, end)
 	}
 	return len(found)
 }
 
-// progress is what a handler may write now.
+// progress is how far a sequence has come, as its handler may report it.
 type progress struct {
 	produced int
 	cached   int
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -18,23 +18,23 @@
 	"coveferry/internal/standin/web/webtest"
 )
 
-// serve returns a client of the handler.
-func serve(t *testing.T, h http.Handler) *http.Client { return webtest.Serve(t, h).Client }
+// newClient returns a client of the handler.
+func newClient(t *testing.T, h http.Handler) *http.Client { return webtest.Serve(t, h).Client }
 
-// stream is what a client received of a streamed answer.
+// stream is the part of a streamed answer that a client received.
 type stream struct {
 	text   string
 	tokens int
 	reason string
 	done   bool
 	usage  *usage
-	first  time.Duration // until the first token
+	first  time.Duration // time to first token
 	total  time.Duration
 }
 
-var errStop = errors.New("the client stops reading")
+var errStoppedReading = errors.New("the client stops reading")
 
-// post sends body and reads the stream, until it ends or stopAfter tokens.
+// post sends body and reads the stream until it ends or stopAfter tokens arrived.
 func post(c *http.Client, path, body string, stopAfter int) (stream, error) {
 	return postAs(c, path, "", body, stopAfter, new(atomic.Int32))
 }
@@ -76,7 +76,7 @@
 		}
 		count.Store(int32(s.tokens))
 		if stopAfter > 0 && s.tokens == stopAfter {
-			return s, errStop
+			return s, errStoppedReading
 		}
 	}
 	return s, lines.Err()
@@ -111,19 +111,19 @@
 	return nil
 }
 
-// chatBody is a chat request with one message and further fields.
+// chatBody returns a chat request with one message and additional fields.
 func chatBody(prompt, more string) string {
 	return `{"model":"stand-in","stream":true,"messages":[{"role":"user","content":"` + prompt + `"}]` + more + `}`
 }
 
-func TestStreamsAWholeAnswer(t *testing.T) {
+func TestStreamsACompleteAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{TokenTime: 10 * time.Millisecond})
 		body := chatBody("review [[tokens=20]]", `,"stream_options":{"include_usage":true}`)
-		got, err := post(serve(t, e.Handler()), PathChat, body, 0)
+		got, err := post(newClient(t, e.Handler()), PathChat, body, 0)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
-		want, err := Expect(PathChat, []byte(body))
+		want, err := ExpectedAnswer(PathChat, []byte(body))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(got.text).To(gomega.Equal(want.Text))
 		g.Expect(got.tokens).To(gomega.Equal(20))
@@ -135,11 +135,11 @@
 	})
 }
 
-func TestCrashCutsAnswersWithoutAnEnd(t *testing.T) {
+func TestCrashAbortsAnswersMidStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{TokenTime: 10 * time.Millisecond})
-		c := serve(t, e.Handler())
+		c := newClient(t, e.Handler())
 		time.AfterFunc(105*time.Millisecond, e.Crash)
 		got, err := post(c, PathChat, chatBody("[[tokens=20]]", ""), 0)
 		g.Expect(err).To(gomega.MatchError(io.ErrUnexpectedEOF))
@@ -166,8 +166,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{TokenTime: 10 * time.Millisecond})
-		_, err := post(serve(t, e.Handler()), PathChat, chatBody("[[tokens=50]]", ""), 7)
-		g.Expect(err).To(gomega.MatchError(errStop))
+		_, err := post(newClient(t, e.Handler()), PathChat, chatBody("[[tokens=50]]", ""), 7)
+		g.Expect(err).To(gomega.MatchError(errStoppedReading))
 		time.Sleep(time.Second)
 		g.Expect(e.Record()).To(gomega.HaveLen(1))
 		g.Expect(e.Record()[0].End).To(gomega.Equal(EndCancelled))
--- a/internal/standin/engine/errors.go
+++ b/internal/standin/engine/errors.go
@@ -8,7 +8,7 @@
 	"coveferry/internal/standin/web"
 )
 
-// RequestError is a refusal as the engine answers it, in vLLM's form.
+// RequestError is an error answer of the engine, in vLLM's format.
 type RequestError struct {
 	Status  int
 	Type    string
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -15,10 +15,10 @@
 	EventCleared EventType = "AllBlocksCleared"
 )
 
-// Event says that blocks came into the prefix cache or went out of it.
+// Event reports blocks added to or removed from the prefix cache.
 type Event struct {
-	// Seq grows by one with each event, those that get lost included. It
-	// begins at 1 again after a crash.
+	// Seq grows by one with each event, including those that are dropped. It
+	// starts again at 1 after a crash.
 	Seq         uint64    `json:"seq"`
 	At          time.Time `json:"at"`
 	Type        EventType `json:"type"`
@@ -26,17 +26,18 @@
 	BlockSize   int       `json:"block_size"`
 }
 
-// eventLimit bounds the events that are kept for late readers.
+// eventLimit bounds the events kept for readers that lag behind.
 const eventLimit = 4096
 
-// eventLog holds events until they are due and for a while after.
+// eventLog holds events until they are due, and the latest of them for readers
+// that lag behind.
 type eventLog struct {
 	lag     time.Duration
 	loss    float64
 	rng     *rand.Rand
 	seq     uint64
 	events  []Event
-	changed chan struct{} // closed and renewed with each event
+	changed chan struct{} // closed and replaced with each event
 }
 
 func newEventLog(cfg Config) *eventLog {
@@ -65,14 +66,14 @@
 	l.changed = make(chan struct{})
 }
 
-// reset forgets everything, as a crash does.
+// reset drops all events and restarts the sequence numbers, as a crash does.
 func (l *eventLog) reset(now time.Time) {
 	l.seq = 0
 	l.events = nil
 	l.add(now, EventCleared, nil)
 }
 
-// eventPage is what a reader may see now and when to look again.
+// eventPage holds the events that are due and when to poll again.
 type eventPage struct {
 	events []Event
 	// wait is the time until the next event is due; negative if none is.
@@ -80,8 +81,8 @@
 	changed <-chan struct{}
 }
 
-// after returns the due events that follow seq. A reader that is ahead of the
-// engine has seen another life of it and begins anew.
+// after returns the due events that follow seq. If seq is ahead of the engine,
+// the engine has restarted since, and the reader starts from the first event.
 func (l *eventLog) after(seq uint64, now time.Time) eventPage {
 	if seq > l.seq {
 		seq = 0
--- a/internal/standin/engine/extras.go
+++ b/internal/standin/engine/extras.go
@@ -12,8 +12,8 @@
 	"coveferry/internal/standin/web"
 )
 
-// HeaderKVTokens tells how many tokens an exported KV cache covers, and
-// HeaderProduced how many tokens the exported run had produced.
+// HeaderKVTokens holds the number of tokens that an exported KV cache covers,
+// and HeaderProduced the number that the exported run had produced.
 const (
 	HeaderKVTokens = "X-KV-Tokens"
 	HeaderProduced = "X-Produced-Tokens"
@@ -22,12 +22,12 @@
 // AbortRequest is the body of a request to PathAbort.
 type AbortRequest struct {
 	RequestID string `json:"request_id"`
-	// Reason is put in the record as the run's end: "preempted", or
-	// "cancelled", which an empty one means too.
+	// Reason is recorded as the run's end: "preempted" or "cancelled"; empty
+	// means "cancelled".
 	Reason End `json:"reason,omitempty"`
 }
 
-// AbortReply tells how many runs of the request were aborted.
+// AbortReply holds the number of aborted sequences of the request.
 type AbortReply struct {
 	Aborted int `json:"aborted"`
 }
@@ -35,11 +35,11 @@
 // ExportRequest is the body of a request to PathExport.
 type ExportRequest struct {
 	RequestID string `json:"request_id"`
-	// Keep lets the run go on after the export.
+	// Keep lets the run continue after the export.
 	Keep bool `json:"keep,omitempty"`
 }
 
-// ImportReply tells for which request a cache was imported.
+// ImportReply names the request that a cache was imported for.
 type ImportReply struct {
 	RequestID string `json:"request_id"`
 	Tokens    int    `json:"tokens"`
@@ -90,7 +90,7 @@
 		return
 	}
 	err = e.order(o)
-	if errors.Is(err, errCut) || !e.awaitUp(r.Context()) {
+	if errors.Is(err, errTruncated) || !e.waitUntilUp(r.Context()) {
 		panic(http.ErrAbortHandler)
 	}
 	if err != nil {
@@ -115,11 +115,11 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(out.blob)))
 	w.Header().Set(HeaderKVTokens, strconv.Itoa(out.tokens))
 	w.Header().Set(HeaderProduced, strconv.Itoa(out.produced))
-	_, _ = w.Write(out.blob) // a client that left needs no answer
+	_, _ = w.Write(out.blob) // the client may have disconnected
 }
 
-// serveImport takes a cache for the request that goes on with it, which
-// ?request_id= names if its id differs from that of the exported run.
+// serveImport stores a cache for the request that continues the exported run.
+// ?request_id= names that request if its id differs from the exported one's.
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
 	blob, err := readAll(w, r)
 	if err != nil {
@@ -134,8 +134,8 @@
 	web.WriteJSON(w, http.StatusOK, ImportReply{RequestID: state.RequestID, Tokens: state.Tokens})
 }
 
-// serveEvents streams the KV-cache events that follow ?after=, and goes on
-// with new ones unless ?follow=false.
+// serveEvents streams the KV-cache events that follow ?after= and then new
+// ones, unless ?follow=false.
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := afterParam(r)
 	if err != nil {
@@ -158,13 +158,13 @@
 		if err := ctl.Flush(); err != nil || !follow {
 			return
 		}
-		if !awaitEvents(r, page, crashed) || !e.awaitUp(r.Context()) {
+		if !awaitEvents(r, page, crashed) || !e.waitUntilUp(r.Context()) {
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// afterParam is the sequence number of the last event that the reader has.
+// afterParam returns the sequence number of the last event that the reader has.
 func afterParam(r *http.Request) (uint64, error) {
 	text := r.URL.Query().Get("after")
 	if text == "" {
@@ -184,14 +184,14 @@
 }
 
 func writeEvent(w http.ResponseWriter, ev Event) {
-	data, _ := json.Marshal(ev) // the type has nothing that fails
+	data, _ := json.Marshal(ev) // an Event can always be encoded
 	m := sse.Message{ID: sse.ID(strconv.FormatUint(ev.Seq, 10)), Type: sse.Type(string(ev.Type))}
 	m.AppendData(string(data))
-	_, _ = m.WriteTo(w) // the flush that follows tells of a failure
+	_, _ = m.WriteTo(w) // the following flush reports a failed write
 }
 
 // awaitEvents waits until there may be more events. It returns false if the
-// reader left or the engine crashed.
+// reader disconnected or the engine crashed.
 func awaitEvents(r *http.Request, page eventPage, crashed <-chan struct{}) bool {
 	var due <-chan time.Time
 	changed := page.changed
@@ -199,7 +199,7 @@
 		timer := time.NewTimer(page.wait)
 		defer timer.Stop()
 		due = timer.C
-		changed = nil // events are due in their order
+		changed = nil // events become due in sequence order
 	}
 	select {
 	case <-due:
--- a/internal/standin/engine/handler.go
+++ b/internal/standin/engine/handler.go
@@ -27,32 +27,32 @@
 	api.HandleFunc("POST "+PathOrders, e.serveOrder)
 	api.HandleFunc("POST "+PathAbort, e.serveAbort)
 	root := e.controls()
-	root.Handle("/", e.alive(api))
+	root.Handle("/", e.requireUp(api))
 	return root
 }
 
-// alive lets requests through while the engine is up, holds them while it is
-// paused, and cuts their connection when it is crashed.
-func (e *Engine) alive(next http.Handler) http.Handler {
+// requireUp passes requests on while the engine is up, blocks them while it is
+// paused, and aborts their connections while it is crashed.
+func (e *Engine) requireUp(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !e.awaitUp(r.Context()) {
+		if !e.waitUntilUp(r.Context()) {
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// awaitUp waits while the engine is paused. It returns false if the engine is
-// crashed or the caller has left.
-func (e *Engine) awaitUp(ctx context.Context) bool {
+// waitUntilUp blocks while the engine is paused. It returns false if the engine
+// is crashed or the caller has disconnected.
+func (e *Engine) waitUntilUp(ctx context.Context) bool {
 	e.mu.Lock()
-	thawed, crashed, crash := e.thawed, e.crashed, e.crash
+	unpaused, crashed, isCrashed := e.unpaused, e.crashed, e.isCrashed
 	e.mu.Unlock()
-	if crash {
+	if isCrashed {
 		return false
 	}
 	select {
-	case <-thawed:
+	case <-unpaused:
 		return true
 	case <-crashed:
 		return false
@@ -83,7 +83,7 @@
 		return
 	}
 	defer e.cancel(s, EndCancelled)
-	out := newReply(w, req)
+	out := newResponseWriter(w, req)
 	if err := e.relay(r.Context(), s, out); err != nil {
 		panic(http.ErrAbortHandler)
 	}
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	req, err := parseRequest(chat, body)
-	if errors.Is(err, errNotBeginning) {
+	if errors.Is(err, errResumeMismatch) {
 		e.countMismatch()
 	}
 	if err != nil {
@@ -115,7 +115,7 @@
 	e.rec.totals.Mismatches++
 }
 
-// readAll returns the request's whole body.
+// readAll returns the request's body.
 func readAll(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyLimit))
 	if err != nil {
@@ -124,11 +124,11 @@
 	return body, nil
 }
 
-// errCut says that an answer ends without its end.
-var errCut = errors.New("engine: the answer is cut off")
+// errTruncated marks an answer that is cut off by a crash.
+var errTruncated = errors.New("engine: the answer is cut off")
 
 // relay writes a sequence's tokens as they are produced.
-func (e *Engine) relay(ctx context.Context, s *sequence, out *reply) error {
+func (e *Engine) relay(ctx context.Context, s *sequence, out *responseWriter) error {
 	if err := out.begin(); err != nil {
 		return err
 	}
@@ -136,16 +136,16 @@
 		select {
 		case <-s.notify:
 		case <-s.crashed:
-			return errCut
+			return errTruncated
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if !e.awaitUp(ctx) {
-			return errCut
+		if !e.waitUntilUp(ctx) {
+			return errTruncated
 		}
 		p := e.progress(s)
 		if p.end == EndCrashed {
-			return errCut
+			return errTruncated
 		}
 		if err := out.write(p); err != nil {
 			return err
--- a/internal/standin/engine/load.go
+++ b/internal/standin/engine/load.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// LoadReport is what /load answers.
+// LoadReport is the response of /load.
 type LoadReport struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	Slots   int `json:"slots"`
 	KVUsed  int `json:"kv_used"` // tokens
-	// At is the moment that the report describes.
+	// At is the time that the report describes.
 	At time.Time `json:"at"`
 }
 
-// loadLog keeps the load of the recent past. It divides time into buckets and
-// keeps the last sample of each, so that its size is bounded.
+// loadLog keeps recent load samples. It divides time into buckets and keeps the
+// last sample of each, so that its size is bounded.
 type loadLog struct {
 	lag     time.Duration
 	bucket  time.Duration
@@ -43,16 +43,17 @@
 	return a.Truncate(l.bucket).Equal(b.Truncate(l.bucket))
 }
 
-// trim drops samples that a newer one, itself old enough, has replaced.
+// trim drops samples that are superseded by a newer one older than the lag.
 func (l *loadLog) trim(now time.Time) {
-	n := l.visible(now)
+	n := l.visibleCount(now)
 	if n > bucketsPerLag {
 		l.samples = append([]LoadReport(nil), l.samples[n-1:]...)
 	}
 }
 
-// visible is how many samples are older than the lag.
-func (l *loadLog) visible(now time.Time) int {
+// visibleCount returns the number of samples that are at least as old as the
+// lag.
+func (l *loadLog) visibleCount(now time.Time) int {
 	n := len(l.samples)
 	for n > 0 && l.samples[n-1].At.After(now.Add(-l.lag)) {
 		n--
@@ -63,7 +64,7 @@
 // report returns the load as it was one lag ago.
 func (l *loadLog) report(now time.Time, slots int) LoadReport {
 	r := LoadReport{Slots: slots}
-	if n := l.visible(now); n > 0 {
+	if n := l.visibleCount(now); n > 0 {
 		r = l.samples[n-1]
 	}
 	r.At = now.Add(-l.lag)
@@ -77,8 +78,8 @@
 	return e.load.report(time.Now(), e.cfg.Slots)
 }
 
-// noteLoad samples the present load.
-func (e *Engine) noteLoad(now time.Time) {
+// sampleLoad records the current load.
+func (e *Engine) sampleLoad(now time.Time) {
 	e.load.add(LoadReport{
 		Running: len(e.running),
 		Waiting: e.waiting.Len(),
--- a/internal/standin/engine/loop.go
+++ b/internal/standin/engine/loop.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// catchUp bounds how far the decode loop may lag behind its schedule and still
-// make up for it. It evens out late timers; a longer pause isn't made up for.
-const catchUp = 50 * time.Millisecond
+// maxCatchUp bounds the delay that the decode loop makes up for with shorter
+// waits. It compensates for late timers, but not for longer pauses.
+const maxCatchUp = 50 * time.Millisecond
 
-// kick starts the decode loop if there is work and nothing stops it.
-func (e *Engine) kick() {
+// startLoop starts the decode loop unless it runs already or can't make
+// progress.
+func (e *Engine) startLoop() {
 	if e.looping || !e.canStep() {
 		return
 	}
@@ -17,11 +18,10 @@
 
 func (e *Engine) canStep() bool {
 	idle := len(e.running) == 0 && e.waiting.Len() == 0
-	return !idle && !e.crash && !e.paused && !e.hang
+	return !idle && !e.isCrashed && !e.paused && !e.hung
 }
 
-// decode runs step after step until there is no work left or the engine
-// crashes.
+// decode runs steps until there is no more work or the engine crashes.
 func (e *Engine) decode(crashed chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -45,43 +45,43 @@
 	}
 }
 
-// schedule returns when a step that follows one due at last is due.
+// schedule returns the end of the step that follows one due at last.
 func schedule(last, now time.Time, cost time.Duration) time.Time {
-	if oldest := now.Add(-catchUp); last.Before(oldest) {
+	if oldest := now.Add(-maxCatchUp); last.Before(oldest) {
 		last = oldest
 	}
 	return last.Add(cost)
 }
 
-// beginStep fills the free slots and returns how long the step takes.
+// beginStep admits waiting sequences and returns the duration of the step.
 func (e *Engine) beginStep(crashed chan struct{}) (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.live(crashed) {
+	if !e.loopActive(crashed) {
 		return 0, false
 	}
 	now := time.Now()
 	e.admit(now)
-	e.noteLoad(now)
+	e.sampleLoad(now)
 	return e.stepTime(), true
 }
 
-// endStep gives every running sequence the step's result.
+// endStep applies the step's result to every running sequence.
 func (e *Engine) endStep(crashed chan struct{}, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.live(crashed) {
+	if !e.loopActive(crashed) {
 		return false
 	}
 	e.advance(now)
-	e.trim()
-	e.noteLoad(now)
+	e.preemptUntilFits()
+	e.sampleLoad(now)
 	return true
 }
 
-// live says whether a loop goes on, and notes it if not. The channel tells it
-// from the loops before a crash, which have no say any more.
-func (e *Engine) live(crashed chan struct{}) bool {
+// loopActive reports whether the loop started with this channel continues, and
+// updates looping. Loops started before a crash hold another channel and stop.
+func (e *Engine) loopActive(crashed chan struct{}) bool {
 	if crashed != e.crashed {
 		return false
 	}
@@ -96,7 +96,7 @@
 	return time.Duration(float64(t) / e.speed)
 }
 
-// prefillDue is how many tokens the next step prefills.
+// prefillDue returns the number of tokens that the next step prefills.
 func (e *Engine) prefillDue() int {
 	due := 0
 	for _, s := range e.running {
@@ -105,8 +105,8 @@
 	return min(due, e.cfg.PrefillChunk)
 }
 
-// advance does one step: a chunk of prefill, shared in the order of admission,
-// and one token for every sequence whose context is complete.
+// advance computes one step: a chunk of prefill, assigned in order of admission,
+// and one token for every sequence whose prefill is complete.
 func (e *Engine) advance(now time.Time) {
 	budget := e.cfg.PrefillChunk
 	batch := e.running
@@ -116,7 +116,7 @@
 		if s.pending > 0 {
 			continue
 		}
-		e.emit(s)
+		e.emitToken(s)
 		if s.produced >= s.req.tokens() {
 			e.finish(s, now, EndCompleted)
 			batch = e.running
@@ -135,27 +135,27 @@
 	s.run.Prefilled += n
 	e.rec.totals.Prefilled += n
 	if s.pending == 0 {
-		e.keep(s)
+		e.cacheBlocks(s)
 	}
 	return n
 }
 
-// emit gives a sequence its next token. A resumed answer that was complete
-// already has none left.
-func (e *Engine) emit(s *sequence) {
+// emitToken produces a sequence's next token. A resumed answer that was already
+// complete has none left.
+func (e *Engine) emitToken(s *sequence) {
 	if s.produced >= s.req.tokens() {
 		return
 	}
 	s.produced++
 	s.run.Produced++
 	e.rec.totals.Produced++
-	e.hold(s, 1)
+	e.reserveKV(s, 1)
 	if s.produced == 1 || s.produced%e.cfg.StreamInterval == 0 {
 		s.wake()
 	}
 }
 
-func (e *Engine) hold(s *sequence, tokens int) {
-	s.held += tokens
+func (e *Engine) reserveKV(s *sequence, tokens int) {
+	s.kvTokens += tokens
 	e.kvUsed += tokens
 }
--- a/internal/standin/engine/memory.go
+++ b/internal/standin/engine/memory.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// admit moves waiting sequences into free slots, at the cost of running ones
-// of lower priority if the engine schedules by priority.
+// admit moves waiting sequences into free slots. With priority scheduling it
+// preempts running sequences of lower priority.
 func (e *Engine) admit(now time.Time) {
 	for {
 		s := e.waiting.first()
 		if s == nil {
 			return
 		}
-		if e.room(s) {
+		if e.hasCapacity(s) {
 			e.start(e.waiting.pop(), now)
 			continue
 		}
@@ -20,67 +20,68 @@
 	}
 }
 
-// room says whether a slot and KV memory are free for the sequence.
-func (e *Engine) room(s *sequence) bool {
+// hasCapacity reports whether a slot and enough KV memory are free for the
+// sequence.
+func (e *Engine) hasCapacity(s *sequence) bool {
 	if len(e.running) == 0 {
 		return true
 	}
 	return len(e.running) < e.cfg.Slots && e.kvUsed+s.contextTokens() < e.cfg.KVTokens
 }
 
-// preemptFor preempts one running sequence of lower priority, if the sequence
-// gets room by preempting such ones alone.
+// preemptFor preempts one running sequence of lower priority, if preempting
+// only such sequences can free enough capacity.
 func (e *Engine) preemptFor(s *sequence) bool {
-	if !e.cfg.Priorities || !e.winnable(s) {
+	if !e.cfg.Priorities || !e.preemptionSuffices(s) {
 		return false
 	}
-	e.preempt(e.worst())
+	e.preempt(e.lastInOrder())
 	return true
 }
 
-// winnable says whether all running sequences of lower priority together hold
-// a slot and the KV memory that the sequence lacks.
-func (e *Engine) winnable(s *sequence) bool {
+// preemptionSuffices reports whether preempting all running sequences of lower
+// priority would free a slot and the KV memory that the sequence needs.
+func (e *Engine) preemptionSuffices(s *sequence) bool {
 	slots := e.cfg.Slots - len(e.running)
 	memory := e.cfg.KVTokens - e.kvUsed
 	for _, other := range e.running {
 		if other.req.priority > s.req.priority {
 			slots++
-			memory += other.held
+			memory += other.kvTokens
 		}
 	}
 	return slots > 0 && memory > s.contextTokens()
 }
 
-// worst is the running sequence that is served last of all.
-func (e *Engine) worst() *sequence {
+// lastInOrder returns the running sequence that is last in serving order.
+func (e *Engine) lastInOrder() *sequence {
 	worst := e.running[0]
 	for _, s := range e.running[1:] {
-		if before(e.cfg.Priorities, worst, s) {
+		if servedBefore(e.cfg.Priorities, worst, s) {
 			worst = s
 		}
 	}
 	return worst
 }
 
-// preempt puts a running sequence back in the queue. It goes on later where it
-// was, after its context is computed again as far as the cache has lost it.
+// preempt returns a running sequence to the queue. It resumes later from the
+// same token, after the parts of its context that are no longer cached are
+// recomputed.
 func (e *Engine) preempt(s *sequence) {
 	s.run.Preemptions++
 	e.rec.totals.Preemptions++
-	e.vacate(s)
+	e.releaseSlot(s)
 	e.waiting.push(s)
 }
 
-// trim preempts sequences while the running ones need more KV memory than
-// there is.
-func (e *Engine) trim() {
+// preemptUntilFits preempts sequences until the running ones fit into KV memory.
+func (e *Engine) preemptUntilFits() {
 	for e.kvUsed > e.cfg.KVTokens && len(e.running) > 1 {
-		e.preempt(e.worst())
+		e.preempt(e.lastInOrder())
 	}
 }
 
-// start gives a sequence a slot.
+// start assigns a slot to a sequence.
 func (e *Engine) start(s *sequence, now time.Time) {
 	e.running = append(e.running, s)
 	if s.run == nil {
@@ -88,8 +89,8 @@
 		e.rec.start(s.run)
 	}
 	tokens := s.contextTokens()
-	e.hold(s, tokens)
-	s.cached = min(e.reusable(s), tokens-1) // the last token is always computed
+	e.reserveKV(s, tokens)
+	s.cached = min(e.reusableTokens(s), tokens-1) // the last token is always computed
 	s.pending = tokens - s.cached
 }
 
@@ -100,41 +101,43 @@
 		Model:          req.model,
 		Priority:       req.priority,
 		Start:          now,
-		ResumedTokens:  req.from.tokens,
+		ResumedTokens:  req.resumeAt.tokens,
 	}
 }
 
-// reusable is how many tokens of the sequence's context needn't be computed.
-func (e *Engine) reusable(s *sequence) int {
+// reusableTokens returns the number of tokens of the sequence's context that are
+// cached or imported.
+func (e *Engine) reusableTokens(s *sequence) int {
 	if e.prefix == nil && e.imports.Len() == 0 {
 		return 0
 	}
 	blocks := e.contextBlocks(s)
 	cached := e.prefix.match(blocks) * BlockTokens
-	return max(cached, e.takeImport(s, blocks))
+	return max(cached, e.consumeImport(s, blocks))
 }
 
-// contextBlocks are the hashes of the sequence's context with all that was
-// produced.
+// contextBlocks returns the block hashes of the sequence's context, including
+// the produced tokens.
 func (e *Engine) contextBlocks(s *sequence) []uint64 {
 	return BlockHashes(s.req.model, s.text())
 }
 
-// vacate takes a sequence out of its slot; its blocks go to the prefix cache.
-func (e *Engine) vacate(s *sequence) {
+// releaseSlot removes a sequence from its slot and stores its blocks in the
+// prefix cache.
+func (e *Engine) releaseSlot(s *sequence) {
 	for i, other := range e.running {
 		if other == s {
 			e.running = append(e.running[:i], e.running[i+1:]...)
 			break
 		}
 	}
-	e.kvUsed -= s.held
-	s.held = 0
-	e.keep(s)
+	e.kvUsed -= s.kvTokens
+	s.kvTokens = 0
+	e.cacheBlocks(s)
 }
 
-// keep stores the computed blocks of a sequence in the prefix cache.
-func (e *Engine) keep(s *sequence) {
+// cacheBlocks stores the computed blocks of a sequence in the prefix cache.
+func (e *Engine) cacheBlocks(s *sequence) {
 	if e.prefix == nil {
 		return
 	}
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// OrderKind is what an order asks for.
+// OrderKind is the kind of change that an order requests.
 type OrderKind string
 
 // The kinds of orders.
@@ -26,17 +26,17 @@
 	Fence uint64 `json:"fence"`
 }
 
-// OrderRecord is an order as the engine received it.
+// OrderRecord is a received order and whether it was accepted.
 type OrderRecord struct {
 	Order
 	At       time.Time `json:"at"`
 	Accepted bool      `json:"accepted"`
 }
 
-// orderRecordLimit bounds the orders that are remembered, the newest ones.
+// orderRecordLimit is the number of latest orders that are always kept.
 const orderRecordLimit = 10_000
 
-// assets are what orders change.
+// assets holds the state that orders change.
 type assets struct {
 	models   []string
 	adapters []string
@@ -75,7 +75,7 @@
 	return append(names, name)
 }
 
-func (o Order) check() error {
+func (o Order) validate() error {
 	switch o.Kind {
 	case OrderLoadModel, OrderUnloadModel, OrderLoadAdapter, OrderSetVersion, OrderSetRole:
 	default:
@@ -87,37 +87,37 @@
 	return nil
 }
 
-// loads says whether the order takes Config.LoadTime.
-func (o Order) loads() bool {
+// takesLoadTime reports whether the order takes Config.LoadTime.
+func (o Order) takesLoadTime() bool {
 	return o.Kind == OrderLoadModel || o.Kind == OrderLoadAdapter
 }
 
-// order carries an order out, after the time it takes.
+// order executes an order after its load time.
 func (e *Engine) order(o Order) error {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return err
 	}
 	e.mu.Lock()
 	accepted := e.passesFence(o)
-	e.noteOrder(o, accepted)
+	e.recordOrder(o, accepted)
 	crashed := e.crashed
 	e.mu.Unlock()
 	if !accepted {
 		return errFenced
 	}
-	if o.loads() {
-		if err := e.spend(e.cfg.LoadTime, crashed); err != nil {
+	if o.takesLoadTime() {
+		if err := e.waitUnlessCrashed(e.cfg.LoadTime, crashed); err != nil {
 			return err
 		}
 	}
 	return e.applyOrder(o)
 }
 
-// errFenced refuses an order whose fencing number is old.
+// errFenced rejects an order with an outdated fencing number.
 var errFenced = conflict("the order's fencing number is old")
 
-// passesFence raises the highest fencing number seen, if engines of this kind
-// look at it at all.
+// passesFence checks the order's fencing number against the highest one seen
+// and updates the latter. Engines without Config.Fenced accept every order.
 func (e *Engine) passesFence(o Order) bool {
 	if !e.cfg.Fenced {
 		return true
@@ -129,26 +129,28 @@
 	return true
 }
 
-func (e *Engine) noteOrder(o Order, accepted bool) {
+func (e *Engine) recordOrder(o Order, accepted bool) {
 	e.orders = append(e.orders, OrderRecord{Order: o, At: time.Now(), Accepted: accepted})
 	if len(e.orders) > 2*orderRecordLimit {
 		e.orders = slices.Clone(e.orders[orderRecordLimit:])
 	}
 }
 
-// spend waits for d unless the engine crashes meanwhile.
-func (e *Engine) spend(d time.Duration, crashed <-chan struct{}) error {
+// waitUnlessCrashed waits for d. It returns errTruncated if the engine crashes
+// first.
+func (e *Engine) waitUnlessCrashed(d time.Duration, crashed <-chan struct{}) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return nil
 	case <-crashed:
-		return errCut
+		return errTruncated
 	}
 }
 
-// applyOrder makes the order's effect unless a newer one came while it loaded.
+// applyOrder applies the order unless one with a higher fencing number arrived
+// during its load time.
 func (e *Engine) applyOrder(o Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine/prefix.go
+++ b/internal/standin/engine/prefix.go
@@ -7,13 +7,13 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// BlockTokens is how many tokens one block of the prefix cache holds.
+// BlockTokens is the number of tokens in one block of the prefix cache.
 const BlockTokens = 16
 
 const blockBytes = BlockTokens * bytesPerToken
 
-// BlockHashes returns the hashes of the whole blocks of a prompt for a model.
-// Each hash covers all of the prompt up to the end of its block.
+// BlockHashes returns the hashes of the complete blocks of a prompt for a model.
+// Each hash covers the prompt up to the end of its block.
 func BlockHashes(model, prompt string) []uint64 {
 	hashes := make([]uint64, 0, len(prompt)/blockBytes)
 	var parent [8]byte
@@ -34,7 +34,7 @@
 type prefixCache struct {
 	size   int // in blocks
 	blocks *simplelru.LRU[uint64, struct{}]
-	// evicted collects what the present call of add pushed out.
+	// evicted collects the blocks evicted by the current call of add.
 	evicted []uint64
 }
 
@@ -43,7 +43,7 @@
 		return nil
 	}
 	c := &prefixCache{size: tokens / BlockTokens}
-	// The size is positive, which is all that NewLRU asks for.
+	// NewLRU fails only if the size isn't positive.
 	c.blocks, _ = simplelru.NewLRU(c.size, func(hash uint64, _ struct{}) {
 		c.evicted = append(c.evicted, hash)
 	})
@@ -63,14 +63,15 @@
 	return len(hashes)
 }
 
-// cacheChange tells what a call of add did.
+// cacheChange holds the blocks stored and evicted by a call of add.
 type cacheChange struct {
 	stored  []uint64
 	removed []uint64
 }
 
-// add stores the blocks of one prompt. The last goes in first, so that a
-// prompt loses its end before its beginning, without which the rest is useless.
+// add stores the blocks of one prompt, the last one first, so that the end of a
+// prompt is evicted before its beginning: later blocks are useless without the
+// earlier ones.
 func (c *prefixCache) add(hashes []uint64) cacheChange {
 	if c == nil {
 		return cacheChange{}
--- a/internal/standin/engine/protocol.go
+++ b/internal/standin/engine/protocol.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Paths of the interface.
+// Paths of the HTTP interface.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathCompletions = "/v1/completions"
@@ -41,7 +41,8 @@
 
 	ContinueFinal bool  `json:"continue_final_message"`
 	AddGeneration *bool `json:"add_generation_prompt"`
-	// ResumeFromTokens says that Prompt ends with so many tokens of its answer.
+	// ResumeFromTokens is the number of tokens of the answer at the end of
+	// Prompt.
 	ResumeFromTokens int `json:"resume_from_tokens"`
 }
 
@@ -54,7 +55,7 @@
 	Content content `json:"content"`
 }
 
-// content is a message's text, which may come as a string or in parts.
+// content is a message's text, encoded as a string or as a list of parts.
 type content string
 
 type contentPart struct {
@@ -94,7 +95,7 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// chunk is an event of a stream, or a whole answer.
+// chunk is one event of a stream, or a complete answer.
 type chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
--- a/internal/standin/engine/record.go
+++ b/internal/standin/engine/record.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// End says how a run ended.
+// End is the way in which a run ended.
 type End string
 
 // The ways in which a run ends.
 const (
-	EndNone      End = "" // it goes on
+	EndNone      End = "" // still running
 	EndCompleted End = "completed"
-	EndCancelled End = "cancelled" // its client left, or it was aborted
+	EndCancelled End = "cancelled" // its client disconnected, or it was aborted
 	EndPreempted End = "preempted" // aborted with reason "preempted"
-	EndExported  End = "exported"  // its KV cache was taken to another engine
+	EndExported  End = "exported"  // its KV cache was exported to another engine
 	EndCrashed   End = "crashed"
 )
 
 // Run is one run of a request on the engine. A request that never got a slot
-// has no run. A sequence that the engine itself preempted and resumed stays
+// has no run. A sequence that the engine itself preempted and resumed counts as
 // one run.
 type Run struct {
 	RequestID      string    `json:"request_id"`
@@ -24,41 +24,41 @@
 	Model          string    `json:"model"`
 	Priority       int       `json:"priority"`
 	Start          time.Time `json:"start"`
-	// Stop is when the run ended; zero if it goes on.
+	// Stop is when the run ended; zero while it is running.
 	Stop time.Time `json:"stop,omitzero"`
-	// ResumedTokens is how many tokens of the answer the request came with.
+	// ResumedTokens is the number of answer tokens that the request contained.
 	ResumedTokens int `json:"resumed_tokens"`
-	// Produced counts the new tokens, also those that no client received.
+	// Produced counts the new tokens, including those that no client received.
 	Produced int `json:"produced"`
-	// Prefilled counts the tokens that were computed to fill the KV cache,
-	// again after each preemption, without those found in a cache.
+	// Prefilled counts the tokens computed to fill the KV cache, including
+	// recomputation after preemptions, without cached tokens.
 	Prefilled   int `json:"prefilled"`
 	Preemptions int `json:"preemptions"`
 	End         End `json:"end"`
 }
 
-// Totals sums up all runs since the engine was made, those dropped from the
-// record included.
+// Totals sums up all runs since the engine was created, including those dropped
+// from the record.
 type Totals struct {
 	Runs        int         `json:"runs"`
 	Ends        map[End]int `json:"ends"`
 	Produced    int         `json:"produced"`
 	Prefilled   int         `json:"prefilled"`
 	Preemptions int         `json:"preemptions"`
-	// NeverStarted counts requests that ended without having had a slot.
+	// NeverStarted counts requests that ended before they got a slot.
 	NeverStarted int `json:"never_started"`
-	// Mismatches counts resumptions refused since their text was no beginning
-	// of the answer.
+	// Mismatches counts rejected resumptions whose text wasn't a prefix of the
+	// answer.
 	Mismatches int `json:"mismatches"`
-	// Dropped counts the runs that the bounded record lost, oldest first.
+	// Dropped counts the runs evicted from the bounded record, oldest first.
 	Dropped int `json:"dropped"`
 }
 
-// recorder is a ring of runs that outlives crashes.
+// recorder is a ring buffer of runs that survives crashes.
 type recorder struct {
 	limit  int
 	runs   []*Run
-	next   int // the oldest run's place, once the ring is full
+	next   int // index of the oldest run, once the ring is full
 	totals Totals
 }
 
@@ -77,10 +77,10 @@
 	r.totals.Dropped++
 }
 
-func (r *recorder) end(run *Run, now time.Time, how End) {
+func (r *recorder) end(run *Run, now time.Time, end End) {
 	run.Stop = now
-	run.End = how
-	r.totals.Ends[how]++
+	run.End = end
+	r.totals.Ends[end]++
 }
 
 func (r *recorder) list() []Run {
--- a/internal/standin/engine/record_test.go
+++ b/internal/standin/engine/record_test.go
@@ -14,11 +14,11 @@
 	"coveferry/internal/standin/web/webtest"
 )
 
-func TestRecordTellsHowEachRunEnded(t *testing.T) {
+func TestRecordHoldsTheEndOfEachRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{Slots: 3, TokenTime: step})
-		c := serve(t, e.Handler())
+		c := newClient(t, e.Handler())
 		done := launch(c, "done", "[[tokens=3]]", "")
 		aborted := launch(c, "aborted", "[[tokens=90]]", "")
 		crashed := launch(c, "crashed", "[[tokens=90]]", "")
@@ -37,7 +37,7 @@
 
 		runs := e.Record()
 		g.Expect(startOrder(e)).To(gomega.Equal("done aborted crashed moved"))
-		for i, p := range []*pending{done, aborted, crashed, moved} {
+		for i, p := range []*asyncRequest{done, aborted, crashed, moved} {
 			g.Expect(runs[i].Produced).To(gomega.Equal(p.wait().tokens))
 			g.Expect(runs[i].Stop.After(runs[i].Start)).To(gomega.BeTrue())
 		}
@@ -71,17 +71,17 @@
 	g.Expect(r.totals.Ends[EndCompleted]).To(gomega.Equal(5))
 }
 
-func TestWholeAnswerAndRefusals(t *testing.T) {
+func TestNonStreamedAnswerAndRejectedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{TokenTime: step, MaxModelLen: 50})
-		c := serve(t, e.Handler())
+		c := newClient(t, e.Handler())
 		body := `{"model":"stand-in","prompt":"hello [[tokens=9]]","max_tokens":4}`
 		_, data, err := callRaw(c, PathCompletions, []byte(body))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		var whole chunk
 		g.Expect(json.Unmarshal(data, &whole)).To(gomega.Succeed())
-		want, err := Expect(PathCompletions, []byte(body))
+		want, err := ExpectedAnswer(PathCompletions, []byte(body))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(*whole.Choices[0].Text).To(gomega.Equal(want.Text))
 		g.Expect(*whole.Choices[0].FinishReason).To(gomega.Equal("length"))
@@ -114,7 +114,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	e.looping = true // the benchmark is the loop
+	e.looping = true // the benchmark runs the steps itself
 	for range 32 {
 		if _, err := e.submit(req); err != nil {
 			b.Fatal(err)
@@ -127,14 +127,14 @@
 	}
 }
 
-// BenchmarkToken measures what a streamed token costs its handler, without
-// the connection.
+// BenchmarkToken measures the handler's cost of a streamed token, without the
+// connection.
 func BenchmarkToken(b *testing.B) {
 	req, err := parseRequest(true, []byte(chatBody("[[tokens=9999999]]", "")))
 	if err != nil {
 		b.Fatal(err)
 	}
-	out := newReply(discard{}, req)
+	out := newResponseWriter(discard{}, req)
 	if err := out.begin(); err != nil {
 		b.Fatal(err)
 	}
@@ -146,7 +146,7 @@
 	}
 }
 
-// discard is a response that nobody reads.
+// discard is an http.ResponseWriter that drops everything.
 type discard struct{}
 
 func (discard) Header() http.Header         { return http.Header{} }
--- a/internal/standin/engine/reply.go
+++ b/internal/standin/engine/reply.go
@@ -18,45 +18,45 @@
 	objectCompletion = "text_completion"
 )
 
-// finishAbort is the finish reason of an answer that ended early.
+// finishAbort is the finish reason of an aborted answer.
 const finishAbort = "abort"
 
-// reply writes one answer, as a stream or in one piece.
-type reply struct {
-	w       http.ResponseWriter
-	ctl     *http.ResponseController
-	req     *request
-	head    chunk
-	sent    int
-	token   []byte
-	text    []byte // the whole text so far, unless streamed
-	buf     bytes.Buffer
-	encoder *json.Encoder
-	// before and after are what stands around the text in a token's event.
-	before, after []byte
+// responseWriter writes one answer, as a stream or as a single body.
+type responseWriter struct {
+	w        http.ResponseWriter
+	ctl      *http.ResponseController
+	req      *request
+	template chunk
+	sent     int
+	token    []byte
+	text     []byte // the text so far, unless streamed
+	buf      bytes.Buffer
+	encoder  *json.Encoder
+	// tokenPrefix and tokenSuffix enclose the text in a token's event.
+	tokenPrefix, tokenSuffix []byte
 }
 
-func newReply(w http.ResponseWriter, req *request) *reply {
-	r := &reply{w: w, ctl: http.NewResponseController(w), req: req}
+func newResponseWriter(w http.ResponseWriter, req *request) *responseWriter {
+	r := &responseWriter{w: w, ctl: http.NewResponseController(w), req: req}
 	r.encoder = json.NewEncoder(&r.buf)
 	r.encoder.SetEscapeHTML(false)
-	r.head = chunk{ID: "cmpl-" + req.id, Object: objectCompletion, Created: time.Now().Unix(), Model: req.model}
+	r.template = chunk{ID: "cmpl-" + req.id, Object: objectCompletion, Created: time.Now().Unix(), Model: req.model}
 	if req.chat {
-		r.head.ID = "chatcmpl-" + req.id
-		r.head.Object = objectChat
+		r.template.ID = "chatcmpl-" + req.id
+		r.template.Object = objectChat
 	}
 	if req.chat && req.stream {
-		r.head.Object = objectChatChunk
+		r.template.Object = objectChatChunk
 	}
 	return r
 }
 
 // begin sends the header of a stream.
-func (r *reply) begin() error {
+func (r *responseWriter) begin() error {
 	if !r.req.stream {
 		return nil
 	}
-	if err := r.prepare(); err != nil {
+	if err := r.encodeTokenEvent(); err != nil {
 		return err
 	}
 	r.w.Header().Set("Content-Type", "text/event-stream; charset=utf-8")
@@ -65,28 +65,29 @@
 	return r.ctl.Flush()
 }
 
-// placeholder is a text that needs no escape in JSON.
+// placeholder is a text that needs no escaping in JSON.
 const placeholder = "<|text|>"
 
-// prepare encodes a token's event once; then only the text is put in, since
-// encoding each token would cost more than the rest of the engine together.
-func (r *reply) prepare() error {
-	if err := r.event(r.piece(placeholder, "")); err != nil {
+// encodeTokenEvent encodes a token's event once; write then inserts only the
+// text, since encoding each token would cost more than all other work of the
+// engine.
+func (r *responseWriter) encodeTokenEvent() error {
+	if err := r.event(r.textChunk(placeholder, "")); err != nil {
 		return err
 	}
 	event := bytes.Clone(r.buf.Bytes())
 	r.buf.Reset()
-	at := bytes.LastIndex(event, []byte(placeholder)) // an id may hold it before
+	at := bytes.LastIndex(event, []byte(placeholder)) // the id may contain it as well
 	if at < 0 {
 		return errors.AssertionFailedf("the event %q holds no text", event)
 	}
-	r.before = event[:at]
-	r.after = event[at+len(placeholder):]
+	r.tokenPrefix = event[:at]
+	r.tokenSuffix = event[at+len(placeholder):]
 	return nil
 }
 
-// write sends the tokens that were produced since the last call.
-func (r *reply) write(p progress) error {
+// write sends the tokens produced since the last call.
+func (r *responseWriter) write(p progress) error {
 	for ; r.sent < p.produced; r.sent++ {
 		r.token = r.req.token(r.token[:0], r.sent)
 		if err := r.add(); err != nil {
@@ -96,25 +97,25 @@
 	return r.flush()
 }
 
-func (r *reply) add() error {
+func (r *responseWriter) add() error {
 	if !r.req.stream {
 		r.text = append(r.text, r.token...)
 		return nil
 	}
 	if r.sent == 0 && r.req.chat {
-		if err := r.event(r.piece("", "assistant")); err != nil {
+		if err := r.event(r.textChunk("", "assistant")); err != nil {
 			return err
 		}
 	}
-	r.buf.Write(r.before)
-	r.buf.Write(r.token) // the words of answers need no escape
-	r.buf.Write(r.after)
+	r.buf.Write(r.tokenPrefix)
+	r.buf.Write(r.token) // the vocabulary needs no escaping
+	r.buf.Write(r.tokenSuffix)
 	return nil
 }
 
-// piece is a stream's chunk with this text.
-func (r *reply) piece(text, role string) chunk {
-	c := r.head
+// textChunk returns a chunk of a stream with this text.
+func (r *responseWriter) textChunk(text, role string) chunk {
+	c := r.template
 	ch := choice{Text: &text}
 	if r.req.chat {
 		ch = choice{Delta: &chatAnswer{Role: role, Content: &text}}
@@ -123,16 +124,16 @@
 	return c
 }
 
-// event adds one server-sent event to the buffer.
-func (r *reply) event(c chunk) error {
+// event appends one server-sent event to the buffer.
+func (r *responseWriter) event(c chunk) error {
 	r.buf.WriteString("data: ")
-	if err := r.encoder.Encode(c); err != nil { // ends with a line feed
+	if err := r.encoder.Encode(c); err != nil { // ends with a newline
 		return err
 	}
 	return r.buf.WriteByte('\n')
 }
 
-func (r *reply) flush() error {
+func (r *responseWriter) flush() error {
 	if r.buf.Len() == 0 {
 		return nil
 	}
@@ -143,51 +144,51 @@
 	return r.ctl.Flush()
 }
 
-// finish sends the end of the answer.
-func (r *reply) finish(p progress) error {
+// finish sends the finish reason and the end of the answer.
+func (r *responseWriter) finish(p progress) error {
 	reason := finishAbort
 	if p.end == EndCompleted {
 		reason = r.req.finishReason()
 	}
 	if !r.req.stream {
-		web.WriteJSON(r.w, http.StatusOK, r.whole(reason, p))
+		web.WriteJSON(r.w, http.StatusOK, r.fullResponse(reason, p))
 		return nil
 	}
-	last := r.piece("", "")
+	last := r.textChunk("", "")
 	last.Choices[0].FinishReason = &reason
 	if err := r.event(last); err != nil {
 		return err
 	}
-	if err := r.usage(p); err != nil {
+	if err := r.writeUsage(p); err != nil {
 		return err
 	}
 	r.buf.WriteString("data: [DONE]\n\n")
 	return r.flush()
 }
 
-func (r *reply) usage(p progress) error {
+func (r *responseWriter) writeUsage(p progress) error {
 	if !r.req.usage {
 		return nil
 	}
-	c := r.head
+	c := r.template
 	c.Choices = []choice{}
-	c.Usage = r.count(p)
+	c.Usage = r.usageCounts(p)
 	return r.event(c)
 }
 
-func (r *reply) whole(reason string, p progress) chunk {
+func (r *responseWriter) fullResponse(reason string, p progress) chunk {
 	text := string(r.text)
 	ch := choice{FinishReason: &reason, Text: &text}
 	if r.req.chat {
 		ch = choice{FinishReason: &reason, Message: &chatAnswer{Role: "assistant", Content: &text}}
 	}
-	c := r.head
+	c := r.template
 	c.Choices = []choice{ch}
-	c.Usage = r.count(p)
+	c.Usage = r.usageCounts(p)
 	return c
 }
 
-func (r *reply) count(p progress) *usage {
+func (r *responseWriter) usageCounts(p progress) *usage {
 	prompt := r.req.contextTokens()
 	return &usage{
 		PromptTokens:     prompt,
--- a/internal/standin/engine/request.go
+++ b/internal/standin/engine/request.go
@@ -16,56 +16,56 @@
 	id       string
 	idemKey  string
 	priority int
-	// prompt is the rendered prompt, without resumed.
+	// prompt is the rendered prompt, without the resumed text.
 	prompt string
-	// resumed is the text answered before.
-	resumed string
-	answer  answer
-	from    cut
-	// limit is the most new tokens wanted.
+	// resumed is the part of the answer that the request contains.
+	resumed  string
+	answer   answer
+	resumeAt answerPosition
+	// limit is the maximum number of new tokens.
 	limit int
 }
 
-// tokens is how many tokens the request produces.
+// tokens returns the number of tokens that the request produces.
 func (r *request) tokens() int {
-	return min(r.answer.length-r.from.tokens, r.limit)
+	return min(r.answer.length-r.resumeAt.tokens, r.limit)
 }
 
-// finishReason is the reason for the end if nothing intervenes.
+// finishReason returns the finish reason of an uninterrupted run.
 func (r *request) finishReason() string {
-	if r.tokens() < r.answer.length-r.from.tokens {
+	if r.tokens() < r.answer.length-r.resumeAt.tokens {
 		return "length"
 	}
 	return "stop"
 }
 
-// context is everything that stands before the first new token.
+// context returns the text before the first new token.
 func (r *request) context() string { return r.prompt + r.resumed }
 
-// contextTokens counts the tokens of the context: those of the prompt, by its
-// length, and those that were answered before.
-func (r *request) contextTokens() int { return promptTokens(r.prompt) + r.from.tokens }
+// contextTokens counts the tokens of the context: those of the prompt, estimated
+// from its length, and the complete ones of the resumed text.
+func (r *request) contextTokens() int { return promptTokens(r.prompt) + r.resumeAt.tokens }
 
 // token returns the text of the i-th new token.
 func (r *request) token(buf []byte, i int) []byte {
 	start := len(buf)
-	buf = r.answer.appendToken(buf, r.from.tokens+i)
-	if i > 0 || r.from.part == 0 {
+	buf = r.answer.appendToken(buf, r.resumeAt.tokens+i)
+	if i > 0 || r.resumeAt.partialBytes == 0 {
 		return buf
 	}
-	return append(buf[:start], buf[start+r.from.part:]...)
+	return append(buf[:start], buf[start+r.resumeAt.partialBytes:]...)
 }
 
-// Answer is what an engine says to a request that nothing interrupts.
+// Answer is the uninterrupted answer to a request.
 type Answer struct {
 	Text         string
 	Tokens       int
 	FinishReason string
 }
 
-// Expect returns the answer to a request with this body, sent to PathChat or
-// PathCompletions. All engines give the same.
-func Expect(path string, body []byte) (Answer, error) {
+// ExpectedAnswer returns the answer to a request with this body, sent to
+// PathChat or PathCompletions. It is the same on all engines.
+func ExpectedAnswer(path string, body []byte) (Answer, error) {
 	r, err := parseRequest(path == PathChat, body)
 	if err != nil {
 		return Answer{}, err
@@ -77,11 +77,11 @@
 	return Answer{Text: string(text), Tokens: r.tokens(), FinishReason: r.finishReason()}, nil
 }
 
-// findLimit bounds how many references to other answers a prompt may quote.
-const findLimit = 64
+// maxReferences bounds the reference marks that findAnswer tries.
+const maxReferences = 64
 
-// unlimited stands for max_tokens that the request doesn't state.
-const unlimited = 1 << 30
+// noTokenLimit is the limit of a request without max_tokens.
+const noTokenLimit = 1 << 30
 
 func parseRequest(chat bool, body []byte) (*request, error) {
 	var b generateBody
@@ -123,7 +123,7 @@
 		limit = b.MaxCompletion
 	}
 	if limit == nil {
-		return unlimited, nil
+		return noTokenLimit, nil
 	}
 	if *limit < 1 {
 		return 0, badRequest("max_tokens must be at least 1, got %d", *limit)
@@ -144,17 +144,17 @@
 	}
 	split, ok := findAnswer(r.model, r.prompt, b.Seed)
 	if !ok {
-		return errNotBeginning
+		return errResumeMismatch
 	}
 	r.prompt, r.resumed = r.prompt[:split], r.prompt[split:]
 	return nil
 }
 
-// findAnswer returns the place where text goes over from a prompt to the
-// beginning of the prompt's answer.
+// findAnswer returns the offset in text at which the prompt ends and its partial
+// answer begins.
 func findAnswer(model, text string, seed int64) (int, bool) {
 	end := len(text)
-	for range findLimit {
+	for range maxReferences {
 		at := strings.LastIndex(text[:end], referenceMark)
 		if at < 0 {
 			return 0, false
@@ -203,11 +203,12 @@
 	r.answer = newAnswer(r.model, r.prompt, seed)
 	from, ok := r.answer.locate(r.resumed)
 	if !ok {
-		return errNotBeginning
+		return errResumeMismatch
 	}
-	r.from = from
+	r.resumeAt = from
 	return nil
 }
 
-// errNotBeginning is counted, since it means that someone mixed answers up.
-var errNotBeginning = badRequest("the resumed text is not a beginning of this answer")
+// errResumeMismatch is counted in Totals.Mismatches, since it means that a
+// caller mixed up answers.
+var errResumeMismatch = badRequest("the resumed text is not a beginning of this answer")
--- a/internal/standin/engine/resume_test.go
+++ b/internal/standin/engine/resume_test.go
@@ -18,8 +18,8 @@
 	"coveferry/internal/standin/web/webtest"
 )
 
-// tokensOf returns the texts of an answer's tokens.
-func tokensOf(r *request) []string {
+// tokenTexts returns the texts of an answer's tokens.
+func tokenTexts(r *request) []string {
 	out := make([]string, r.tokens())
 	for i := range out {
 		out[i] = string(r.token(nil, i))
@@ -47,7 +47,7 @@
 		}
 		body.Messages[1].Content += "?"
 		data, _ := json.Marshal(body)
-		if _, err := Expect(PathChat, data); err == nil {
+		if _, err := ExpectedAnswer(PathChat, data); err == nil {
 			t.Fatalf("a text that isn't the answer's beginning was resumed")
 		}
 	})
@@ -63,7 +63,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		tokens := tokensOf(r)
+		tokens := tokenTexts(r)
 		at := rapid.IntRange(1, len(tokens)).Draw(t, "cut")
 		longer := prompt + strings.Join(tokens[:at], "")
 		left := limit - at
@@ -79,7 +79,7 @@
 
 func mustExpect(t *rapid.T, path string, body generateBody) Answer {
 	data, _ := json.Marshal(body)
-	got, err := Expect(path, data)
+	got, err := ExpectedAnswer(path, data)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 		g := gomega.NewWithT(t)
 		cfg := Config{TokenTime: step, PrefillPerToken: time.Microsecond}
 		source, target := New(cfg), New(cfg)
-		from, to := serve(t, source.Handler()), serve(t, target.Handler())
+		from, to := newClient(t, source.Handler()), newClient(t, target.Handler())
 		prompt := strings.Repeat("deed ", 200) + "[[tokens=40]]"
 		p := launch(from, "r1", prompt, "")
 		time.Sleep(15*step + step/2)
@@ -138,26 +138,26 @@
 		g.Expect(resp.StatusCode).To(gomega.Equal(http.StatusOK))
 		body := `{"model":"stand-in","stream":true,"continue_final_message":true,"add_generation_prompt":false,"messages":[` +
 			`{"role":"user","content":"` + prompt + `"},{"role":"assistant","content":"` + head.text + `"}]}`
-		for i, prefilled := range []int{1, promptTokens(prompt)} { // an import serves once
+		for i, prefilled := range []int{1, promptTokens(prompt)} { // an import is used once
 			rest, err := postAs(to, PathChat, "r2", body, 0, new(atomic.Int32))
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			g.Expect(head.text + rest.text).To(gomega.Equal(expect(g, prompt, "")))
+			g.Expect(head.text + rest.text).To(gomega.Equal(expectedText(g, prompt, "")))
 			g.Expect(target.Record()[i].ResumedTokens).To(gomega.Equal(head.tokens))
 			g.Expect(target.Record()[i].Prefilled).To(gomega.BeNumerically("~", prefilled, 60*i))
 		}
 	})
 }
 
-func TestExportThatKeepsTheRunLetsItComplete(t *testing.T) {
+func TestExportWithKeepLetsTheRunComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{TokenTime: step})
-		p := launch(serve(t, e.Handler()), "r1", "[[tokens=9]]", "")
+		p := launch(newClient(t, e.Handler()), "r1", "[[tokens=9]]", "")
 		time.Sleep(3*step + step/2)
 		out, err := e.export("r1", true)
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(out.produced).To(gomega.Equal(3))
-		g.Expect(p.wait().text).To(gomega.Equal(expect(g, "[[tokens=9]]", "")))
+		g.Expect(p.wait().text).To(gomega.Equal(expectedText(g, "[[tokens=9]]", "")))
 		g.Expect(e.Record()[0].End).To(gomega.Equal(EndCompleted))
 		_, err = e.export("r1", true)
 		g.Expect(err).To(gomega.HaveOccurred())
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestAnOlderOrderThatLoadsLongTakesNoEffectAfterANewerOne(t *testing.T) {
+func TestOlderLoadOrderIsRejectedIfANewerOneArrivedMeanwhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{Fenced: true, LoadTime: time.Minute})
@@ -198,7 +198,7 @@
 	})
 }
 
-func TestEventsComeLateAndWithGaps(t *testing.T) {
+func TestEventsAreDelayedAndSomeAreDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := time.Unix(1000, 0)
 	l := newEventLog(Config{EventLag: time.Second, EventLoss: 0.3, Seed: 1})
@@ -217,11 +217,11 @@
 	g.Expect(l.after(last, now.Add(time.Second)).events[0].Type).To(gomega.Equal(EventCleared))
 }
 
-func TestEventStreamNamesTheBlocksOfAPrompt(t *testing.T) {
+func TestEventStreamHoldsTheBlockHashesOfAPrompt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{TokenTime: step, PrefixCacheTokens: 1000, EventLag: time.Second})
-		c := serve(t, e.Handler())
+		c := newClient(t, e.Handler())
 		prompt := strings.Repeat("clause ", 30) + "[[tokens=1]]"
 		launch(c, "a", prompt, "").wait()
 		begin := time.Now()
--- a/internal/standin/engine/schedule_test.go
+++ b/internal/standin/engine/schedule_test.go
@@ -16,35 +16,35 @@
 
 const step = 10 * time.Millisecond
 
-// pending is a request that another goroutine makes.
-type pending struct {
-	got stream
-	err error
-	end chan struct{}
-	// tokens is how many came so far.
+// asyncRequest is a request made by another goroutine.
+type asyncRequest struct {
+	got   stream
+	err   error
+	ended chan struct{}
+	// tokens is the number of tokens received so far.
 	tokens atomic.Int32
 }
 
-func (p *pending) wait() stream { <-p.end; return p.got }
+func (p *asyncRequest) wait() stream { <-p.ended; return p.got }
 
-// launch sends a chat request and returns once the engine has it.
-func launch(c *http.Client, id, prompt, more string) *pending {
-	p := &pending{end: make(chan struct{})}
+// launch sends a chat request and returns once the engine has received it.
+func launch(c *http.Client, id, prompt, more string) *asyncRequest {
+	p := &asyncRequest{ended: make(chan struct{})}
 	go func() {
-		defer close(p.end)
+		defer close(p.ended)
 		p.got, p.err = postAs(c, PathChat, id, chatBody(prompt, more), 0, &p.tokens)
 	}()
 	synctest.Wait()
 	return p
 }
 
-func expect(g *gomega.WithT, prompt, more string) string {
-	want, err := Expect(PathChat, []byte(chatBody(prompt, more)))
+func expectedText(g *gomega.WithT, prompt, more string) string {
+	want, err := ExpectedAnswer(PathChat, []byte(chatBody(prompt, more)))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	return want.Text
 }
 
-// startOrder returns the ids of the runs in the order of their start.
+// startOrder returns the request ids of the runs in order of their start.
 func startOrder(e *Engine) string {
 	var ids []string
 	for _, r := range e.Record() {
@@ -61,8 +61,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			e := New(Config{Slots: 1, TokenTime: step, Priorities: tc.priorities})
-			c := serve(t, e.Handler())
-			all := []*pending{
+			c := newClient(t, e.Handler())
+			all := []*asyncRequest{
 				launch(c, "first", "[[tokens=5]]", `,"priority":-9`),
 				launch(c, "a", "[[tokens=2]]", `,"priority":9`),
 				launch(c, "b", "[[tokens=2]]", `,"priority":3`),
@@ -77,16 +77,16 @@
 	}
 }
 
-func TestPreemptedSequenceGoesOnWithTheSameAnswer(t *testing.T) {
+func TestPreemptedSequenceContinuesTheSameAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{Slots: 1, TokenTime: step, Priorities: true})
-		c := serve(t, e.Handler())
+		c := newClient(t, e.Handler())
 		low := launch(c, "low", "[[tokens=30]]", `,"priority":5`)
 		time.Sleep(10 * step)
 		high := launch(c, "high", "[[tokens=4]]", `,"priority":1`)
 		g.Expect(high.wait().total).To(gomega.BeNumerically("<=", 5*step))
-		g.Expect(low.wait().text).To(gomega.Equal(expect(g, "[[tokens=30]]", "")))
+		g.Expect(low.wait().text).To(gomega.Equal(expectedText(g, "[[tokens=30]]", "")))
 		run := e.Record()[0]
 		g.Expect(run.Preemptions).To(gomega.Equal(1))
 		g.Expect(run.Produced).To(gomega.Equal(30))
@@ -94,34 +94,34 @@
 	})
 }
 
-func TestKVMemoryBoundsWhatRuns(t *testing.T) {
+func TestRunningSequencesStayWithinKVMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{Slots: 4, TokenTime: step, KVTokens: 100})
-		c := serve(t, e.Handler())
+		c := newClient(t, e.Handler())
 		a := launch(c, "a", "one [[tokens=60]]", "")
 		b := launch(c, "b", "two [[tokens=60]]", "")
 		for range 120 {
 			time.Sleep(step)
 			g.Expect(e.State().KVUsed).To(gomega.BeNumerically("<=", 100))
 		}
-		g.Expect(a.wait().text).To(gomega.Equal(expect(g, "one [[tokens=60]]", "")))
-		g.Expect(b.wait().text).To(gomega.Equal(expect(g, "two [[tokens=60]]", "")))
+		g.Expect(a.wait().text).To(gomega.Equal(expectedText(g, "one [[tokens=60]]", "")))
+		g.Expect(b.wait().text).To(gomega.Equal(expectedText(g, "two [[tokens=60]]", "")))
 		g.Expect(e.Totals().Preemptions).To(gomega.BeNumerically(">", 0))
 		g.Expect(e.State().KVUsed).To(gomega.BeZero())
 	})
 }
 
-func TestNothingIsPreemptedWhereThatMakesNoRoom(t *testing.T) {
+func TestNoPreemptionIfItFreesTooLittleKVMemory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{Slots: 4, TokenTime: step, KVTokens: 400, Priorities: true})
-		c := serve(t, e.Handler())
+		c := newClient(t, e.Handler())
 		high := launch(c, "high", strings.Repeat("deed ", 200)+"[[tokens=20]]", `,"priority":1`)
 		low := launch(c, "low", "[[tokens=20]]", `,"priority":9`)
 		time.Sleep(2 * step) // low starts
 		middle := launch(c, "middle", strings.Repeat("deed ", 200)+"[[tokens=5]]", `,"priority":5`)
-		for _, p := range []*pending{high, low, middle} {
+		for _, p := range []*asyncRequest{high, low, middle} {
 			g.Expect(p.wait().done).To(gomega.BeTrue())
 		}
 		g.Expect(e.Totals().Preemptions).To(gomega.BeZero())
@@ -138,19 +138,19 @@
 	g.Expect(e.stepTime()).To(gomega.Equal(step + 2*time.Millisecond + 100*time.Microsecond))
 }
 
-func TestLateTimersAreMadeUpForAndPausesAreNot(t *testing.T) {
+func TestScheduleCatchesUpAfterLateTimersButNotAfterPauses(t *testing.T) {
 	g := gomega.NewWithT(t)
 	last := time.Unix(100, 0)
 	g.Expect(schedule(last, last.Add(5*time.Millisecond), step)).To(gomega.Equal(last.Add(step)))
 	late := last.Add(20 * time.Second)
-	g.Expect(schedule(last, late, step)).To(gomega.Equal(late.Add(step - catchUp)))
+	g.Expect(schedule(last, late, step)).To(gomega.Equal(late.Add(step - maxCatchUp)))
 }
 
 func TestPrefixCacheShortensPrefillAndIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{TokenTime: step, PrefillPerToken: time.Millisecond, PrefixCacheTokens: 320})
-		c := serve(t, e.Handler())
+		c := newClient(t, e.Handler())
 		long := strings.Repeat("constitution ", 80) + "[[tokens=2]]"
 		ask := func(prompt string) Run {
 			launch(c, "x", prompt, "").wait()
@@ -173,7 +173,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{Slots: 1, TokenTime: step, LoadLag: 200 * time.Millisecond})
-		c := serve(t, e.Handler())
+		c := newClient(t, e.Handler())
 		a := launch(c, "a", "[[tokens=50]]", "")
 		launch(c, "b", "[[tokens=1]]", "")
 		time.Sleep(190 * time.Millisecond)
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestAPromptLosesItsEndBeforeItsBeginning(t *testing.T) {
+func TestPrefixCacheEvictsTheTailOfAPromptFirst(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newPrefixCache(4 * BlockTokens)
 	a := []uint64{1, 2, 3}
@@ -209,11 +209,11 @@
 	g.Expect(c.match(a)).To(gomega.Equal(2))
 }
 
-func TestPauseFreezesAllAndHangOnlyDecoding(t *testing.T) {
+func TestPauseStopsTheProcessAndHangOnlyDecoding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{TokenTime: step})
-		c := serve(t, e.Handler())
+		c := newClient(t, e.Handler())
 		p := launch(c, "a", "[[tokens=20]]", "")
 		time.Sleep(5*step + step/2)
 		e.Hang()
@@ -234,8 +234,8 @@
 		g.Expect(e.Record()[0].Produced).To(gomega.Equal(5))
 		e.Resume()
 		g.Expect(<-health).To(gomega.Equal(time.Now()))
-		g.Expect(p.wait().text).To(gomega.Equal(expect(g, "[[tokens=20]]", "")))
-		g.Expect(p.got.total).To(gomega.BeNumerically("~", 2*time.Second+200*time.Millisecond, 2*step+catchUp))
+		g.Expect(p.wait().text).To(gomega.Equal(expectedText(g, "[[tokens=20]]", "")))
+		g.Expect(p.got.total).To(gomega.BeNumerically("~", 2*time.Second+200*time.Millisecond, 2*step+maxCatchUp))
 	})
 }
 
@@ -244,13 +244,13 @@
 		g := gomega.NewWithT(t)
 		e := New(Config{TokenTime: step, StreamInterval: 5})
 		defer e.Crash()
-		p := launch(serve(t, e.Handler()), "a", "[[tokens=12]]", "")
+		p := launch(newClient(t, e.Handler()), "a", "[[tokens=12]]", "")
 		received := func() int { synctest.Wait(); return int(p.tokens.Load()) }
 		time.Sleep(9*step + step/2)
 		g.Expect(received()).To(gomega.Equal(5))
 		time.Sleep(step)
 		g.Expect(received()).To(gomega.Equal(10))
-		g.Expect(p.wait().text).To(gomega.Equal(expect(g, "[[tokens=12]]", "")))
+		g.Expect(p.wait().text).To(gomega.Equal(expectedText(g, "[[tokens=12]]", "")))
 	})
 }
 
@@ -266,7 +266,7 @@
 		e.Pause()
 		w := httptest.NewRecorder()
 		done := make(chan error)
-		go func() { done <- e.relay(t.Context(), s, newReply(w, req)) }()
+		go func() { done <- e.relay(t.Context(), s, newResponseWriter(w, req)) }()
 		synctest.Wait()
 		g.Expect(w.Body.Len()).To(gomega.BeZero())
 		e.Resume()
@@ -275,14 +275,14 @@
 	})
 }
 
-func TestALoopOfTheLifeBeforeACrashDoesNothing(t *testing.T) {
+func TestDecodeLoopFromBeforeACrashStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{TokenTime: step})
 		before := e.crashed
 		e.Crash()
 		e.Restart()
-		p := launch(serve(t, e.Handler()), "a", "[[tokens=3]]", "")
+		p := launch(newClient(t, e.Handler()), "a", "[[tokens=3]]", "")
 		g.Expect(e.endStep(before, time.Now())).To(gomega.BeFalse())
 		g.Expect(p.wait().total).To(gomega.Equal(3 * step))
 	})
--- a/internal/standin/engine/sequence.go
+++ b/internal/standin/engine/sequence.go
@@ -2,19 +2,19 @@
 
 import "container/heap"
 
-// sequence is a request on its way through the engine. All fields but req,
-// notify and crashed are guarded by the engine's lock.
+// sequence is a waiting or running request. All fields except req, notify and
+// crashed are guarded by the engine's lock.
 type sequence struct {
 	req     *request
 	arrival uint64
-	// index is the place in the waiting queue, -1 outside of it.
+	// index is the position in the waiting queue; -1 if not in it.
 	index int
 	run   *Run // nil until the sequence first gets a slot
 
-	// pending is how many tokens are still to be prefilled.
+	// pending is the number of tokens still to be prefilled.
 	pending int
-	// held is how many tokens of KV cache the sequence occupies.
-	held     int
+	// kvTokens is the number of KV-cache tokens that the sequence occupies.
+	kvTokens int
 	cached   int
 	produced int
 	end      End
@@ -24,12 +24,13 @@
 	crashed <-chan struct{}
 }
 
-// contextTokens is what must be in the KV cache before the next token.
+// contextTokens returns the number of tokens that must be in the KV cache before
+// the next one is decoded.
 func (s *sequence) contextTokens() int {
 	return s.req.contextTokens() + s.produced
 }
 
-// text is the context with all that was produced.
+// text returns the context followed by the produced tokens.
 func (s *sequence) text() string {
 	text := []byte(s.req.context())
 	for i := range s.produced {
@@ -45,7 +46,7 @@
 	}
 }
 
-// bytesPerToken is how many bytes of a prompt make one token.
+// bytesPerToken is the number of prompt bytes counted as one token.
 const bytesPerToken = 4
 
 func promptTokens(prompt string) int {
@@ -58,8 +59,8 @@
 	priorities bool
 }
 
-// before says whether a is served before b.
-func before(priorities bool, a, b *sequence) bool {
+// servedBefore reports whether a is served before b.
+func servedBefore(priorities bool, a, b *sequence) bool {
 	if priorities && a.req.priority != b.req.priority {
 		return a.req.priority < b.req.priority
 	}
@@ -83,7 +84,7 @@
 func (q *waitQueue) Len() int { return len(q.seqs) }
 
 // Less implements heap.Interface.
-func (q *waitQueue) Less(i, j int) bool { return before(q.priorities, q.seqs[i], q.seqs[j]) }
+func (q *waitQueue) Less(i, j int) bool { return servedBefore(q.priorities, q.seqs[i], q.seqs[j]) }
 
 // Swap implements heap.Interface.
 func (q *waitQueue) Swap(i, j int) {
--- a/internal/standin/engine/switches.go
+++ b/internal/standin/engine/switches.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// SetSpeed changes how fast the engine works: 0.2 is a fifth of its speed.
+// SetSpeed sets the speed factor; 0.2 makes steps take five times as long.
 // Values that aren't positive are ignored.
 func (e *Engine) SetSpeed(speed float64) {
 	if speed <= 0 {
@@ -13,24 +13,24 @@
 	e.speed = speed
 }
 
-// Crash cuts all connections in mid-answer, loses all memory, and refuses
-// requests until Restart.
+// Crash aborts all answers in progress, clears all memory, and fails requests
+// until Restart.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.crash {
+	if e.isCrashed {
 		return
 	}
-	e.crash = true
+	e.isCrashed = true
 	e.looping = false
 	now := time.Now()
-	e.loseSequences(now)
+	e.failSequences(now)
 	e.clearMemory()
 	e.events.reset(now)
 	close(e.crashed)
 }
 
-func (e *Engine) loseSequences(now time.Time) {
+func (e *Engine) failSequences(now time.Time) {
 	for len(e.running) > 0 {
 		e.finish(e.running[0], now, EndCrashed)
 	}
@@ -39,21 +39,21 @@
 	}
 }
 
-// Restart makes a crashed engine serve again, with empty memory; otherwise it
-// does nothing.
+// Restart makes a crashed engine serve again, with empty memory. It does nothing
+// if the engine isn't crashed.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.crash {
+	if !e.isCrashed {
 		return
 	}
-	e.crash = false
+	e.isCrashed = false
 	e.crashed = make(chan struct{})
-	e.thaw()
+	e.clearPauseAndHang()
 }
 
-// Pause freezes the whole process: requests are accepted by the kernel, but
-// nothing is answered or decoded until Resume.
+// Pause simulates a stopped process: the kernel accepts connections, but nothing
+// is answered or decoded until Resume.
 func (e *Engine) Pause() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -61,29 +61,29 @@
 		return
 	}
 	e.paused = true
-	e.thawed = make(chan struct{})
+	e.unpaused = make(chan struct{})
 }
 
-// Hang stops decoding until Resume, while the interface still answers, also
-// that the engine is healthy.
+// Hang stops decoding until Resume, while the HTTP interface still answers and
+// health checks pass.
 func (e *Engine) Hang() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.hang = true
+	e.hung = true
 }
 
 // Resume ends Pause and Hang.
 func (e *Engine) Resume() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.thaw()
-	e.kick()
+	e.clearPauseAndHang()
+	e.startLoop()
 }
 
-func (e *Engine) thaw() {
+func (e *Engine) clearPauseAndHang() {
 	if e.paused {
-		close(e.thawed)
+		close(e.unpaused)
 	}
 	e.paused = false
-	e.hang = false
+	e.hung = false
 }
--- a/internal/standin/engine/transfer.go
+++ b/internal/standin/engine/transfer.go
@@ -8,21 +8,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// kvState is what an exported KV cache says of itself.
+// kvState is the content of an exported KV cache.
 type kvState struct {
 	RequestID string
 	Model     string
-	// Context is the hash of the text that the cache covers; it is the whole
-	// context of the request if Complete.
+	// Context is the hash of the request's text at the export; if Complete, the
+	// cache covers all of it.
 	Context  uint64
 	Complete bool
 	Tokens   int
 	Blocks   []uint64
-	// Cache stands for the cache's content.
+	// Cache has the size of the cache's content.
 	Cache []byte
 }
 
-// importLimit bounds the imported caches that wait for their request.
+// importLimit bounds the imported caches that haven't been used yet.
 const importLimit = 256
 
 // exported is the result of an export.
@@ -67,7 +67,7 @@
 	}
 }
 
-// encodeKV writes the state and, after it, its checksum.
+// encodeKV returns the encoded state followed by its checksum.
 func encodeKV(state kvState) ([]byte, error) {
 	var buf bytes.Buffer
 	if err := gob.NewEncoder(&buf).Encode(state); err != nil {
@@ -91,8 +91,8 @@
 	return state, nil
 }
 
-// importKV keeps a cache for the request with this id, or, if it is empty, the
-// one that the cache was exported from.
+// importKV stores a cache for the request with this id or, if id is empty, for
+// the one that it was exported from.
 func (e *Engine) importKV(blob []byte, id string) (kvState, error) {
 	state, err := decodeKV(blob)
 	if err != nil {
@@ -110,9 +110,9 @@
 	return state, nil
 }
 
-// takeImport returns how many tokens of the sequence's context an import
-// covers, and uses that import up.
-func (e *Engine) takeImport(s *sequence, blocks []uint64) int {
+// consumeImport removes the import for the sequence's request and returns the
+// number of tokens of the sequence's context that it covers.
+func (e *Engine) consumeImport(s *sequence, blocks []uint64) int {
 	state, ok := e.imports.Get(s.req.id)
 	if !ok || state.Model != s.req.model {
 		return 0
--- a/internal/standin/engine/vocabulary_test.go
+++ b/internal/standin/engine/vocabulary_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestWordsNeedNoEscapeInJSON(t *testing.T) {
+func TestVocabularyNeedsNoEscapingInJSON(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, word := range append(vocabulary, referenceMark, placeholder) {
 		var b []byte
--- a/internal/standin/service/control.go
+++ b/internal/standin/service/control.go
@@ -7,8 +7,8 @@
 	"coveferry/internal/units"
 )
 
-// TimeRequest is the body of a request to /control/service-time.
-type TimeRequest struct {
+// ServiceTimeRequest is the body of a request to /control/service-time.
+type ServiceTimeRequest struct {
 	ServiceTime units.Duration `json:"service_time"`
 }
 
@@ -35,7 +35,7 @@
 }
 
 func (s *Service) controlTime(w http.ResponseWriter, r *http.Request) {
-	req, err := web.ReadJSON[TimeRequest](w, r)
+	req, err := web.ReadJSON[ServiceTimeRequest](w, r)
 	if err != nil {
 		web.WriteError(w, http.StatusBadRequest, err.Error())
 		return
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,15 +1,15 @@
-// Package service is a stand-in for a plain HTTP service beside the model
-// engines, such as the one that issues filing receipts or takes damage
+// Package service is a stub of a plain HTTP service beside the model
+// engines, such as one that issues filing receipts or accepts damage
 // reports. It answers every POST, whatever the path, with a hash of the body
-// and the number of the run, so that a second run of a call shows.
+// and a run number, so that a repeated call can be detected.
 //
-// It imitates a service whose calls have an effect that may not happen twice:
-// it does its work for a set service time, then the effect takes place, then
-// the answer goes out. As with most such services the work goes on when the
-// caller disconnects. A crash can hit a call before its effect or after it,
-// where the caller sees the same cut connection.
+// It imitates a service whose calls have an effect that must not happen twice:
+// it works for a configured service time, then applies the effect, then sends the
+// answer. As with most such services, the work continues when the caller
+// disconnects. A crash can hit a call before or after its effect; the caller sees
+// the same aborted connection in both cases.
 //
-// /control/ holds switches for experiments: POST /control/service-time, /fail,
+// /control/ holds fault injection for experiments: POST /control/service-time, /fail,
 // /crash and /restart, GET /control/record. Left out: authentication, other
 // methods, and idempotency on the service's side; the Idempotency-Key header
 // is recorded and otherwise ignored.
@@ -28,9 +28,9 @@
 
 // Config describes a service.
 type Config struct {
-	// ServiceTime is how long a call takes until its effect.
+	// ServiceTime is the time from the start of a call to its effect.
 	ServiceTime time.Duration
-	// RecordLimit bounds the record of calls; 0 means 1,000,000.
+	// RecordLimit bounds the number of recorded calls; 0 means 1,000,000.
 	RecordLimit int
 }
 
@@ -46,7 +46,7 @@
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
-// Point is a place in a call where a crash can hit it.
+// Point is a stage of a call at which it can fail.
 type Point string
 
 // The points at which a call can fail.
@@ -55,9 +55,9 @@
 	AfterEffect  Point = "after"
 )
 
-// Receipt answers a call.
+// Receipt is the answer to a call.
 type Receipt struct {
-	// Run counts the effects that took place, this one included.
+	// Run is the number of effects so far, including this one.
 	Run int `json:"run"`
 	// Hash is the body's SHA-256 in hexadecimal.
 	Hash  string `json:"hash"`
@@ -65,42 +65,42 @@
 	Path  string `json:"path"`
 }
 
-// Call is one call in the record.
+// Call is a recorded call.
 type Call struct {
 	RequestID      string    `json:"request_id"`
 	IdempotencyKey string    `json:"idempotency_key,omitempty"`
 	Path           string    `json:"path"`
 	Hash           string    `json:"hash"`
 	Start          time.Time `json:"start"`
-	// Run is the number of the call's effect; 0 if it had none, or not yet.
+	// Run is the number of the call's effect; 0 if it has none, or not yet.
 	Run int `json:"run"`
-	// Effect is when it took place.
+	// Effect is the time of the effect.
 	Effect time.Time `json:"effect,omitzero"`
-	// Cut says that a crash cut the call's connection.
+	// Cut reports whether a failure aborted the call's connection.
 	Cut bool `json:"cut"`
 }
 
-// Record holds the calls in the order of their arrival.
+// Record holds the calls in order of arrival.
 type Record struct {
 	Calls []Call `json:"calls"`
-	// Effects counts all effects, Dropped the calls that the bounded record
-	// didn't take.
+	// Effects counts all effects, Dropped the calls not recorded because of
+	// Config.RecordLimit.
 	Effects int `json:"effects"`
 	Dropped int `json:"dropped"`
 }
 
-// Service is one stand-in service. It is safe for concurrent use.
+// Service is a stub service. It is safe for concurrent use.
 type Service struct {
-	limit int
+	recordLimit int
 
-	mu      sync.Mutex
-	time    time.Duration
-	fail    map[Point]int
-	calls   []*Call
-	effects int
-	dropped int
-	// crashed is closed by a crash; it is nil while the service is down, and
-	// each life has its own.
+	mu          sync.Mutex
+	serviceTime time.Duration
+	failures    map[Point]int
+	calls       []*Call
+	effects     int
+	dropped     int
+	// crashed is closed by a crash, nil while the service is down, and created
+	// anew by each restart.
 	crashed chan struct{}
 }
 
@@ -110,30 +110,30 @@
 		cfg.RecordLimit = defaultRecordLimit
 	}
 	return &Service{
-		limit:   cfg.RecordLimit,
-		time:    cfg.ServiceTime,
-		fail:    make(map[Point]int),
-		crashed: make(chan struct{}),
+		recordLimit: cfg.RecordLimit,
+		serviceTime: cfg.ServiceTime,
+		failures:    make(map[Point]int),
+		crashed:     make(chan struct{}),
 	}
 }
 
-// SetServiceTime changes the service time of calls that arrive from now on.
+// SetServiceTime sets the service time of subsequent calls.
 func (s *Service) SetServiceTime(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.time = d
+	s.serviceTime = d
 }
 
-// Fail cuts the connections of the next calls that come to the point. The
-// service stays up.
+// Fail aborts the connections of the next calls that reach the point, as many as
+// times says. The service stays up.
 func (s *Service) Fail(at Point, times int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fail[at] = times
+	s.failures[at] = times
 }
 
-// Crash cuts all connections, stops the calls before their effect, and refuses
-// others until Restart.
+// Crash aborts the calls in progress before their effect, and fails further
+// calls until Restart.
 func (s *Service) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +144,7 @@
 	s.crashed = nil
 }
 
-// Restart brings a crashed service up again. Its record survives.
+// Restart brings a crashed service up again. The record survives a crash.
 func (s *Service) Restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +164,7 @@
 	return r
 }
 
-// Handler serves the service and its switches.
+// Handler serves the service and /control/.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /", s.serve)
@@ -186,42 +186,42 @@
 		Hash:           hex.EncodeToString(sum[:]),
 		Start:          time.Now(),
 	}
-	t, ok := s.begin(c)
+	t, ok := s.startCall(c)
 	if !ok {
-		web.Cut()
+		web.AbortConnection()
 	}
 	t.work()
-	if !s.effect(t) {
-		s.cut(c)
+	if !s.applyEffect(t) {
+		s.abortCall(c)
 	}
 	web.WriteJSON(w, http.StatusOK, Receipt{Run: c.Run, Hash: c.Hash, Bytes: len(body), Path: c.Path})
 }
 
-// task is a call's work.
+// task is a call in progress.
 type task struct {
-	call    *Call
-	time    time.Duration
-	crashed chan struct{} // that of the service's life
+	call        *Call
+	serviceTime time.Duration
+	crashed     chan struct{} // Service.crashed at the start of the call
 }
 
-// begin records a call; it returns false if the service is down.
-func (s *Service) begin(c *Call) (task, bool) {
+// startCall records a call; it returns false if the service is down.
+func (s *Service) startCall(c *Call) (task, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.crashed == nil {
 		return task{}, false
 	}
-	if len(s.calls) < s.limit {
+	if len(s.calls) < s.recordLimit {
 		s.calls = append(s.calls, c)
 	} else {
 		s.dropped++
 	}
-	return task{call: c, time: s.time, crashed: s.crashed}, true
+	return task{call: c, serviceTime: s.serviceTime, crashed: s.crashed}, true
 }
 
-// work takes the service time, or until the service crashes.
+// work waits for the service time, or until the service crashes.
 func (t task) work() {
-	timer := time.NewTimer(t.time)
+	timer := time.NewTimer(t.serviceTime)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -229,31 +229,31 @@
 	}
 }
 
-// effect makes the call's effect. It returns false if the call fails before it
-// or after it.
-func (s *Service) effect(t task) bool {
+// applyEffect applies the call's effect. It returns false if the call fails
+// before or after it.
+func (s *Service) applyEffect(t task) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t.crashed != s.crashed || s.fails(BeforeEffect) {
+	if t.crashed != s.crashed || s.consumeFailure(BeforeEffect) {
 		return false
 	}
 	s.effects++
 	t.call.Run = s.effects
 	t.call.Effect = time.Now()
-	return !s.fails(AfterEffect)
+	return !s.consumeFailure(AfterEffect)
 }
 
-func (s *Service) fails(at Point) bool {
-	if s.fail[at] == 0 {
+func (s *Service) consumeFailure(at Point) bool {
+	if s.failures[at] == 0 {
 		return false
 	}
-	s.fail[at]--
+	s.failures[at]--
 	return true
 }
 
-func (s *Service) cut(c *Call) {
+func (s *Service) abortCall(c *Call) {
 	s.mu.Lock()
 	c.Cut = true
 	s.mu.Unlock()
-	web.Cut()
+	web.AbortConnection()
 }
--- a/internal/standin/service/service_test.go
+++ b/internal/standin/service/service_test.go
@@ -26,7 +26,7 @@
 	})
 }
 
-func TestFailureBeforeAndAfterTheEffectLooksTheSameToTheCaller(t *testing.T) {
+func TestFailureBeforeAndAfterTheEffectIsTheSameForTheCaller(t *testing.T) {
 	for _, tc := range []struct {
 		at      Point
 		effects int
@@ -70,16 +70,16 @@
 		_, err = c.Post("/receipts", "z")
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(s.Record().Effects).To(gomega.Equal(1))
-		g.Expect(s.Record().Calls).To(gomega.HaveLen(2)) // none while down
-		late, ok := s.begin(&Call{})
+		g.Expect(s.Record().Calls).To(gomega.HaveLen(2)) // calls while down aren't recorded
+		late, ok := s.startCall(&Call{})
 		g.Expect(ok).To(gomega.BeTrue())
 		s.Crash()
 		s.Restart()
-		g.Expect(s.effect(late)).To(gomega.BeFalse())
+		g.Expect(s.applyEffect(late)).To(gomega.BeFalse())
 	})
 }
 
-func TestWorkGoesOnWhenTheCallerLeavesAndTheRecordIsBounded(t *testing.T) {
+func TestWorkContinuesAfterTheCallerDisconnectsAndTheRecordIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		s := New(Config{ServiceTime: time.Second, RecordLimit: 1})
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -1,10 +1,10 @@
-// Package vmlist is a stand-in for the platform's list of live and leaving
+// Package vmlist is a stub of the platform's list of live and leaving
 // VMs.
 //
-// It imitates a list that is made from slow reports: GET /v1/vms answers with
-// the VMs as they were one lag ago, and gives no sign of its age beyond the
-// time "at". The list can go stale, which freezes it, be empty, as after a
-// restart of the platform's own, or be down, where connections are cut.
+// It imitates a list compiled from delayed reports: GET /v1/vms answers with the
+// VMs as they were one lag ago, with the time "at" as the only sign of its age.
+// The list can go stale, which freezes it, be empty, as after a restart of the
+// platform's service, or be down, which aborts connections.
 //
 // Left out: watching, paging, authentication, and VMs of other kinds.
 package vmlist
@@ -18,10 +18,10 @@
 	"coveferry/internal/standin/web"
 )
 
-// State tells what a VM is about to do.
+// State is the lifecycle state of a VM.
 type State string
 
-// The states of a VM in the list. One that is gone isn't listed.
+// The states of a VM in the list. A VM that is gone isn't listed.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
@@ -35,17 +35,17 @@
 	State         State  `json:"state"`
 }
 
-// Listing is the answer to a reader.
+// Listing is the response of PathVMs.
 type Listing struct {
 	VMs []VM `json:"vms"`
-	// At is the moment that the listing describes.
+	// At is the time that the listing describes.
 	At time.Time `json:"at"`
 }
 
 // PathVMs is the list's path.
 const PathVMs = "/v1/vms"
 
-// List is one stand-in list. It is safe for concurrent use.
+// List is a stub list. It is safe for concurrent use.
 type List struct {
 	lag  time.Duration
 	gate *web.Gate
@@ -57,29 +57,29 @@
 	reads   int
 }
 
-// New returns an empty list whose changes show after the lag.
+// New returns an empty list whose changes become visible after the lag.
 func New(lag time.Duration) *List {
 	return &List{lag: lag, gate: web.NewGate()}
 }
 
-// Set replaces the VMs; readers see it after the lag.
+// Set replaces the VMs; readers see the change after the lag.
 func (l *List) Set(vms ...VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.trim(now)
+	l.dropObsolete(now)
 	l.history = append(l.history, Listing{VMs: append([]VM{}, vms...), At: now})
 }
 
-// trim drops what no reader can see any more.
-func (l *List) trim(now time.Time) {
-	if n := l.old(now); n > 1 {
+// dropObsolete drops history that readers can't see any more.
+func (l *List) dropObsolete(now time.Time) {
+	if n := l.visibleCount(now); n > 1 {
 		l.history = slices.Delete(l.history, 0, n-1)
 	}
 }
 
-// old is how many entries of the history are older than the lag.
-func (l *List) old(now time.Time) int {
+// visibleCount returns the number of history entries at least as old as the lag.
+func (l *List) visibleCount(now time.Time) int {
 	n := len(l.history)
 	for n > 0 && l.history[n-1].At.After(now.Add(-l.lag)) {
 		n--
@@ -87,7 +87,7 @@
 	return n
 }
 
-// SetStale freezes the list as readers see it now, or ends that.
+// SetStale freezes the list as readers see it now, or unfreezes it.
 func (l *List) SetStale(stale bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,30 +95,30 @@
 		l.frozen = nil
 		return
 	}
-	seen := l.seen(time.Now())
+	seen := l.currentListing(time.Now())
 	l.frozen = &seen
 }
 
-// SetEmpty makes readers see no VM at all, or ends that.
+// SetEmpty makes readers see an empty list, or ends that.
 func (l *List) SetEmpty(empty bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.empty = empty
 }
 
-// SetDown takes the list down or up again.
-func (l *List) SetDown(down bool) { l.gate.Shut(down) }
+// SetDown takes the list down, or brings it up.
+func (l *List) SetDown(down bool) { l.gate.SetClosed(down) }
 
-// Reads returns how many reads were answered.
+// Reads returns the number of answered reads.
 func (l *List) Reads() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reads
 }
 
-// seen is the listing that readers see.
-func (l *List) seen(now time.Time) Listing {
-	switch n := l.old(now); {
+// currentListing returns the listing that readers see now.
+func (l *List) currentListing(now time.Time) Listing {
+	switch n := l.visibleCount(now); {
 	case l.empty:
 		return Listing{VMs: []VM{}, At: now}
 	case l.frozen != nil:
@@ -140,7 +140,7 @@
 func (l *List) serve(w http.ResponseWriter, _ *http.Request) {
 	l.mu.Lock()
 	l.reads++
-	listing := l.seen(time.Now())
+	listing := l.currentListing(time.Now())
 	l.mu.Unlock()
 	web.WriteJSON(w, http.StatusOK, listing)
 }
--- a/internal/standin/vmlist/vmlist_test.go
+++ b/internal/standin/vmlist/vmlist_test.go
@@ -11,7 +11,7 @@
 	"coveferry/internal/standin/web/webtest"
 )
 
-func TestListLagsGoesStaleAndEmpty(t *testing.T) {
+func TestListLagsAndCanBeStaleEmptyOrDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		l := New(5 * time.Second)
--- a/internal/standin/web/web.go
+++ b/internal/standin/web/web.go
@@ -1,5 +1,5 @@
-// Package web holds what the stand-ins share in serving HTTP: JSON bodies,
-// error bodies, and a gate by which a stand-in can be down.
+// Package web holds HTTP helpers shared by the stub servers: JSON bodies, error
+// bodies, and a gate that simulates an outage.
 package web
 
 import (
@@ -16,7 +16,7 @@
 // bodyLimit bounds the JSON body of a request in bytes.
 const bodyLimit = 1 << 20
 
-// ErrBadBody is the error of a body that isn't the JSON that was asked for.
+// ErrBadBody marks a body that isn't the expected JSON.
 var ErrBadBody = errors.New("bad body")
 
 // WriteJSON answers with a JSON body.
@@ -29,17 +29,17 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	w.WriteHeader(status)
-	_, _ = w.Write(data) // a client that left needs no answer
+	_, _ = w.Write(data) // the client may have disconnected
 }
 
-// Problem is the body of an error answer.
-type Problem struct {
+// ErrorBody is the body of an error answer.
+type ErrorBody struct {
 	Error string `json:"error"`
 }
 
 // WriteError answers with an error body.
 func WriteError(w http.ResponseWriter, status int, message string) {
-	WriteJSON(w, status, Problem{Error: message})
+	WriteJSON(w, status, ErrorBody{Error: message})
 }
 
 // ReadJSON decodes a request's body. Its errors are marked as ErrBadBody.
@@ -55,48 +55,49 @@
 	return v, nil
 }
 
-// Cut ends the connection of the request being served without an answer, or
-// in the middle of one. It doesn't return.
-func Cut() { panic(http.ErrAbortHandler) }
+// AbortConnection closes the connection of the current request without
+// completing its answer. It doesn't return.
+func AbortConnection() { panic(http.ErrAbortHandler) }
 
-// Gate is open at first. While it is shut the connections of all requests are
-// cut, also of those in progress. It is safe for concurrent use.
+// Gate simulates outages. While it is closed, the connections of all requests,
+// including those in progress, are aborted. It is initially open and safe for
+// concurrent use.
 type Gate struct {
-	mu   sync.Mutex
-	shut bool
-	cuts map[*http.Request]context.CancelFunc
+	mu      sync.Mutex
+	closed  bool
+	cancels map[*http.Request]context.CancelFunc
 }
 
 // NewGate returns an open gate.
-func NewGate() *Gate { return &Gate{cuts: make(map[*http.Request]context.CancelFunc)} }
+func NewGate() *Gate { return &Gate{cancels: make(map[*http.Request]context.CancelFunc)} }
 
-// Shut shuts the gate or opens it.
-func (g *Gate) Shut(shut bool) {
+// SetClosed closes or opens the gate.
+func (g *Gate) SetClosed(shut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shut = shut
+	g.closed = shut
 	if !shut {
 		return
 	}
-	for _, cancel := range g.cuts {
+	for _, cancel := range g.cancels {
 		cancel()
 	}
-	clear(g.cuts)
+	clear(g.cancels)
 }
 
-// Wrap puts the gate before a handler, whose requests' contexts are cancelled
-// when the gate is shut. A handler cut off in that way has its connection cut,
-// whatever it wrote.
+// Wrap puts the gate in front of a handler. Closing the gate cancels the
+// contexts of its requests and aborts their connections, whatever the handler
+// has written.
 func (g *Gate) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
 		if !g.enter(r, cancel) {
-			Cut()
+			AbortConnection()
 		}
 		next.ServeHTTP(w, r.WithContext(ctx))
 		if !g.leave(r) {
-			Cut()
+			AbortConnection()
 		}
 	})
 }
@@ -104,18 +105,18 @@
 func (g *Gate) enter(r *http.Request, cancel context.CancelFunc) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut {
+	if g.closed {
 		return false
 	}
-	g.cuts[r] = cancel
+	g.cancels[r] = cancel
 	return true
 }
 
-// leave says whether the request passed without being cut off.
+// leave reports whether the gate stayed open during the request.
 func (g *Gate) leave(r *http.Request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, open := g.cuts[r]
-	delete(g.cuts, r)
+	_, open := g.cancels[r]
+	delete(g.cancels, r)
 	return open
 }
--- a/internal/standin/web/webtest/webtest.go
+++ b/internal/standin/web/webtest/webtest.go
@@ -1,4 +1,4 @@
-// Package webtest serves a stand-in on connections in memory, for tests under
+// Package webtest serves a stub on in-memory connections, for tests under
 // testing/synctest.
 package webtest
 
@@ -11,12 +11,12 @@
 	"coveferry/internal/memnet"
 )
 
-// URL is where the clients of Serve reach the handler.
+// URL is the base URL of the handler for clients returned by Serve.
 const URL = "http://stand-in:1"
 
 const address = "stand-in:1"
 
-// Client calls the handler that it was made for.
+// Client calls the handler passed to Serve.
 type Client struct{ *http.Client }
 
 // Serve serves h until the test ends.
@@ -37,30 +37,30 @@
 	return Client{&http.Client{Transport: tr}}
 }
 
-// Reply is an answer with its body read.
+// Reply is a response with its body read.
 type Reply struct {
 	Status int
 	Header http.Header
 	Body   string
 }
 
-// Get reads a path.
+// Get makes a GET request.
 func (c Client) Get(path string) (Reply, error) { return c.Call(http.MethodGet, path, "") }
 
-// Post posts a body.
+// Post makes a POST request.
 func (c Client) Post(path, body string) (Reply, error) {
 	return c.Call(http.MethodPost, path, body)
 }
 
-// Call makes a request with further headers, given as pairs. An answer that
-// is cut off is an error, with what came of it.
+// Call makes a request with additional headers, given as pairs. If the response
+// is cut off, it returns the part received and an error.
 func (c Client) Call(method, path, body string, headers ...string) (Reply, error) {
 	req, err := http.NewRequest(method, URL+path, strings.NewReader(body))
 	if err != nil {
 		return Reply{}, err
 	}
-	// Without it the transport can't send the request a second time by itself,
-	// as it does for one with an Idempotency-Key on a connection that broke.
+	// Without GetBody the transport can't retry the request by itself, as it
+	// does for a request with an Idempotency-Key on a broken connection.
 	req.GetBody = nil
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,10 +1,11 @@
-// Package weights is a stand-in for the platform's weight store, from which
+// Package weights is a stub of the platform's weight store, from which
 // engines fetch the weights of a model.
 //
 // It imitates an object store with quotas: GET /weights/{model} sends the
-// model's bytes, all downloads together bounded by a token bucket in bytes a
-// second, and calls beyond a request rate are answered with 429 and
-// Retry-After. The store can be slowed and taken down, which cuts downloads.
+// model's bytes. A token bucket in bytes per second bounds all downloads
+// together, and calls beyond a request rate are answered with 429 and
+// Retry-After. The store can be slowed down, and taken down, which aborts
+// downloads.
 //
 // The bytes are a function of the model's name. Left out: ranges, digests,
 // authentication and uploads.
@@ -29,32 +30,32 @@
 	Sizes map[string]int64
 	// BytesPerSecond bounds all downloads together; 0 means 1 GiB/s.
 	BytesPerSecond float64
-	// RequestsPerSecond bounds the calls; 0 means 100.
+	// RequestsPerSecond limits the calls; 0 means 100.
 	RequestsPerSecond float64
-	// RequestBurst is how many calls may come at once; 0 means 1.
+	// RequestBurst is the number of calls allowed at once; 0 means 1.
 	RequestBurst int
 }
 
 const (
 	defaultBytes    = 1 << 30
 	defaultRequests = 100
-	// chunkBytes is sent at once, and is the burst of the bucket.
+	// chunkBytes is the size of a write and the burst of the token bucket.
 	chunkBytes = 64 << 10
 )
 
 // PathWeights is the prefix of a model's path.
 const PathWeights = "/weights/"
 
-// Stats counts the calls since the store was made.
+// Stats counts the calls since the store was created.
 type Stats struct {
 	Calls   int   `json:"calls"`
 	Limited int   `json:"limited"`
 	Bytes   int64 `json:"bytes"`
-	// Completed counts the downloads that were sent whole.
+	// Completed counts the downloads that were sent completely.
 	Completed int `json:"completed"`
 }
 
-// Store is one stand-in weight store. It is safe for concurrent use.
+// Store is a stub weight store. It is safe for concurrent use.
 type Store struct {
 	sizes    map[string]int64
 	bytes    *rate.Limiter
@@ -81,11 +82,12 @@
 	}
 }
 
-// SetBytesPerSecond changes the rate of the bytes not yet asked of the bucket.
+// SetBytesPerSecond changes the rate of the token bucket. Chunks that already
+// wait for tokens keep the old rate.
 func (s *Store) SetBytesPerSecond(n float64) { s.bytes.SetLimit(rate.Limit(n)) }
 
-// SetDown takes the store down, which cuts all downloads, or up again.
-func (s *Store) SetDown(down bool) { s.gate.Shut(down) }
+// SetDown takes the store down, which aborts all downloads, or brings it up.
+func (s *Store) SetDown(down bool) { s.gate.SetClosed(down) }
 
 // Stats returns the counts so far.
 func (s *Store) Stats() Stats {
@@ -102,7 +104,7 @@
 }
 
 func (s *Store) serve(w http.ResponseWriter, r *http.Request) {
-	if !s.allow() {
+	if !s.allowCall() {
 		w.Header().Set("Retry-After", "1")
 		web.WriteError(w, http.StatusTooManyRequests, "too many requests")
 		return
@@ -116,11 +118,11 @@
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.FormatInt(size, 10))
 	if err := s.send(r.Context(), w, model, size); err != nil {
-		web.Cut()
+		web.AbortConnection()
 	}
 }
 
-func (s *Store) allow() bool {
+func (s *Store) allowCall() bool {
 	ok := s.requests.Allow()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,10 +134,10 @@
 }
 
 func (s *Store) send(ctx context.Context, w http.ResponseWriter, model string, size int64) error {
-	src := content(model)
+	src := contentStream(model)
 	buf := make([]byte, chunkBytes)
-	for left := size; left > 0; {
-		n := int(min(left, chunkBytes))
+	for remaining := size; remaining > 0; {
+		n := int(min(remaining, chunkBytes))
 		if err := s.bytes.WaitN(ctx, n); err != nil {
 			return err
 		}
@@ -143,22 +145,23 @@
 		if _, err := w.Write(buf[:n]); err != nil {
 			return err
 		}
-		left -= int64(n)
-		s.count(int64(n), 0)
+		remaining -= int64(n)
+		s.addStats(int64(n), 0)
 	}
-	s.count(0, 1)
+	s.addStats(0, 1)
 	return nil
 }
 
-func (s *Store) count(bytes int64, completed int) {
+func (s *Store) addStats(bytes int64, completed int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Bytes += bytes
 	s.stats.Completed += completed
 }
 
-// content is the endless stream of bytes that a model's weights begin.
-func content(model string) *rand.ChaCha8 {
+// contentStream returns the endless byte stream whose beginning is the model's
+// weights.
+func contentStream(model string) *rand.ChaCha8 {
 	var seed [32]byte
 	h := fnv.New128a()
 	_, _ = h.Write([]byte(model)) // never fails
--- a/internal/standin/weights/weights_test.go
+++ b/internal/standin/weights/weights_test.go
@@ -31,7 +31,7 @@
 		g.Expect(time.Since(begin).Seconds()).To(gomega.BeNumerically("~", 19, 0.001)) // the first chunk is free
 		g.Expect(a.Body).To(gomega.HaveLen(size))
 		g.Expect(a.Body == b.Body).To(gomega.BeFalse())
-		synctest.Wait() // the store counts a chunk after the client has it
+		synctest.Wait() // the store counts a chunk after sending it
 		g.Expect(s.Stats()).To(gomega.Equal(Stats{Calls: 2, Bytes: 2 * size, Completed: 2}))
 		s.SetBytesPerSecond(1 << 30)
 		again, err := c.Get(PathWeights + "m")
@@ -55,7 +55,7 @@
 	})
 }
 
-func TestDownCutsDownloads(t *testing.T) {
+func TestSetDownAbortsDownloads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		s := New(Config{Sizes: map[string]int64{"m": size}, BytesPerSecond: chunkBytes})
