--- a/internal/bench/arrivals/arrivals_test.go
+++ b/internal/bench/arrivals/arrivals_test.go
@@ -40,8 +40,8 @@
 	})
 }
 
-// Work that arrives is within 5% of the stated multiple of capacity: the mean
-// over four seeds of a minute varies by about 1%.
+// The offered work must be within 5% of the stated multiple of capacity; its mean
+// over four one-minute runs varies by about 1%.
 func TestOfferedWorkMatchesTheLoad(t *testing.T) {
 	for _, mix := range []string{arrivals.MixRegistry, arrivals.MixFleet, arrivals.MixBoth} {
 		g := gomega.NewWithT(t)
@@ -55,8 +55,8 @@
 	}
 }
 
-// With a seed fixed the counts are fixed too; four standard deviations of a
-// Poisson count are allowed.
+// The counts are deterministic, since the seed is fixed; a deviation of four
+// standard deviations of a Poisson count is allowed.
 func TestStepsAndTiersChangeTheRate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	step := arrivals.Step{Role: arrivals.RoleMedium, From: 20 * time.Second, To: 25 * time.Second, Factor: 10}
@@ -107,7 +107,7 @@
 
 // Two seconds of one engine's decode steps, shared by eight slots, and half a
 // second of prefill in four seconds of two engines.
-func TestLoadIsWorkByCapacity(t *testing.T) {
+func TestLoadIsWorkDividedByCapacity(t *testing.T) {
 	s := arrivals.Shape{Engines: 2, Slots: 8, TokenTime: 20 * time.Millisecond, PrefillPerToken: time.Millisecond}
 	list := []arrivals.Arrival{{Tokens: 500, Prompt: strings.Repeat("x", 1200)}, {Tokens: 300, Prompt: strings.Repeat("x", 800)}}
 	gomega.NewWithT(t).Expect(s.Load(list, 4*time.Second)).To(gomega.BeNumerically("~", 2.5/8, 1e-9))
--- a/internal/bench/arrivals/capacity.go
+++ b/internal/bench/arrivals/capacity.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// meanSteps is the number of quantiles that a mean is taken over.
-const meanSteps = 1000
+// meanQuantiles is the number of quantiles averaged to compute a mean.
+const meanQuantiles = 1000
 
-// bytesPerWord and bytesPerToken estimate the prefill of a prompt.
+// bytesPerWord and bytesPerToken are used to estimate the prompt's tokens.
 const (
 	bytesPerWord  = 6
 	bytesPerToken = 4
 )
 
-// Shape is what decides how much work a set of engines can do.
+// Shape holds the parameters that determine the capacity of a set of engines.
 type Shape struct {
 	Engines int
-	// Slots is how many answers an engine produces at once.
+	// Slots is the number of answers that an engine produces concurrently.
 	Slots int
-	// TokenTime is a decode step for one running answer; BatchSlope is what
-	// each further one adds to it.
+	// TokenTime is the duration of a decode step for one running answer;
+	// BatchSlope is added for each further one.
 	TokenTime  time.Duration
 	BatchSlope time.Duration
-	// PrefillPerToken is the engine's time for a token of a prompt.
+	// PrefillPerToken is the prefill time of one prompt token.
 	PrefillPerToken time.Duration
 }
 
-// Step is a decode step with all slots in use.
+// Step returns the duration of a decode step with all slots in use.
 func (s Shape) Step() time.Duration {
 	return s.TokenTime + time.Duration(s.Slots-1)*s.BatchSlope
 }
 
-// TokensPerSecond is what all engines produce with all slots in use.
+// TokensPerSecond returns the decode throughput of all engines with all slots in
+// use.
 func (s Shape) TokensPerSecond() float64 {
 	return float64(s.Engines*s.Slots) / s.Step().Seconds()
 }
 
-// RequestsPerSecond is how many of a user's requests the engines can answer if
-// no prompt is found in a prefix cache.
+// RequestsPerSecond returns the rate of a user's requests that the engines can
+// answer without prefix-cache hits.
 func (s Shape) RequestsPerSecond(u User) float64 {
 	decode := MeanTokens(u) * s.Step().Seconds() / float64(s.Slots)
 	prefill := meanPromptTokens(u) * s.PrefillPerToken.Seconds()
 	return float64(s.Engines) / (decode + prefill)
 }
 
-// Load is the work of arrivals as a multiple of what the engines can do in the
-// time, if no prompt is found in a prefix cache.
+// Load returns the work of the arrivals as a multiple of the engines' capacity
+// during d, without prefix-cache hits.
 func (s Shape) Load(list []Arrival, d time.Duration) float64 {
 	work := 0.0
 	for _, a := range list {
@@ -54,19 +55,19 @@
 	return work / (float64(s.Engines) * d.Seconds())
 }
 
-// MeanTokens is the mean length of a user's answers over all its classes.
+// MeanTokens returns the mean answer length of a user over all its classes.
 func MeanTokens(u User) float64 {
-	return u.mean(Class.meanTokens)
+	return u.weightedMean(Class.meanTokens)
 }
 
 func meanPromptTokens(u User) float64 {
-	return u.mean(func(c Class) float64 {
+	return u.weightedMean(func(c Class) float64 {
 		return float64(c.PromptWords*bytesPerWord) / bytesPerToken
 	})
 }
 
-// mean weighs a property of classes by their shares.
-func (u User) mean(of func(Class) float64) float64 {
+// weightedMean returns the mean of a property of the classes, weighted by Share.
+func (u User) weightedMean(of func(Class) float64) float64 {
 	sum, shares := 0.0, 0.0
 	for _, c := range u.Classes {
 		sum += c.Share * of(c)
@@ -77,8 +78,8 @@
 
 func (c Class) meanTokens() float64 {
 	sum := 0
-	for i := range meanSteps {
-		sum += c.tokens((float64(i) + 0.5) / meanSteps)
+	for i := range meanQuantiles {
+		sum += c.tokensAt((float64(i) + 0.5) / meanQuantiles)
 	}
-	return float64(sum) / meanSteps
+	return float64(sum) / meanQuantiles
 }
--- a/internal/bench/arrivals/mix.go
+++ b/internal/bench/arrivals/mix.go
@@ -16,53 +16,53 @@
 // Tiers lists the tiers of every mix, highest first.
 func Tiers() []string { return []string{TierGold, TierSilver, TierBronze} }
 
-// Role is what a class stands for in its user's work. Scenarios name roles, so
-// that they fit every mix.
+// Role is the kind of work that a class represents. Scenarios refer to roles
+// instead of classes, so that they apply to every mix.
 type Role string
 
 // The roles of classes.
 const (
 	RoleUrgent Role = "urgent" // short answers, worthless when late
-	RoleMedium Role = "medium" // a person waits for the answer
-	RoleLong   Role = "long"   // long documents, late but not lost
+	RoleMedium Role = "medium" // interactive, a person waits for the answer
+	RoleLong   Role = "long"   // long documents, still useful when late
 )
 
 // Class is a kind of request and the distribution of its answers.
 type Class struct {
 	Name string
 	Role Role
-	// Share is the class's part of its user's requests, 0 to 1.
+	// Share is the class's fraction of its user's requests.
 	Share float64
-	// FirstToken is the target for the first token, Deadline the moment at
-	// which the caller gives up; both count from the arrival.
+	// FirstToken is the target for the first token, Deadline the time after
+	// which the caller gives up; both are relative to the arrival.
 	FirstToken time.Duration
 	Deadline   time.Duration
-	// Answer lengths, in tokens, are log-normal, cut off at MaxTokens.
+	// Answer lengths, in tokens, are log-normal and capped at MaxTokens.
 	MedianTokens float64
 	Sigma        float64
 	MaxTokens    int
-	// PromptWords is the length of the part of the prompt that all requests
-	// of one team in this class share.
+	// PromptWords is the length of the prompt prefix shared by all requests
+	// of one team in this class.
 	PromptWords int
-	// NonIdempotent is the share of requests that must not run twice.
+	// NonIdempotent is the fraction of requests that must not run twice.
 	NonIdempotent float64
 }
 
-// Team is a customer, its part of its user's requests, and the tier it paid for.
+// Team is a customer with its tier and its weight among its user's requests.
 type Team struct {
 	Name   string
 	Tier   string
 	Weight float64
 }
 
-// User is one operator's work: classes and the teams that send them.
+// User is the workload of one operator: classes, and the teams that send them.
 type User struct {
 	Name    string
 	Classes []Class
 	Teams   []Team
 }
 
-// Mix is a set of users that share one fleet in equal parts of the load.
+// Mix is a set of users that share a fleet, each with an equal part of the load.
 type Mix struct {
 	Name  string
 	Users []User
@@ -76,7 +76,7 @@
 	MixSmall    = "small"
 )
 
-// ErrUnknownMix marks the name of a mix that doesn't exist.
+// ErrUnknownMix marks the error for an unknown mix name.
 var ErrUnknownMix = errors.New("unknown mix")
 
 // MixByName returns a mix; its error is marked ErrUnknownMix.
@@ -114,8 +114,8 @@
 	return teams
 }
 
-// registry files incorporations: receipts before a statutory deadline, queries
-// of advocates, and reviews of long documents.
+// registry is a company registry: receipts with a statutory deadline, queries of
+// advocates, and reviews of long documents.
 func registry() User {
 	return User{
 		Name: MixRegistry,
@@ -143,8 +143,8 @@
 	}
 }
 
-// fleet runs e-scooters: lookups of crews at dawn, complaints of a city, and
-// summaries of repair tickets.
+// fleet is an e-scooter operator: zone lookups of crews, complaints of a city,
+// and summaries of repair tickets.
 func fleet() User {
 	return User{
 		Name: MixFleet,
@@ -172,7 +172,7 @@
 	}
 }
 
-// small asks for short answers, to have many of them in a short time.
+// small requests short answers, so that many requests complete in a short time.
 func small() User {
 	return User{
 		Name: MixSmall,
@@ -194,8 +194,8 @@
 	}
 }
 
-// teams returns ten teams, a few of them large. Gold carries a quarter of the
-// requests, so that it fits in the fleet even at twice its capacity.
+// teams returns ten teams, a few of them large. The gold tier sends a quarter of
+// the requests, so that they fit even if the total load is twice the capacity.
 func teams(user string) []Team {
 	return []Team{
 		{user + "-01", TierSilver, 24},
--- a/internal/bench/arrivals/prompt.go
+++ b/internal/bench/arrivals/prompt.go
@@ -6,44 +6,45 @@
 	"strings"
 )
 
-// words fill prompts; their meaning doesn't matter to a stand-in engine.
-var words = strings.Fields(`the party of first part shall file annual return
+// vocabulary holds the words of generated prompts. The stub engine ignores their
+// meaning.
+var vocabulary = strings.Fields(`the party of first part shall file annual return
 	within ninety days scooter battery zone repair brake ticket city reply
 	owner share capital article clause register name search receipt crew`)
 
-// documents are what the prompts of one team in one class have in common, as
-// instructions and templates are. They don't depend on the seed.
-type documents struct {
-	words map[string]int // by class
-	texts map[documentKey]string
+// sharedPrompts holds the prompt prefixes, such as instructions and templates,
+// shared by the requests of a team in a class. They don't depend on Plan.Seed.
+type sharedPrompts struct {
+	words    map[string]int // by class
+	prefixes map[prefixKey]string
 }
 
-type documentKey struct{ team, class string }
+type prefixKey struct{ team, class string }
 
-func newDocuments(m Mix) documents {
-	d := documents{words: make(map[string]int), texts: make(map[documentKey]string)}
+func newSharedPrompts(m Mix) sharedPrompts {
+	d := sharedPrompts{words: make(map[string]int), prefixes: make(map[prefixKey]string)}
 	for _, c := range m.Classes() {
 		d.words[c.Name] = c.PromptWords
 	}
 	return d
 }
 
-// prompt puts what is the request's own after what it shares with others.
-func (d documents) prompt(a *Arrival) string {
-	key := documentKey{a.Team, a.Class}
-	text, ok := d.texts[key]
+// prompt returns the shared prefix followed by the request's own part.
+func (d sharedPrompts) prompt(a *Arrival) string {
+	key := prefixKey{a.Team, a.Class}
+	text, ok := d.prefixes[key]
 	if !ok {
-		text = document(key, d.words[a.Class])
-		d.texts[key] = text
+		text = sharedPrefix(key, d.words[a.Class])
+		d.prefixes[key] = text
 	}
 	return fmt.Sprintf("%s[[id=%s]] [[tokens=%d]]", text, a.ID, a.Tokens)
 }
 
-func document(key documentKey, length int) string {
+func sharedPrefix(key prefixKey, length int) string {
 	rnd := rand.New(rand.NewPCG(hash64(key.team, key.class), 0))
 	var b strings.Builder
 	for range length {
-		b.WriteString(words[rnd.IntN(len(words))])
+		b.WriteString(vocabulary[rnd.IntN(len(vocabulary))])
 		b.WriteByte(' ')
 	}
 	return b.String()
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -25,12 +25,12 @@
 	"coveferry/internal/standin/engine"
 )
 
-// fakeFleet answers without routers and engines, in the time of a test's
-// bubble. It can be told to break promises.
+// fakeFleet answers requests without routers and engines, in the fake time of
+// testing/synctest. It can inject faults that the checks must detect.
 type fakeFleet struct {
-	slow    time.Duration // before each answer
-	doubled bool          // every run happens twice
-	loose   int           // tokens of a run that nobody asked for
+	answerDelay time.Duration // delay before each answer
+	runTwice    bool          // record every run twice
+	strayTokens int           // tokens of a run without a request
 
 	mu      sync.Mutex
 	runs    []engine.Run
@@ -65,13 +65,13 @@
 	}
 	id := f.run(r, string(body), answer)
 	select {
-	case <-time.After(f.slow):
+	case <-time.After(f.answerDelay):
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
 	}
 	text := fmt.Sprintf("data: {\"choices\":[{\"delta\":{\"content\":%q},\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n", answer.Text)
 	header := http.Header{}
-	if r.Header.Get(api.HeaderIdempotencyKey) == "" { // otherwise the key has to do
+	if r.Header.Get(api.HeaderIdempotencyKey) == "" { // otherwise runs are attributed by the key
 		header.Set(api.HeaderRequestID, id)
 	}
 	return &http.Response{
@@ -92,7 +92,7 @@
 		Produced:       a.Tokens,
 	}
 	f.runs = append(f.runs, run)
-	if f.doubled {
+	if f.runTwice {
 		f.runs = append(f.runs, run)
 	}
 	return id
@@ -107,18 +107,18 @@
 	if e.index > 0 {
 		return nil
 	}
-	stray := engine.Run{RequestID: "stray.1", Produced: e.fleet.loose}
+	stray := engine.Run{RequestID: "stray.1", Produced: e.fleet.strayTokens}
 	return append(e.fleet.runs, stray)
 }
 
-func (e fakeEngine) note(what string) {
-	e.fleet.actions = append(e.fleet.actions, fmt.Sprintf("%s %d", what, e.index))
+func (e fakeEngine) recordAction(action string) {
+	e.fleet.actions = append(e.fleet.actions, fmt.Sprintf("%s %d", action, e.index))
 }
 
-func (e fakeEngine) SetSpeed(float64) { e.note("speed") }
-func (e fakeEngine) Crash()           { e.note("crash") }
-func (e fakeEngine) Restart()         { e.note("restart") }
-func (e fakeEngine) Pause()           { e.note("pause") }
+func (e fakeEngine) SetSpeed(float64) { e.recordAction("speed") }
+func (e fakeEngine) Crash()           { e.recordAction("crash") }
+func (e fakeEngine) Restart()         { e.recordAction("restart") }
+func (e fakeEngine) Pause()           { e.recordAction("pause") }
 func (e fakeEngine) Resume()          {}
 
 type noProgress struct{}
@@ -138,7 +138,7 @@
 	}
 }
 
-// runner launches the fleets in turn.
+// runner returns a Runner that launches the fleets in turn.
 func runner(fleets ...*fakeFleet) *bench.Runner {
 	r := &bench.Runner{Log: zerolog.Nop(), Progress: noProgress{}}
 	next := 0
@@ -154,7 +154,7 @@
 func TestPoliciesGetTheSameRequestsAndAreCompared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
-		product, baseline := &fakeFleet{}, &fakeFleet{slow: 700 * time.Millisecond, doubled: true, loose: 3}
+		product, baseline := &fakeFleet{}, &fakeFleet{answerDelay: 700 * time.Millisecond, runTwice: true, strayTokens: 3}
 		result, err := runner(product, baseline).Run(t.Context(), options(t, "steady", "product", "baseline"))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(result.Partial).To(gomega.BeFalse())
@@ -168,7 +168,7 @@
 		g.Expect(good.All.Requests).To(gomega.Equal(result.Arrivals))
 		g.Expect(good.All.Attainment).To(gomega.Equal(1.0))
 		g.Expect(good.Checks).To(gomega.Equal(check.Counts{}))
-		// The text comes in one piece: a token for the caller.
+		// The text comes in one event, which counts as one token.
 		g.Expect(good.All.Useful).To(gomega.Equal(result.Arrivals))
 
 		// Only the classes with a target below 700 ms miss it.
@@ -189,7 +189,7 @@
 		g := gomega.NewWithT(t)
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		fleet := &fakeFleet{slow: 100 * time.Millisecond}
+		fleet := &fakeFleet{answerDelay: 100 * time.Millisecond}
 		result, err := runner(fleet).Run(ctx, options(t, "steady", "product", "baseline"))
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 		g.Expect(result.Partial).To(gomega.BeTrue())
@@ -197,7 +197,7 @@
 		p := result.Policies[0]
 		g.Expect(p.Window).To(gomega.Equal(2.0))
 		g.Expect(p.All.Requests).To(gomega.BeNumerically(">", 0))
-		// What the bench cut off is neither measured nor held against the policy.
+		// Requests cut off by the bench are neither measured nor counted as failures.
 		g.Expect(p.All.Ends.Complete).To(gomega.Equal(p.All.Requests))
 		g.Expect(p.Checks).To(gomega.Equal(check.Counts{}))
 		g.Expect(fleet.stopped).To(gomega.BeTrue())
@@ -205,7 +205,7 @@
 	})
 }
 
-func TestFaultsStrikeAtTheirMoments(t *testing.T) {
+func TestFaultsAreInjectedOnSchedule(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := &fakeFleet{}
 		_, err := runner(fleet).Run(t.Context(), options(t, "crash", "product"))
@@ -215,18 +215,18 @@
 	})
 }
 
-// ableFleet can do all that scenarios ask for.
-type ableFleet struct{ *fakeFleet }
+// fullFleet supports all actions of the scenarios.
+type fullFleet struct{ *fakeFleet }
 
-func (f ableFleet) Roll(_ context.Context, i int) error {
+func (f fullFleet) Roll(_ context.Context, i int) error {
 	f.actions = append(f.actions, fmt.Sprintf("roll %d", i))
 	return nil
 }
 
-func (f ableFleet) Cut(e int) { f.actions = append(f.actions, fmt.Sprintf("cut %d", e)) }
-func (f ableFleet) Heal()     { f.actions = append(f.actions, "heal") }
+func (f fullFleet) Cut(e int) { f.actions = append(f.actions, fmt.Sprintf("cut %d", e)) }
+func (f fullFleet) Heal()     { f.actions = append(f.actions, "heal") }
 
-func TestFleetIsRolledAndCut(t *testing.T) {
+func TestFleetIsRolledAndPartitioned(t *testing.T) {
 	for name, want := range map[string][]string{
 		"rolling":   {"roll 0", "roll 1"},
 		"partition": {"cut 0", "cut 3", "cut 6", "cut 9"},
@@ -234,7 +234,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			fleet := &fakeFleet{}
 			r := runner()
-			r.Launch = func(context.Context, bench.Spec) (bench.Fleet, error) { return ableFleet{fleet}, nil }
+			r.Launch = func(context.Context, bench.Spec) (bench.Fleet, error) { return fullFleet{fleet}, nil }
 			r.Transport = fleet
 			_, err := r.Run(t.Context(), options(t, name, "product"))
 			g := gomega.NewWithT(t)
@@ -244,7 +244,7 @@
 	}
 }
 
-func TestWhatCannotRunIsRefused(t *testing.T) {
+func TestUnsupportedScenariosAndInvalidOptionsAreRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	fleet := &fakeFleet{}
 	_, err := runner(fleet).Run(t.Context(), options(t, "rolling", "product"))
--- a/internal/bench/bundle.go
+++ b/internal/bench/bundle.go
@@ -11,22 +11,22 @@
 
 // Limits of the bench's bundle.
 const (
-	validity     = 24 * time.Hour
-	requestBytes = 1 << 20
-	queueEntries = 1000
-	queueBytes   = 64 << 20
+	bundleValidity = 24 * time.Hour
+	requestBytes   = 1 << 20
+	queueEntries   = 1000
+	queueBytes     = 64 << 20
 )
 
-// Key is the key with which a team's requests are sent.
+// Key returns the API key of a team.
 func Key(team string) string { return "bench-key-of-" + team }
 
-// newBundle turns a mix into a bundle without endpoints.
+// newBundle returns the bundle for a mix, without endpoints.
 func newBundle(m arrivals.Mix, now time.Time) bundle.Bundle {
 	b := bundle.Bundle{
 		Format:  bundle.Format,
 		Version: 1,
 		Issued:  now,
-		Expires: now.Add(validity),
+		Expires: now.Add(bundleValidity),
 		Models:  []bundle.Model{{Name: engine.DefaultModel}},
 		Limits: bundle.Limits{
 			RequestBytes: requestBytes,
--- a/internal/bench/check/check.go
+++ b/internal/bench/check/check.go
@@ -1,6 +1,6 @@
-// Package check compares what engines ran with what callers received, and
-// counts each way in which a promise to callers can be broken. It is pure: all
-// that it looks at is handed in.
+// Package check compares the runs of the engines with the answers that callers
+// received, and counts violations of the guarantees to callers. It has no side
+// effects.
 package check
 
 import (
@@ -10,74 +10,74 @@
 	"coveferry/internal/wire"
 )
 
-// Sent is a request as it was sent, with the answer that belongs to it.
+// Sent is a request that was sent, with its expected answer.
 type Sent struct {
 	ID            string
 	Answer        string
 	NonIdempotent bool
 }
 
-// Run is one execution in an engine's own record.
+// Run is one execution according to an engine's record.
 type Run struct {
 	// Request is the ID of the request.
 	Request string
 	Engine  int
-	// Tokens counts what the engine produced.
+	// Tokens counts the tokens that the engine produced.
 	Tokens int
-	// Continues says that the engine went on from text that an earlier run
-	// of the same request had produced.
+	// Continues is set if the engine resumed from text that an earlier run of
+	// the same request had produced.
 	Continues bool
-	// HandedOver says that the engine gave the run up in good order, so that
-	// another could go on exactly where it ended.
+	// HandedOver is set if the engine ended the run in a hand-over, so that
+	// another engine could resume exactly where it ended.
 	HandedOver bool
 }
 
-// runCount sums up the runs of one request.
+// runCount counts the runs of one request.
 type runCount struct{ all, continued, handedOver int }
 
-// beyondFirst counts the runs that executed again what had run. One that goes
-// on from a run that was handed over doesn't; one that goes on after a crash
-// does, for what was produced last never reached the caller.
-func (c runCount) beyondFirst() int {
+// secondRuns returns the number of runs that repeated work. A run that resumes
+// after a hand-over doesn't repeat work; one that resumes after a crash does,
+// since the last tokens before the crash never reached the caller.
+func (c runCount) secondRuns() int {
 	return max(0, c.all-1-min(c.continued, c.handedOver))
 }
 
-// Counts are the broken promises of a run. All of them must be 0.
+// Counts holds the violations in a run, by kind. All of them must be 0.
 type Counts struct {
-	// Lost: the caller, still waiting, was left with neither a whole answer
-	// nor a typed error.
+	// Lost: a caller that was still waiting got neither a complete answer nor a
+	// typed error.
 	Lost int `json:"lost"`
-	// Doubled: the caller got a second answer, or text beyond the end.
+	// Doubled: the caller got a second answer, or text beyond the answer's end.
 	Doubled int `json:"doubled"`
-	// Mixed: text that doesn't belong to the request.
+	// Mixed: the caller got text that isn't part of its answer.
 	Mixed int `json:"mixed"`
-	// TruncatedAsWhole: part of the answer that ended like a whole one.
+	// TruncatedAsWhole: a partial answer ended like a complete one.
 	TruncatedAsWhole int `json:"truncated_as_whole"`
-	// FalseNotRun: the caller was told "not run", but an engine ran it.
+	// FalseNotRun: the error said "not run", but an engine ran the request.
 	FalseNotRun int `json:"false_not_run"`
-	// SecondRuns: runs beyond the first of a non-idempotent request.
+	// SecondRuns: repeated runs of non-idempotent requests.
 	SecondRuns int `json:"second_runs"`
-	// UnknownRuns: runs of requests that nobody sent.
+	// UnknownRuns: runs of requests that were not sent.
 	UnknownRuns int `json:"unknown_runs"`
 
-	// Examples are the IDs of a few requests with a fault.
+	// Examples are some of the requests with a violation.
 	Examples []Example `json:"examples,omitempty"`
 }
 
-// Example names a request that shows a fault.
+// Example is a request with a violation.
 type Example struct {
 	Fault   Fault  `json:"fault"`
 	Request string `json:"request"`
-	// End, Code and Tokens are those of the request's outcome, if it has one.
+	// End, Code and Tokens are taken from the request's outcome, if any.
 	End    client.End `json:"end,omitempty"`
 	Code   string     `json:"code,omitempty"`
 	Tokens int        `json:"tokens,omitempty"`
 }
 
-// Fault is a kind of broken promise, named as in the JSON of Counts.
+// Fault is a kind of violation, named as in the JSON of Counts.
 type Fault string
 
-// The kinds of broken promise.
+// The kinds of violations.
 const (
 	FaultLost             Fault = "lost"
 	FaultDoubled          Fault = "doubled"
@@ -91,13 +91,13 @@
 // maxExamples bounds the examples of all faults together.
 const maxExamples = 20
 
-// Total is the number of broken promises.
+// Total returns the number of violations.
 func (c Counts) Total() int {
 	return c.Lost + c.Doubled + c.Mixed + c.TruncatedAsWhole +
 		c.FalseNotRun + c.SecondRuns + c.UnknownRuns
 }
 
-// Check counts the broken promises among the requests that were sent.
+// Check counts the violations among the requests that were sent.
 func Check(sent []Sent, received []client.Outcome, runs []Run) Counts {
 	var c Counts
 	outcomes := byRequest(received)
@@ -105,7 +105,7 @@
 	known := make(map[string]bool, len(sent))
 	for _, s := range sent {
 		known[s.ID] = true
-		c.request(s, outcomes[s.ID], counts[s.ID])
+		c.checkRequest(s, outcomes[s.ID], counts[s.ID])
 	}
 	for _, r := range runs {
 		if !known[r.Request] {
@@ -139,9 +139,9 @@
 	return m
 }
 
-func (c *Counts) request(s Sent, outcomes []client.Outcome, runs runCount) {
+func (c *Counts) checkRequest(s Sent, outcomes []client.Outcome, runs runCount) {
 	if s.NonIdempotent {
-		for range runs.beyondFirst() {
+		for range runs.secondRuns() {
 			c.add(FaultSecondRun, s.ID)
 		}
 	}
@@ -153,43 +153,43 @@
 		c.add(FaultDoubled, s.ID)
 	}
 	for _, o := range outcomes {
-		c.outcome(s, o, runs)
+		c.checkOutcome(s, o, runs)
 	}
 }
 
-func (c *Counts) outcome(s Sent, o client.Outcome, runs runCount) {
+func (c *Counts) checkOutcome(s Sent, o client.Outcome, runs runCount) {
 	e := Example{Request: s.ID, End: o.End, Code: o.Code, Tokens: o.Tokens}
 	switch {
 	case o.Run == wire.RunNot && runs.all > 0:
-		c.show(FaultFalseNotRun, e)
+		c.addExample(FaultFalseNotRun, e)
 	case o.End == client.EndTruncated || o.End == client.EndFailed:
-		c.show(FaultLost, e)
+		c.addExample(FaultLost, e)
 	}
 	switch {
 	case strings.HasPrefix(s.Answer, o.Text):
 		if o.End == client.EndComplete && len(o.Text) < len(s.Answer) {
-			c.show(FaultTruncatedAsWhole, e)
+			c.addExample(FaultTruncatedAsWhole, e)
 		}
 	case strings.HasPrefix(o.Text, s.Answer):
-		c.show(FaultDoubled, e)
+		c.addExample(FaultDoubled, e)
 	default:
-		c.show(FaultMixed, e)
+		c.addExample(FaultMixed, e)
 	}
 }
 
 func (c *Counts) add(f Fault, request string) {
-	c.show(f, Example{Request: request})
+	c.addExample(f, Example{Request: request})
 }
 
-func (c *Counts) show(f Fault, e Example) {
-	*c.field(f)++
+func (c *Counts) addExample(f Fault, e Example) {
+	*c.counter(f)++
 	e.Fault = f
 	if len(c.Examples) < maxExamples {
 		c.Examples = append(c.Examples, e)
 	}
 }
 
-func (c *Counts) field(f Fault) *int {
+func (c *Counts) counter(f Fault) *int {
 	switch f {
 	case FaultLost:
 		return &c.Lost
--- a/internal/bench/check/check_test.go
+++ b/internal/bench/check/check_test.go
@@ -13,21 +13,21 @@
 
 const answer = "one whole answer"
 
-func whole(id string) client.Outcome {
+func completeOutcome(id string) client.Outcome {
 	return client.Outcome{ID: id, End: client.EndComplete, Text: answer}
 }
 
 func run(id string) check.Run { return check.Run{Request: id, Engine: 1, Tokens: 3} }
 
-// session is one request, at first without a fault.
-type session struct {
+// testRun is the input of Check.
+type testRun struct {
 	sent     []check.Sent
 	received []client.Outcome
 	runs     []check.Run
 }
 
-func faultless() session {
-	return session{
+func faultlessRun() testRun {
+	return testRun{
 		sent: []check.Sent{
 			{ID: "r1", Answer: answer, NonIdempotent: true},
 			{ID: "r2", Answer: answer},
@@ -35,8 +35,8 @@
 			{ID: "r4", Answer: answer},
 		},
 		received: []client.Outcome{
-			whole("r1"),
-			whole("r2"),
+			completeOutcome("r1"),
+			completeOutcome("r2"),
 			{ID: "r3", End: client.EndRefused, Run: wire.RunNot},
 			{ID: "r4", End: client.EndTimeout, Text: answer[:5]},
 		},
@@ -49,41 +49,41 @@
 	}
 }
 
-func (s session) counts() check.Counts { return check.Check(s.sent, s.received, s.runs) }
+func (s testRun) counts() check.Counts { return check.Check(s.sent, s.received, s.runs) }
 
-func TestFaultlessSessionHasNoFault(t *testing.T) {
-	gomega.NewWithT(t).Expect(faultless().counts()).To(gomega.Equal(check.Counts{}))
+func TestFaultlessRunHasNoFaults(t *testing.T) {
+	gomega.NewWithT(t).Expect(faultlessRun().counts()).To(gomega.Equal(check.Counts{}))
 }
 
-func TestEachPlantedFaultIsFound(t *testing.T) {
-	plants := []struct {
-		name  string
-		plant func(*session)
-		want  check.Counts
+func TestEachInjectedFaultIsDetected(t *testing.T) {
+	cases := []struct {
+		name   string
+		inject func(*testRun)
+		want   check.Counts
 	}{
-		{"no outcome", func(s *session) { s.received = s.received[1:] }, check.Counts{Lost: 1}},
-		{"stream without an end", func(s *session) { s.received[1].End = client.EndTruncated }, check.Counts{Lost: 1}},
-		{"broken connection", func(s *session) {
+		{"no outcome", func(s *testRun) { s.received = s.received[1:] }, check.Counts{Lost: 1}},
+		{"stream without an end", func(s *testRun) { s.received[1].End = client.EndTruncated }, check.Counts{Lost: 1}},
+		{"broken connection", func(s *testRun) {
 			s.received[1] = client.Outcome{ID: "r2", End: client.EndFailed}
 		}, check.Counts{Lost: 1}},
-		{"two answers", func(s *session) { s.received = append(s.received, whole("r2")) }, check.Counts{Doubled: 1}},
-		{"answer twice in one stream", func(s *session) { s.received[1].Text += answer }, check.Counts{Doubled: 1}},
-		{"other text", func(s *session) { s.received[1].Text = "another answer" }, check.Counts{Mixed: 1}},
-		{"other text before a timeout", func(s *session) { s.received[3].Text = "an" }, check.Counts{Mixed: 1}},
-		{"part as whole", func(s *session) { s.received[1].Text = answer[:5] }, check.Counts{TruncatedAsWhole: 1}},
-		{"nothing as whole", func(s *session) { s.received[1].Text = "" }, check.Counts{TruncatedAsWhole: 1}},
-		{"ran all the same", func(s *session) { s.runs = append(s.runs, run("r3")) }, check.Counts{FalseNotRun: 1}},
-		{"ran twice", func(s *session) { s.runs = append(s.runs, run("r1")) }, check.Counts{SecondRuns: 1}},
-		{"went on after a crash", func(s *session) { s.runs[0].HandedOver = false }, check.Counts{SecondRuns: 1}},
-		{"went on twice from one hand-over", func(s *session) { s.runs = append(s.runs, s.runs[1]) }, check.Counts{SecondRuns: 1}},
-		{"ran three times", func(s *session) { s.runs = append(s.runs, run("r1"), run("r1")) }, check.Counts{SecondRuns: 2}},
-		{"ran what nobody sent", func(s *session) { s.runs = append(s.runs, run("r9")) }, check.Counts{UnknownRuns: 1}},
+		{"two answers", func(s *testRun) { s.received = append(s.received, completeOutcome("r2")) }, check.Counts{Doubled: 1}},
+		{"answer twice in one stream", func(s *testRun) { s.received[1].Text += answer }, check.Counts{Doubled: 1}},
+		{"other text", func(s *testRun) { s.received[1].Text = "another answer" }, check.Counts{Mixed: 1}},
+		{"other text before a timeout", func(s *testRun) { s.received[3].Text = "an" }, check.Counts{Mixed: 1}},
+		{"partial answer ended as complete", func(s *testRun) { s.received[1].Text = answer[:5] }, check.Counts{TruncatedAsWhole: 1}},
+		{"empty answer ended as complete", func(s *testRun) { s.received[1].Text = "" }, check.Counts{TruncatedAsWhole: 1}},
+		{"run despite a not-run error", func(s *testRun) { s.runs = append(s.runs, run("r3")) }, check.Counts{FalseNotRun: 1}},
+		{"ran twice", func(s *testRun) { s.runs = append(s.runs, run("r1")) }, check.Counts{SecondRuns: 1}},
+		{"resumed after a crash", func(s *testRun) { s.runs[0].HandedOver = false }, check.Counts{SecondRuns: 1}},
+		{"resumed twice after one hand-over", func(s *testRun) { s.runs = append(s.runs, s.runs[1]) }, check.Counts{SecondRuns: 1}},
+		{"ran three times", func(s *testRun) { s.runs = append(s.runs, run("r1"), run("r1")) }, check.Counts{SecondRuns: 2}},
+		{"run of an unknown request", func(s *testRun) { s.runs = append(s.runs, run("r9")) }, check.Counts{UnknownRuns: 1}},
 	}
-	for _, p := range plants {
+	for _, p := range cases {
 		t.Run(p.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			s := faultless()
-			p.plant(&s)
+			s := faultlessRun()
+			p.inject(&s)
 			got := s.counts()
 			g.Expect(got.Total()).To(gomega.Equal(p.want.Total()))
 			g.Expect(got.Examples).NotTo(gomega.BeEmpty())
@@ -93,10 +93,10 @@
 	}
 }
 
-// Any text but a beginning of the answer counts, wherever it differs.
-func TestChangedTextIsNeverPassed(t *testing.T) {
+// An answer with any text other than the expected one must be reported.
+func TestAlteredTextIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := faultless()
+		s := faultlessRun()
 		text := rapid.StringMatching(`[onewhlasr ]{0,20}`).Draw(t, "text")
 		s.received[1].Text = text
 		gomega.NewWithT(t).Expect(s.counts().Total() == 0).To(gomega.Equal(text == answer))
--- a/internal/bench/client/client.go
+++ b/internal/bench/client/client.go
@@ -18,13 +18,13 @@
 
 const (
 	chatPath = "/v1/chat/completions"
-	// maxErrorBody bounds what is read of an error's body, in bytes.
+	// maxErrorBody bounds the bytes read of an error body.
 	maxErrorBody = 64 << 10
-	// idleConns is how many idle connections are kept to one router.
+	// idleConns is the maximum number of idle connections per router.
 	idleConns = 2048
 )
 
-// ErrBadRequest marks a request that could not even be put together.
+// ErrBadRequest marks the error of a request that could not be built.
 var ErrBadRequest = errors.New("request can't be made")
 
 // Client sends requests to routers.
@@ -36,25 +36,25 @@
 	start   time.Time
 }
 
-// Config says where a Client sends its requests and as whom.
+// Config configures a Client.
 type Config struct {
 	// Routers are base URLs.
 	Routers []string
 	Model   string
-	// Key is the key of a team.
+	// Key returns the API key of a team.
 	Key func(team string) string
-	// Start is the moment that outcomes count from.
+	// Start is the time that times in outcomes are relative to.
 	Start time.Time
 	// Transport replaces the usual HTTP transport, if set.
 	Transport http.RoundTripper
 }
 
-// New makes a Client.
+// New returns a Client.
 func New(c Config) *Client {
 	transport := c.Transport
 	if transport == nil {
 		transport = &http.Transport{
-			MaxIdleConns:        0, // no bound over all hosts
+			MaxIdleConns:        0, // no limit across all hosts
 			MaxIdleConnsPerHost: idleConns,
 			DisableCompression:  true,
 		}
@@ -71,8 +71,8 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Do sends a request and reads its answer to the end, or until the deadline.
-// A ctx that ends before makes it EndInterrupted.
+// Do sends a request and reads its answer to the end or until the deadline. If
+// ctx ends first, the outcome is EndInterrupted.
 func (c *Client) Do(ctx context.Context, a arrivals.Arrival) Outcome {
 	o := Outcome{ID: a.ID, Due: a.At, Sent: c.now()}
 	deadline := c.start.Add(a.At + a.Deadline)
@@ -80,12 +80,13 @@
 	defer cancel()
 	c.exchange(callCtx, a, &o)
 	o.Ended = c.now()
-	settle(ctx, callCtx, &o)
+	classifyInterruption(ctx, callCtx, &o)
 	return o
 }
 
-// settle tells a caller that gave up from an answer that broke.
-func settle(ctx, callCtx context.Context, o *Outcome) {
+// classifyInterruption distinguishes an interruption of the bench and a timeout
+// of the caller from a broken answer.
+func classifyInterruption(ctx, callCtx context.Context, o *Outcome) {
 	if o.End != EndFailed && o.End != EndTruncated {
 		return
 	}
@@ -114,7 +115,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	o.RequestID = resp.Header.Get(api.HeaderRequestID)
 	if resp.StatusCode != http.StatusOK {
-		refused(resp, o)
+		readErrorResponse(resp, o)
 		return
 	}
 	c.stream(resp.Body, o)
@@ -131,7 +132,7 @@
 	Content string `json:"content"`
 }
 
-// Body is the body of the request for an arrival.
+// Body returns the request body for an arrival.
 func Body(model string, a arrivals.Arrival) ([]byte, error) {
 	body, err := json.Marshal(chatRequest{
 		Model:    model,
@@ -163,8 +164,8 @@
 	return req, nil
 }
 
-// IdempotencyKey is the key that a non-idempotent request is sent with, empty
-// for others.
+// IdempotencyKey returns the idempotency key of a non-idempotent request; empty
+// for other requests.
 func IdempotencyKey(a arrivals.Arrival) string {
 	if !a.NonIdempotent {
 		return ""
@@ -172,12 +173,13 @@
 	return "bench-" + a.ID
 }
 
-// errorBody is the typed error of coveferry, as a body or an event's data.
+// errorBody is coveferry's typed error, as a response body or the data of an
+// event.
 type errorBody struct {
 	Error *api.Error `json:"error"`
 }
 
-func refused(resp *http.Response, o *Outcome) {
+func readErrorResponse(resp *http.Response, o *Outcome) {
 	o.End = EndRefused
 	o.Status = resp.StatusCode
 	if s, err := strconv.Atoi(resp.Header.Get(api.HeaderRetryAfter)); err == nil {
@@ -197,5 +199,5 @@
 	o.Run = e.Error.Run
 }
 
-// looksLikeError keeps the decoding of errors off the path of every token.
+// looksLikeError is a cheap test that avoids decoding every event as an error.
 func looksLikeError(data string) bool { return strings.HasPrefix(data, `{"error"`) }
--- a/internal/bench/client/client_test.go
+++ b/internal/bench/client/client_test.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	head   = `{"choices":[{"delta":{"role":"assistant"},"finish_reason":null}]}`
-	tokenA = `{"choices":[{"delta":{"content":"one"},"finish_reason":null}]}`
-	tokenB = `{"choices":[{"delta":{"content":" two"},"finish_reason":null}]}`
-	finish = `{"choices":[{"delta":{},"finish_reason":"stop"}]}`
-	done   = "[DONE]"
-	pace   = 100 * time.Millisecond
+	head          = `{"choices":[{"delta":{"role":"assistant"},"finish_reason":null}]}`
+	tokenA        = `{"choices":[{"delta":{"content":"one"},"finish_reason":null}]}`
+	tokenB        = `{"choices":[{"delta":{"content":" two"},"finish_reason":null}]}`
+	finish        = `{"choices":[{"delta":{},"finish_reason":"stop"}]}`
+	done          = "[DONE]"
+	eventInterval = 100 * time.Millisecond
 )
 
 var arrival = arrivals.Arrival{
@@ -32,8 +32,8 @@
 	Prompt: "hello", NonIdempotent: true,
 }
 
-// script answers with a status and events, one each pace, and then breaks or
-// ends. A hanging script never answers.
+// script answers with a status and events, one per eventInterval, and
+// then ends the body. With err it fails; with hang it never answers.
 type script struct {
 	status int
 	header http.Header
@@ -60,7 +60,7 @@
 func (s *script) write(ctx context.Context, w *io.PipeWriter) {
 	for _, e := range s.events {
 		select {
-		case <-time.After(pace):
+		case <-time.After(eventInterval):
 		case <-ctx.Done():
 			_ = w.CloseWithError(ctx.Err())
 			return
@@ -87,20 +87,20 @@
 
 func stream(events ...string) *script { return &script{status: http.StatusOK, events: events} }
 
-func TestEnds(t *testing.T) {
+func TestEndOfEachKindOfAnswer(t *testing.T) {
 	cases := []struct {
 		name   string
 		script *script
 		end    client.End
 	}{
-		{"whole answer", stream(head, tokenA, tokenB, finish, done), client.EndComplete},
+		{"complete answer", stream(head, tokenA, tokenB, finish, done), client.EndComplete},
 		{"no finish reason", stream(head, tokenA, tokenB, done), client.EndTruncated},
-		{"no end", stream(head, tokenA, tokenB, finish), client.EndTruncated},
+		{"no done marker", stream(head, tokenA, tokenB, finish), client.EndTruncated},
 		{"broken event", stream(head, tokenA, "{", finish, done), client.EndTruncated},
 		{"error event", stream(head, tokenA, `{"error":{"code":"engine_failed"}}`), client.EndErrorEvent},
 		{"refusal", &script{status: 503, events: []string{`{"error":{"code":"queue_full"}}`}}, client.EndRefused},
 		{"connection refused", &script{err: errors.New("refused")}, client.EndFailed},
-		{"silence until the deadline", &script{hang: true}, client.EndTimeout},
+		{"no answer until the deadline", &script{hang: true}, client.EndTimeout},
 		{"slow beyond the deadline", stream(strings.Split(strings.Repeat(tokenA+"\n", 20), "\n")[:20]...), client.EndTimeout},
 	}
 	for _, c := range cases {
@@ -126,9 +126,9 @@
 		g.Expect(o.Tokens).To(gomega.Equal(2))
 		g.Expect(o.RequestID).To(gomega.Equal("q7"))
 		g.Expect(o.Sent).To(gomega.Equal(time.Second))
-		g.Expect(o.First).To(gomega.Equal(time.Second + 2*pace))
-		g.Expect(o.Gaps).To(gomega.Equal([]time.Duration{pace}))
-		g.Expect(o.Ended).To(gomega.Equal(time.Second + 5*pace))
+		g.Expect(o.First).To(gomega.Equal(time.Second + 2*eventInterval))
+		g.Expect(o.Gaps).To(gomega.Equal([]time.Duration{eventInterval}))
+		g.Expect(o.Ended).To(gomega.Equal(time.Second + 5*eventInterval))
 		g.Expect(s.got.Header.Get(api.HeaderAuthorization)).To(gomega.Equal("Bearer key-of-team"))
 		g.Expect(s.got.Header.Get(api.HeaderClass)).To(gomega.Equal("queries"))
 		g.Expect(s.got.Header.Get(api.HeaderNonIdempotent)).To(gomega.Equal("true"))
@@ -136,7 +136,7 @@
 	})
 }
 
-func TestRefusalKeepsWhatTheCallerWasTold(t *testing.T) {
+func TestRefusalRecordsTheErrorResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		refusal := api.Error{Status: 503, Type: api.TypeOverloaded, Code: "queue_full", Run: wire.RunNot}
 		s := &script{status: 503, events: []string{string(refusal.JSON())}, header: http.Header{"Retry-After": {"3"}}}
@@ -149,18 +149,18 @@
 	})
 }
 
-func TestInterruptionIsNoTimeout(t *testing.T) {
+func TestInterruptionIsNotATimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithTimeout(t.Context(), pace)
+		ctx, cancel := context.WithTimeout(t.Context(), eventInterval)
 		defer cancel()
 		gomega.NewWithT(t).Expect(do(ctx, &script{hang: true}).End).To(gomega.Equal(client.EndInterrupted))
 	})
 }
 
-// slow answers each request after ten seconds.
-type slow struct{ start time.Time }
+// slowDoer answers each request after ten seconds.
+type slowDoer struct{ start time.Time }
 
-func (s slow) Do(ctx context.Context, a arrivals.Arrival) client.Outcome {
+func (s slowDoer) Do(ctx context.Context, a arrivals.Arrival) client.Outcome {
 	o := client.Outcome{ID: a.ID, Sent: time.Since(s.start), End: client.EndComplete}
 	select {
 	case <-time.After(10 * time.Second):
@@ -178,33 +178,33 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		start := time.Now()
-		drive := client.Run(t.Context(), slow{start}, threeArrivals, client.Options{Start: start, MaxOpen: 10})
-		g.Expect(drive.MaxOpen).To(gomega.Equal(3))
-		for i, o := range drive.Outcomes {
+		result := client.Run(t.Context(), slowDoer{start}, threeArrivals, client.Options{Start: start, MaxOpen: 10})
+		g.Expect(result.MaxOpen).To(gomega.Equal(3))
+		for i, o := range result.Outcomes {
 			g.Expect(o.ID).To(gomega.Equal(threeArrivals[i].ID))
 			g.Expect(o.Sent).To(gomega.Equal(threeArrivals[i].At))
 		}
 	})
 }
 
-func TestOwnLimitIsReported(t *testing.T) {
+func TestOpenRequestLimitIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		start := time.Now()
-		drive := client.Run(t.Context(), slow{start}, threeArrivals, client.Options{Start: start, MaxOpen: 2})
-		g.Expect(drive.LimitHit).To(gomega.Equal(1))
-		g.Expect(drive.Outcomes[2].End).To(gomega.Equal(client.EndInterrupted))
+		result := client.Run(t.Context(), slowDoer{start}, threeArrivals, client.Options{Start: start, MaxOpen: 2})
+		g.Expect(result.LimitHit).To(gomega.Equal(1))
+		g.Expect(result.Outcomes[2].End).To(gomega.Equal(client.EndInterrupted))
 	})
 }
 
-func TestInterruptedDriveKeepsWhatWasSent(t *testing.T) {
+func TestInterruptedRunKeepsSentRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 		defer cancel()
 		start := time.Now()
-		drive := client.Run(ctx, slow{start}, threeArrivals, client.Options{Start: start, MaxOpen: 10})
+		result := client.Run(ctx, slowDoer{start}, threeArrivals, client.Options{Start: start, MaxOpen: 10})
 		g := gomega.NewWithT(t)
-		g.Expect(drive.Outcomes).To(gomega.HaveLen(2))
+		g.Expect(result.Outcomes).To(gomega.HaveLen(2))
 		g.Expect(time.Since(start)).To(gomega.Equal(2500 * time.Millisecond))
 	})
 }
--- a/internal/bench/client/drive.go
+++ b/internal/bench/client/drive.go
@@ -10,15 +10,15 @@
 	"coveferry/internal/clock"
 )
 
-// Drive is the record of a whole list of arrivals.
-type Drive struct {
-	// Outcomes are in the order of the arrivals. After an interruption those
-	// that were not sent are missing at the end.
+// RunResult is the result of sending a list of arrivals.
+type RunResult struct {
+	// Outcomes are in the order of the arrivals. After an interruption, those of
+	// arrivals that were not sent are missing.
 	Outcomes []Outcome
-	// LimitHit counts arrivals that were not sent because too many requests
-	// were open in the bench itself. It must be 0 for a result to count.
+	// LimitHit counts arrivals that were not sent because of Options.MaxOpen. A
+	// result is valid only if it is 0.
 	LimitHit int
-	// MaxOpen is the most requests that were open at once.
+	// MaxOpen is the maximum number of concurrently open requests.
 	MaxOpen int
 }
 
@@ -29,22 +29,22 @@
 
 // Options of Run.
 type Options struct {
-	// Start is the moment that arrivals count from.
+	// Start is the time that arrivals are relative to.
 	Start time.Time
-	// MaxOpen bounds the open requests, as a safety of the bench.
+	// MaxOpen bounds the open requests, to protect the bench process.
 	MaxOpen int
-	// Progress is told of each request that ended, if set.
+	// Progress, if set, is called after each request.
 	Progress func()
 }
 
-// Run sends each arrival at its moment, in a goroutine of its own, whatever
-// became of those before, and waits until all have ended.
-func Run(ctx context.Context, d Doer, list []arrivals.Arrival, opt Options) Drive {
+// Run sends each arrival at its time, in a separate goroutine and independent of
+// earlier answers, and waits until all have ended.
+func Run(ctx context.Context, d Doer, list []arrivals.Arrival, opt Options) RunResult {
 	var (
-		wg      sync.WaitGroup
-		open    atomic.Int64
-		drive   Drive
-		results = make([]Outcome, len(list))
+		wg       sync.WaitGroup
+		open     atomic.Int64
+		result   RunResult
+		outcomes = make([]Outcome, len(list))
 	)
 	sent := 0
 	for i, a := range list {
@@ -53,25 +53,25 @@
 		}
 		sent++
 		if int(open.Load()) >= opt.MaxOpen {
-			drive.LimitHit++
-			results[i] = Outcome{ID: a.ID, Due: a.At, Sent: a.At, Ended: a.At, End: EndInterrupted}
+			result.LimitHit++
+			outcomes[i] = Outcome{ID: a.ID, Due: a.At, Sent: a.At, Ended: a.At, End: EndInterrupted}
 			continue
 		}
-		drive.MaxOpen = max(drive.MaxOpen, int(open.Add(1)))
+		result.MaxOpen = max(result.MaxOpen, int(open.Add(1)))
 		wg.Go(func() {
 			defer open.Add(-1)
-			results[i] = d.Do(ctx, a)
+			outcomes[i] = d.Do(ctx, a)
 			if opt.Progress != nil {
 				opt.Progress()
 			}
 		})
 	}
 	wg.Wait()
-	drive.Outcomes = results[:sent]
-	return drive
+	result.Outcomes = outcomes[:sent]
+	return result
 }
 
-// WaitUntil waits for a moment; it reports false if ctx ended first.
+// WaitUntil waits until a time; it returns false if ctx ends first.
 func WaitUntil(ctx context.Context, at time.Time) bool {
 	return ctx.Err() == nil && clock.Sleep(ctx, time.Until(at))
 }
--- a/internal/bench/client/outcome.go
+++ b/internal/bench/client/outcome.go
@@ -1,5 +1,5 @@
 // Package client sends the bench's requests as callers do: streaming chat
-// completions over HTTP, given up at the class's deadline. It notes what each
+// completions over HTTP, cancelled at the class's deadline. It records what each
 // caller received and when.
 package client
 
@@ -9,52 +9,53 @@
 	"coveferry/internal/wire"
 )
 
-// End is how a request ended for its caller.
+// End is the way in which a request ended for its caller.
 type End string
 
 // The ends of a request.
 const (
-	// EndComplete: a finish reason came, and then [DONE].
+	// EndComplete: a finish reason and then [DONE] arrived.
 	EndComplete End = "complete"
-	// EndRefused: an error status came in place of a stream.
+	// EndRefused: an error status arrived instead of a stream.
 	EndRefused End = "refused"
-	// EndTruncated: the stream ended, or broke, without its end.
+	// EndTruncated: the stream ended or broke before [DONE].
 	EndTruncated End = "truncated"
-	// EndErrorEvent: a stream that had begun ended with an error event.
+	// EndErrorEvent: a started stream ended with an error event.
 	EndErrorEvent End = "error_event"
 	// EndTimeout: the caller gave up at its deadline.
 	EndTimeout End = "timeout"
 	// EndFailed: the connection broke before any answer.
 	EndFailed End = "failed"
-	// EndInterrupted: the bench itself was stopped; it isn't measured.
+	// EndInterrupted: the bench didn't send or cut off the request; it isn't
+	// measured.
 	EndInterrupted End = "interrupted"
 )
 
-// Outcome is what the caller of one request received. Moments count from the
+// Outcome is what the caller of one request received. Times are relative to the
 // start of the run.
 type Outcome struct {
 	ID string
-	// RequestID is the product's name for the request, if the caller was
-	// told.
+	// RequestID is the router's ID of the request, if the caller received it.
 	RequestID string
-	// Due is when the request was to be sent and Sent when it was; latencies
-	// count from Due, so that a slow bench doesn't flatter the product.
+	// Due is the planned and Sent the actual time of sending. Latencies are
+	// relative to Due, so that a slow bench doesn't improve the results
+	// (coordinated omission).
 	Due  time.Duration
 	Sent time.Duration
-	// First is when the first token came; it means nothing if Tokens is 0.
+	// First is the time of the first token; it is undefined if Tokens is 0.
 	First time.Duration
 	Ended time.Duration
 	End   End
-	// Gaps are the times between tokens.
+	// Gaps are the inter-token latencies.
 	Gaps []time.Duration
-	// Tokens counts the pieces of text that came.
+	// Tokens counts the received events with text.
 	Tokens int
 	Text   string
 
-	// Code is the product's code of an error, or what broke the connection
-	// or the stream.
+	// Code is the code of a typed error, or describes why the connection or
+	// the stream broke.
 	Code string
-	// Status and what follows are set if the answer was an error.
+	// Status, Run and RetryAfter are set if the answer was an error.
 	Status     int
 	Run        wire.Run
 	RetryAfter time.Duration
--- a/internal/bench/client/stream.go
+++ b/internal/bench/client/stream.go
@@ -12,13 +12,14 @@
 const (
 	doneMarker = "[DONE]"
 	eventError = "error"
-	// maxEvent bounds one event of an answer, in bytes.
+	// maxEvent bounds the size of an event in bytes.
 	maxEvent = 1 << 20
-	// codeNoEnd stands for a stream that ended in good order, but too early.
-	codeNoEnd = "no_end"
+	// codeNoDone is the code of a stream that was closed cleanly, but without
+	// [DONE].
+	codeNoDone = "no_end"
 )
 
-// chunk is the part of a streamed chat completion that the bench looks at.
+// chunk holds the fields of a streamed chat completion that the bench reads.
 type chunk struct {
 	Choices []struct {
 		Delta struct {
@@ -28,33 +29,33 @@
 	} `json:"choices"`
 }
 
-// reader follows one streamed answer.
-type reader struct {
+// streamReader reads one streamed answer.
+type streamReader struct {
 	outcome  *Outcome
 	now      func() time.Duration
 	text     strings.Builder
 	last     time.Duration
-	finished bool // a finish reason came
+	finished bool // a finish reason was received
 }
 
 func (c *Client) stream(body io.Reader, o *Outcome) {
-	r := reader{outcome: o, now: c.now}
+	r := streamReader{outcome: o, now: c.now}
 	o.End = EndTruncated
-	o.Code = codeNoEnd
+	o.Code = codeNoDone
 	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEvent}) {
 		if err != nil {
 			o.Code = err.Error()
 			break
 		}
-		if r.event(event) {
+		if r.handleEvent(event) {
 			break
 		}
 	}
 	o.Text = r.text.String()
 }
 
-// event takes one event and reports whether it was the last.
-func (r *reader) event(e sse.Event) bool {
+// handleEvent processes one event and reports whether it was the last.
+func (r *streamReader) handleEvent(e sse.Event) bool {
 	if e.Data == doneMarker {
 		if r.finished {
 			r.outcome.End = EndComplete
@@ -68,16 +69,16 @@
 	}
 	var c chunk
 	if json.Unmarshal([]byte(e.Data), &c) != nil {
-		return true // no event of this protocol: the answer is broken
+		return true // malformed event: the answer is truncated
 	}
 	for _, choice := range c.Choices {
-		r.token(choice.Delta.Content)
+		r.handleText(choice.Delta.Content)
 		r.finished = r.finished || choice.FinishReason != nil
 	}
 	return false
 }
 
-func (r *reader) errorEvent(data string) {
+func (r *streamReader) errorEvent(data string) {
 	o := r.outcome
 	o.End = EndErrorEvent
 	var e errorBody
@@ -89,7 +90,7 @@
 	o.Run = e.Error.Run
 }
 
-func (r *reader) token(text string) {
+func (r *streamReader) handleText(text string) {
 	if text == "" {
 		return
 	}
--- a/internal/bench/cpu.go
+++ b/internal/bench/cpu.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// cpuMeter measures the processor time of this process, which holds the fleet
-// and the bench together.
+// cpuMeter measures the CPU time of this process, which runs both the fleet and
+// the bench.
 type cpuMeter struct {
 	start time.Time
 	used  time.Duration
@@ -15,7 +15,7 @@
 
 func startCPU() cpuMeter { return cpuMeter{start: time.Now(), used: cpuTime()} }
 
-// cores is how many cores were busy on average since the start.
+// cores returns the average number of busy cores since the start.
 func (m cpuMeter) cores() float64 {
 	elapsed := time.Since(m.start)
 	if elapsed <= 0 {
@@ -24,7 +24,8 @@
 	return float64(cpuTime()-m.used) / float64(elapsed)
 }
 
-// cpuTime is 0 where the platform doesn't tell.
+// cpuTime returns the CPU time of the process; 0 if the platform doesn't report
+// it.
 func cpuTime() time.Duration {
 	var u unix.Rusage
 	if unix.Getrusage(unix.RUSAGE_SELF, &u) != nil {
--- a/internal/bench/faults.go
+++ b/internal/bench/faults.go
@@ -10,58 +10,58 @@
 	"coveferry/internal/bench/scenario"
 )
 
-// ErrUnsupported marks a scenario that the fleet can't act out.
+// ErrUnsupported marks a scenario with actions that the fleet doesn't support.
 var ErrUnsupported = errors.New("the fleet doesn't support this scenario")
 
 func (e experiment) events() []scenario.Event {
 	return e.scenario.Events(e.opt.Duration, e.shape.Engines)
 }
 
-// supports checks before the load starts that all events can be acted out.
-func supports(f Fleet, events []scenario.Event) error {
+// checkSupport checks that the fleet supports the actions of all events.
+func checkSupport(f Fleet, events []scenario.Event) error {
 	_, rolls := f.(Roller)
 	_, cuts := f.(Partitioner)
 	for _, ev := range events {
-		missing := ev.Do == scenario.ActionRoll && !rolls ||
-			ev.Do == scenario.ActionCut && !cuts
+		missing := ev.Action == scenario.ActionRoll && !rolls ||
+			ev.Action == scenario.ActionCut && !cuts
 		if missing {
-			return errors.Mark(errors.Newf("the fleet can't do %q", ev.Do), ErrUnsupported)
+			return errors.Mark(errors.Newf("the fleet doesn't support action %q", ev.Action), ErrUnsupported)
 		}
 	}
 	return nil
 }
 
-// inflict carries the events out at their moments, until ctx ends. What was
-// paused is resumed at the end, so that the fleet can stop.
-func (r *Runner) inflict(ctx context.Context, f Fleet, events []scenario.Event, start time.Time) {
+// injectFaults applies the events at their times, until ctx ends. It resumes all
+// engines at the end, so that the fleet can stop.
+func (r *Runner) injectFaults(ctx context.Context, f Fleet, events []scenario.Event, start time.Time) {
 	defer resumeAll(f)
-	rolled := 0
-	struck := make(map[int]Engine)
+	replaced := 0
+	hit := make(map[int]Engine)
 	for _, ev := range events {
 		if !client.WaitUntil(ctx, start.Add(ev.At)) {
 			return
 		}
-		r.Log.Debug().Str("action", string(ev.Do)).Int("engine", ev.Engine).Msg("fault")
-		if ev.Do != scenario.ActionRoll {
-			act(f, ev, struck)
+		r.Log.Debug().Str("action", string(ev.Action)).Int("engine", ev.Engine).Msg("fault")
+		if ev.Action != scenario.ActionRoll {
+			applyEvent(f, ev, hit)
 			continue
 		}
-		if err := f.(Roller).Roll(ctx, rolled); err != nil {
-			r.Log.Warn().Err(err).Int("process", rolled).Msg("replacing a process failed")
+		if err := f.(Roller).Roll(ctx, replaced); err != nil {
+			r.Log.Warn().Err(err).Int("process", replaced).Msg("replacing a process failed")
 		}
-		rolled++
+		replaced++
 	}
 }
 
-// act carries out one event. What undoes a fault strikes the engine that the fault
-// struck, which may have been replaced since.
-func act(f Fleet, ev scenario.Event, struck map[int]Engine) {
+// applyEvent applies one event. An event that undoes a fault goes to the engine
+// that the fault hit, even if another engine has replaced it since.
+func applyEvent(f Fleet, ev scenario.Event, hit map[int]Engine) {
 	e := f.Engines()[ev.Engine]
-	if before, ok := struck[ev.Engine]; ok && ev.Undoes() {
-		e = before
+	if original, ok := hit[ev.Engine]; ok && ev.Undoes() {
+		e = original
 	}
-	struck[ev.Engine] = e
-	switch ev.Do {
+	hit[ev.Engine] = e
+	switch ev.Action {
 	case scenario.ActionSlow:
 		e.SetSpeed(scenario.SlowSpeed)
 	case scenario.ActionCrash:
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -9,46 +9,46 @@
 	"coveferry/internal/standin/engine"
 )
 
-// Names of the policies that every fleet knows.
+// Names of the policies that every fleet supports.
 const (
 	PolicyProduct  = "product"
 	PolicyBaseline = "baseline" // round-robin, FIFO, retry on any error
 )
 
-// ErrUnknownPolicy marks the refusal of a policy by a Launcher.
+// ErrUnknownPolicy marks the error of a Launcher that doesn't know the policy.
 var ErrUnknownPolicy = errors.New("unknown policy")
 
-// Spec is the fleet that a run needs.
+// Spec describes the fleet that a run needs.
 type Spec struct {
 	Policy string
-	// Seed makes the fleet's own random choices repeatable.
+	// Seed makes the fleet's random choices reproducible.
 	Seed uint64
-	// Routers and Engines are how many there are; each engine has an agent.
+	// Routers and Engines are their numbers; each engine has an agent.
 	Routers int
 	Engines int
 	// Engine configures each engine.
 	Engine engine.Config
-	// Bundle holds all but the endpoints, which the launcher adds.
+	// Bundle lacks the endpoints, which the launcher adds.
 	Bundle bundle.Bundle
 }
 
-// Launcher starts a fleet. A policy that it doesn't know is marked
-// ErrUnknownPolicy.
+// Launcher starts a fleet. Its error is marked ErrUnknownPolicy if it doesn't
+// know the policy.
 type Launcher func(ctx context.Context, spec Spec) (Fleet, error)
 
 // Fleet is a running fleet.
 type Fleet interface {
 	// Routers are the base URLs of the routers.
 	Routers() []string
-	// Engines are the stand-in engines; their records outlive Stop.
+	// Engines are the stub engines; their records remain readable after Stop.
 	Engines() []Engine
 	// Stop ends all processes and connections of the fleet, and returns when
-	// the engines' records don't change any more. An error says that it
-	// didn't end in good order.
+	// the engines' records are final. It returns an error if the shutdown
+	// wasn't clean.
 	Stop() error
 }
 
-// Engine is a stand-in engine as the bench uses it.
+// Engine is a stub engine as the bench uses it.
 type Engine interface {
 	Record() []engine.Run
 	SetSpeed(speed float64)
@@ -60,14 +60,14 @@
 
 // Roller is a Fleet that can replace its processes under load.
 type Roller interface {
-	// Roll replaces the process of router or agent number i in turn; numbers
-	// go on past the last of them.
+	// Roll replaces process i of the routers and agents; i wraps around after
+	// the last of them.
 	Roll(ctx context.Context, i int) error
 }
 
-// Partitioner is a Fleet that can cut routers off from agents.
+// Partitioner is a Fleet that can partition routers from agents.
 type Partitioner interface {
-	// Cut lets nothing pass between the first half of the routers and the
+	// Cut blocks all traffic between the first half of the routers and the
 	// given engine's agent until Heal.
 	Cut(engine int)
 	Heal()
--- a/internal/bench/local/local.go
+++ b/internal/bench/local/local.go
@@ -1,5 +1,5 @@
-// Package local launches the bench's fleets in this process, with the routers
-// and agents of the daemons on loopback sockets.
+// Package local launches the bench's fleets in this process: the production
+// routers and agents, on loopback sockets.
 package local
 
 import (
@@ -17,25 +17,26 @@
 	"coveferry/internal/standin/engine"
 )
 
-// grace bounds the end of a fleet. Its callers have all left by then.
+// grace bounds the shutdown of a fleet, when all callers have disconnected.
 const grace = 5 * time.Second
 
-// How processes stop that are replaced under load. A router waits for its longest
-// answers. An agent hands over what can be moved after half its grace, and leaves
-// what must not run twice the time of its longest deadline.
+// The shutdown of processes that are replaced under load. A router waits for its
+// longest answers. An agent hands over movable requests after half its grace
+// period, and gives non-idempotent requests the time of the longest deadline.
 var (
 	routerStop = server.Plan{Notice: 2 * time.Second, Grace: 50 * time.Second, Margin: time.Second, Linger: time.Second}
 	agentStop  = server.Plan{Notice: time.Second, Grace: 25 * time.Second, Margin: 25 * time.Second}
 )
 
-// Profile makes the decisions of a policy, anew for each fleet.
+// Profile creates the implementation of a policy for each fleet.
 type Profile struct {
 	Name string
 	New  func() fleet.Profile
 }
 
-// Profiles lists the policies that the fleet knows. Those besides product and
-// baseline are the product with one part taken out, and show what it is worth.
+// Profiles returns the policies that the fleet supports. Those other than product
+// and baseline are ablations: the product with one part removed, which show the
+// benefit of that part.
 func Profiles() []Profile {
 	return []Profile{
 		{Name: bench.PolicyProduct, New: fleet.Product},
@@ -45,13 +46,14 @@
 			p.LateBinding = false
 			return p
 		}},
-		{Name: "product-scheduler", New: func() fleet.Profile { return mixed(fleet.Baseline(), fleet.Product()) }},
-		{Name: "product-balance", New: func() fleet.Profile { return mixed(fleet.Product(), fleet.Baseline()) }},
+		{Name: "product-scheduler", New: func() fleet.Profile { return combine(fleet.Baseline(), fleet.Product()) }},
+		{Name: "product-balance", New: func() fleet.Profile { return combine(fleet.Product(), fleet.Baseline()) }},
 	}
 }
 
-// mixed takes the routers' part of one profile and the agents' of another.
-func mixed(routers, agents fleet.Profile) fleet.Profile {
+// combine returns a profile with the routers' part of one profile and the agents'
+// part of another.
+func combine(routers, agents fleet.Profile) fleet.Profile {
 	p := routers
 	p.Scheduler = agents.Scheduler
 	return p
@@ -60,7 +62,7 @@
 // New returns a launcher for the given policies.
 func New(profiles []Profile, log zerolog.Logger) bench.Launcher {
 	return func(_ context.Context, spec bench.Spec) (bench.Fleet, error) {
-		profile, err := find(profiles, spec.Policy)
+		profile, err := findProfile(profiles, spec.Policy)
 		if err != nil {
 			return nil, err
 		}
@@ -68,31 +70,30 @@
 		if err != nil {
 			return nil, err
 		}
-		return running{f}, nil
+		return fleetAdapter{f}, nil
 	}
 }
 
-// Check tells before anything runs if all policies are known; its error is
-// marked bench.ErrUnknownPolicy.
+// Check returns an error marked bench.ErrUnknownPolicy if a policy is unknown.
 func Check(policies []string) error {
 	for _, name := range policies {
-		if _, err := find(Profiles(), name); err != nil {
+		if _, err := findProfile(Profiles(), name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func find(profiles []Profile, name string) (Profile, error) {
+func findProfile(profiles []Profile, name string) (Profile, error) {
 	i := slices.IndexFunc(profiles, func(p Profile) bool { return p.Name == name })
 	if i < 0 {
-		err := errors.Newf("no policy %q; there are %s", name, names(profiles))
+		err := errors.Newf("no policy %q; there are %s", name, profileNames(profiles))
 		return Profile{}, errors.Mark(err, bench.ErrUnknownPolicy)
 	}
 	return profiles[i], nil
 }
 
-func names(profiles []Profile) string {
+func profileNames(profiles []Profile) string {
 	list := make([]string, len(profiles))
 	for i, p := range profiles {
 		list[i] = p.Name
@@ -117,11 +118,11 @@
 	}
 }
 
-// running fits a fleet to the bench.
-type running struct{ fleet *fleet.Fleet }
+// fleetAdapter fits a fleet to the bench.
+type fleetAdapter struct{ fleet *fleet.Fleet }
 
 // Routers implements bench.Fleet.
-func (r running) Routers() []string {
+func (r fleetAdapter) Routers() []string {
 	var urls []string
 	for _, n := range r.fleet.Routers() {
 		urls = append(urls, n.URL())
@@ -129,9 +130,9 @@
 	return urls
 }
 
-// Engines implements bench.Fleet: the present engines, by their numbers, and
-// behind them those that were replaced.
-func (r running) Engines() []bench.Engine {
+// Engines implements bench.Fleet. It returns the current engines by index,
+// followed by those that were replaced.
+func (r fleetAdapter) Engines() []bench.Engine {
 	var engines []bench.Engine
 	for _, n := range slices.Concat(r.fleet.Agents(), r.fleet.Retired()) {
 		engines = append(engines, n.Engine)
@@ -140,7 +141,7 @@
 }
 
 // Roll implements bench.Roller: routers and agents in turn.
-func (r running) Roll(_ context.Context, i int) error {
+func (r fleetAdapter) Roll(_ context.Context, i int) error {
 	routers, agents := len(r.fleet.Routers()), len(r.fleet.Agents())
 	i %= routers + agents
 	if i < routers {
@@ -150,10 +151,10 @@
 }
 
 // Cut implements bench.Partitioner.
-func (r running) Cut(engine int) { r.fleet.Cut(engine) }
+func (r fleetAdapter) Cut(engine int) { r.fleet.Cut(engine) }
 
 // Heal implements bench.Partitioner.
-func (r running) Heal() { r.fleet.Heal() }
+func (r fleetAdapter) Heal() { r.fleet.Heal() }
 
 // Stop implements bench.Fleet.
-func (r running) Stop() error { return r.fleet.Stop() }
+func (r fleetAdapter) Stop() error { return r.fleet.Stop() }
--- a/internal/bench/measure/group.go
+++ b/internal/bench/measure/group.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Group is the measures of the requests that have something in common.
+// Group holds the measures of the requests of a class, a tier, or both.
 type Group struct {
 	Class string `json:"class,omitempty"`
 	Tier  string `json:"tier,omitempty"`
 	Measures
 }
 
-// Groups measures each class, each tier, and each class in each tier that has
-// requests. classes and tiers give the order.
+// Groups returns the measures of each class, each tier, and each class in each
+// tier that has requests, in the order of classes and tiers.
 func Groups(samples []Sample, window time.Duration, classes, tiers []string) []Group {
 	var groups []Group
 	add := func(class, tier string) {
-		some := selectSamples(samples, class, tier)
-		if len(some) > 0 {
-			groups = append(groups, Group{Class: class, Tier: tier, Measures: Of(some, window)})
+		selected := selectSamples(samples, class, tier)
+		if len(selected) > 0 {
+			groups = append(groups, Group{Class: class, Tier: tier, Measures: Compute(selected, window)})
 		}
 	}
 	for _, class := range classes {
@@ -33,9 +33,9 @@
 	return groups
 }
 
-// selectSamples takes the samples of a class and tier; empty means any.
+// selectSamples returns the samples of a class and tier; empty matches any.
 func selectSamples(samples []Sample, class, tier string) []Sample {
-	var some []Sample
+	var selected []Sample
 	for _, s := range samples {
 		if class != "" && s.Arrival.Class != class {
 			continue
@@ -43,34 +43,36 @@
 		if tier != "" && s.Arrival.Tier != tier {
 			continue
 		}
-		some = append(some, s)
+		selected = append(selected, s)
 	}
-	return some
+	return selected
 }
 
-// Phase is a part of a run; the bounds count from its start.
+// Phase is a part of a run; From and To are relative to its start.
 type Phase struct {
 	Name     string
 	From, To time.Duration
 }
 
-// PhaseMeasures are the figures of one phase.
+// PhaseMeasures holds the measures of one phase.
 type PhaseMeasures struct {
 	Name string  `json:"name"`
 	From float64 `json:"from_s"`
 	To   float64 `json:"to_s"`
-	// Offered counts the requests that were due in the phase, a second.
-	// Attainment is theirs, and InTime the share of them answered in time.
+	// Offered is the rate of requests due in the phase, per second.
+	// Attainment is the fraction of them attained, and InTime the fraction
+	// answered in time.
 	Offered    float64 `json:"offered_per_s"`
 	Attainment float64 `json:"attainment"`
 	InTime     float64 `json:"in_time_share"`
-	// Goodput counts the answers in time that ended in the phase, a second,
-	// whenever their requests were sent; GoodputTokens their tokens.
+	// Goodput is the rate of answers in time that ended in the phase, per
+	// second, whenever their requests were sent; GoodputTokens that of their
+	// tokens.
 	Goodput       float64 `json:"goodput_per_s"`
 	GoodputTokens float64 `json:"goodput_tokens_per_s"`
 }
 
-// Phases measures each phase that lies within window.
+// Phases returns the measures of each phase that lies within window.
 func Phases(samples []Sample, phases []Phase, window time.Duration) []PhaseMeasures {
 	out := make([]PhaseMeasures, 0, len(phases))
 	for _, p := range phases {
@@ -84,7 +86,7 @@
 func (p Phase) contains(at time.Duration) bool { return at >= p.From && at < p.To }
 
 func (p Phase) measure(samples []Sample) PhaseMeasures {
-	due, attained, inTime, good, tokens := 0, 0, 0, 0, 0
+	due, attained, inTime, inTimeEnded, tokens := 0, 0, 0, 0, 0
 	for _, s := range samples {
 		if !s.Measured() {
 			continue
@@ -99,7 +101,7 @@
 			}
 		}
 		if s.InTime() && p.contains(s.Outcome.Ended) {
-			good++
+			inTimeEnded++
 			tokens += s.Outcome.Tokens
 		}
 	}
@@ -111,7 +113,7 @@
 		Offered:       float64(due) / seconds,
 		Attainment:    share(attained, due),
 		InTime:        share(inTime, due),
-		Goodput:       float64(good) / seconds,
+		Goodput:       float64(inTimeEnded) / seconds,
 		GoodputTokens: float64(tokens) / seconds,
 	}
 }
--- a/internal/bench/measure/latency.go
+++ b/internal/bench/measure/latency.go
@@ -6,14 +6,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histograms hold 1 µs to 10 minutes to three digits.
+// Histograms cover 1 µs to 10 minutes with three significant digits.
 const (
 	histogramMin    = int64(time.Microsecond)
 	histogramMax    = int64(10 * time.Minute)
 	histogramDigits = 3
 )
 
-// Latency sums up a distribution; values are in milliseconds.
+// Latency summarizes a latency distribution in milliseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -22,18 +22,18 @@
 	Max   float64 `json:"max_ms"`
 }
 
-type latencies struct{ h *hdrhistogram.Histogram }
+type latencyHistogram struct{ h *hdrhistogram.Histogram }
 
-func newLatencies() latencies {
-	return latencies{hdrhistogram.New(histogramMin, histogramMax, histogramDigits)}
+func newLatencyHistogram() latencyHistogram {
+	return latencyHistogram{hdrhistogram.New(histogramMin, histogramMax, histogramDigits)}
 }
 
-func (l latencies) record(d time.Duration) {
+func (l latencyHistogram) record(d time.Duration) {
 	v := min(max(int64(d), histogramMin), histogramMax)
-	_ = l.h.RecordValue(v) // fails only outside of the bounds
+	_ = l.h.RecordValue(v) // fails only for values outside of the bounds
 }
 
-func (l latencies) summary() Latency {
+func (l latencyHistogram) summary() Latency {
 	if l.h.TotalCount() == 0 {
 		return Latency{}
 	}
--- a/internal/bench/measure/measure.go
+++ b/internal/bench/measure/measure.go
@@ -1,10 +1,10 @@
-// Package measure turns what callers received and what engines produced into
-// the bench's figures. It is pure.
+// Package measure computes the bench's measures from what callers received and
+// what engines produced. It has no side effects.
 //
-// An answer is in time if it was whole before its class's deadline. A request
-// is attained if it was answered in time and its first token came within its
-// class's target. Refused, broken and given-up requests are misses. Times count
-// from the moment at which the request was due to be sent.
+// An answer is in time if it was complete before its class's deadline. A request
+// is attained if it was answered in time and its first token arrived within its
+// class's target. Refused, broken and timed-out requests are misses. Latencies
+// are relative to the time at which the request was due to be sent.
 package measure
 
 import (
@@ -17,28 +17,28 @@
 	"coveferry/internal/wire"
 )
 
-// Sample is one request with all that is known of it.
+// Sample is one request with its outcome and the work of the engines.
 type Sample struct {
 	Arrival arrivals.Arrival
 	Outcome client.Outcome
-	// Produced counts the tokens that engines produced for it, in all runs.
+	// Produced counts the tokens that engines produced for it in all runs.
 	Produced int
 }
 
-// Measures are the figures of a group of requests.
+// Measures holds the measures of a group of requests.
 type Measures struct {
 	Requests int `json:"requests"`
-	// Attainment is the share of requests attained, 0 to 1.
+	// Attainment is the fraction of requests attained.
 	Attainment float64 `json:"attainment"`
 	Attained   int     `json:"attained"`
-	// InTime counts answers in time, whenever they ended.
+	// InTime counts all answers in time, including those after the window.
 	InTime int `json:"in_time"`
-	// Goodput counts the answers in time, and GoodputTokens their tokens, a
-	// second, of those that ended while load arrived.
+	// Goodput is the rate of answers in time that ended while load arrived, and
+	// GoodputTokens the rate of their tokens, both per second.
 	Goodput       float64 `json:"goodput_per_s"`
 	GoodputTokens float64 `json:"goodput_tokens_per_s"`
-	// Produced are the tokens of all runs, Useful those of answers in time,
-	// and Wasted the share of Produced that isn't Useful, 0 to 1.
+	// Produced counts the tokens of all runs, Useful those of answers in time,
+	// and Wasted is the fraction of Produced that isn't Useful.
 	Produced int     `json:"produced_tokens"`
 	Useful   int     `json:"useful_tokens"`
 	Wasted   float64 `json:"wasted"`
@@ -47,8 +47,8 @@
 	Ends         Ends      `json:"ends"`
 	Refusals     []Refusal `json:"refusals"`
 
-	// FirstToken is over the requests that got one, Between over all pairs
-	// of tokens, Total over whole answers.
+	// FirstToken covers the requests that got a token, Between all pairs of
+	// successive tokens, Total the complete answers.
 	FirstToken Latency `json:"first_token"`
 	Between    Latency `json:"between_tokens"`
 	Total      Latency `json:"total"`
@@ -70,16 +70,16 @@
 	Code   string   `json:"code"`
 	Run    wire.Run `json:"run,omitempty"`
 	Count  int      `json:"count"`
-	// RetryAfter counts those that said when to come back.
+	// RetryAfter counts those with a Retry-After header.
 	RetryAfter int `json:"with_retry_after"`
 }
 
-// Attained tells if the request was answered within both of its targets.
+// Attained reports whether the request was answered within both of its targets.
 func (s Sample) Attained() bool {
 	return s.InTime() && s.firstToken() <= s.Arrival.FirstToken
 }
 
-// InTime tells if a whole answer came within the deadline.
+// InTime reports whether the complete answer arrived within the deadline.
 func (s Sample) InTime() bool {
 	return s.Outcome.End == client.EndComplete && s.total() <= s.Arrival.Deadline
 }
@@ -88,12 +88,13 @@
 
 func (s Sample) total() time.Duration { return s.Outcome.Ended - s.Outcome.Due }
 
-// Measured tells if the request counts: those that the bench itself cut off
-// don't.
+// Measured reports whether the request is measured. Requests that the bench
+// itself cut off or didn't send aren't.
 func (s Sample) Measured() bool { return s.Outcome.End != client.EndInterrupted }
 
-// Of measures the samples of a load that arrived during window.
-func Of(samples []Sample, window time.Duration) Measures {
+// Compute returns the measures of the samples of a load that arrived during
+// window.
+func Compute(samples []Sample, window time.Duration) Measures {
 	t := newTally(window)
 	for _, s := range samples {
 		if s.Measured() {
@@ -103,25 +104,25 @@
 	return t.measures()
 }
 
-// tally sums samples up.
+// tally accumulates samples.
 type tally struct {
-	m        Measures
-	window   time.Duration
-	good     int
-	tokens   int
-	refusals map[Refusal]*Refusal
-	first    latencies
-	between  latencies
-	total    latencies
+	m              Measures
+	window         time.Duration
+	inTimeInWindow int
+	goodTokens     int
+	refusals       map[Refusal]*Refusal
+	first          latencyHistogram
+	between        latencyHistogram
+	total          latencyHistogram
 }
 
 func newTally(window time.Duration) *tally {
 	return &tally{
 		window:   window,
 		refusals: make(map[Refusal]*Refusal),
-		first:    newLatencies(),
-		between:  newLatencies(),
-		total:    newLatencies(),
+		first:    newLatencyHistogram(),
+		between:  newLatencyHistogram(),
+		total:    newLatencyHistogram(),
 	}
 }
 
@@ -129,8 +130,8 @@
 	t.m.Requests++
 	t.m.Produced += s.Produced
 	t.m.Ends.count(s.Outcome.End)
-	t.refusal(s.Outcome)
-	t.latencies(s)
+	t.addRefusal(s.Outcome)
+	t.addLatencies(s)
 	if s.Attained() {
 		t.m.Attained++
 	}
@@ -140,12 +141,12 @@
 	t.m.InTime++
 	t.m.Useful += s.Outcome.Tokens
 	if s.Outcome.Ended <= t.window {
-		t.good++
-		t.tokens += s.Outcome.Tokens
+		t.inTimeInWindow++
+		t.goodTokens += s.Outcome.Tokens
 	}
 }
 
-func (t *tally) latencies(s Sample) {
+func (t *tally) addLatencies(s Sample) {
 	if s.Outcome.Tokens > 0 {
 		t.first.record(s.firstToken())
 	}
@@ -157,7 +158,7 @@
 	}
 }
 
-func (t *tally) refusal(o client.Outcome) {
+func (t *tally) addRefusal(o client.Outcome) {
 	if o.End != client.EndRefused && o.End != client.EndErrorEvent {
 		return
 	}
@@ -194,10 +195,10 @@
 	m := t.m
 	m.Attainment = share(m.Attained, m.Requests)
 	m.RefusedShare = share(m.Ends.Refused, m.Requests)
-	m.Wasted = m.wasted()
+	m.Wasted = m.wastedShare()
 	if t.window > 0 {
-		m.Goodput = float64(t.good) / t.window.Seconds()
-		m.GoodputTokens = float64(t.tokens) / t.window.Seconds()
+		m.Goodput = float64(t.inTimeInWindow) / t.window.Seconds()
+		m.GoodputTokens = float64(t.goodTokens) / t.window.Seconds()
 	}
 	m.Refusals = t.refusalList()
 	m.FirstToken = t.first.summary()
@@ -206,16 +207,17 @@
 	return m
 }
 
-// wasted is never negative: tokens are counted where they are produced and where
-// they arrive, and an answer joined from two runs may count one that was cut.
-func (m Measures) wasted() float64 {
+// wastedShare returns the wasted fraction. It is never negative, although Useful
+// can exceed Produced: tokens are counted both where they are produced and where
+// they arrive, and an answer joined from two runs may count a split token twice.
+func (m Measures) wastedShare() float64 {
 	return share(max(0, m.Produced-m.Useful), m.Produced)
 }
 
-// WithLoose adds tokens that were produced for none of the samples.
-func (m Measures) WithLoose(tokens int) Measures {
+// WithUnattributed adds tokens that were produced for none of the samples.
+func (m Measures) WithUnattributed(tokens int) Measures {
 	m.Produced += tokens
-	m.Wasted = m.wasted()
+	m.Wasted = m.wastedShare()
 	return m
 }
 
@@ -242,9 +244,9 @@
 	return float64(part) / float64(whole)
 }
 
-// SendLag is how late the bench itself sent the requests.
+// SendLag returns the delays between the due and the actual times of sending.
 func SendLag(samples []Sample) Latency {
-	l := newLatencies()
+	l := newLatencyHistogram()
 	for _, s := range samples {
 		l.record(s.Outcome.Sent - s.Outcome.Due)
 	}
--- a/internal/bench/measure/measure_test.go
+++ b/internal/bench/measure/measure_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// naive recomputes by filters over the whole list, one figure at a time.
-func naive(g gomega.Gomega, m measure.Measures, all []measure.Sample) {
+// checkNaively recomputes each measure separately by filtering all samples.
+func checkNaively(g gomega.Gomega, m measure.Measures, all []measure.Sample) {
 	keep := func(list []measure.Sample, ok func(measure.Sample) bool) []measure.Sample {
 		return slices.DeleteFunc(slices.Clone(list), func(s measure.Sample) bool { return !ok(s) })
 	}
@@ -107,18 +107,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := gomega.NewWithT(t)
 		samples := rapid.SliceOfN(rapid.Custom(drawSample), 0, 40).Draw(t, "samples")
-		naive(g, measure.Of(samples, window), samples)
+		checkNaively(g, measure.Compute(samples, window), samples)
 		total := 0
 		for _, group := range measure.Groups(samples, window, classes, tiers) {
 			some := slices.DeleteFunc(slices.Clone(samples), func(s measure.Sample) bool {
 				return group.Class != "" && s.Arrival.Class != group.Class ||
 					group.Tier != "" && s.Arrival.Tier != group.Tier
 			})
-			naive(g, group.Measures, some)
+			checkNaively(g, group.Measures, some)
 			total += group.Requests
 		}
-		// Each request is in a class, in a tier, and in a class of a tier.
-		g.Expect(total).To(gomega.Equal(3 * measure.Of(samples, window).Requests))
+		// Each request is in three groups: its class, its tier, and both.
+		g.Expect(total).To(gomega.Equal(3 * measure.Compute(samples, window).Requests))
 	})
 }
 
@@ -132,14 +132,14 @@
 	}
 }
 
-func TestLatenciesCountFromTheMomentDue(t *testing.T) {
+func TestLatenciesCountFromTheDueTime(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var samples []measure.Sample
 	for i := range 100 {
 		samples = append(samples, answered(time.Second, time.Duration(i+1)*ms, 200*ms))
 	}
-	m := measure.Of(samples, window)
-	// Histograms hold three digits.
+	m := measure.Compute(samples, window)
+	// Histograms have three significant digits.
 	g.Expect(m.FirstToken.Count).To(gomega.BeEquivalentTo(100))
 	g.Expect(m.FirstToken.P50).To(gomega.BeNumerically("~", 50, 0.1))
 	g.Expect(m.FirstToken.P99).To(gomega.BeNumerically("~", 99, 0.1))
@@ -150,9 +150,9 @@
 
 func TestPhasesCountArrivalsByDueAndGoodputByEnd(t *testing.T) {
 	samples := []measure.Sample{
-		answered(0, 10*ms, 30*ms),     // due and ended before
-		answered(40*ms, 10*ms, 30*ms), // due before, ended after
-		answered(60*ms, 50*ms, 60*ms), // due after, first token late, ended beyond
+		answered(0, 10*ms, 30*ms),     // due and ended in the first phase
+		answered(40*ms, 10*ms, 30*ms), // due in the first phase, ended in the second
+		answered(60*ms, 50*ms, 60*ms), // due in the second phase, first token late, ended after the window
 	}
 	phases := []measure.Phase{{Name: "before", To: 50 * ms}, {Name: "after", From: 50 * ms, To: window}, {Name: "never", To: time.Hour}}
 	got := measure.Phases(samples, phases, window)
--- a/internal/bench/path/meter.go
+++ b/internal/bench/path/meter.go
@@ -16,8 +16,8 @@
 
 const (
 	callPath = "/v1/completions"
-	// shortBody asks for three tokens, longBody for a stream that lasts
-	// longer than the measurement.
+	// shortBody requests three tokens, longBody a stream that lasts longer
+	// than the measurement.
 	shortTokens   = 3
 	shortBody     = `{"model":"` + model + `","stream":true,"prompt":"path [[tokens=3]]"}`
 	longBody      = `{"model":"` + model + `","stream":true,"prompt":"path [[tokens=4000]]"}`
@@ -25,8 +25,8 @@
 	idleConns     = 2048
 )
 
-// meter takes the measures of calls by one way.
-type meter struct {
+// callMeter measures calls that are made directly or through the router.
+type callMeter struct {
 	mu       sync.Mutex
 	first    *hdrhistogram.Histogram
 	total    *hdrhistogram.Histogram
@@ -35,13 +35,13 @@
 	failed   int
 }
 
-func newMeter() *meter {
-	return &meter{first: newHistogram(), total: newHistogram(), gap: newHistogram()}
+func newCallMeter() *callMeter {
+	return &callMeter{first: newHistogram(), total: newHistogram(), gap: newHistogram()}
 }
 
-// drive calls at a steady rate, whether or not earlier calls have ended, and
-// returns when all have.
-func (m *meter) drive(ctx context.Context, url string, rate int, d time.Duration) error {
+// sendCalls makes calls at a constant rate, open-loop, and returns when all have
+// ended.
+func (m *callMeter) sendCalls(ctx context.Context, url string, rate int, d time.Duration) error {
 	client := newClient()
 	defer client.CloseIdleConnections()
 	pace := time.NewTicker(time.Second / time.Duration(rate))
@@ -60,10 +60,10 @@
 	return nil
 }
 
-func (m *meter) call(ctx context.Context, client *http.Client, url string) {
-	began := time.Now()
-	came, err := readCall(ctx, client, url)
-	total := time.Since(began)
+func (m *callMeter) call(ctx context.Context, client *http.Client, url string) {
+	start := time.Now()
+	eventTimes, err := readCall(ctx, client, url)
+	total := time.Since(start)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.requests++
@@ -71,22 +71,22 @@
 		m.failed++
 		return
 	}
-	note(m.first, came[0].Sub(began))
-	note(m.total, total)
-	for i := 1; i < min(len(came), shortTokens); i++ {
-		note(m.gap, came[i].Sub(came[i-1]))
+	recordDuration(m.first, eventTimes[0].Sub(start))
+	recordDuration(m.total, total)
+	for i := 1; i < min(len(eventTimes), shortTokens); i++ {
+		recordDuration(m.gap, eventTimes[i].Sub(eventTimes[i-1]))
 	}
 }
 
-func note(h *hdrhistogram.Histogram, d time.Duration) {
-	// The bounds of the histogram are far wider than any deadline here.
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
+	// Durations are far below the maximum of the histogram.
 	_ = h.RecordValue(max(1, d.Microseconds()))
 }
 
-// readCall makes one call, reads its answer to the end and returns when its
-// events came, one at least.
-func readCall(ctx context.Context, client *http.Client, url string) (came []time.Time, err error) {
-	resp, err := open(ctx, client, url, shortBody)
+// readCall makes one call, reads the complete answer and returns the arrival
+// times of its events, at least one.
+func readCall(ctx context.Context, client *http.Client, url string) (eventTimes []time.Time, err error) {
+	resp, err := sendRequest(ctx, client, url, shortBody)
 	if err != nil {
 		return nil, err
 	}
@@ -95,16 +95,16 @@
 		if err != nil {
 			return nil, err
 		}
-		came = append(came, time.Now())
+		eventTimes = append(eventTimes, time.Now())
 		if event.Data == sse.Done {
-			_, err := io.Copy(io.Discard, resp.Body) // lets the connection be used again
-			return came, err
+			_, err := io.Copy(io.Discard, resp.Body) // so that the connection is reused
+			return eventTimes, err
 		}
 	}
 	return nil, io.ErrUnexpectedEOF
 }
 
-func open(ctx context.Context, client *http.Client, url, body string) (*http.Response, error) {
+func sendRequest(ctx context.Context, client *http.Client, url, body string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+callPath, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return nil, err
@@ -121,8 +121,8 @@
 	return resp, nil
 }
 
-func (m *meter) way() Way {
-	return Way{
+func (m *callMeter) stats() CallStats {
+	return CallStats{
 		Requests:   m.requests,
 		Failed:     m.failed,
 		FirstToken: latency(m.first),
--- a/internal/bench/path/part.go
+++ b/internal/bench/path/part.go
@@ -19,48 +19,49 @@
 	"coveferry/internal/units"
 )
 
-// Roles of the parts.
+// Roles of the part processes.
 const (
 	roleEngine = "engine"
 	roleAgent  = "agent"
 	roleRouter = "router"
 )
 
-// order tells a part what it is.
-type order struct {
+// partConfig configures a part process.
+type partConfig struct {
 	Role string `json:"role"`
-	// TokenTime is the engine's time for a token.
+	// TokenTime is the engine's decode time per token.
 	TokenTime units.Duration `json:"token_time"`
-	// Next is the engine's base URL for an agent, the agent's address for a
-	// router.
+	// Next is the upstream: the engine's base URL for an agent, the agent's
+	// address for a router.
 	Next string `json:"next,omitempty"`
 	// The part's identity, as PEM.
 	CA   []byte `json:"ca,omitempty"`
 	Cert []byte `json:"cert,omitempty"`
 	Key  []byte `json:"key,omitempty"`
-	// Profile is the beginning of the names of the files that the part's
-	// profiles go to; empty writes none.
+	// Profile is the path prefix of the files that the part's profiles are
+	// written to; empty writes none.
 	Profile string `json:"profile,omitempty"`
 }
 
-// ready is a part's answer to its order.
-type ready struct {
+// startReply is a part's answer to its configuration.
+type startReply struct {
 	Address string `json:"address"`
 }
 
-// ask wants a part's Usage.
-type ask struct {
-	// Settle wants garbage collected first, so that memory is what lives.
-	Settle bool `json:"settle"`
+// usageRequest requests a part's Usage.
+type usageRequest struct {
+	// CollectGarbage requests a garbage collection first, so that Usage includes
+	// the live memory.
+	CollectGarbage bool `json:"settle"`
 }
 
-// ServePart is the process of one part. It takes its order and then requests
-// for its Usage as JSON from in, answers each to out, and ends with in.
+// ServePart runs one part. It reads its configuration and then requests for its
+// Usage as JSON from in, writes the answers to out, and returns at the end of in.
 func ServePart(in io.Reader, out io.Writer) error {
 	dec, enc := json.NewDecoder(in), json.NewEncoder(out)
-	var o order
+	var o partConfig
 	if err := dec.Decode(&o); err != nil {
-		return errors.Wrap(err, "path: the part's order")
+		return errors.Wrap(err, "path: decode the part's configuration")
 	}
 	srv, err := newPart(o)
 	if err != nil {
@@ -73,27 +74,27 @@
 	defer stopProfile()
 	served := make(chan error, 1)
 	go func() { served <- srv.Run() }()
-	err = enc.Encode(ready{Address: srv.Addr()})
+	err = enc.Encode(startReply{Address: srv.Addr()})
 	if err == nil {
-		err = answerAsks(dec, enc, o.Profile)
+		err = serveUsage(dec, enc, o.Profile)
 	}
 	return errors.CombineErrors(errors.CombineErrors(err, srv.Kill()), <-served)
 }
 
-func answerAsks(dec *json.Decoder, enc *json.Encoder, profile string) error {
+func serveUsage(dec *json.Decoder, enc *json.Encoder, profile string) error {
 	for {
-		var a ask
+		var a usageRequest
 		err := dec.Decode(&a)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(err, "path: read what is asked of the part")
+			return errors.Wrap(err, "path: decode a usage request")
 		}
-		if err := enc.Encode(usageNow(a.Settle)); err != nil {
-			return errors.Wrap(err, "path: answer for the part")
+		if err := enc.Encode(currentUsage(a.CollectGarbage)); err != nil {
+			return errors.Wrap(err, "path: write the part's usage")
 		}
-		if !a.Settle {
+		if !a.CollectGarbage {
 			continue
 		}
 		if err := writeHeapProfile(profile); err != nil {
@@ -102,7 +103,7 @@
 	}
 }
 
-func newPart(o order) (*server.Server, error) {
+func newPart(o partConfig) (*server.Server, error) {
 	l, err := listen()
 	if err != nil {
 		return nil, err
@@ -116,13 +117,13 @@
 		cfg.Handler = engine.New(eng).Handler()
 		return server.New(cfg), nil
 	case roleAgent, roleRouter:
-		return newRole(o, cfg)
+		return newTLSPart(o, cfg)
 	default:
-		return nil, errors.Newf("no part %q", o.Role)
+		return nil, errors.Newf("unknown part %q", o.Role)
 	}
 }
 
-func newRole(o order, cfg server.Config) (*server.Server, error) {
+func newTLSPart(o partConfig, cfg server.Config) (*server.Server, error) {
 	id, err := identity.New(o.CA, o.Cert, o.Key)
 	if err != nil {
 		return nil, err
--- a/internal/bench/path/parts.go
+++ b/internal/bench/path/parts.go
@@ -14,107 +14,107 @@
 )
 
 // Launch starts a process that runs ServePart on its ends of two pipes. Closing
-// orders ends it; wait returns how it ended.
-type Launch func() (orders io.WriteCloser, answers io.Reader, wait func() error, err error)
+// requests ends the process; wait returns its exit error.
+type Launch func() (requests io.WriteCloser, answers io.Reader, wait func() error, err error)
 
-// Exec launches parts as processes of this program with the given arguments.
+// Exec returns a Launch that runs this executable with the given arguments.
 func Exec(args ...string) Launch {
 	return func() (io.WriteCloser, io.Reader, func() error, error) {
 		self, err := os.Executable()
 		if err != nil {
-			return nil, nil, nil, errors.Wrap(err, "path: find this program")
+			return nil, nil, nil, errors.Wrap(err, "path: locate this executable")
 		}
 		cmd := exec.Command(self, args...)
 		cmd.Stderr = os.Stderr
 		in, errIn := cmd.StdinPipe()
 		out, errOut := cmd.StdoutPipe()
 		if err := errors.CombineErrors(errIn, errOut); err != nil {
-			return nil, nil, nil, errors.Wrap(err, "path: make a part's pipes")
+			return nil, nil, nil, errors.Wrap(err, "path: create a part's pipes")
 		}
 		return in, out, cmd.Wait, errors.Wrap(cmd.Start(), "path: start a part")
 	}
 }
 
-// part is the measuring process's end of a part.
-type part struct {
-	address string
-	orders  io.WriteCloser
-	wait    func() error
-	enc     *json.Encoder
-	dec     *json.Decoder
+// partProcess is the measuring process's handle of a part.
+type partProcess struct {
+	address  string
+	requests io.WriteCloser
+	wait     func() error
+	enc      *json.Encoder
+	dec      *json.Decoder
 }
 
-func startPart(launch Launch, o order) (*part, error) {
-	orders, answers, wait, err := launch()
+func startPart(launch Launch, o partConfig) (*partProcess, error) {
+	requests, answers, wait, err := launch()
 	if err != nil {
 		return nil, err
 	}
-	p := &part{orders: orders, wait: wait, enc: json.NewEncoder(orders), dec: json.NewDecoder(answers)}
-	var r ready
+	p := &partProcess{requests: requests, wait: wait, enc: json.NewEncoder(requests), dec: json.NewDecoder(answers)}
+	var r startReply
 	err = p.enc.Encode(o)
 	if err == nil {
 		err = p.dec.Decode(&r)
 	}
 	if err != nil {
-		// How the part ended says more than what became of its pipes.
-		return nil, errors.Wrapf(errors.CombineErrors(p.stop(), err), "path: order the %s", o.Role)
+		// The exit error is more informative than the pipe error.
+		return nil, errors.Wrapf(errors.CombineErrors(p.stop(), err), "path: configure the %s", o.Role)
 	}
 	p.address = r.Address
 	return p, nil
 }
 
-func (p *part) usage(settle bool) (u Usage, err error) {
-	if err = p.enc.Encode(ask{Settle: settle}); err == nil {
+func (p *partProcess) usage(collectGarbage bool) (u Usage, err error) {
+	if err = p.enc.Encode(usageRequest{CollectGarbage: collectGarbage}); err == nil {
 		err = p.dec.Decode(&u)
 	}
-	return u, errors.Wrap(err, "path: ask a part for its usage")
+	return u, errors.Wrap(err, "path: get a part's usage")
 }
 
-func (p *part) stop() error {
-	err := p.orders.Close()
+func (p *partProcess) stop() error {
+	err := p.requests.Close()
 	return errors.CombineErrors(err, p.wait())
 }
 
-// parts are an engine, its agent and a router, each in its own process.
-type parts struct {
-	engine, agent, router *part
-	// profile is the beginning of the names of their profiles' files.
+// partProcesses are an engine, its agent and a router, each in its own process.
+type partProcesses struct {
+	engine, agent, router *partProcess
+	// profile is the path prefix of the files with their profiles.
 	profile string
 }
 
-func startParts(launch Launch, tokenTime time.Duration, profile string) (*parts, error) {
-	p := &parts{profile: profile}
+func startParts(launch Launch, tokenTime time.Duration, profile string) (*partProcesses, error) {
+	p := &partProcesses{profile: profile}
 	if err := p.start(launch, tokenTime); err != nil {
 		return nil, errors.CombineErrors(err, p.stop())
 	}
 	return p, nil
 }
 
-func (p *parts) start(launch Launch, tokenTime time.Duration) (err error) {
+func (p *partProcesses) start(launch Launch, tokenTime time.Duration) (err error) {
 	authority, err := identity.Ephemeral()
 	if err != nil {
-		return errors.Wrap(err, "path: make the authority")
+		return errors.Wrap(err, "path: create the certificate authority")
 	}
-	p.engine, err = p.startPart(launch, order{Role: roleEngine, TokenTime: units.Duration(tokenTime)})
+	p.engine, err = p.startPart(launch, partConfig{Role: roleEngine, TokenTime: units.Duration(tokenTime)})
 	if err != nil {
 		return err
 	}
-	p.agent, err = p.startRole(launch, authority, identity.RoleAgent, order{Role: roleAgent, Next: p.directURL()})
+	p.agent, err = p.startWithIdentity(launch, authority, identity.RoleAgent, partConfig{Role: roleAgent, Next: p.directURL()})
 	if err != nil {
 		return err
 	}
-	p.router, err = p.startRole(launch, authority, identity.RoleRouter, order{Role: roleRouter, Next: p.agent.address})
+	p.router, err = p.startWithIdentity(launch, authority, identity.RoleRouter, partConfig{Role: roleRouter, Next: p.agent.address})
 	return err
 }
 
-func (p *parts) startPart(launch Launch, o order) (*part, error) {
+func (p *partProcesses) startPart(launch Launch, o partConfig) (*partProcess, error) {
 	if p.profile != "" {
 		o.Profile = p.profile + "-" + o.Role
 	}
 	return startPart(launch, o)
 }
 
-func (p *parts) startRole(launch Launch, a *identity.Authority, role identity.Role, o order) (*part, error) {
+func (p *partProcesses) startWithIdentity(launch Launch, a *identity.Authority, role identity.Role, o partConfig) (*partProcess, error) {
 	pair, err := a.Issue(role, endpoint, certValidity)
 	if err != nil {
 		return nil, errors.Wrapf(err, "path: certificate of the %s", o.Role)
@@ -123,43 +123,43 @@
 	return p.startPart(launch, o)
 }
 
-func (p *parts) directURL() string { return "http://" + p.engine.address }
-func (p *parts) routedURL() string { return "http://" + p.router.address }
+func (p *partProcesses) directURL() string { return "http://" + p.engine.address }
+func (p *partProcesses) routedURL() string { return "http://" + p.router.address }
 
-// stop ends the parts, the callers' end first.
-func (p *parts) stop() error {
+// stop stops the parts, the router first.
+func (p *partProcesses) stop() error {
 	var errs error
-	for _, one := range []*part{p.router, p.agent, p.engine} {
-		if one != nil {
-			errs = errors.CombineErrors(errs, one.stop())
+	for _, part := range []*partProcess{p.router, p.agent, p.engine} {
+		if part != nil {
+			errs = errors.CombineErrors(errs, part.stop())
 		}
 	}
 	return errs
 }
 
-// snapshot is what all parts have used.
-type snapshot struct{ engine, agent, router Usage }
+// partUsage is the usage of all parts.
+type partUsage struct{ engine, agent, router Usage }
 
-func (p *parts) usage(settle bool) (s snapshot, err error) {
-	for _, one := range []struct {
-		of   *part
-		into *Usage
+func (p *partProcesses) usage(collectGarbage bool) (s partUsage, err error) {
+	for _, part := range []struct {
+		of    *partProcess
+		usage *Usage
 	}{{p.engine, &s.engine}, {p.agent, &s.agent}, {p.router, &s.router}} {
-		if *one.into, err = one.of.usage(settle); err != nil {
+		if *part.usage, err = part.of.usage(collectGarbage); err != nil {
 			return s, err
 		}
 	}
 	return s, nil
 }
 
-// less is what was used since an earlier snapshot.
-func (s snapshot) less(t snapshot) snapshot {
-	return snapshot{s.engine.less(t.engine), s.agent.less(t.agent), s.router.less(t.router)}
+// minus returns the usage since an earlier reading.
+func (s partUsage) minus(t partUsage) partUsage {
+	return partUsage{s.engine.minus(t.engine), s.agent.minus(t.agent), s.router.minus(t.router)}
 }
 
-func (s snapshot) plus(t snapshot) snapshot {
-	return snapshot{s.engine.plus(t.engine), s.agent.plus(t.agent), s.router.plus(t.router)}
+func (s partUsage) plus(t partUsage) partUsage {
+	return partUsage{s.engine.plus(t.engine), s.agent.plus(t.agent), s.router.plus(t.router)}
 }
 
-func (u Usage) less(v Usage) Usage { return Usage{u.CPU - v.CPU, u.Memory - v.Memory} }
-func (u Usage) plus(v Usage) Usage { return Usage{u.CPU + v.CPU, u.Memory + v.Memory} }
+func (u Usage) minus(v Usage) Usage { return Usage{u.CPU - v.CPU, u.Memory - v.Memory} }
+func (u Usage) plus(v Usage) Usage  { return Usage{u.CPU + v.CPU, u.Memory + v.Memory} }
--- a/internal/bench/path/path.go
+++ b/internal/bench/path/path.go
@@ -1,9 +1,9 @@
-// Package path measures what router and agent add to a direct call of an
-// engine: latency, processor time and memory for each open stream. Router,
-// agent and stand-in engine each run in a process of their own, so that what
-// one takes can be told from the others; the measuring process is the caller.
-// Direct and routed calls go to the same engine in one run, in turn, so that
-// the machine's noise falls on both.
+// Package path measures the overhead of router and agent compared with a direct
+// call of an engine: latency, CPU time, and memory per open stream. Router, agent
+// and stub engine each run in a separate process, so that their usage can be
+// measured separately; the measuring process is the caller. Direct and routed
+// calls to the same engine alternate within one run, so that noise of the machine
+// affects both.
 package path
 
 import (
@@ -19,7 +19,7 @@
 	"coveferry/internal/units"
 )
 
-// What the measurement asks for.
+// Parameters of the measurement.
 const (
 	model          = "stand-in"
 	team           = "bench"
@@ -31,30 +31,30 @@
 	maxHeaderBytes = 64 << 10
 	tokenTime      = time.Millisecond
 	streamPause    = 250 * time.Millisecond // between the tokens of an open stream
-	streamTime     = 3 * time.Second        // how long open streams are watched
+	streamTime     = 3 * time.Second        // duration of the measurement of open streams
 	grace          = 5 * time.Second
 	certValidity   = 24 * time.Hour
-	slices         = 10 // direct and routed calls change places this often
+	alternations   = 10 // number of alternations between direct and routed calls
 )
 
-// Options say how much is measured.
+// Options configures a measurement.
 type Options struct {
-	Rate     int           // requests a second
-	Duration time.Duration // of all calls together
+	Rate     int           // requests per second
+	Duration time.Duration // of all calls, direct and routed
 	Streams  int           // streams open at once
 	// Launch starts the parts' processes.
 	Launch Launch
-	// Profiles is the directory that CPU and heap profiles of each part go
-	// to; empty writes none.
+	// Profiles is the directory for CPU and heap profiles of each part; empty
+	// writes none.
 	Profiles string
 }
 
-// profile is the beginning of the names of the profiles of one measurement.
-func (o Options) profile(what string) string {
+// profile returns the path prefix of the profiles of one measurement.
+func (o Options) profile(name string) string {
 	if o.Profiles == "" {
 		return ""
 	}
-	return filepath.Join(o.Profiles, what)
+	return filepath.Join(o.Profiles, name)
 }
 
 // Latency is a distribution, in microseconds.
@@ -65,33 +65,32 @@
 	Max int64 `json:"max_us"`
 }
 
-// Way is what was measured of calls by one way.
-type Way struct {
+// CallStats holds the measurements of direct or of routed calls.
+type CallStats struct {
 	Requests   int     `json:"requests"`
 	Failed     int     `json:"failed"`
 	FirstToken Latency `json:"first_token"`
 	Total      Latency `json:"total"`
-	// Gap is the time between two tokens.
+	// Gap is the inter-token latency.
 	Gap Latency `json:"gap"`
 }
 
-// Result is what router and agent add and take.
+// Result holds the overhead and the resource usage of router and agent.
 type Result struct {
-	Rate    int `json:"rate"`
-	Streams int `json:"streams"`
-	Direct  Way `json:"direct"`
-	Routed  Way `json:"routed"`
-	// Added is routed less direct, quantile by quantile.
+	Rate    int       `json:"rate"`
+	Streams int       `json:"streams"`
+	Direct  CallStats `json:"direct"`
+	Routed  CallStats `json:"routed"`
+	// Added is routed minus direct, quantile by quantile.
 	Added Added `json:"added"`
-	// What the parts take for routed calls; the stand-in engine stands
-	// beside them for comparison.
+	// The resource usage of the parts for routed calls; the stub engine's is
+	// included for comparison.
 	Router Cost `json:"router"`
 	Agent  Cost `json:"agent"`
 	Engine Cost `json:"engine"`
 }
 
-// Added is the difference that router and agent together make, in
-// microseconds.
+// Added is the latency added by router and agent together, in microseconds.
 type Added struct {
 	FirstTokenP50 int64 `json:"first_token_p50_us"`
 	FirstTokenP99 int64 `json:"first_token_p99_us"`
@@ -101,7 +100,8 @@
 	GapP99        int64 `json:"gap_p99_us"`
 }
 
-// Run measures; progress, which may be nil, is told what is done next.
+// Run runs the measurements. progress, which may be nil, is called with a
+// description of the next step.
 func Run(ctx context.Context, o Options, progress func(string)) (*Result, error) {
 	if progress == nil {
 		progress = func(string) {}
@@ -113,11 +113,11 @@
 	if err := r.measureStreams(ctx, o, progress); err != nil {
 		return nil, err
 	}
-	r.compare()
+	r.computeAdded()
 	return r, nil
 }
 
-// testBundle has one team without limits and one endpoint.
+// testBundle returns a bundle with one team without limits and one endpoint.
 func testBundle(agentAddress string) bundle.Bundle {
 	minute := units.Duration(time.Minute)
 	return bundle.Bundle{
@@ -139,52 +139,52 @@
 
 func listen() (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
 
-// measureCalls changes between direct and routed calls, slice by slice.
+// measureCalls measures alternating direct and routed calls.
 func (r *Result) measureCalls(ctx context.Context, o Options, progress func(string)) error {
 	p, err := startParts(o.Launch, tokenTime, o.profile("calls"))
 	if err != nil {
 		return err
 	}
-	return errors.CombineErrors(r.takeTurns(ctx, o, p, progress), p.stop())
+	return errors.CombineErrors(r.alternateCalls(ctx, o, p, progress), p.stop())
 }
 
-func (r *Result) takeTurns(ctx context.Context, o Options, p *parts, progress func(string)) error {
-	direct, routed := newMeter(), newMeter()
-	var used snapshot
-	slice := o.Duration / (2 * slices)
-	for i := range slices {
+func (r *Result) alternateCalls(ctx context.Context, o Options, p *partProcesses, progress func(string)) error {
+	direct, routed := newCallMeter(), newCallMeter()
+	var used partUsage
+	slice := o.Duration / (2 * alternations)
+	for i := range alternations {
 		progress("calls, part " + (slice * time.Duration(2*i)).String() + " of " + o.Duration.String())
-		if err := direct.drive(ctx, p.directURL(), o.Rate, slice); err != nil {
+		if err := direct.sendCalls(ctx, p.directURL(), o.Rate, slice); err != nil {
 			return err
 		}
-		add, err := usedBy(p, false, func() error { return routed.drive(ctx, p.routedURL(), o.Rate, slice) })
+		add, err := usageDuring(p, false, func() error { return routed.sendCalls(ctx, p.routedURL(), o.Rate, slice) })
 		if err != nil {
 			return err
 		}
 		used = used.plus(add)
 	}
-	r.Direct, r.Routed = direct.way(), routed.way()
+	r.Direct, r.Routed = direct.stats(), routed.stats()
 	r.Router.setCalls(used.router.CPU, routed.requests)
 	r.Agent.setCalls(used.agent.CPU, routed.requests)
 	r.Engine.setCalls(used.engine.CPU, routed.requests)
 	return nil
 }
 
-// usedBy is what the parts use while work goes on.
-func usedBy(p *parts, settle bool, work func() error) (snapshot, error) {
-	before, err := p.usage(settle)
+// usageDuring returns the usage of the parts during work.
+func usageDuring(p *partProcesses, collectGarbage bool, work func() error) (partUsage, error) {
+	before, err := p.usage(collectGarbage)
 	if err != nil {
-		return snapshot{}, err
+		return partUsage{}, err
 	}
 	if err := work(); err != nil {
-		return snapshot{}, err
+		return partUsage{}, err
 	}
-	after, err := p.usage(settle)
-	return after.less(before), err
+	after, err := p.usage(collectGarbage)
+	return after.minus(before), err
 }
 
-// compare fills in what router and agent add.
-func (r *Result) compare() {
+// computeAdded computes the latency that router and agent add.
+func (r *Result) computeAdded() {
 	d, w := r.Direct, r.Routed
 	r.Added = Added{
 		FirstTokenP50: w.FirstToken.P50 - d.FirstToken.P50,
@@ -196,41 +196,41 @@
 	}
 }
 
-// measureStreams opens routed streams, and measures what each holds and what a
-// token costs.
+// measureStreams opens routed streams, and measures the memory of a stream and
+// the CPU time of a token.
 func (r *Result) measureStreams(ctx context.Context, o Options, progress func(string)) error {
 	progress("open streams")
 	p, err := startParts(o.Launch, streamPause, o.profile("streams"))
 	if err != nil {
 		return err
 	}
-	return errors.CombineErrors(r.watchStreams(ctx, o, p), p.stop())
+	return errors.CombineErrors(r.measureOpenStreams(ctx, o, p), p.stop())
 }
 
-func (r *Result) watchStreams(ctx context.Context, o Options, p *parts) error {
+func (r *Result) measureOpenStreams(ctx context.Context, o Options, p *partProcesses) error {
 	if err := warmUp(ctx, p.routedURL()); err != nil {
 		return err
 	}
-	s := &streams{}
+	s := &openStreams{}
 	defer s.close()
-	held, err := usedBy(p, true, func() error { return s.open(ctx, p.routedURL(), o.Streams) })
+	memory, err := usageDuring(p, true, func() error { return s.open(ctx, p.routedURL(), o.Streams) })
 	if err != nil {
 		return err
 	}
-	began := s.tokens.Load()
-	used, err := usedBy(p, false, func() error { return wait(ctx, streamTime) })
-	tokens := int(s.tokens.Load() - began)
-	for _, one := range []struct {
-		into       *Cost
-		held, used Usage
-	}{{&r.Router, held.router, used.router}, {&r.Agent, held.agent, used.agent}, {&r.Engine, held.engine, used.engine}} {
-		one.into.StreamBytes = one.held.Memory / float64(max(o.Streams, 1))
-		one.into.setTokens(one.used.CPU, tokens)
+	tokensBefore := s.tokens.Load()
+	used, err := usageDuring(p, false, func() error { return sleep(ctx, streamTime) })
+	tokens := int(s.tokens.Load() - tokensBefore)
+	for _, row := range []struct {
+		cost         *Cost
+		memory, used Usage
+	}{{&r.Router, memory.router, used.router}, {&r.Agent, memory.agent, used.agent}, {&r.Engine, memory.engine, used.engine}} {
+		row.cost.StreamBytes = row.memory.Memory / float64(max(o.Streams, 1))
+		row.cost.setTokens(row.used.CPU, tokens)
 	}
 	return err
 }
 
-func wait(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -239,7 +239,7 @@
 	}
 }
 
-// histogram bounds, in microseconds.
+// newHistogram returns a histogram of durations in microseconds, up to a minute.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
--- a/internal/bench/path/path_test.go
+++ b/internal/bench/path/path_test.go
@@ -12,20 +12,20 @@
 	. "github.com/onsi/gomega"
 )
 
-// inProcess runs parts in this process, behind the pipes of a real one.
+// inProcess is a Launch that runs parts in this process, connected by pipes.
 func inProcess() (io.WriteCloser, io.Reader, func() error, error) {
-	orders, in := io.Pipe()
+	requests, in := io.Pipe()
 	answers, out := io.Pipe()
 	ended := make(chan error, 1)
 	go func() {
-		err := ServePart(orders, out)
-		_ = out.CloseWithError(io.ErrUnexpectedEOF) // a process that ends closes its pipes
+		err := ServePart(requests, out)
+		_ = out.CloseWithError(io.ErrUnexpectedEOF) // as the exit of a process closes its pipes
 		ended <- err
 	}()
 	return in, answers, func() error { return <-ended }, nil
 }
 
-func TestPartsServeACallAndTellTheirUsage(t *testing.T) {
+func TestPartsServeCallsAndReportUsage(t *testing.T) {
 	g := NewWithT(t)
 	profiles := filepath.Join(t.TempDir(), "test")
 	p, err := startParts(inProcess, time.Millisecond, profiles)
@@ -43,8 +43,8 @@
 	}
 }
 
-func TestAPartThatCannotBeStartedSaysWhy(t *testing.T) {
-	for _, o := range []order{{Role: "balancer"}, {Role: roleAgent, Next: "http://127.0.0.1:1"}} {
+func TestStartErrorsNameThePart(t *testing.T) {
+	for _, o := range []partConfig{{Role: "balancer"}, {Role: roleAgent, Next: "http://127.0.0.1:1"}} {
 		g := NewWithT(t)
 		text, err := json.Marshal(o)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestCostsAreSharesOfACore(t *testing.T) {
+func TestCostsArePerCore(t *testing.T) {
 	g := NewWithT(t)
 	var c Cost
 	c.setCalls(time.Second, 2000)
@@ -66,18 +66,18 @@
 
 func TestUsageIsADifference(t *testing.T) {
 	g := NewWithT(t)
-	one := snapshot{router: Usage{CPU: 3, Memory: 30}, agent: Usage{CPU: 5}, engine: Usage{CPU: 7}}
+	one := partUsage{router: Usage{CPU: 3, Memory: 30}, agent: Usage{CPU: 5}, engine: Usage{CPU: 7}}
 	two := one.plus(one)
 	g.Expect(two.router).To(Equal(Usage{CPU: 6, Memory: 60}))
-	g.Expect(two.less(one)).To(Equal(one))
+	g.Expect(two.minus(one)).To(Equal(one))
 }
 
-func TestAddedIsRoutedLessDirect(t *testing.T) {
+func TestAddedIsRoutedMinusDirect(t *testing.T) {
 	g := NewWithT(t)
 	r := Result{
-		Direct: Way{FirstToken: Latency{P50: 1, P99: 2}, Total: Latency{P50: 3, P99: 4}, Gap: Latency{P50: 5, P99: 6}},
-		Routed: Way{FirstToken: Latency{P50: 11, P99: 22}, Total: Latency{P50: 33, P99: 44}, Gap: Latency{P50: 55, P99: 66}},
+		Direct: CallStats{FirstToken: Latency{P50: 1, P99: 2}, Total: Latency{P50: 3, P99: 4}, Gap: Latency{P50: 5, P99: 6}},
+		Routed: CallStats{FirstToken: Latency{P50: 11, P99: 22}, Total: Latency{P50: 33, P99: 44}, Gap: Latency{P50: 55, P99: 66}},
 	}
-	r.compare()
+	r.computeAdded()
 	g.Expect(r.Added).To(Equal(Added{FirstTokenP50: 10, FirstTokenP99: 20, TotalP50: 30, TotalP99: 40, GapP50: 50, GapP99: 60}))
 }
--- a/internal/bench/path/profile.go
+++ b/internal/bench/path/profile.go
@@ -7,14 +7,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Ends of the names of a part's profiles.
+// File name suffixes of a part's profiles.
 const (
 	cpuSuffix  = ".cpu.pprof"
 	heapSuffix = ".heap.pprof"
 )
 
-// startCPUProfile profiles this process until stop, to a file; an empty base
-// profiles nothing.
+// startCPUProfile writes a CPU profile of this process until stop is called. It
+// does nothing if base is empty.
 func startCPUProfile(base string) (stop func(), err error) {
 	if base == "" {
 		return func() {}, nil
@@ -24,16 +24,17 @@
 		return nil, errors.Wrap(err, "path: write a profile")
 	}
 	if err := pprof.StartCPUProfile(f); err != nil {
-		// One process has one profile; where parts share it, the first has it.
+		// A process can have only one CPU profile. If parts share a process, the
+		// first one writes it.
 		return func() {}, f.Close()
 	}
 	return func() {
 		pprof.StopCPUProfile()
-		_ = f.Close() // a profile that wasn't written whole can't be read
+		_ = f.Close() // an incompletely written profile is detected when it is read
 	}, nil
 }
 
-// writeHeapProfile writes what lives now; an empty base writes nothing.
+// writeHeapProfile writes a heap profile. It does nothing if base is empty.
 func writeHeapProfile(base string) error {
 	if base == "" {
 		return nil
--- a/internal/bench/path/streams.go
+++ b/internal/bench/path/streams.go
@@ -13,16 +13,16 @@
 	"coveferry/internal/sse"
 )
 
-// streams are open streams whose tokens are read and counted as they come.
-type streams struct {
+// openStreams is a set of open streams whose tokens are read and counted.
+type openStreams struct {
 	tokens  atomic.Int64
 	cancel  context.CancelFunc
 	client  *http.Client
 	readers sync.WaitGroup
 }
 
-// open opens n streams and returns when each has had its first event.
-func (s *streams) open(ctx context.Context, url string, n int) error {
+// open opens n streams and returns when each has received its first event.
+func (s *openStreams) open(ctx context.Context, url string, n int) error {
 	ctx, s.cancel = context.WithCancel(ctx)
 	s.client = newClient()
 	var g errgroup.Group
@@ -33,41 +33,41 @@
 	return g.Wait()
 }
 
-func (s *streams) add(ctx context.Context, url string) error {
-	resp, err := open(ctx, s.client, url, longBody)
+func (s *openStreams) add(ctx context.Context, url string) error {
+	resp, err := sendRequest(ctx, s.client, url, longBody)
 	if err != nil {
 		return err
 	}
-	came := make(chan struct{})
+	firstEvent := make(chan struct{})
 	s.readers.Go(func() {
 		defer resp.Body.Close()
-		s.read(resp.Body, came)
+		s.read(resp.Body, firstEvent)
 	})
 	select {
-	case <-came:
+	case <-firstEvent:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// read counts events until the stream ends or close ends it. The first one
-// closes came.
-func (s *streams) read(body io.Reader, came chan struct{}) {
+// read counts events until the stream ends or is closed. It closes came at the
+// first event.
+func (s *openStreams) read(body io.Reader, firstEvent chan struct{}) {
 	first := true
 	for _, err := range sse.Read(body) {
 		if err != nil {
 			return
 		}
 		if first {
-			close(came)
+			close(firstEvent)
 			first = false
 		}
 		s.tokens.Add(1)
 	}
 }
 
-func (s *streams) close() {
+func (s *openStreams) close() {
 	if s.cancel == nil {
 		return
 	}
@@ -76,11 +76,11 @@
 	s.client.CloseIdleConnections()
 }
 
-// warmUp makes one call, so that what a part makes once isn't counted as a
-// stream's.
+// warmUp makes one call, so that one-time allocations of the parts aren't
+// attributed to the streams.
 func warmUp(ctx context.Context, url string) error {
 	client := newClient()
 	defer client.CloseIdleConnections()
 	_, err := readCall(ctx, client, url)
-	return errors.Wrap(err, "path: the first call")
+	return errors.Wrap(err, "path: warm-up call")
 }
--- a/internal/bench/plot/plot.go
+++ b/internal/bench/plot/plot.go
@@ -1,5 +1,5 @@
-// Package plot draws the result of a bench run: attainment by class and by
-// tier and goodput by class, one bar for each policy beside the other.
+// Package plot draws the result of a bench run as grouped bar charts: attainment
+// by class and by tier, and goodput by class, with one bar for each policy.
 package plot
 
 import (
@@ -20,18 +20,18 @@
 	"coveferry/internal/bench/report"
 )
 
-// fullShare is the end of an axis of shares, in percent.
+// fullShare is the maximum of a percentage axis.
 const fullShare = 100
 
 const (
 	width  = 36 * vg.Centimeter
 	height = 16 * vg.Centimeter
-	// groupWidth is the room of all bars of one class.
+	// groupWidth is the width of all bars of one group.
 	groupWidth = 0.48 * vg.Inch
 	labelSize  = font.Length(7)
 )
 
-// colors tell policies apart also for readers who don't see all colours.
+// colors is a palette for policies that is distinguishable with color blindness.
 var colors = []color.Color{
 	color.RGBA{R: 0x00, G: 0x72, B: 0xb2, A: 0xff},
 	color.RGBA{R: 0xe6, G: 0x9f, B: 0x00, A: 0xff},
@@ -41,19 +41,20 @@
 	color.RGBA{R: 0xd5, G: 0x5e, B: 0x00, A: 0xff},
 }
 
-// ErrEmpty marks a result that has nothing to draw.
+// ErrEmpty marks the error for a result without measurements.
 var ErrEmpty = errors.New("nothing to plot")
 
-// panel is one chart of bars.
+// panel is one bar chart.
 type panel struct {
 	title, axis, format string
-	top                 float64 // the axis' end; 0 means that of the data
+	axisMax             float64 // maximum of the axis; 0 means that of the data
 	names               []string
-	groups              []measure.Group // what each name stands for
-	value               func(measure.Measures) float64
+	groups              []measure.Group // the group of each name
+	valueOf             func(measure.Measures) float64
 }
 
-// WritePNG draws the result; its error is marked ErrEmpty if there is none.
+// WritePNG draws the result; its error is marked ErrEmpty if there is nothing to
+// draw.
 func WritePNG(w io.Writer, r report.Result) error {
 	if len(r.Policies) == 0 || len(r.Policies[0].Groups) == 0 {
 		return errors.Mark(errors.New("no policy was measured"), ErrEmpty)
@@ -116,16 +117,16 @@
 	chart.X.Tick.Label.Rotation = 0.5
 	chart.X.Tick.Label.XAlign = draw.XRight
 	chart.X.Tick.Label.YAlign = draw.YTop
-	if p.top == fullShare {
+	if p.axisMax == fullShare {
 		chart.Y.Tick.Marker = plot.ConstantTicks(percentTicks())
 	}
-	// Room above the bars for the legend.
-	chart.Y.Max = max(p.top, chart.Y.Max) * 1.25
+	// Leave space above the bars for the legend.
+	chart.Y.Max = max(p.axisMax, chart.Y.Max) * 1.25
 	chart.X.Min, chart.X.Max = -0.6, float64(len(p.names))-0.4
 	return chart, nil
 }
 
-// percentTicks leaves the room for the legend unmarked.
+// percentTicks returns the ticks up to 100%, without the space for the legend.
 func percentTicks() []plot.Tick {
 	var ticks []plot.Tick
 	for v := 0; v <= fullShare; v += 20 {
@@ -138,7 +139,7 @@
 	values := make(plotter.Values, len(p.groups))
 	labels := plotter.XYLabels{}
 	for i, g := range p.groups {
-		values[i] = p.value(policy.Group(g.Class, g.Tier))
+		values[i] = p.valueOf(policy.Group(g.Class, g.Tier))
 		labels.XYs = append(labels.XYs, plotter.XY{X: float64(i), Y: values[i]})
 		labels.Labels = append(labels.Labels, fmt.Sprintf(p.format, values[i]))
 	}
--- a/internal/bench/plot/plot_test.go
+++ b/internal/bench/plot/plot_test.go
@@ -13,7 +13,7 @@
 	"coveferry/internal/bench/report"
 )
 
-func draw(t *testing.T, attainment float64) []byte {
+func renderPNG(t *testing.T, attainment float64) []byte {
 	groups := []measure.Group{
 		{Class: "queries", Measures: measure.Measures{Attainment: attainment, Goodput: 3}},
 		{Tier: "gold", Measures: measure.Measures{Attainment: attainment}},
@@ -24,14 +24,14 @@
 	return out.Bytes()
 }
 
-func TestPlotIsAPictureOfTheFigures(t *testing.T) {
+func TestPlotDependsOnlyOnTheFigures(t *testing.T) {
 	g := gomega.NewWithT(t)
-	half := draw(t, 0.5)
+	half := renderPNG(t, 0.5)
 	img, err := png.Decode(bytes.NewReader(half))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(img.Bounds().Dx()).To(gomega.BeNumerically(">", 1000))
-	g.Expect(draw(t, 0.5)).To(gomega.Equal(half))
-	g.Expect(draw(t, 0.9)).NotTo(gomega.Equal(half))
+	g.Expect(renderPNG(t, 0.5)).To(gomega.Equal(half))
+	g.Expect(renderPNG(t, 0.9)).NotTo(gomega.Equal(half))
 }
 
 func TestNothingToPlot(t *testing.T) {
--- a/internal/bench/policy.go
+++ b/internal/bench/policy.go
@@ -15,32 +15,32 @@
 	"coveferry/internal/standin/engine"
 )
 
-// policy measures one policy on a fresh fleet.
-func (r *Runner) policy(ctx context.Context, e experiment, name string) (report.Policy, error) {
+// runPolicy measures one policy on a new fleet.
+func (r *Runner) runPolicy(ctx context.Context, e experiment, name string) (report.Policy, error) {
 	fleet, err := r.Launch(ctx, e.spec(name, time.Now()))
 	if err != nil {
 		return report.Policy{}, errors.Wrap(err, "launch the fleet")
 	}
-	if err := supports(fleet, e.events()); err != nil {
+	if err := checkSupport(fleet, e.events()); err != nil {
 		return report.Policy{}, errors.CombineErrors(err, fleet.Stop())
 	}
-	t := r.drive(ctx, e, name, fleet)
-	w := collect(fleet.Engines(), newAttribution(e.list, t.drive.Outcomes))
+	t := r.runLoad(ctx, e, name, fleet)
+	w := collectWork(fleet.Engines(), newRequestIndex(e.arrivals, t.sent.Outcomes))
 	return e.evaluate(name, t, w)
 }
 
-// trial is what came of the load with one policy.
-type trial struct {
-	drive   client.Drive
+// loadResult is the result of sending the load with one policy.
+type loadResult struct {
+	sent    client.RunResult
 	elapsed time.Duration
-	// window is how long load arrived.
+	// window is the time during which load arrived.
 	window time.Duration
 	cores  float64
 }
 
-// drive sends the load and stops the fleet.
-func (r *Runner) drive(ctx context.Context, e experiment, name string, fleet Fleet) trial {
-	r.Progress.Begin(name, len(e.list))
+// runLoad sends the load and stops the fleet.
+func (r *Runner) runLoad(ctx context.Context, e experiment, name string, fleet Fleet) loadResult {
+	r.Progress.Begin(name, len(e.arrivals))
 	defer r.Progress.End()
 	cpu := startCPU()
 	start := time.Now()
@@ -55,41 +55,41 @@
 
 	faultCtx, endFaults := context.WithCancel(ctx)
 	var faults sync.WaitGroup
-	faults.Go(func() { r.inflict(faultCtx, fleet, e.events(), start) })
+	faults.Go(func() { r.injectFaults(faultCtx, fleet, e.events(), start) })
 	opt := client.Options{Start: start, MaxOpen: MaxOpen, Progress: r.Progress.Step}
-	drive := client.Run(ctx, c, e.list, opt)
+	sent := client.Run(ctx, c, e.arrivals, opt)
 	elapsed := time.Since(start)
 	endFaults()
 	faults.Wait()
 	cores := cpu.cores()
 	if err := fleet.Stop(); err != nil {
-		r.Log.Warn().Err(err).Msg("the fleet didn't stop in good order")
+		r.Log.Warn().Err(err).Msg("the fleet didn't stop cleanly")
 	}
-	return trial{
-		drive:   drive,
+	return loadResult{
+		sent:    sent,
 		elapsed: elapsed,
 		window:  min(elapsed, e.opt.Duration),
 		cores:   cores,
 	}
 }
 
-func (e experiment) evaluate(name string, t trial, w work) (report.Policy, error) {
-	samples := e.samples(t.drive.Outcomes, w)
-	sent, err := e.sent(t.drive.Outcomes)
+func (e experiment) evaluate(name string, t loadResult, w engineWork) (report.Policy, error) {
+	samples := e.samples(t.sent.Outcomes, w)
+	sent, err := e.sent(t.sent.Outcomes)
 	if err != nil {
 		return report.Policy{}, err
 	}
 	phases := measure.Phases(samples, e.scenario.Phases, t.window)
-	all := measure.Of(samples, t.window).WithLoose(w.unattributed.tokens)
+	all := measure.Compute(samples, t.window).WithUnattributed(w.unattributed.tokens)
 	return report.Policy{
 		Policy:       name,
 		Elapsed:      t.elapsed.Seconds(),
 		Window:       t.window.Seconds(),
 		CPUCores:     t.cores,
-		MaxOpen:      t.drive.MaxOpen,
-		LimitHit:     t.drive.LimitHit,
+		MaxOpen:      t.sent.MaxOpen,
+		LimitHit:     t.sent.LimitHit,
 		SendLag:      measure.SendLag(samples),
-		Checks:       check.Check(sent, t.drive.Outcomes, w.runs),
+		Checks:       check.Check(sent, t.sent.Outcomes, w.runs),
 		Unattributed: w.unattributed.runs,
 		All:          all,
 		Groups:       measure.Groups(samples, t.window, e.classes(), arrivals.Tiers()),
@@ -107,21 +107,21 @@
 }
 
 // samples joins arrivals, outcomes and the engines' work. Outcomes are in the
-// order of the arrivals, and may be fewer.
-func (e experiment) samples(outcomes []client.Outcome, w work) []measure.Sample {
+// order of the arrivals; there may be fewer of them.
+func (e experiment) samples(outcomes []client.Outcome, w engineWork) []measure.Sample {
 	samples := make([]measure.Sample, len(outcomes))
 	for i, o := range outcomes {
-		a := e.list[i]
+		a := e.arrivals[i]
 		samples[i] = measure.Sample{Arrival: a, Outcome: o, Produced: w.produced[a.ID]}
 	}
 	return samples
 }
 
-// sent lists the requests that were sent, with the answers that belong to them.
+// sent returns the requests that were sent, with their expected answers.
 func (e experiment) sent(outcomes []client.Outcome) ([]check.Sent, error) {
 	list := make([]check.Sent, len(outcomes))
 	for i := range outcomes {
-		a := e.list[i]
+		a := e.arrivals[i]
 		body, err := client.Body(engine.DefaultModel, a)
 		if err != nil {
 			return nil, err
--- a/internal/bench/record.go
+++ b/internal/bench/record.go
@@ -9,26 +9,26 @@
 	"coveferry/internal/standin/engine"
 )
 
-// work is what engines did, by the record of all of them.
-type work struct {
+// engineWork is the work of all engines according to their records.
+type engineWork struct {
 	runs         []check.Run
-	produced     map[string]int // tokens by arrival
-	unattributed loose
+	produced     map[string]int // tokens by arrival ID
+	unattributed unattributedRuns
 }
 
-// loose are the runs that belong to no arrival as far as can be told.
-type loose struct{ runs, tokens int }
+// unattributedRuns counts the runs that can't be attributed to an arrival.
+type unattributedRuns struct{ runs, tokens int }
 
-// attribution finds the arrival that a run belongs to. An engine's record names
-// the request ID that the router chose, which callers are told, and the
-// idempotency key that callers chose.
-type attribution struct {
+// requestIndex finds the arrival that a run belongs to. An engine's record holds
+// the request ID chosen by the router, which the caller receives in the response,
+// and the idempotency key chosen by the caller.
+type requestIndex struct {
 	byRequest map[string]string
 	byKey     map[string]string
 }
 
-func newAttribution(list []arrivals.Arrival, outcomes []client.Outcome) attribution {
-	a := attribution{byRequest: make(map[string]string), byKey: make(map[string]string)}
+func newRequestIndex(list []arrivals.Arrival, outcomes []client.Outcome) requestIndex {
+	a := requestIndex{byRequest: make(map[string]string), byKey: make(map[string]string)}
 	for _, o := range outcomes {
 		if o.RequestID != "" {
 			a.byRequest[o.RequestID] = o.ID
@@ -42,33 +42,33 @@
 	return a
 }
 
-// arrival is empty for a run whose caller left before it was told the request
-// ID, and gave no key.
-func (a attribution) arrival(r engine.Run) string {
+// arrivalID returns the ID of a run's arrival. It is empty if the caller sent no
+// idempotency key and disconnected before it received the request ID.
+func (a requestIndex) arrivalID(r engine.Run) string {
 	if id, ok := a.byKey[r.IdempotencyKey]; ok {
 		return id
 	}
-	return a.byRequest[callerID(r.RequestID)]
+	return a.byRequest[baseRequestID(r.RequestID)]
 }
 
-// callerID cuts off what routers and agents add behind dots to tell the runs
-// of a request apart.
-func callerID(requestID string) string {
+// baseRequestID removes the suffixes, separated by dots, with which routers and
+// agents distinguish the runs of a request.
+func baseRequestID(requestID string) string {
 	id, _, _ := strings.Cut(requestID, ".")
 	return id
 }
 
-func collect(engines []Engine, a attribution) work {
-	w := work{produced: make(map[string]int)}
+func collectWork(engines []Engine, a requestIndex) engineWork {
+	w := engineWork{produced: make(map[string]int)}
 	for i, e := range engines {
 		for _, r := range e.Record() {
-			w.add(i, a.arrival(r), r)
+			w.addRun(i, a.arrivalID(r), r)
 		}
 	}
 	return w
 }
 
-func (w *work) add(engineIndex int, id string, r engine.Run) {
+func (w *engineWork) addRun(engineIndex int, id string, r engine.Run) {
 	if id == "" {
 		w.unattributed.runs++
 		w.unattributed.tokens += r.Produced
--- a/internal/bench/report/report.go
+++ b/internal/bench/report/report.go
@@ -1,32 +1,32 @@
-// Package report holds the result of a bench run in the shape in which it is
-// printed as JSON, the same for every scenario:
+// Package report defines the result of a bench run and its JSON format, which is
+// the same for every scenario:
 //
-//	format       version of this shape
+//	format       version of this format
 //	scenario, doc, seed, mix, duration_s, scale, arrivals
-//	partial      true if the run was interrupted; its figures then cover what
-//	             ended before, and later policies are missing
+//	partial      true if the run was interrupted; the figures then cover the
+//	             requests that ended before, and later policies are missing
 //	fleet        routers, engines, slots, step_ms (a decode step with all slots
 //	             in use), capacity_tokens_per_s, offered_tokens_per_s,
-//	             offered_load (work that arrived, prefill included, as a
-//	             multiple of what the engines can do)
+//	             offered_load (work that arrived, including prefill, as a
+//	             multiple of the engines' capacity)
 //	policies[]   one for each policy, on the same arrivals:
-//	  policy, elapsed_s, window_s (how long load arrived), cpu_cores
-//	  max_open, open_limit_hit (requests the bench could not send: must be 0)
-//	  send_lag   how late the bench sent requests
-//	  checks     broken promises to callers; all must be 0
-//	  unattributed_runs  engine runs whose request couldn't be told; their
-//	             tokens count as wasted in all, but in no group
+//	  policy, elapsed_s, window_s (time during which load arrived), cpu_cores
+//	  max_open, open_limit_hit (requests that the bench didn't send; must be 0)
+//	  send_lag   delay between due time and sending of requests
+//	  checks     correctness violations seen by callers; all must be 0
+//	  unattributed_runs  engine runs that can't be attributed to a request;
+//	             their tokens count as wasted in all, but in no group
 //	  all        measures of all requests; see package measure for each key
 //	  groups[]   the same for each class, each tier, each class in each tier
-//	  phases[]   offered load, attainment and goodput in parts of the run
-//	  recovery   share of requests answered in time after a disturbance by
-//	             that before it, if there are such phases
-//	ratios[]     each policy by the baseline: of goodput, goodput in tokens,
-//	             attainment and wasted work, for all and for each group; null
-//	             where the baseline's figure is 0
+//	  phases[]   offered load, attainment and goodput of phases of the run
+//	  recovery   fraction of requests answered in time after a disturbance
+//	             divided by that before it, if the run has these phases
+//	ratios[]     each policy divided by the baseline: goodput, goodput in tokens,
+//	             attainment and wasted work, for all requests and for each group;
+//	             null where the baseline's figure is 0
 //
 // Times are in seconds where a key ends in _s, in milliseconds where it ends
-// in _ms; shares are between 0 and 1.
+// in _ms; fractions are between 0 and 1.
 package report
 
 import (
@@ -39,7 +39,7 @@
 	"coveferry/internal/bench/measure"
 )
 
-// Format is the version of the shape of Result.
+// Format is the version of the JSON format of Result.
 const Format = 1
 
 // Result is the outcome of one scenario.
@@ -59,7 +59,7 @@
 	Ratios   []Ratio  `json:"ratios"`
 }
 
-// Fleet describes what the policies ran on.
+// Fleet describes the fleet that the policies ran on.
 type Fleet struct {
 	Routers  int     `json:"routers"`
 	Engines  int     `json:"engines"`
@@ -70,7 +70,7 @@
 	Load     float64 `json:"offered_load"`
 }
 
-// Policy is what was measured with one policy.
+// Policy holds the measurements of one policy.
 type Policy struct {
 	Policy       string          `json:"policy"`
 	Elapsed      float64         `json:"elapsed_s"`
@@ -96,7 +96,8 @@
 	Groups  []GroupRatio `json:"groups"`
 }
 
-// GroupRatio compares the figures of a group; nil where the baseline's is 0.
+// GroupRatio holds a group's figures divided by the baseline's; nil where the
+// baseline's is 0.
 type GroupRatio struct {
 	Class         string   `json:"class,omitempty"`
 	Tier          string   `json:"tier,omitempty"`
@@ -112,10 +113,10 @@
 	phaseAfter  = "after"
 )
 
-// Recovery is the goodput after a disturbance by that before it, each taken as
-// a share of the load offered then, so that neither chance in the arrivals nor
-// long answers that go on beyond a phase blur it. It is nil if the run has no
-// such phases.
+// Recovery returns the fraction of requests answered in time after a disturbance
+// divided by that before it. Fractions of the requests due in a phase are used
+// instead of goodput, since they don't depend on random variation of the arrivals
+// or on answers that end after the phase. It is nil if the run lacks these phases.
 func Recovery(phases []measure.PhaseMeasures) *float64 {
 	var before, after *measure.PhaseMeasures
 	for i := range phases {
@@ -132,23 +133,23 @@
 	return quotient(after.InTime, before.InTime)
 }
 
-// Compare computes the ratios of all policies but the named one by it; none if
-// it wasn't measured.
+// Compare returns the ratios of all other policies to the baseline; none if the
+// baseline wasn't measured.
 func Compare(policies []Policy, baseline string) []Ratio {
-	base := find(policies, baseline)
+	base := findPolicy(policies, baseline)
 	ratios := []Ratio{}
 	if base == nil {
 		return ratios
 	}
 	for _, p := range policies {
 		if p.Policy != baseline {
-			ratios = append(ratios, p.by(base))
+			ratios = append(ratios, p.ratioTo(base))
 		}
 	}
 	return ratios
 }
 
-func find(policies []Policy, name string) *Policy {
+func findPolicy(policies []Policy, name string) *Policy {
 	for i := range policies {
 		if policies[i].Policy == name {
 			return &policies[i]
@@ -157,7 +158,7 @@
 	return nil
 }
 
-func (p Policy) by(base *Policy) Ratio {
+func (p Policy) ratioTo(base *Policy) Ratio {
 	r := Ratio{Policy: p.Policy, Against: base.Policy, All: compare(p.All, base.All)}
 	for _, g := range p.Groups {
 		if other, ok := base.group(g.Class, g.Tier); ok {
@@ -169,8 +170,8 @@
 	return r
 }
 
-// Group returns the measures of a class and tier, empty for any; the zero
-// value if it had no requests.
+// Group returns the measures of a class and tier, where empty matches any. It
+// returns the zero value if there were no requests.
 func (p Policy) Group(class, tier string) measure.Measures {
 	m, _ := p.group(class, tier)
 	return m
@@ -202,7 +203,7 @@
 	return &q
 }
 
-// WriteJSON writes the result, indented, with a line's end.
+// WriteJSON writes the result as indented JSON with a trailing newline.
 func (r Result) WriteJSON(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
--- a/internal/bench/report/report_test.go
+++ b/internal/bench/report/report_test.go
@@ -12,7 +12,7 @@
 	"coveferry/internal/bench/report"
 )
 
-func policies() []report.Policy {
+func samplePolicies() []report.Policy {
 	queries := func(goodput float64) []measure.Group {
 		return []measure.Group{
 			{Class: "queries", Measures: measure.Measures{Requests: 4, Goodput: goodput}},
@@ -27,7 +27,7 @@
 
 func TestRatiosAreByTheBaseline(t *testing.T) {
 	g := gomega.NewWithT(t)
-	ratios := report.Compare(policies(), "baseline")
+	ratios := report.Compare(samplePolicies(), "baseline")
 	g.Expect(ratios).To(gomega.HaveLen(1))
 	r := ratios[0]
 	g.Expect(r.Policy).To(gomega.Equal("product"))
@@ -37,7 +37,7 @@
 	g.Expect(r.Groups).To(gomega.HaveLen(2))
 	g.Expect(r.Groups[0].Class).To(gomega.Equal("queries"))
 	g.Expect(r.Groups[0].Goodput).To(gomega.BeNil())
-	g.Expect(report.Compare(policies()[:1], "baseline")).To(gomega.BeEmpty())
+	g.Expect(report.Compare(samplePolicies()[:1], "baseline")).To(gomega.BeEmpty())
 }
 
 func TestRecoveryNeedsBothPhases(t *testing.T) {
@@ -48,11 +48,11 @@
 	g.Expect(report.Recovery([]measure.PhaseMeasures{before})).To(gomega.BeNil())
 }
 
-// The shape is documented; a key that goes missing breaks its readers.
+// Readers of the JSON depend on the documented keys.
 func TestJSONHasTheDocumentedKeys(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out bytes.Buffer
-	result := report.Result{Policies: policies(), Ratios: report.Compare(policies(), "baseline")}
+	result := report.Result{Policies: samplePolicies(), Ratios: report.Compare(samplePolicies(), "baseline")}
 	g.Expect(result.WriteJSON(&out)).To(gomega.Succeed())
 	var got map[string]any
 	g.Expect(json.Unmarshal(out.Bytes(), &got)).To(gomega.Succeed())
@@ -68,9 +68,9 @@
 	g.Expect(policy["checks"]).To(gomega.HaveKeyWithValue("second_runs", 0.0))
 }
 
-func TestTableTellsWhatMakesAResultDoubtful(t *testing.T) {
+func TestTableShowsWarningsAndFailedChecks(t *testing.T) {
 	g := gomega.NewWithT(t)
-	list := policies()
+	list := samplePolicies()
 	list[0].LimitHit = 3
 	list[1].Checks = check.Counts{Mixed: 7}
 	var out bytes.Buffer
--- a/internal/bench/report/table.go
+++ b/internal/bench/report/table.go
@@ -11,7 +11,7 @@
 	"coveferry/internal/bench/measure"
 )
 
-// WriteTable writes the result for a reader at a terminal.
+// WriteTable writes the result as a text table.
 func (r Result) WriteTable(w io.Writer) error {
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
@@ -20,13 +20,13 @@
 		"wasted", "refused", "first token p50", "p99",
 	})
 	t.SetColumnConfigs(rightAligned(4, 11))
-	r.rows(t, "all", "all", func(p Policy) (measure.Measures, bool) { return p.All, true })
-	for _, g := range r.groups() {
-		r.rows(t, orAll(g.Class), orAll(g.Tier), func(p Policy) (measure.Measures, bool) {
+	r.appendRows(t, "all", "all", func(p Policy) (measure.Measures, bool) { return p.All, true })
+	for _, g := range r.tableGroups() {
+		r.appendRows(t, orAll(g.Class), orAll(g.Tier), func(p Policy) (measure.Measures, bool) {
 			return p.group(g.Class, g.Tier)
 		})
 	}
-	_, err := fmt.Fprintf(w, "%s\n%s\n%s", r.heading(), t.Render(), r.footing())
+	_, err := fmt.Fprintf(w, "%s\n%s\n%s", r.heading(), t.Render(), r.footer())
 	return errors.Wrap(err, "write the table")
 }
 
@@ -48,9 +48,9 @@
 		r.Fleet.Engines, r.Fleet.Capacity, r.Fleet.Load)
 }
 
-// groups are the classes and tiers of the first policy, since all policies get
-// the same requests. Classes within tiers are left to the JSON.
-func (r Result) groups() []measure.Group {
+// tableGroups returns the classes and tiers of the first policy, since all
+// policies get the same requests. The table omits classes within tiers.
+func (r Result) tableGroups() []measure.Group {
 	if len(r.Policies) == 0 {
 		return nil
 	}
@@ -63,7 +63,7 @@
 	return groups
 }
 
-func (r Result) rows(t table.Writer, class, tier string, of func(Policy) (measure.Measures, bool)) {
+func (r Result) appendRows(t table.Writer, class, tier string, of func(Policy) (measure.Measures, bool)) {
 	for _, p := range r.Policies {
 		m, ok := of(p)
 		if !ok {
@@ -79,8 +79,8 @@
 	t.AppendSeparator()
 }
 
-// footing tells what makes a result doubtful, and the broken promises.
-func (r Result) footing() string {
+// footer returns the failed checks and warnings about unreliable results.
+func (r Result) footer() string {
 	s := ""
 	for _, p := range r.Policies {
 		c := p.Checks
--- a/internal/bench/runner.go
+++ b/internal/bench/runner.go
@@ -1,7 +1,7 @@
-// Package bench runs the experiments: it sends the same seeded load to a fresh
-// fleet for each policy, and measures what callers received against what the
-// engines produced. The scenarios are data in package scenario; the shape of
-// the result is described in package report.
+// Package bench runs benchmark scenarios: it sends the same seeded load to a new
+// fleet for each policy, and compares what callers received with what the
+// engines produced. Package scenario declares the scenarios; package report
+// describes the format of the result.
 package bench
 
 import (
@@ -29,23 +29,23 @@
 	tokenTime       = 16 * time.Millisecond
 	batchSlope      = 500 * time.Microsecond
 	prefillPerToken = 20 * time.Microsecond
-	// prefixCache holds the documents of some of the teams, in tokens.
+	// prefixCache, in tokens, holds the shared prompts of some of the teams only.
 	prefixCache = 12_000
 )
 
-// MaxOpen bounds the requests that the bench itself keeps open.
+// MaxOpen bounds the requests that the bench keeps open at once.
 const MaxOpen = 20_000
 
-// ErrInvalid marks options that don't make sense.
+// ErrInvalid marks the error of invalid options.
 var ErrInvalid = errors.New("invalid bench options")
 
-// Options say what to run.
+// Options configures a run.
 type Options struct {
 	Scenario scenario.Scenario
 	Mix      arrivals.Mix
-	// Seed is that of the load and of the fleet.
+	// Seed is used for both the load and the fleet.
 	Seed uint64
-	// Duration is how long load arrives.
+	// Duration is the time during which load arrives.
 	Duration time.Duration
 	// Scale multiplies the number of engines, and the load with it.
 	Scale float64
@@ -53,14 +53,13 @@
 	Policies []string
 }
 
-// Progress follows a run.
+// Progress receives the progress of a run.
 type Progress interface {
-	// Begin starts a policy with so many requests.
+	// Begin is called when the run of a policy starts.
 	Begin(policy string, requests int)
-	// Step is told of each request that ended; it may be called at once from
-	// several goroutines.
+	// Step is called when a request has ended. It may be called concurrently.
 	Step()
-	// End ends the policy.
+	// End is called when the run of a policy has ended.
 	End()
 }
 
@@ -73,11 +72,11 @@
 	Transport http.RoundTripper
 }
 
-// Run measures the policies in turn. If ctx ends meanwhile, the result holds
-// what was measured until then and is marked as partial. Its error is marked
-// ErrInvalid or ErrUnknownPolicy if the options are at fault.
+// Run measures the policies in turn. If ctx ends during the run, the result
+// holds the measurements so far and is marked as partial. The error is marked
+// ErrInvalid or ErrUnknownPolicy if the options are invalid.
 func (r *Runner) Run(ctx context.Context, o Options) (report.Result, error) {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return report.Result{}, err
 	}
 	e := newExperiment(o)
@@ -86,7 +85,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		p, err := r.policy(ctx, e, name)
+		p, err := r.runPolicy(ctx, e, name)
 		if err != nil {
 			return report.Result{}, errors.Wrapf(err, "policy %s", name)
 		}
@@ -97,7 +96,7 @@
 	return result, nil
 }
 
-func (o Options) check() error {
+func (o Options) validate() error {
 	switch {
 	case o.Duration <= 0:
 		return errors.Mark(errors.Newf("duration %s must be positive", o.Duration), ErrInvalid)
@@ -109,12 +108,12 @@
 	return nil
 }
 
-// experiment is what all policies have in common.
+// experiment holds what is the same for all policies of a run.
 type experiment struct {
 	opt      Options
 	scenario scenario.Scenario
 	shape    arrivals.Shape
-	list     []arrivals.Arrival
+	arrivals []arrivals.Arrival
 }
 
 func newExperiment(o Options) experiment {
@@ -125,7 +124,7 @@
 		BatchSlope:      cmp.Or(o.Scenario.BatchSlope, batchSlope),
 		PrefillPerToken: prefillPerToken,
 	}
-	s := o.Scenario.For(o.Duration)
+	s := o.Scenario.WithDuration(o.Duration)
 	list := arrivals.Generate(arrivals.Plan{
 		Seed:     o.Seed,
 		Mix:      o.Mix,
@@ -133,12 +132,12 @@
 		Shape:    shape,
 		Load:     s.Load,
 	})
-	return experiment{opt: o, scenario: s, shape: shape, list: list}
+	return experiment{opt: o, scenario: s, shape: shape, arrivals: list}
 }
 
 func (e experiment) header() report.Result {
 	tokens := 0
-	for _, a := range e.list {
+	for _, a := range e.arrivals {
 		tokens += a.Tokens
 	}
 	return report.Result{
@@ -149,7 +148,7 @@
 		Mix:      e.opt.Mix.Name,
 		Duration: e.opt.Duration.Seconds(),
 		Scale:    e.opt.Scale,
-		Arrivals: len(e.list),
+		Arrivals: len(e.arrivals),
 		Fleet: report.Fleet{
 			Routers:  routers,
 			Engines:  e.shape.Engines,
@@ -157,7 +156,7 @@
 			Step:     e.shape.Step().Seconds() * 1e3,
 			Capacity: e.shape.TokensPerSecond(),
 			Offered:  float64(tokens) / e.opt.Duration.Seconds(),
-			Load:     e.shape.Load(e.list, e.opt.Duration),
+			Load:     e.shape.Load(e.arrivals, e.opt.Duration),
 		},
 	}
 }
--- a/internal/bench/scenario/scenario.go
+++ b/internal/bench/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario declares the experiments of the bench as data: the load as
-// a multiple of the fleet's capacity, and what happens to the fleet meanwhile.
+// Package scenario declares the scenarios of the bench: the load as a multiple
+// of the fleet's capacity, and the faults injected during the run.
 package scenario
 
 import (
@@ -13,82 +13,82 @@
 	"coveferry/internal/bench/measure"
 )
 
-// BaseDuration is how long load arrives by default, and the length that the
-// moments of steps, phases and faults are declared for. With another duration
-// they move in proportion; the intervals of faults stay as they are.
+// BaseDuration is the default duration of the load, and the one that the times
+// of steps, phases and faults are declared for. For other durations these times
+// are scaled proportionally; the intervals of faults aren't.
 const BaseDuration = 60 * time.Second
 
 // Scenario is one experiment.
 type Scenario struct {
 	Name string
-	// Doc is one line that says what the scenario shows.
+	// Doc is a one-line description.
 	Doc  string
 	Seed uint64
 	// Load is declared for BaseDuration.
 	Load arrivals.Load
-	// Phases are measured apart, declared for BaseDuration.
+	// Phases are measured separately; they are declared for BaseDuration.
 	Phases []measure.Phase
 	Faults []Fault
 	// ReportLag is the age of the load that engines report.
 	ReportLag time.Duration
-	// Mix is the mix to use if none is asked for; empty is that of all users.
+	// Mix is the default mix; empty means that of all users.
 	Mix string
 	// TokenTime and BatchSlope replace the engines' usual decode step, if set.
 	TokenTime  time.Duration
 	BatchSlope time.Duration
 }
 
-// Action is what is done to the fleet.
+// Action is an action on the fleet.
 type Action string
 
 // The actions on a fleet.
 const (
 	ActionSlow    Action = "slow"    // an engine works at SlowSpeed
-	ActionCrash   Action = "crash"   // an engine loses all
+	ActionCrash   Action = "crash"   // an engine loses its requests and memory
 	ActionRestart Action = "restart" // a crashed engine serves again
 	ActionPause   Action = "pause"   // an engine's process stops
-	ActionResume  Action = "resume"  // a stopped engine's process goes on
+	ActionResume  Action = "resume"  // a stopped engine's process continues
 	ActionRoll    Action = "roll"    // the next process is replaced
-	ActionCut     Action = "cut"     // some routers are cut off from an agent
-	ActionHeal    Action = "heal"    // all cuts end
+	ActionCut     Action = "cut"     // some routers are partitioned from an agent
+	ActionHeal    Action = "heal"    // all partitions end
 )
 
 // SlowSpeed is the speed of an engine after ActionSlow.
 const SlowSpeed = 0.2
 
-// Fault is something that happens to the fleet, once or again and again.
+// Fault is an action on the fleet, performed once or repeatedly.
 type Fault struct {
-	Do Action
-	// At is the first time, declared for BaseDuration.
+	Action Action
+	// At is the time of the first occurrence, declared for BaseDuration.
 	At time.Duration
-	// Every is the interval of repetition; 0 is never. Repetitions strike
-	// the engines in turn.
+	// Every is the interval of repetition; 0 means none. Repetitions hit the
+	// engines in turn.
 	Every time.Duration
-	// Share, if set, takes the place of Every: each minute as many are struck
-	// as are this share of the engines, at even intervals.
+	// Share, if set, replaces Every: each minute the fault occurs as many times
+	// as this fraction of the engines, at even intervals.
 	Share float64
-	// OneIn strikes every engine whose number it divides, all at once; 0
-	// strikes a single one.
+	// OneIn hits every engine whose index is a multiple of it, all at once; 0
+	// hits a single engine.
 	OneIn int
-	// Undo is done after For, if For is set.
+	// Undo is performed after For, if For is set.
 	Undo Action
 	For  time.Duration
 }
 
-// Event is one action at one moment of a run.
+// Event is one action at one time of a run.
 type Event struct {
 	At     time.Duration
-	Do     Action
+	Action Action
 	Engine int
 }
 
-// Undoes says that the event ends an earlier one.
-func (e Event) Undoes() bool { return e.Do == ActionRestart || e.Do == ActionResume }
+// Undoes reports whether the event ends an earlier fault of the same engine.
+func (e Event) Undoes() bool { return e.Action == ActionRestart || e.Action == ActionResume }
 
-// ErrUnknown marks the name of a scenario that doesn't exist.
+// ErrUnknown marks the error for an unknown scenario name.
 var ErrUnknown = errors.New("unknown scenario")
 
-// ByName finds a scenario; its error is marked ErrUnknown.
+// ByName returns the scenario with the name; its error is marked ErrUnknown.
 func ByName(name string) (Scenario, error) {
 	for _, s := range All() {
 		if s.Name == name {
@@ -98,31 +98,31 @@
 	return Scenario{}, errors.Mark(errors.Newf("no scenario %q; bench list names all", name), ErrUnknown)
 }
 
-// For returns the scenario with its moments moved to fit a duration.
-func (s Scenario) For(d time.Duration) Scenario {
+// WithDuration returns the scenario with its times scaled to a duration.
+func (s Scenario) WithDuration(d time.Duration) Scenario {
 	s.Load.Steps = slices.Clone(s.Load.Steps)
 	for i := range s.Load.Steps {
 		step := &s.Load.Steps[i]
-		step.From, step.To = scale(step.From, d), scale(step.To, d)
+		step.From, step.To = scaleTime(step.From, d), scaleTime(step.To, d)
 	}
 	s.Phases = slices.Clone(s.Phases)
 	for i := range s.Phases {
 		p := &s.Phases[i]
-		p.From, p.To = scale(p.From, d), scale(p.To, d)
+		p.From, p.To = scaleTime(p.From, d), scaleTime(p.To, d)
 	}
 	s.Faults = slices.Clone(s.Faults)
 	for i := range s.Faults {
-		s.Faults[i].At = scale(s.Faults[i].At, d)
+		s.Faults[i].At = scaleTime(s.Faults[i].At, d)
 	}
 	return s
 }
 
-func scale(at, d time.Duration) time.Duration {
+func scaleTime(at, d time.Duration) time.Duration {
 	return time.Duration(float64(at) * float64(d) / float64(BaseDuration))
 }
 
-// Events lists what happens during a run of the given length, in the order of
-// time. Nothing that begins after its end is listed.
+// Events returns the events of a run of the given duration, in order of time.
+// Faults that begin after its end are omitted.
 func (s Scenario) Events(d time.Duration, engines int) []Event {
 	var events []Event
 	for _, f := range s.Faults {
@@ -135,23 +135,23 @@
 func (f Fault) events(d time.Duration, engines int) []Event {
 	var events []Event
 	round := 0
-	every := f.every(engines)
-	for at := f.At; at < d; at += every {
+	interval := f.interval(engines)
+	for at := f.At; at < d; at += interval {
 		for _, e := range f.targets(round, engines) {
-			events = append(events, Event{At: at, Do: f.Do, Engine: e})
+			events = append(events, Event{At: at, Action: f.Action, Engine: e})
 			if f.For > 0 {
-				events = append(events, Event{At: at + f.For, Do: f.Undo, Engine: e})
+				events = append(events, Event{At: at + f.For, Action: f.Undo, Engine: e})
 			}
 		}
 		round++
-		if every <= 0 {
+		if interval <= 0 {
 			break
 		}
 	}
 	return events
 }
 
-func (f Fault) every(engines int) time.Duration {
+func (f Fault) interval(engines int) time.Duration {
 	if f.Share <= 0 {
 		return f.Every
 	}
--- a/internal/bench/scenario/scenario_test.go
+++ b/internal/bench/scenario/scenario_test.go
@@ -11,7 +11,7 @@
 	"coveferry/internal/bench/scenario"
 )
 
-func TestScenariosAreNamedAndDocumentedOnce(t *testing.T) {
+func TestScenariosHaveUniqueNamesAndSeedsAndADoc(t *testing.T) {
 	g := gomega.NewWithT(t)
 	names := map[string]bool{}
 	seeds := map[uint64]bool{}
@@ -32,9 +32,9 @@
 	g.Expect(errors.Is(err, scenario.ErrUnknown)).To(gomega.BeTrue())
 }
 
-// Lengths have long tails, so that a seed may bring a tenth more work than was
-// stated. The default seeds are ones that don't.
-func TestDefaultSeedsBringTheStatedLoad(t *testing.T) {
+// Answer lengths have long tails, so some seeds produce 10% more work than
+// stated. The default seeds must not be such seeds.
+func TestDefaultSeedsProduceTheStatedLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
 	mix, err := arrivals.MixByName(arrivals.MixBoth)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -61,32 +61,32 @@
 	}
 }
 
-func TestMomentsMoveWithTheDuration(t *testing.T) {
+func TestTimesScaleWithTheDuration(t *testing.T) {
 	g := gomega.NewWithT(t)
 	all, err := scenario.ByName("burst")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	short := all.For(6 * time.Second)
+	short := all.WithDuration(6 * time.Second)
 	g.Expect(short.Load.Steps[0].From).To(gomega.Equal(2 * time.Second))
 	g.Expect(short.Load.Steps[0].To).To(gomega.Equal(2500 * time.Millisecond))
 	g.Expect(short.Phases[1].To).To(gomega.Equal(2500 * time.Millisecond))
 	crash, err := scenario.ByName("crash")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(crash.For(30 * time.Second).Faults[0].At).To(gomega.Equal(time.Second))
+	g.Expect(crash.WithDuration(30 * time.Second).Faults[0].At).To(gomega.Equal(time.Second))
 	g.Expect(all.Load.Steps[0].From).To(gomega.Equal(20*time.Second), "the declaration stays as it is")
 }
 
 func TestEvents(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := scenario.Scenario{Faults: []scenario.Fault{
-		{Do: scenario.ActionCrash, At: 2 * time.Second, Every: 2 * time.Second, Undo: scenario.ActionRestart, For: time.Second},
-		{Do: scenario.ActionSlow, At: 3500 * time.Millisecond, OneIn: 2},
+		{Action: scenario.ActionCrash, At: 2 * time.Second, Every: 2 * time.Second, Undo: scenario.ActionRestart, For: time.Second},
+		{Action: scenario.ActionSlow, At: 3500 * time.Millisecond, OneIn: 2},
 	}}
 	g.Expect(s.Events(6*time.Second, 3)).To(gomega.Equal([]scenario.Event{
-		{At: 2 * time.Second, Do: scenario.ActionCrash, Engine: 0},
-		{At: 3 * time.Second, Do: scenario.ActionRestart, Engine: 0},
-		{At: 3500 * time.Millisecond, Do: scenario.ActionSlow, Engine: 0},
-		{At: 3500 * time.Millisecond, Do: scenario.ActionSlow, Engine: 2},
-		{At: 4 * time.Second, Do: scenario.ActionCrash, Engine: 1},
-		{At: 5 * time.Second, Do: scenario.ActionRestart, Engine: 1},
+		{At: 2 * time.Second, Action: scenario.ActionCrash, Engine: 0},
+		{At: 3 * time.Second, Action: scenario.ActionRestart, Engine: 0},
+		{At: 3500 * time.Millisecond, Action: scenario.ActionSlow, Engine: 0},
+		{At: 3500 * time.Millisecond, Action: scenario.ActionSlow, Engine: 2},
+		{At: 4 * time.Second, Action: scenario.ActionCrash, Engine: 1},
+		{At: 5 * time.Second, Action: scenario.ActionRestart, Engine: 1},
 	}))
 }
--- a/internal/bench/scenario/scenarios.go
+++ b/internal/bench/scenario/scenarios.go
@@ -9,7 +9,7 @@
 
 const second = time.Second
 
-// All lists the scenarios. Multiples are of the fleet's capacity.
+// All returns all scenarios. Loads are multiples of the fleet's capacity.
 func All() []Scenario {
 	return []Scenario{
 		{
@@ -53,7 +53,7 @@
 			Seed:      13,
 			Load:      arrivals.Load{Total: 0.7},
 			ReportLag: 2 * second,
-			Faults:    []Fault{{Do: ActionSlow, At: 10 * second, OneIn: 6}},
+			Faults:    []Fault{{Action: ActionSlow, At: 10 * second, OneIn: 6}},
 			Phases: []measure.Phase{
 				{Name: "before", From: 2 * second, To: 10 * second},
 				{Name: "slow", From: 10 * second, To: 60 * second},
@@ -85,28 +85,28 @@
 			Doc:    "0.6x capacity, an engine dies each 2 s and is back a second later",
 			Seed:   8,
 			Load:   arrivals.Load{Total: 0.6},
-			Faults: []Fault{{Do: ActionCrash, At: 2 * second, Every: 2 * second, Undo: ActionRestart, For: second}},
+			Faults: []Fault{{Action: ActionCrash, At: 2 * second, Every: 2 * second, Undo: ActionRestart, For: second}},
 		},
 		{
 			Name:   "pause",
 			Doc:    "0.6x capacity, an engine's process stops each 25 s for 20 s and wakes",
 			Seed:   9,
 			Load:   arrivals.Load{Total: 0.6},
-			Faults: []Fault{{Do: ActionPause, At: 5 * second, Every: 25 * second, Undo: ActionResume, For: 20 * second}},
+			Faults: []Fault{{Action: ActionPause, At: 5 * second, Every: 25 * second, Undo: ActionResume, For: 20 * second}},
 		},
 		{
 			Name:   "rolling",
 			Doc:    "0.6x capacity, every router and agent replaced in turn, one each 3 s",
 			Seed:   15,
 			Load:   arrivals.Load{Total: 0.6},
-			Faults: []Fault{{Do: ActionRoll, At: 3 * second, Every: 3 * second}},
+			Faults: []Fault{{Action: ActionRoll, At: 3 * second, Every: 3 * second}},
 		},
 		{
 			Name:   "churn",
 			Doc:    "0.6x capacity, a tenth of the processes replaced each minute; let it run for minutes",
 			Seed:   21,
 			Load:   arrivals.Load{Total: 0.6},
-			Faults: []Fault{{Do: ActionRoll, At: 3 * second, Share: 0.1}},
+			Faults: []Fault{{Action: ActionRoll, At: 3 * second, Share: 0.1}},
 		},
 		{
 			Name: "partition",
@@ -114,7 +114,7 @@
 			Seed: 11,
 			Load: arrivals.Load{Total: 0.6},
 			Faults: []Fault{
-				{Do: ActionCut, At: 15 * second, OneIn: 3, Undo: ActionHeal, For: 15 * second},
+				{Action: ActionCut, At: 15 * second, OneIn: 3, Undo: ActionHeal, For: 15 * second},
 			},
 			Phases: []measure.Phase{
 				{Name: "before", From: 5 * second, To: 15 * second},
@@ -131,9 +131,9 @@
 			// A decode step with all slots in use takes 7.5 ms.
 			TokenTime: 4 * time.Millisecond, BatchSlope: 500 * time.Microsecond,
 			Faults: []Fault{
-				{Do: ActionCrash, At: 2 * second, Every: 2 * second, Undo: ActionRestart, For: second},
-				{Do: ActionPause, At: 5 * second, Every: 25 * second, Undo: ActionResume, For: 20 * second},
-				{Do: ActionRoll, At: 3 * second, Every: 3 * second},
+				{Action: ActionCrash, At: 2 * second, Every: 2 * second, Undo: ActionRestart, For: second},
+				{Action: ActionPause, At: 5 * second, Every: 25 * second, Undo: ActionResume, For: 20 * second},
+				{Action: ActionRoll, At: 3 * second, Every: 3 * second},
 			},
 		},
 	}
--- a/internal/bench/teamlimit/load.go
+++ b/internal/bench/teamlimit/load.go
@@ -16,17 +16,17 @@
 	"coveferry/internal/standin/engine"
 )
 
-// load sends requests to all routers, each at an even rate of its own.
+// load sends requests to all routers, at a constant rate for each.
 type load struct {
-	opt    Options
-	urls   []string
-	client *http.Client
-	start  time.Time
-	counts counts
-	open   sync.WaitGroup
+	opt      Options
+	urls     []string
+	client   *http.Client
+	start    time.Time
+	counts   counts
+	inFlight sync.WaitGroup
 }
 
-// counts are requests by how they ended, of those sent in the time that counts.
+// counts holds the requests sent after the warm-up, by their end.
 type counts struct{ sent, admitted, refused, failed atomic.Int64 }
 
 func newLoad(f *fleet.Fleet, o Options) *load {
@@ -37,46 +37,46 @@
 	return l
 }
 
-// run sends the load and returns once all requests have ended.
+// run sends the load and returns when all requests have ended.
 func (l *load) run(ctx context.Context) *counts {
 	l.start = time.Now()
 	var senders sync.WaitGroup
 	for i := range l.urls {
-		senders.Go(func() { l.send(ctx, i) })
+		senders.Go(func() { l.sendTo(ctx, i) })
 	}
 	senders.Wait()
-	l.open.Wait()
+	l.inFlight.Wait()
 	l.client.CloseIdleConnections()
 	return &l.counts
 }
 
-// demand is how many requests a second router i gets; the last gets most.
+// demand returns the request rate of router i, per second. The last router gets
+// busiestShare of the total.
 func (l *load) demand(i int) float64 {
 	others := len(l.urls) - 1
 	if i == others {
-		return pressure * busiest * l.opt.Limit
+		return demandFactor * busiestShare * l.opt.Limit
 	}
-	return pressure * (1 - busiest) * l.opt.Limit / float64(others)
+	return demandFactor * (1 - busiestShare) * l.opt.Limit / float64(others)
 }
 
-// send sends one router's requests when they are due, whether or not earlier
-// ones have ended.
-func (l *load) send(ctx context.Context, i int) {
+// sendTo sends one router's requests at their due times, open-loop.
+func (l *load) sendTo(ctx context.Context, i int) {
 	gap := time.Duration(float64(time.Second) / l.demand(i))
-	// The routers' first requests are spread over a gap.
+	// The first requests of the routers are staggered over one interval.
 	due := gap * time.Duration(i) / time.Duration(len(l.urls))
-	for ; due < warm+l.opt.Duration; due += gap {
+	for ; due < warmUp+l.opt.Duration; due += gap {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(l.start.Add(due))):
 		}
-		l.open.Go(func() { l.request(ctx, l.urls[i], due >= warm) })
+		l.inFlight.Go(func() { l.sendAndCount(ctx, l.urls[i], due >= warmUp) })
 	}
 }
 
-func (l *load) request(ctx context.Context, url string, counting bool) {
-	status := l.ask(ctx, url)
+func (l *load) sendAndCount(ctx context.Context, url string, counting bool) {
+	status := l.post(ctx, url)
 	if !counting {
 		return
 	}
@@ -91,8 +91,9 @@
 	}
 }
 
-// ask returns the status of the answer, 0 if there was none.
-func (l *load) ask(ctx context.Context, url string) int {
+// post sends a request and returns the status code; 0 if there is no complete
+// response.
+func (l *load) post(ctx context.Context, url string) int {
 	body := fmt.Sprintf(`{"model":%q,"prompt":"hello [[tokens=1]]"}`, engine.DefaultModel)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
--- a/internal/bench/teamlimit/result.go
+++ b/internal/bench/teamlimit/result.go
@@ -9,39 +9,39 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// Format is the version of the result's form.
+// Format is the version of the result format.
 const Format = 1
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Format   int    `json:"format"`
 	Scenario string `json:"scenario"`
 	Doc      string `json:"doc"`
-	// Limit is the team's, in requests a second; Duration is in seconds.
+	// Limit is the team's limit in requests per second; Duration is in seconds.
 	Limit    float64 `json:"limit"`
 	Duration float64 `json:"duration"`
 	Partial  bool    `json:"partial"`
 	Rows     []Row   `json:"rows"`
 }
 
-// Row is one way to enforce the limit with one number of routers.
+// Row holds the measurements of one enforcement mode with one number of routers.
 type Row struct {
 	Routers  int    `json:"routers"`
 	Way      string `json:"way"`
 	Sent     int64  `json:"sent"`
 	Admitted int64  `json:"admitted"`
 	Refused  int64  `json:"refused"`
-	// Failed requests had another answer or none.
+	// Failed counts requests with another status or without a response.
 	Failed int64 `json:"failed"`
-	// Over and Under are how far what was admitted lies above or below the
-	// limit, as shares of the limit.
+	// Over and Under are the admitted requests above and below the limit, as
+	// fractions of the limit.
 	Over  float64 `json:"over_admission"`
 	Under float64 `json:"under_use"`
 }
 
-func newRow(routers int, way string, o Options, c *counts) Row {
+func newRow(routers int, mode string, o Options, c *counts) Row {
 	row := Row{
-		Routers: routers, Way: way,
+		Routers: routers, Way: mode,
 		Sent: c.sent.Load(), Admitted: c.admitted.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(),
 	}
 	share := float64(row.Admitted)/(o.Limit*o.Duration.Seconds()) - 1
@@ -56,7 +56,7 @@
 	return errors.Wrap(enc.Encode(r), "write the result")
 }
 
-// WriteTable writes the result for readers.
+// WriteTable writes the result as a text table.
 func (r Result) WriteTable(w io.Writer) error {
 	t := table.NewWriter()
 	t.SetStyle(table.StyleLight)
--- a/internal/bench/teamlimit/teamlimit.go
+++ b/internal/bench/teamlimit/teamlimit.go
@@ -1,6 +1,6 @@
-// Package teamlimit measures how well a team's limit holds across the routers
-// of a fleet on loopback sockets: what is let in beyond the limit and what of
-// the limit stays unused, with skewed demand, for each way to enforce it.
+// Package teamlimit measures how accurately a team's limit is enforced across
+// the routers of a fleet on loopback sockets. For each enforcement mode it
+// measures over-admission and unused limit under skewed demand.
 package teamlimit
 
 import (
@@ -17,16 +17,17 @@
 	"coveferry/internal/units"
 )
 
-// Name is that of the scenario, Doc says what it shows.
+// Name is the name of the scenario and Doc its description.
 const (
 	Name = "team-limit"
 	Doc  = "a team at twice its limit, 0.8 of it through one router: shared credits, each router alone, fixed fair shares"
 )
 
-// The load: a multiple of the limit, and the part of it that one router gets.
+// The load as a multiple of the limit, and the fraction of it that one router
+// gets.
 const (
-	pressure = 2.0
-	busiest  = 0.8
+	demandFactor = 2.0
+	busiestShare = 0.8
 )
 
 const (
@@ -34,56 +35,57 @@
 	team    = "limited"
 	engines = 2
 	slots   = 512
-	// warm is how long load arrives before it counts.
-	warm  = 4 * time.Second
-	grace = 5 * time.Second
+	// warmUp is the time during which load arrives before it is counted.
+	warmUp = 4 * time.Second
+	grace  = 5 * time.Second
 )
 
-// ErrInvalid marks options that don't make sense.
+// ErrInvalid marks the error of invalid options.
 var ErrInvalid = errors.New("invalid bench options")
 
-// Options say what to run.
+// Options configures a run.
 type Options struct {
-	// Routers are the sizes of fleets, each two at least.
+	// Routers are the numbers of routers to measure, each at least two.
 	Routers []int
-	// Limit is the team's, in requests a second.
+	// Limit is the team's limit in requests per second.
 	Limit float64
-	// Duration is how long load counts, for each size and way.
+	// Duration is the measured time of each row, after the warm-up.
 	Duration time.Duration
 }
 
-// Check returns an error marked ErrInvalid if the options make no sense.
+// Check returns an error marked ErrInvalid if the options are invalid.
 func (o Options) Check() error {
 	if len(o.Routers) == 0 || !(o.Limit > 0) || o.Duration <= 0 {
 		return errors.Mark(errors.New("sizes, limit and duration must be positive"), ErrInvalid)
 	}
 	for _, n := range o.Routers {
 		if n < 2 {
-			return errors.Mark(errors.Newf("%d routers share nothing; take two at least", n), ErrInvalid)
+			return errors.Mark(errors.Newf("%d routers share no limit; use at least two", n), ErrInvalid)
 		}
 	}
 	return nil
 }
 
-// way is a way to enforce a limit.
-type way struct {
+// enforcement is a named mode of enforcing a limit.
+type enforcement struct {
 	name string
 	mode limits.Mode
 }
 
-func ways() []way {
-	return []way{{"shared", limits.Shared}, {"alone", limits.Alone}, {"fair-share", limits.FairShare}}
+func enforcements() []enforcement {
+	return []enforcement{{"shared", limits.Shared}, {"alone", limits.Alone}, {"fair-share", limits.FairShare}}
 }
 
-// Run measures each way with each number of routers in turn. If ctx ends
-// meanwhile the result holds what was measured and is marked as partial.
+// Run measures each enforcement mode with each number of routers in turn. If ctx
+// ends during the run, the result holds the completed rows and is marked as
+// partial.
 func Run(ctx context.Context, o Options, log zerolog.Logger) (Result, error) {
 	if err := o.Check(); err != nil {
 		return Result{}, err
 	}
 	result := Result{Format: Format, Scenario: Name, Doc: Doc, Limit: o.Limit, Duration: o.Duration.Seconds()}
 	for _, routers := range o.Routers {
-		for _, w := range ways() {
+		for _, w := range enforcements() {
 			row, err := o.measure(ctx, routers, w, log)
 			if ctx.Err() != nil {
 				result.Partial = true
@@ -98,7 +100,7 @@
 	return result, nil
 }
 
-func (o Options) measure(ctx context.Context, routers int, w way, log zerolog.Logger) (Row, error) {
+func (o Options) measure(ctx context.Context, routers int, w enforcement, log zerolog.Logger) (Row, error) {
 	f, err := fleet.Start(o.spec(routers, w.mode, log))
 	if err != nil {
 		return Row{}, err
--- a/internal/bench/teamlimit/teamlimit_test.go
+++ b/internal/bench/teamlimit/teamlimit_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-func TestOptionsThatMakeNoSenseAreRefused(t *testing.T) {
+func TestInvalidOptionsAreRejected(t *testing.T) {
 	g := gomega.NewWithT(t)
 	for _, o := range []Options{
 		{Limit: 1, Duration: time.Second},
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestARowTellsOverFromUnder(t *testing.T) {
+func TestRowSeparatesOverAdmissionFromUnderUse(t *testing.T) {
 	g := gomega.NewWithT(t)
 	o := Options{Limit: 10, Duration: 10 * time.Second}
 	var c counts
@@ -37,7 +37,7 @@
 	g.Expect(out.String()).To(gomega.ContainSubstring("50.0%"))
 }
 
-func TestTheLastRouterGetsMostOfTheDemand(t *testing.T) {
+func TestLastRouterGetsMostOfTheDemand(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l := &load{opt: Options{Limit: 100}, urls: make([]string, 5)}
 	sum := 0.0
