--- a/examples/capacity/embed.go
+++ b/examples/capacity/embed.go
@@ -1,4 +1,4 @@
-// Package capacity embeds the inputs of the capacity page, so that
+// Package capacity embeds the default inputs of the capacity model, so that
 // `coveferryctl capacity` works without files.
 package capacity
 
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,10 +1,11 @@
-// Package capacity works out what each role of the fleet costs at a given size:
-// its state, messages, processor time and memory, each against its allowance.
+// Package capacity is a capacity model of the fleet. It computes the state,
+// messages, CPU time and memory of each role at a given fleet size, and compares
+// them with their allowances.
 //
-// The model is pure. Its inputs are a Size (figures that the users gave), the
-// Slopes that were measured, and the Settings of mechanisms; every number of a
-// Report carries the names of the inputs it was worked out from. A figure that
-// an input leaves out is unknown, and so is all that depends on it.
+// The model has no side effects. Its inputs are a Size (required figures of the
+// fleet), the measured Slopes, and the Settings of mechanisms. Every number of a
+// Report lists the inputs that it was computed from. A figure that an input
+// leaves out is unknown, and so is everything that depends on it.
 package capacity
 
 import (
@@ -15,29 +16,30 @@
 
 // Errors of this package; match them with errors.Is.
 var (
-	// ErrBadInput marks inputs that can't be decoded or contradict themselves.
+	// ErrBadInput marks inputs that can't be decoded or are invalid.
 	ErrBadInput = errors.New("bad capacity input")
-	// ErrNoSlope marks a slope that the model needs and the input lacks.
+	// ErrNoSlope marks a slope that the model needs but the input lacks.
 	ErrNoSlope = errors.New("slope is missing")
 )
 
-// MissingSlopeError names a slope that the model needs. It matches ErrNoSlope.
+// MissingSlopeError reports a slope that the model needs but the input lacks. It
+// matches ErrNoSlope.
 type MissingSlopeError struct{ ID SlopeID }
 
-// Error names the slope.
+// Error implements error.
 func (e *MissingSlopeError) Error() string { return fmt.Sprintf("slope %s is missing", e.ID) }
 
 // Is reports whether target is ErrNoSlope.
 func (e *MissingSlopeError) Is(target error) bool { return target == ErrNoSlope }
 
-// Inputs are what a Report is worked out from.
+// Inputs holds the inputs of a Report.
 type Inputs struct {
 	Size     Size
 	Slopes   Slopes
 	Settings Settings
 }
 
-// Report is the whole of what follows from one set of inputs.
+// Report holds all results for one set of inputs.
 type Report struct {
 	Size      Size           `json:"size"`
 	Slopes    Slopes         `json:"slopes"`
@@ -52,18 +54,18 @@
 	Allowance AllowanceTable `json:"allowance"`
 }
 
-// Build works the report out. It returns a *MissingSlopeError for each slope
-// that the model needs and the inputs lack, joined.
+// Build computes the report. It returns the joined *MissingSlopeErrors of all
+// slopes that the model needs but the inputs lack.
 func Build(in Inputs) (Report, error) {
 	r, err := evaluate(in)
 	if err != nil {
 		return Report{}, err
 	}
-	r.Breaks, err = breaks(in)
+	r.Breaks, err = findBreaks(in)
 	return r, err
 }
 
-// evaluate works out all but the growth of the fleet.
+// evaluate computes the report without Report.Breaks.
 func evaluate(in Inputs) (Report, error) {
 	m := newModel(in)
 	r := Report{Size: in.Size, Slopes: in.Slopes, Settings: in.Settings, Allowance: m.allowance}
--- a/internal/capacity/decode.go
+++ b/internal/capacity/decode.go
@@ -6,8 +6,8 @@
 	"coveferry/internal/jsonc"
 )
 
-// DecodeSizes reads a file of sizes. Errors are marked ErrBadInput and name
-// the place of every fault.
+// DecodeSizes decodes a file of sizes. Errors are marked ErrBadInput and name
+// the position of every fault.
 func DecodeSizes(file string, src []byte) ([]Size, error) {
 	var f SizeFile
 	if err := decode(file, src, &f); err != nil {
@@ -24,7 +24,7 @@
 	return f.Sizes, nil
 }
 
-// DecodeSlopes reads a file of slopes. Errors are as those of DecodeSizes.
+// DecodeSlopes decodes a file of slopes. Errors are like those of DecodeSizes.
 func DecodeSlopes(file string, src []byte) (Slopes, error) {
 	var s Slopes
 	if err := decode(file, src, &s); err != nil {
@@ -33,7 +33,8 @@
 	return s, errors.Wrap(s.Check(), file)
 }
 
-// DecodeSettings reads a file of settings. Errors are as those of DecodeSizes.
+// DecodeSettings decodes a file of settings. Errors are like those of
+// DecodeSizes.
 func DecodeSettings(file string, src []byte) (Settings, error) {
 	var s Settings
 	if err := decode(file, src, &s); err != nil {
--- a/internal/capacity/decode_test.go
+++ b/internal/capacity/decode_test.go
@@ -13,48 +13,48 @@
 )
 
 var _ = Describe("Decoding", func() {
-	refuse := func(err error, words string) {
+	expectBadInput := func(err error, words string) {
 		GinkgoHelper()
 		Expect(errors.Is(err, capacity.ErrBadInput)).To(BeTrue())
 		Expect(err).To(MatchError(ContainSubstring(words)))
 	}
 
-	It("refuses keys that it doesn't know, with their place", func() {
+	It("rejects unknown keys with their position", func() {
 		_, err := capacity.DecodeSizes("my.jsonc", []byte("{\"sizes\": [\n{\"id\": \"a\", \"router\": 3}]}"))
-		refuse(err, "my.jsonc:2:13: sizes[0].router")
+		expectBadInput(err, "my.jsonc:2:13: sizes[0].router")
 	})
 
-	It("refuses figures that can't be", func() {
+	It("rejects invalid figures", func() {
 		_, err := capacity.DecodeSizes("my.jsonc", []byte(`{"sizes": [{"id": "a", "name": "a", "source": "b", "routers": -1}]}`))
-		refuse(err, "not a figure of a size")
+		expectBadInput(err, "not a figure of a size")
 		_, err = capacity.DecodeSizes("my.jsonc", []byte(`{"sizes": []}`))
-		refuse(err, "holds no sizes")
+		expectBadInput(err, "holds no sizes")
 	})
 
 	anyRuns := regexp.MustCompile(`"runs": \d+`)
-	It("refuses slopes that were measured too rarely or lie outside their spread", func() {
+	It("rejects slopes with too few runs, without a machine, or outside their spread", func() {
 		slopes := string(defaults.Slopes)
 		_, err := capacity.DecodeSlopes("s.jsonc", []byte(anyRuns.ReplaceAllString(slopes, `"runs": 2`)))
-		refuse(err, "was measured 2 times")
+		expectBadInput(err, "was measured 2 times")
 		_, err = capacity.DecodeSlopes("s.jsonc", []byte(strings.Replace(slopes, `"min":`, `"min": 1e12, // `, 1)))
-		refuse(err, "outside its spread")
+		expectBadInput(err, "outside its spread")
 		_, err = capacity.DecodeSlopes("s.jsonc", []byte(strings.Replace(slopes, `"cores": `, `"cores": 0, // `, 1)))
-		refuse(err, "needs its machine")
+		expectBadInput(err, "needs its machine")
 	})
 
-	It("refuses settings that are left out", func() {
+	It("rejects missing settings", func() {
 		_, err := capacity.DecodeSettings("s.jsonc", []byte(`{"partners": 4}`))
-		refuse(err, "every setting")
+		expectBadInput(err, "every setting")
 	})
 })
 
-var _ = DescribeTable("Figures are written with three digits and a unit",
+var _ = DescribeTable("Figures are formatted with three digits and a unit",
 	func(got, want string) { Expect(got).To(Equal(want)) },
 	Entry("small", capacity.FormatNumber(0.0123456), "0.0123"),
 	Entry("thousands", capacity.FormatNumber(1285714), "1,290,000"),
 	Entry("count", capacity.FormatCount(16384), "16,384"),
 	Entry("bytes", capacity.FormatBytes(676_000), "676 KB"),
 	Entry("seconds", capacity.FormatSeconds(0.0000435), "43.5 µs"),
-	Entry("nearly all", capacity.FormatPercent(0.99973), "99.97%"),
-	Entry("nearly nothing", capacity.FormatPercent(1e-9), "< 0.01%"),
+	Entry("almost 100%", capacity.FormatPercent(0.99973), "99.97%"),
+	Entry("almost 0%", capacity.FormatPercent(1e-9), "< 0.01%"),
 )
--- a/internal/capacity/failures.go
+++ b/internal/capacity/failures.go
@@ -1,57 +1,60 @@
 package capacity
 
-// FailureRow is what one event does to the fleet at the peak, under one plan.
-// A figure is that of the whole fleet unless its name says otherwise.
+// FailureRow is the effect of one event at peak load under one plan. Figures
+// cover the whole fleet unless stated otherwise.
 type FailureRow struct {
 	Event string `json:"event"`
 	Plan  Plan   `json:"plan"`
-	// LostRouters and LostAgents are the processes that are gone; those cut
-	// off by a partition are not.
+	// LostRouters and LostAgents are the failed processes, without those cut
+	// off by a partition.
 	LostRouters Quantity `json:"lost_routers"`
 	LostAgents  Quantity `json:"lost_agents"`
-	// Kept is the share of the accelerators that still serve.
-	Kept Quantity `json:"kept"`
-	// Broken bounds the streams that are broken from above.
-	Broken Quantity `json:"broken"`
-	// Repeats is the time in which the fleet gets as many requests as there
-	// are broken streams to repeat, in seconds.
+	// CapacityKept is the fraction of the accelerators that still serve.
+	CapacityKept Quantity `json:"kept"`
+	// BrokenStreams is an upper bound of the broken streams.
+	BrokenStreams Quantity `json:"broken"`
+	// Repeats is the number of broken streams divided by the fleet's request
+	// rate, in seconds.
 	Repeats Quantity `json:"repeats"`
-	// Refused is the requests a second that find no room if none was spare.
+	// Refused is the rate of requests that exceed the remaining capacity, per
+	// second, if there was no spare capacity.
 	Refused Quantity `json:"refused"`
-	// Handshakes are those of all connections that are made anew.
+	// Handshakes is the number of connections that are opened again.
 	Handshakes Quantity `json:"handshakes"`
-	// Worst is the most handshakes at one process, and WorstCPU the seconds
-	// of a core that they take there.
-	Worst    Quantity `json:"worst"`
-	WorstCPU Quantity `json:"worst_cpu"`
-	// Recovery is how long those take at the control allowance, in seconds.
+	// MaxHandshakes is the largest number of handshakes at one process, and WorstCPU their
+	// CPU seconds there.
+	MaxHandshakes   Quantity `json:"worst"`
+	MaxHandshakeCPU Quantity `json:"worst_cpu"`
+	// Recovery is the duration of those within the CPU allowance, in seconds.
 	Recovery Quantity `json:"recovery"`
-	// ReadSeconds is how long the configuration service's whole rate is
-	// taken by the processes that come back and read.
+	// ReadSeconds is the time for which the reads of returning processes use
+	// the configuration service's whole rate.
 	ReadSeconds Quantity `json:"read_seconds"`
-	// Tier says whose requests are refused.
+	// Tier describes which tiers' requests are refused.
 	Tier string `json:"tier"`
 }
 
-// Whose requests are refused.
+// Values of FailureRow.Tier.
 const (
 	tierLowest = "the lowest first; the next once it has none left"
 	tierNone   = "none, if each side's demand stays with it"
 )
 
-// mesh is who connects to whom under a plan.
-type mesh struct {
+// topology is the connections between routers and agents under a plan.
+type topology struct {
 	plan Plan
-	// endpoints are the agents of one router, routers the routers of one agent.
+	// endpoints is the number of agents per router, routers that of routers per
+	// agent.
 	endpoints, routers Quantity
-	// reads are the calls to the service by a process that starts.
+	// reads is the number of calls to the configuration service by a starting
+	// process.
 	reads Quantity
 }
 
-func (m *model) meshes() []mesh {
+func (m *model) topologies() []topology {
 	l, f := m.loads, m.figures
-	// With partners a starting process asks them, not the service.
-	return []mesh{
+	// A starting process with partners asks them instead of the service.
+	return []topology{
 		{PlanToday, f.agents, f.routers, Quantity{Value: 1}},
 		{PlanDesign, l.subsetEndpoints, l.subsetRouters, Quantity{}},
 	}
@@ -64,81 +67,82 @@
 	agentShare := m.figures.agents.Per(m.loads.processes)
 	perDomain := m.figures.domains
 	var out []FailureRow
-	for _, net := range m.meshes() {
+	for _, topo := range m.topologies() {
 		out = append(out,
-			m.loss("an agent's VM", net, Quantity{}, one),
-			m.loss("a router's VM", net, one, Quantity{}),
-			m.day(net),
-			m.loss("a rack", net, rack.Times(routerShare), rack.Times(agentShare)),
-			m.loss("a failure domain", net, m.figures.routers.Per(perDomain), m.figures.agents.Per(perDomain)),
-			m.partition(net),
+			m.lossRow("an agent's VM", topo, Quantity{}, one),
+			m.lossRow("a router's VM", topo, one, Quantity{}),
+			m.ordinaryDayRow(topo),
+			m.lossRow("a rack", topo, rack.Times(routerShare), rack.Times(agentShare)),
+			m.lossRow("a failure domain", topo, m.figures.routers.Per(perDomain), m.figures.agents.Per(perDomain)),
+			m.partitionRow(topo),
 		)
 	}
 	return out
 }
 
-// loss is the loss of processes, and their return all at once.
-func (m *model) loss(event string, net mesh, routers, agents Quantity) FailureRow {
+// lossRow returns the effect of losing processes that all return at once.
+func (m *model) lossRow(event string, topo topology, routers, agents Quantity) FailureRow {
 	l, f := m.loads, m.figures
-	lost := agents.Per(f.agents)
-	row := FailureRow{Event: event, Plan: net.plan, LostRouters: routers, LostAgents: agents, Tier: tierLowest}
-	row.Kept = lost.Scale(-1).Offset(1)
-	row.Broken = agents.Times(l.agentStreams).Plus(routers.Times(l.routerStreams))
-	row.Refused = lost.Times(f.requests)
-	row.Handshakes = agents.Times(net.routers).Plus(routers.Times(net.endpoints))
-	row.Worst = m.worstAfter(net, routers, agents)
-	row.ReadSeconds = routers.Plus(agents).Times(net.reads).Per(f.serviceReads)
+	lostFraction := agents.Per(f.agents)
+	row := FailureRow{Event: event, Plan: topo.plan, LostRouters: routers, LostAgents: agents, Tier: tierLowest}
+	row.CapacityKept = lostFraction.Scale(-1).Offset(1)
+	row.BrokenStreams = agents.Times(l.agentStreams).Plus(routers.Times(l.routerStreams))
+	row.Refused = lostFraction.Times(f.requests)
+	row.Handshakes = agents.Times(topo.routers).Plus(routers.Times(topo.endpoints))
+	row.MaxHandshakes = m.maxHandshakes(topo, routers, agents)
+	row.ReadSeconds = routers.Plus(agents).Times(topo.reads).Per(f.serviceReads)
 	return m.withRecovery(row)
 }
 
-// worstAfter is the most handshakes at one process: at a router that returns
-// if there is one, otherwise at an agent that does.
-func (m *model) worstAfter(net mesh, routers, agents Quantity) Quantity {
+// maxHandshakes returns the largest number of handshakes at one process: at a
+// returning router if there is one, otherwise at a returning agent.
+func (m *model) maxHandshakes(topo topology, routers, agents Quantity) Quantity {
 	if routers.Value > 0 {
-		return net.endpoints
+		return topo.endpoints
 	}
 	if agents.Value > 0 {
-		return net.routers
+		return topo.routers
 	}
 	return unknown()
 }
 
-// withRecovery adds what follows from the handshakes and the broken streams.
+// withRecovery adds the figures derived from handshakes and broken streams.
 func (m *model) withRecovery(row FailureRow) FailureRow {
-	row.WorstCPU = row.Worst.Times(m.slope(HandshakeCPU))
-	row.Recovery = row.WorstCPU.Per(m.allowance.CPU)
-	row.Repeats = row.Broken.Per(m.figures.requests)
+	row.MaxHandshakeCPU = row.MaxHandshakes.Times(m.slope(HandshakeCPU))
+	row.Recovery = row.MaxHandshakeCPU.Per(m.allowance.CPU)
+	row.Repeats = row.BrokenStreams.Per(m.figures.requests)
 	return row
 }
 
-// day sums up the failures and replacements of an ordinary day, spread over
-// its processes; each loss is brief and alone.
-func (m *model) day(net mesh) FailureRow {
+// ordinaryDayRow sums up the failures and replacements of an ordinary day. They
+// are spread over all processes; each loss is short and isolated.
+func (m *model) ordinaryDayRow(topo topology) FailureRow {
 	f := m.figures
 	events := f.failed.Plus(f.replaced)
 	routers := events.Times(f.routers).Per(m.loads.processes)
 	agents := events.Times(f.agents).Per(m.loads.processes)
-	row := m.loss("an ordinary day, summed up", net, routers, agents)
-	// Planned replacements cut off no stream; failures do.
+	row := m.lossRow("an ordinary day, summed up", topo, routers, agents)
+	// Only failures break streams; planned replacements don't.
 	failures := f.failed.Per(events)
-	row.Broken = row.Broken.Times(failures)
+	row.BrokenStreams = row.BrokenStreams.Times(failures)
 	row.Repeats = row.Repeats.Times(failures)
-	row.Kept = f.agents.Offset(-1).Per(f.agents)
+	row.CapacityKept = f.agents.Offset(-1).Per(f.agents)
 	row.Refused = f.requests.Per(f.agents)
 	return row
 }
 
-// partition cuts one region off from all others, and joins it again. Every
-// process goes on; what crosses the cut is broken and connected anew.
-func (m *model) partition(net mesh) FailureRow {
+// partitionRow returns the effect of a temporary partition between one region and
+// all others. No process fails; streams across the partition break, and its
+// connections are opened again.
+func (m *model) partitionRow(topo topology) FailureRow {
 	f := m.figures
 	inside := f.regions.apply(func(v float64) float64 { return 1 / v })
 	outside := inside.Scale(-1).Offset(1)
 	crossing := inside.Times(outside).Scale(2)
-	row := FailureRow{Event: "a region cut off", Plan: net.plan, Kept: Quantity{Value: 1}, Tier: tierNone}
-	row.Broken = m.loads.streams.Times(crossing)
-	row.Handshakes = f.routers.Times(net.endpoints).Times(crossing)
-	row.Worst = net.endpoints.Times(outside)
+	row := FailureRow{Event: "a region cut off", Plan: topo.plan, CapacityKept: Quantity{Value: 1}, Tier: tierNone}
+	row.BrokenStreams = m.loads.streams.Times(crossing)
+	row.Handshakes = f.routers.Times(topo.endpoints).Times(crossing)
+	row.MaxHandshakes = topo.endpoints.Times(outside)
 	row.ReadSeconds = f.regions.apply(func(float64) float64 { return 0 })
 	return m.withRecovery(row)
 }
--- a/internal/capacity/format.go
+++ b/internal/capacity/format.go
@@ -7,31 +7,31 @@
 	"strings"
 )
 
-// notGiven stands for a quantity that the inputs leave unknown.
-const notGiven = "not given"
+// unknownText is the text of an unknown quantity.
+const unknownText = "not given"
 
-// significant is how many digits of a figure are shown.
-const significant = 3
+// significantDigits is the number of digits shown.
+const significantDigits = 3
 
-// FormatNumber writes a number with three significant digits, and with
-// thousands set apart.
+// FormatNumber formats a number with three significant digits and thousands
+// separators.
 func FormatNumber(v float64) string {
 	if math.IsNaN(v) {
-		return notGiven
+		return unknownText
 	}
 	if math.Abs(v) >= 1000 {
-		return thousands(roundTo(v))
+		return groupThousands(roundSignificant(v))
 	}
-	return strconv.FormatFloat(v, 'g', significant, 64)
+	return strconv.FormatFloat(v, 'g', significantDigits, 64)
 }
 
-// roundTo rounds a large number to its significant digits.
-func roundTo(v float64) float64 {
-	grain := math.Pow(10, math.Floor(math.Log10(math.Abs(v)))-significant+1)
+// roundSignificant rounds a large number to its significant digits.
+func roundSignificant(v float64) float64 {
+	grain := math.Pow(10, math.Floor(math.Log10(math.Abs(v)))-significantDigits+1)
 	return math.Round(v/grain) * grain
 }
 
-func thousands(v float64) string {
+func groupThousands(v float64) string {
 	digits := strconv.FormatFloat(math.Abs(v), 'f', 0, 64)
 	var b strings.Builder
 	if v < 0 {
@@ -46,26 +46,26 @@
 	return b.String()
 }
 
-// scale is a unit and the size from which it is used.
-type scale struct {
+// unitScale is a unit and the value from which it is used.
+type unitScale struct {
 	size float64
 	unit string
 }
 
 var (
-	byteScales   = []scale{{1e9, "GB"}, {1e6, "MB"}, {1e3, "KB"}, {1, "B"}}
-	secondScales = []scale{{1, "s"}, {1e-3, "ms"}, {1e-6, "µs"}, {1e-9, "ns"}}
+	byteScales   = []unitScale{{1e9, "GB"}, {1e6, "MB"}, {1e3, "KB"}, {1, "B"}}
+	secondScales = []unitScale{{1, "s"}, {1e-3, "ms"}, {1e-6, "µs"}, {1e-9, "ns"}}
 )
 
-// FormatBytes writes a number of bytes with a decimal unit.
-func FormatBytes(v float64) string { return scaled(v, byteScales) }
+// FormatBytes formats a number of bytes with a decimal unit.
+func FormatBytes(v float64) string { return formatScaled(v, byteScales) }
 
-// FormatSeconds writes a length of time with a unit.
-func FormatSeconds(v float64) string { return scaled(v, secondScales) }
+// FormatSeconds formats a duration with a unit.
+func FormatSeconds(v float64) string { return formatScaled(v, secondScales) }
 
-func scaled(v float64, scales []scale) string {
+func formatScaled(v float64, scales []unitScale) string {
 	if math.IsNaN(v) {
-		return notGiven
+		return unknownText
 	}
 	last := scales[len(scales)-1]
 	for _, s := range scales {
@@ -77,16 +77,16 @@
 	return FormatNumber(v/last.size) + " " + last.unit
 }
 
-// leastPercent is the least share that is shown as more than nothing.
-const leastPercent = 0.01
+// minPercent is the smallest percentage that is shown as a number.
+const minPercent = 0.01
 
-// FormatPercent writes a share as a percentage.
+// FormatPercent formats a fraction as a percentage.
 func FormatPercent(v float64) string {
 	switch p := 100 * v; {
 	case math.IsNaN(p):
-		return notGiven
-	case p != 0 && math.Abs(p) < leastPercent:
-		return fmt.Sprintf("< %v%%", leastPercent)
+		return unknownText
+	case p != 0 && math.Abs(p) < minPercent:
+		return fmt.Sprintf("< %v%%", minPercent)
 	case p > 100-1 && p < 100:
 		return strconv.FormatFloat(p, 'f', 2, 64) + "%"
 	default:
@@ -94,10 +94,10 @@
 	}
 }
 
-// FormatCount writes a whole number in full, with its thousands set apart.
-func FormatCount(n int) string { return thousands(float64(n)) }
+// FormatCount formats an integer with all digits and thousands separators.
+func FormatCount(n int) string { return groupThousands(float64(n)) }
 
-// FormatSlope writes a value of a slope in the slope's unit.
+// FormatSlope formats a value in the unit of the slope.
 func FormatSlope(s Slope, v float64) string {
 	if s.Unit == UnitSeconds {
 		return FormatSeconds(v)
@@ -105,16 +105,16 @@
 	return FormatNumber(v) + " B"
 }
 
-// leastTimes is the least multiple that is shown as more than nothing.
-const leastTimes = 0.001
+// minTimes is the smallest multiple that is shown as a number.
+const minTimes = 0.001
 
-// formatTimes writes a share as a multiple of the allowance.
+// formatTimes formats a share as a multiple of the allowance.
 func formatTimes(s Share) string {
 	switch v := s.Ratio.Value; {
 	case !s.Ratio.Known():
-		return notGiven
-	case v > 0 && v < leastTimes:
-		return fmt.Sprintf("< %v×", leastTimes)
+		return unknownText
+	case v > 0 && v < minTimes:
+		return fmt.Sprintf("< %v×", minTimes)
 	default:
 		return FormatNumber(v) + "×"
 	}
--- a/internal/capacity/growth.go
+++ b/internal/capacity/growth.go
@@ -8,11 +8,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// BreakRow says at how many times the size something reaches its allowance.
+// BreakRow holds the growth factor of the fleet at which a usage reaches its
+// allowance.
 type BreakRow struct {
 	Name string `json:"name"`
 	Plan Plan   `json:"plan"`
-	// At is the factor of the size; below 1 it is over already.
+	// At is the growth factor; below 1 the usage is already over its allowance.
 	At Quantity `json:"at"`
 	// Now, AtTwice and AtTen are the shares at one, two and ten times the size.
 	Now     Share `json:"now"`
@@ -20,34 +21,34 @@
 	AtTen   Share `json:"at_ten"`
 }
 
-// The factors that the users ask about, and the range that is searched.
+// The growth factors of the report, and the range of the search.
 const (
-	twice       = 2
-	tenfold     = 10
-	leastFactor = 1.0 / 1024
-	mostFactor  = tenfold
-	// searchSteps narrow the factor to less than a thousandth of itself.
-	searchSteps  = 14
-	enoughFactor = 1
-	// roundingSlack is how far above the least factor a search that found
-	// nothing below may end.
+	twice     = 2
+	tenfold   = 10
+	minFactor = 1.0 / 1024
+	maxFactor = tenfold
+	// searchSteps bisections determine the factor to less than 0.1%.
+	searchSteps   = 14
+	currentFactor = 1
+	// roundingSlack is the tolerance within which a search result counts as
+	// minFactor, the lower end of the range.
 	roundingSlack = 1.01
 )
 
-// limitKey names something with an allowance.
+// limitKey identifies a usage with an allowance.
 type limitKey struct {
 	name string
 	plan Plan
 }
 
-// breaks lists what reaches its allowance below ten times the size, the first
-// to break first.
-func breaks(in Inputs) ([]BreakRow, error) {
-	s := &search{in: in, known: make(map[float64]limitShares)}
-	now := s.at(enoughFactor)
-	two := s.at(twice)
+// findBreaks returns the usages that exceed their allowance at ten times the size,
+// sorted by the factor at which they reach it.
+func findBreaks(in Inputs) ([]BreakRow, error) {
+	s := &search{inputs: in, cache: make(map[float64]limitShares)}
+	now := s.sharesAt(currentFactor)
+	two := s.sharesAt(twice)
 	var out []BreakRow
-	for key, share := range s.at(tenfold) {
+	for key, share := range s.sharesAt(tenfold) {
 		if share.Verdict() != VerdictOver {
 			continue
 		}
@@ -64,21 +65,21 @@
 	return cmp.Or(cmp.Compare(a.At.Value, b.At.Value), cmp.Compare(a.Name, b.Name), cmp.Compare(a.Plan, b.Plan))
 }
 
-// limitShares are the shares of every total and every limit of the service.
+// limitShares holds the share of every total and of every limit of the service.
 type limitShares map[limitKey]Share
 
-// search works the shares out at several sizes, each once.
+// search computes the shares at several sizes and caches them.
 type search struct {
-	in    Inputs
-	known map[float64]limitShares
-	err   error
+	inputs Inputs
+	cache  map[float64]limitShares
+	err    error
 }
 
-func (s *search) at(factor float64) limitShares {
-	if found, ok := s.known[factor]; ok {
+func (s *search) sharesAt(factor float64) limitShares {
+	if found, ok := s.cache[factor]; ok {
 		return found
 	}
-	in := s.in
+	in := s.inputs
 	in.Size = in.Size.Grown(factor)
 	r, err := evaluate(in)
 	s.err = errors.CombineErrors(s.err, err)
@@ -89,16 +90,16 @@
 	for _, row := range r.Service {
 		out[limitKey{row.Item, row.Plan}] = row.Share
 	}
-	s.known[factor] = out
+	s.cache[factor] = out
 	return out
 }
 
-// breakingPoint finds by bisection the factor at which a share reaches 1.
+// breakingPoint returns the factor at which a share reaches 1, found by bisection.
 func (s *search) breakingPoint(key limitKey) float64 {
-	low, high := leastFactor, float64(mostFactor)
+	low, high := minFactor, float64(maxFactor)
 	for range searchSteps {
 		middle := math.Sqrt(low * high)
-		if s.at(middle)[key].Ratio.Value > 1 {
+		if s.sharesAt(middle)[key].Ratio.Value > 1 {
 			high = middle
 		} else {
 			low = middle
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -6,10 +6,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// secondsPerDay turns the letter's rates a day into rates a second.
+// secondsPerDay converts rates per day into rates per second.
 const secondsPerDay = 24 * 60 * 60
 
-// model holds the inputs as quantities and what is worked out from them first.
+// model holds the inputs as quantities, and the loads derived from them.
 type model struct {
 	size     Size
 	slopes   Slopes
@@ -21,7 +21,7 @@
 	loads     loads
 }
 
-// figures are the figures of the size.
+// figures holds the figures of the size.
 type figures struct {
 	routers, agents, accelerators          Quantity
 	requests, tokens, firstToken, between  Quantity
@@ -30,25 +30,25 @@
 	serviceReads, serviceValue             Quantity
 }
 
-// settings are the numbers of the mechanisms.
+// settings holds the settings of the mechanisms.
 type settings struct {
 	subset, readers, partners, heartbeat, exchangeBytes, offerBytes  Quantity
 	creditPeriod, creditTTL, reportSeconds                           Quantity
 	queue, statusBytes, rackVMs, ping, sloSeries, remember, listPace Quantity
 }
 
-// loads are the loads of one process and of the fleet.
+// loads holds the loads of one process and of the fleet.
 type loads struct {
 	processes                              Quantity
-	changes                                Quantity // a second
-	routerRequests, routerTokens           Quantity // a second
-	agentRequests, agentTokens             Quantity // a second
+	changes                                Quantity // per second
+	routerRequests, routerTokens           Quantity // per second
+	agentRequests, agentTokens             Quantity // per second
 	answerTokens, answerSeconds            Quantity
 	streams, routerStreams, agentStreams   Quantity
 	replicasPerModel                       Quantity
 	subsetEndpoints, subsetRouters         Quantity
 	bundle, change, bundleWire, changeWire Quantity // bytes
-	apply, applyChange                     Quantity // seconds of a core
+	apply, applyChange                     Quantity // CPU seconds
 	snapshots                              Quantity // alive at once
 	readersMesh, readersDesign             Quantity
 }
@@ -125,7 +125,7 @@
 	l.routerStreams = l.streams.Per(f.routers)
 	l.agentStreams = l.streams.Per(f.agents)
 	l.replicasPerModel = f.agents.Per(f.models)
-	l.subsetEndpoints = least(s.subset.Times(f.models), f.agents)
+	l.subsetEndpoints = minQuantity(s.subset.Times(f.models), f.agents)
 	l.subsetRouters = l.subsetEndpoints.Times(f.routers).Per(f.agents)
 	l.bundle = m.byContent(BundleEndpointBytes, BundleTeamBytes, BundleRouterBytes)
 	l.bundleWire = m.byContent(BundleEndpointWire, BundleTeamWire, BundleRouterWire)
@@ -139,7 +139,8 @@
 	return l
 }
 
-// byContent adds up what endpoints, teams and routers of a bundle cost.
+// byContent returns the cost of a bundle: the sum over its endpoints, teams and
+// routers.
 func (m *model) byContent(endpoint, team, router SlopeID) Quantity {
 	f := m.figures
 	return sum(
@@ -149,10 +150,10 @@
 	)
 }
 
-// byChange is byContent for what costs something before the first endpoint: a
-// change's own section.
+// byChange is byContent plus the intercept of the endpoint slope, the cost of the
+// changed section itself.
 func (m *model) byChange(endpoint, team, router SlopeID) Quantity {
-	first := m.at(endpoint, Quantity{})
+	first := m.lineAt(endpoint, Quantity{})
 	return m.byContent(endpoint, team, router).Plus(first)
 }
 
@@ -166,37 +167,38 @@
 	return Quantity{Value: s.Value, Sources: []Source{slopeSource(id)}}
 }
 
-// at returns the fitted line's value at x. An intercept below zero, which is a
-// sign of a bent line, counts as zero, and so does a slope below zero, which is
-// one of a flat line: nothing is to come out too cheap.
-func (m *model) at(id SlopeID, x Quantity) Quantity {
+// lineAt returns the value of the fitted line at x. A negative intercept, a sign
+// of a nonlinear cost, and a negative slope, a sign of a constant one, count as
+// zero, so that no cost is underestimated.
+func (m *model) lineAt(id SlopeID, x Quantity) Quantity {
 	s, _ := m.slopes.Find(id)
 	slope := m.slope(id).apply(func(v float64) float64 { return math.Max(v, 0) })
 	return slope.Times(x).Offset(max(s.Intercept, 0))
 }
 
-// packedFrom is the payload in bytes from which the control channel compresses.
-const packedFrom = 512
+// compressionThreshold is the payload in bytes from which the control channel
+// compresses.
+const compressionThreshold = 512
 
-// callBytes is what a call with a payload takes on the control channel.
+// callBytes returns the bytes of a call with a payload on the control channel.
 func (m *model) callBytes(payload Quantity) Quantity {
-	if payload.Value < packedFrom {
-		return m.at(SmallRPCBytes, payload)
+	if payload.Value < compressionThreshold {
+		return m.lineAt(SmallRPCBytes, payload)
 	}
-	return m.at(RPCBytes, payload)
+	return m.lineAt(RPCBytes, payload)
 }
 
-// callCPU is the processor time of a call at one side.
+// callCPU returns the CPU time of a call on one side.
 func (m *model) callCPU(payload Quantity) Quantity {
-	if payload.Value < packedFrom {
-		return m.at(SmallRPCCPU, payload)
+	if payload.Value < compressionThreshold {
+		return m.lineAt(SmallRPCCPU, payload)
 	}
-	return m.at(RPCCPU, payload)
+	return m.lineAt(RPCCPU, payload)
 }
 
 func slopeSource(id SlopeID) Source { return Source("slope: " + string(id)) }
 
-// err joins a MissingSlopeError for each slope that was asked for in vain.
+// err returns the joined MissingSlopeErrors of all missing slopes.
 func (m *model) err() error {
 	var err error
 	for id := range m.missing {
@@ -205,10 +207,10 @@
 	return err
 }
 
-// least is the smaller of two quantities.
-func least(q, r Quantity) Quantity { return q.join(r, math.Min(q.Value, r.Value)) }
+// minQuantity returns the smaller of two quantities.
+func minQuantity(q, r Quantity) Quantity { return q.combine(r, math.Min(q.Value, r.Value)) }
 
-// DerivedRow is a load that follows from the figures alone.
+// DerivedRow is a load derived from the inputs.
 type DerivedRow struct {
 	Name  string   `json:"name"`
 	Value Quantity `json:"value"`
--- a/internal/capacity/over.go
+++ b/internal/capacity/over.go
@@ -1,128 +1,127 @@
 package capacity
 
-// OverRow names something that is over its allowance, what would mend it and
-// what that costs.
+// OverRow is a usage over its allowance, with a remedy and the remedy's cost.
 type OverRow struct {
-	Name  string `json:"name"`
-	Plan  Plan   `json:"plan"`
-	Share Share  `json:"share"`
-	Mend  string `json:"mend"`
-	Cost  string `json:"cost"`
-	// After is the share that is left once it is mended, if the model holds
-	// the mechanism; otherwise it is unknown.
+	Name   string `json:"name"`
+	Plan   Plan   `json:"plan"`
+	Share  Share  `json:"share"`
+	Remedy string `json:"mend"`
+	Cost   string `json:"cost"`
+	// After is the share with the remedy, if the model includes it; otherwise it
+	// is unknown.
 	After Share `json:"after"`
 }
 
-// mend is what would bring a row within its allowance.
-type mend struct {
-	by   string
-	cost string
-	// next is the row or service row that takes the place.
-	next RowID
+// remedy is a change that would bring a row within its allowance.
+type remedy struct {
+	action string
+	cost   string
+	// replacement is the row or service row that replaces it.
+	replacement RowID
 }
 
-var mends = map[RowID]mend{
-	"router.pool.mesh":       subsetMend("router.pool.subset"),
-	"router.conns.mesh":      subsetMend("router.conns.subset"),
-	"router.choose.mesh":     subsetMend("router.choose.subset"),
-	"agent.conns.mesh":       subsetMend("agent.conns.subset"),
-	"router.bundle.whole":    sectionMend("router.bundle.change"),
-	"agent.bundle.whole":     sectionMend("agent.bundle.change"),
-	"router.bundle.change":   changeMend,
-	"agent.bundle.change":    changeMend,
-	"router.snapshot.whole":  sectionMend("router.snapshot.joined"),
-	"agent.snapshot.whole":   sectionMend("agent.snapshot.joined"),
-	"router.snapshot.joined": sharedMend,
-	"agent.snapshot.joined":  sharedMend,
-	"router.snapshot.next":   sharedMend,
-	"agent.snapshot.next":    sharedMend,
+var remedies = map[RowID]remedy{
+	"router.pool.mesh":       subsetRemedy("router.pool.subset"),
+	"router.conns.mesh":      subsetRemedy("router.conns.subset"),
+	"router.choose.mesh":     subsetRemedy("router.choose.subset"),
+	"agent.conns.mesh":       subsetRemedy("agent.conns.subset"),
+	"router.bundle.whole":    sectionRemedy("router.bundle.change"),
+	"agent.bundle.whole":     sectionRemedy("agent.bundle.change"),
+	"router.bundle.change":   changeRemedy,
+	"agent.bundle.change":    changeRemedy,
+	"router.snapshot.whole":  sectionRemedy("router.snapshot.joined"),
+	"agent.snapshot.whole":   sectionRemedy("agent.snapshot.joined"),
+	"router.snapshot.joined": sharedRemedy,
+	"agent.snapshot.joined":  sharedRemedy,
+	"router.snapshot.next":   sharedRemedy,
+	"agent.snapshot.next":    sharedRemedy,
 	"reader.watch": {
-		by:   "fewer readers, each for a longer time",
-		cost: "a change waits longer where the reader of a failure domain falls silent",
+		action: "fewer readers, each for a longer time",
+		cost:   "a change waits longer where the reader of a failure domain falls silent",
 	},
-	"router.copy":      copyMend,
-	"agent.copy":       copyMend,
-	"router.gc.today":  collectorMend,
-	"router.gc.design": collectorMend,
-	"agent.gc.today":   collectorMend,
-	"agent.gc.design":  collectorMend,
+	"router.copy":      copyRemedy,
+	"agent.copy":       copyRemedy,
+	"router.gc.today":  collectorRemedy,
+	"router.gc.design": collectorRemedy,
+	"agent.gc.today":   collectorRemedy,
+	"agent.gc.design":  collectorRemedy,
 	"agent.keys.conns": {
-		by:   "connections to peers closed once they agree, and no more than a few open at once",
-		cost: "a list takes longer to be agreed on, and keys wait for it",
+		action: "connections to peers closed once they agree, and no more than a few open at once",
+		cost:   "a list takes longer to be agreed on, and keys wait for it",
 	},
-	"router.credits.ask":     creditMend,
-	"router.credits.conns":   creditMend,
-	"router.credits.permits": creditMend,
-	"router.credits.grant":   creditMend,
-	"router.pings.mesh":      subsetMend("router.pings.subset"),
-	"agent.pings.mesh":       subsetMend("agent.pings.subset"),
+	"router.credits.ask":     creditRemedy,
+	"router.credits.conns":   creditRemedy,
+	"router.credits.permits": creditRemedy,
+	"router.credits.grant":   creditRemedy,
+	"router.pings.mesh":      subsetRemedy("router.pings.subset"),
+	"agent.pings.mesh":       subsetRemedy("agent.pings.subset"),
 	"router.subset.model": {
-		by:   "only the failure domain of the changed endpoint matched anew, the others kept",
-		cost: "the matching of each failure domain is held in memory",
+		action: "only the failure domain of the changed endpoint matched anew, the others kept",
+		cost:   "the matching of each failure domain is held in memory",
 	},
 	"router.stream-report": {
-		by:   "a longer period, or a compact encoding of the report",
-		cost: "the router's view of load is older; a codec that people can't read",
+		action: "a longer period, or a compact encoding of the report",
+		cost:   "the router's view of load is older; a codec that people can't read",
 	},
 	"router.report": {
-		by:   "a compact encoding of the report, and none in the header of a short answer",
-		cost: "a codec that people can't read",
+		action: "a compact encoding of the report, and none in the header of a short answer",
+		cost:   "a codec that people can't read",
 	},
-	"service.reads.all":   readersMend("service.reads.few"),
-	"service.burst.all":   readersMend("service.burst.few"),
-	"service.force.all":   readersMend("service.force.links"),
-	"service.value.whole": sectionMend("service.value.section"),
-	"service.force.links": {by: "more partners and smaller sections", cost: "more exchanges and a longer manifest"},
+	"service.reads.all":   readersRemedy("service.reads.few"),
+	"service.burst.all":   readersRemedy("service.burst.few"),
+	"service.force.all":   readersRemedy("service.force.links"),
+	"service.value.whole": sectionRemedy("service.value.section"),
+	"service.force.links": {action: "more partners and smaller sections", cost: "more exchanges and a longer manifest"},
 }
 
 var (
-	changeMend = mend{
-		by:   "manifests sent as a difference from the one before",
-		cost: "processor time to pack and unpack them, to be measured",
+	changeRemedy = remedy{
+		action: "manifests sent as a difference from the one before",
+		cost:   "processor time to pack and unpack them, to be measured",
 	}
-	sharedMend = mend{
-		by:   "snapshots that share what did not change, index included",
-		cost: "an index of several levels; one more step in each look-up",
+	sharedRemedy = remedy{
+		action: "snapshots that share what did not change, index included",
+		cost:   "an index of several levels; one more step in each look-up",
 	}
-	creditMend = mend{
-		by:   "credits and permits only for limits that are nearly reached, a longer period, and all limits for one home in one message",
-		cost: "a team that jumps from little use to its limit is held back or let through for a period; the bound on over-admission grows",
+	creditRemedy = remedy{
+		action: "credits and permits only for limits that are nearly reached, a longer period, and all limits for one home in one message",
+		cost:   "a team that jumps from little use to its limit is held back or let through for a period; the bound on over-admission grows",
 	}
-	copyMend = mend{
-		by:   "sections kept compressed, or only by the readers",
-		cost: "processor time to expand them; the others can't help a partner that starts",
+	copyRemedy = remedy{
+		action: "sections kept compressed, or only by the readers",
+		cost:   "processor time to expand them; the others can't help a partner that starts",
 	}
-	collectorMend = mend{
-		by:   "a memory limit and a lower pace for the collector",
-		cost: "more processor time for collections, to be measured",
+	collectorRemedy = remedy{
+		action: "a memory limit and a lower pace for the collector",
+		cost:   "more processor time for collections, to be measured",
 	}
 )
 
-func subsetMend(next RowID) mend {
-	return mend{
-		by:   mechSubset.Name,
-		cost: "fewer endpoints to choose from, and a spread of load among endpoints to be measured",
-		next: next,
+func subsetRemedy(next RowID) remedy {
+	return remedy{
+		action:      mechSubset.Name,
+		cost:        "fewer endpoints to choose from, and a spread of load among endpoints to be measured",
+		replacement: next,
 	}
 }
 
-func sectionMend(next RowID) mend {
-	return mend{
-		by:   mechSections.Name,
-		cost: "a manifest at each change; sections that are checked together before they are in force",
-		next: next,
+func sectionRemedy(next RowID) remedy {
+	return remedy{
+		action:      mechSections.Name,
+		cost:        "a manifest at each change; sections that are checked together before they are in force",
+		replacement: next,
 	}
 }
 
-func readersMend(next RowID) mend {
-	return mend{
-		by:   mechReaders.Name + ", " + mechLinks.Name,
-		cost: "a change takes several steps between peers; readers that fall silent must be replaced",
-		next: next,
+func readersRemedy(next RowID) remedy {
+	return remedy{
+		action:      mechReaders.Name + ", " + mechLinks.Name,
+		cost:        "a change takes several steps between peers; readers that fall silent must be replaced",
+		replacement: next,
 	}
 }
 
-// over lists the rows, service rows and totals over their allowance.
+// over returns the rows, service rows and totals over their allowance.
 func (m *model) over(rows []Row, totals []Total, service []ServiceRow) []OverRow {
 	after := sharesByID(rows, service)
 	var out []OverRow
@@ -140,11 +139,12 @@
 }
 
 func overRow(id RowID, name string, plan Plan, share Share, after map[RowID]Share) OverRow {
-	mend := mends[id]
-	return OverRow{Name: name, Plan: plan, Share: share, Mend: mend.by, Cost: mend.cost, After: lookUp(after, mend.next)}
+	remedy := remedies[id]
+	return OverRow{Name: name, Plan: plan, Share: share, Remedy: remedy.action, Cost: remedy.cost, After: shareByID(after, remedy.replacement)}
 }
 
-// overTotals lists the totals; what mends them is what mends their rows.
+// overTotals returns the totals over their allowance. Their remedy is that of
+// their rows.
 func overTotals(totals []Total) []OverRow {
 	var out []OverRow
 	for _, t := range totals {
@@ -153,21 +153,21 @@
 		}
 		row := OverRow{
 			Name: "total: " + string(t.Role), Plan: t.Plan, Share: t.Share, After: Share{Ratio: unknown()},
-			Mend: "what mends its largest rows", Cost: "as theirs",
+			Remedy: "what mends its largest rows", Cost: "as theirs",
 		}
 		switch t.Plan {
 		case PlanToday:
-			row.After = shareUnder(totals, t, PlanDesign)
+			row.After = shareUnderPlan(totals, t, PlanDesign)
 		case PlanDesign:
-			row.After = shareUnder(totals, t, PlanNoCredits)
+			row.After = shareUnderPlan(totals, t, PlanNoCredits)
 		}
 		out = append(out, row)
 	}
 	return out
 }
 
-// shareUnder returns the share of the same total under another plan.
-func shareUnder(totals []Total, of Total, plan Plan) Share {
+// shareUnderPlan returns the share of the same total under another plan.
+func shareUnderPlan(totals []Total, of Total, plan Plan) Share {
 	for _, t := range totals {
 		if t.Role == of.Role && t.Resource == of.Resource && t.Plan == plan {
 			return t.Share
@@ -198,7 +198,7 @@
 	return out
 }
 
-func lookUp(shares map[RowID]Share, id RowID) Share {
+func shareByID(shares map[RowID]Share, id RowID) Share {
 	if s, ok := shares[id]; ok {
 		return s
 	}
--- a/internal/capacity/quantity.go
+++ b/internal/capacity/quantity.go
@@ -6,44 +6,44 @@
 	"slices"
 )
 
-// Source names an input: a figure of the size, a slope, or a setting.
+// Source is the name of an input: a figure of the size, a slope, or a setting.
 type Source string
 
-// Quantity is a number with the inputs it was worked out from. An unknown
+// Quantity is a number with the inputs that it was computed from. An unknown
 // quantity has the value NaN.
 type Quantity struct {
 	Value   float64
 	Sources []Source
 }
 
-// Known reports whether the value could be worked out.
+// Known reports whether the value is known.
 func (q Quantity) Known() bool { return !math.IsNaN(q.Value) }
 
-// Times multiplies.
-func (q Quantity) Times(r Quantity) Quantity { return q.join(r, q.Value*r.Value) }
+// Times returns the product.
+func (q Quantity) Times(r Quantity) Quantity { return q.combine(r, q.Value*r.Value) }
 
-// Per divides.
-func (q Quantity) Per(r Quantity) Quantity { return q.join(r, q.Value/r.Value) }
+// Per returns the quotient.
+func (q Quantity) Per(r Quantity) Quantity { return q.combine(r, q.Value/r.Value) }
 
-// Plus adds.
-func (q Quantity) Plus(r Quantity) Quantity { return q.join(r, q.Value+r.Value) }
+// Plus returns the sum.
+func (q Quantity) Plus(r Quantity) Quantity { return q.combine(r, q.Value+r.Value) }
 
-// Scale multiplies by a pure number, such as a count of seconds in a day.
+// Scale multiplies by a constant, such as the number of seconds in a day.
 func (q Quantity) Scale(k float64) Quantity { return Quantity{q.Value * k, q.Sources} }
 
-// Offset adds a pure number, such as one for the node itself.
+// Offset adds a constant, such as 1 for the node itself.
 func (q Quantity) Offset(k float64) Quantity { return Quantity{q.Value + k, q.Sources} }
 
-// apply maps the value by a function.
+// apply applies a function to the value.
 func (q Quantity) apply(f func(float64) float64) Quantity { return Quantity{f(q.Value), q.Sources} }
 
-func (q Quantity) join(r Quantity, value float64) Quantity {
+func (q Quantity) combine(r Quantity, value float64) Quantity {
 	sources := slices.Concat(q.Sources, r.Sources)
 	slices.Sort(sources)
 	return Quantity{value, slices.Compact(sources)}
 }
 
-// quantityJSON is the form of a Quantity in JSON, which has no NaN.
+// quantityJSON is the JSON encoding of a Quantity; JSON has no NaN.
 type quantityJSON struct {
 	Value   *float64 `json:"value"`
 	Sources []Source `json:"sources,omitempty"`
@@ -58,7 +58,7 @@
 	return json.Marshal(out)
 }
 
-// sum adds quantities up; the sum of none is 0.
+// sum returns the sum of quantities; the sum of none is 0.
 func sum(qs ...Quantity) Quantity {
 	var total Quantity
 	for _, q := range qs {
@@ -67,5 +67,5 @@
 	return total
 }
 
-// unknown is a quantity that no input gives.
+// unknown returns an unknown quantity.
 func unknown() Quantity { return Quantity{Value: math.NaN()} }
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -13,11 +13,11 @@
 	RoleOperator Role = "operator's tool"
 )
 
-// Roles lists the roles in the order of the page.
+// Roles returns the roles in the order of the report.
 func Roles() []Role { return []Role{RoleRouter, RoleAgent, RoleReader, RoleOperator} }
 
-// Plane keeps what carries the callers' answers apart from control, which
-// alone has an allowance.
+// Plane distinguishes the data plane, which carries the callers' answers, from
+// the control plane. Only the control plane has an allowance.
 type Plane string
 
 // The planes.
@@ -26,18 +26,19 @@
 	PlaneData    Plane = "data"
 )
 
-// Stage says whether a row's mechanism runs today.
+// Stage is the state of implementation of a row's mechanism.
 type Stage string
 
 // The stages of a mechanism.
 const (
-	// StageBuilt: built, and stays.
+	// StageBuilt: implemented, and part of the design.
 	StageBuilt Stage = "built"
-	// StageReplaced: built, and gives way to a mechanism that is designed.
+	// StageReplaced: implemented, but replaced by another mechanism in the
+	// design.
 	StageReplaced Stage = "built, to be replaced"
-	// StageOff: built, but off unless the settings turn it on.
+	// StageOff: implemented, but disabled unless the settings enable it.
 	StageOff Stage = "built, off by default"
-	// StageDesigned: not built; the row is an estimate.
+	// StageDesigned: not implemented; the row is an estimate.
 	StageDesigned Stage = "not built yet"
 )
 
@@ -48,23 +49,23 @@
 const (
 	PlanToday  Plan = "as built today"
 	PlanDesign Plan = "as designed"
-	// PlanNoCredits is the design without credits and permits,
-	// its costliest mechanism.
+	// PlanNoCredits is the design without credits and permits, its most
+	// expensive mechanism.
 	PlanNoCredits Plan = "as designed, without team limits"
-	// PlanBoth marks what is part of both.
+	// PlanBoth marks rows that are part of both plans.
 	PlanBoth Plan = "in both"
 )
 
-// Plans lists the two plans in the order of the page.
+// Plans returns the two plans in the order of the report.
 func Plans() []Plan { return []Plan{PlanToday, PlanDesign} }
 
-// In reports whether a mechanism of the stage is part of the plan.
+// In reports whether mechanisms of the stage are part of the plan.
 func (s Stage) In(p Plan) bool {
 	return s == StageBuilt || (s == StageReplaced) == (p == PlanToday)
 }
 
-// in reports whether the row is part of the plan.
-func (r Row) in(p Plan) bool {
+// inPlan reports whether the row is part of the plan.
+func (r Row) inPlan(p Plan) bool {
 	if p == PlanNoCredits {
 		return r.Stage.In(PlanDesign) && !strings.HasPrefix(string(r.ID), creditRowPrefix)
 	}
@@ -79,53 +80,55 @@
 	VerdictWithin  Verdict = "within"
 	VerdictOver    Verdict = "OVER"
 	VerdictUnknown Verdict = "unknown"
-	// VerdictNone: the users set no allowance for it.
+	// VerdictNone: there is no allowance for it.
 	VerdictNone Verdict = "no allowance set"
 )
 
-// Mechanism is what carries a row.
+// Mechanism is the mechanism whose cost a row describes.
 type Mechanism struct {
 	Name string `json:"name"`
-	// File is its place in the repository, empty while it is not built.
+	// File is its path in the repository; empty if it isn't implemented.
 	File string `json:"file,omitempty"`
 }
 
-// RowID names a row.
+// RowID identifies a row.
 type RowID string
 
-// Row is one thing that a role holds or does.
+// Row is the cost of one piece of state, or of one kind of message or work, of a
+// role.
 type Row struct {
 	ID    RowID  `json:"id"`
 	Role  Role   `json:"role"`
 	Plane Plane  `json:"plane"`
 	Item  string `json:"item"`
-	// Entries and EntryBytes are the state that is held.
+	// Entries and EntryBytes are the number of entries of the state and the
+	// size of one.
 	Entries    Quantity `json:"entries"`
 	EntryBytes Quantity `json:"entry_bytes"`
-	// PerSecond, MessageBytes and CPUEach are the messages, or the steps of
-	// work, with the bytes on the wire and the seconds of a core for each.
+	// PerSecond is the rate of messages or other work, MessageBytes the bytes
+	// on the wire and CPUEach the CPU seconds of one.
 	PerSecond    Quantity  `json:"per_second"`
 	MessageBytes Quantity  `json:"message_bytes"`
 	CPUEach      Quantity  `json:"cpu_each"`
 	Mechanism    Mechanism `json:"mechanism"`
 	Stage        Stage     `json:"stage"`
-	// Note says what the estimate of a designed row rests on.
+	// Note states the assumptions of an estimate.
 	Note    string  `json:"note,omitempty"`
 	Verdict Verdict `json:"verdict"`
-	// Worst is the largest share that the row takes of an allowance.
+	// Worst is the row's largest share of an allowance.
 	Worst Share `json:"worst"`
 }
 
-// Memory is what the row holds, in bytes.
+// Memory returns the memory of the row in bytes.
 func (r Row) Memory() Quantity { return r.Entries.Times(r.EntryBytes) }
 
-// Bandwidth is what the row sends and receives, in bytes a second.
+// Bandwidth returns the bytes per second that the row sends and receives.
 func (r Row) Bandwidth() Quantity { return r.PerSecond.Times(r.MessageBytes) }
 
-// CPU is the processor time of the row, as a share of one core.
+// CPU returns the CPU time of the row as a fraction of one core.
 func (r Row) CPU() Quantity { return r.PerSecond.Times(r.CPUEach) }
 
-// Amount returns what the row takes of a resource.
+// Amount returns the row's usage of a resource.
 func (r Row) Amount(res Resource) Quantity {
 	switch res {
 	case ResourceMemory:
@@ -137,12 +140,12 @@
 	}
 }
 
-// sources lists what the row was worked out from.
+// sources returns the inputs that the row was computed from.
 func (r Row) sources() []Source {
 	return sum(r.Entries, r.EntryBytes, r.PerSecond, r.MessageBytes, r.CPUEach).Sources
 }
 
-// Resource is something that control has an allowance of.
+// Resource is a resource with an allowance for the control plane.
 type Resource string
 
 // The resources.
@@ -152,16 +155,16 @@
 	ResourceCPU       Resource = "processor"
 )
 
-// Resources lists the resources in the order of the page.
+// Resources returns the resources in the order of the report.
 func Resources() []Resource {
 	return []Resource{ResourceMemory, ResourceBandwidth, ResourceCPU}
 }
 
-// AllowanceTable holds what a node may spend on control.
+// AllowanceTable holds the allowances of a node for the control plane.
 type AllowanceTable struct {
 	Memory    Quantity `json:"memory"`    // bytes
-	Bandwidth Quantity `json:"bandwidth"` // bytes a second
-	CPU       Quantity `json:"cpu"`       // share of one core
+	Bandwidth Quantity `json:"bandwidth"` // bytes per second
+	CPU       Quantity `json:"cpu"`       // fraction of one core
 }
 
 // Of returns the allowance of a resource.
@@ -176,13 +179,13 @@
 	}
 }
 
-// Share is an amount beside its allowance; 1 is all of it.
+// Share is a usage divided by its allowance.
 type Share struct {
 	Resource Resource `json:"resource,omitempty"`
 	Ratio    Quantity `json:"ratio"`
 }
 
-// Verdict says whether the share is within the allowance.
+// Verdict compares the share with the allowance.
 func (s Share) Verdict() Verdict {
 	switch {
 	case !s.Ratio.Known():
@@ -194,15 +197,15 @@
 	}
 }
 
-// judge sets the verdict of a row on its worst resource.
-func (a AllowanceTable) judge(r Row) Row {
+// withVerdict sets the verdict of a row, that of its worst resource.
+func (a AllowanceTable) withVerdict(r Row) Row {
 	if r.Plane == PlaneData || r.Role == RoleOperator {
 		r.Verdict = VerdictNone
 		return r
 	}
 	for _, res := range Resources() {
 		s := Share{res, r.Amount(res).Per(a.Of(res))}
-		if worse(s, r.Worst) {
+		if isWorse(s, r.Worst) {
 			r.Worst = s
 		}
 	}
@@ -210,8 +213,9 @@
 	return r
 }
 
-// worse puts an unknown share above any known one.
-func worse(s, than Share) bool {
+// isWorse reports whether s is worse than another share. An unknown share is
+// worse than any known one.
+func isWorse(s, than Share) bool {
 	if !than.Ratio.Known() {
 		return false
 	}
--- a/internal/capacity/size.go
+++ b/internal/capacity/size.go
@@ -6,14 +6,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// SizeFile is a file of sizes.
+// SizeFile is the content of a file of sizes.
 type SizeFile struct {
 	Sizes []Size `json:"sizes"`
 }
 
-// Size is what the users say of one fleet. A figure of 0 was not given.
+// Size holds the required figures of one fleet. A figure of 0 is unknown.
 type Size struct {
-	// ID stands in the names of the page's tables.
+	// ID is part of the names of the tables in the document.
 	ID     string `json:"id"`
 	Name   string `json:"name"`
 	Source string `json:"source"`
@@ -24,8 +24,8 @@
 
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty"`
 	TokensPerSecond   float64 `json:"tokens_per_second,omitempty"`
-	// FirstTokenSeconds and BetweenTokensSeconds are the targets for 95
-	// requests in 100.
+	// FirstTokenSeconds and BetweenTokensSeconds are the targets for the 95th
+	// percentile.
 	FirstTokenSeconds    float64 `json:"first_token_seconds,omitempty"`
 	BetweenTokensSeconds float64 `json:"between_tokens_seconds,omitempty"`
 
@@ -44,25 +44,25 @@
 	Service Service `json:"service"`
 }
 
-// Control is what one node may spend on control.
+// Control holds the allowances of one node for the control plane.
 type Control struct {
 	CoreShare      float64 `json:"core_share"` // of one core, 0.015 is 1.5%
 	MemoryBytes    float64 `json:"memory_bytes"`
 	BytesPerSecond float64 `json:"bytes_per_second"`
 }
 
-// Service is what the configuration service bears.
+// Service holds the limits of the configuration service.
 type Service struct {
-	ReadsPerSecond float64 `json:"reads_per_second"` // over all readers; a watch counts
+	ReadsPerSecond float64 `json:"reads_per_second"` // over all readers, including watches
 	ValueBytes     float64 `json:"value_bytes"`
 }
 
-// Check returns an error marked ErrBadInput for figures that can't be.
+// Check returns an error marked ErrBadInput for invalid figures.
 func (s Size) Check() error {
 	if s.ID == "" || s.Name == "" || s.Source == "" {
 		return errors.Mark(errors.New("a size needs an id, a name and a source"), ErrBadInput)
 	}
-	for _, f := range s.all() {
+	for _, f := range s.figures() {
 		if f < 0 || math.IsInf(f, 0) || math.IsNaN(f) {
 			return errors.Mark(errors.Newf("size %q: %v is not a figure of a size", s.Name, f), ErrBadInput)
 		}
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (s Size) all() []float64 {
+func (s Size) figures() []float64 {
 	return []float64{
 		s.Routers, s.Agents, s.Accelerators, s.RequestsPerSecond, s.TokensPerSecond,
 		s.FirstTokenSeconds, s.BetweenTokensSeconds, s.Tiers, s.Teams, s.Models, s.Regions,
@@ -80,9 +80,9 @@
 	}
 }
 
-// Grown returns the size with everything that grows with the fleet multiplied.
-// Models, tiers, regions, failure domains, the allowances and the rates of the
-// configuration service stay as they are.
+// Grown returns the size with all figures that grow with the fleet multiplied by
+// factor. Models, tiers, regions, failure domains, the allowances and the limits
+// of the configuration service don't change.
 func (s Size) Grown(factor float64) Size {
 	grown := []*float64{
 		&s.Routers, &s.Agents, &s.Accelerators, &s.RequestsPerSecond, &s.TokensPerSecond,
@@ -94,7 +94,7 @@
 	return s
 }
 
-// figure is a figure of the size; 0 means that it was not given.
+// figure returns a figure of the size; 0 means that it is unknown.
 func figure(name string, value float64) Quantity {
 	if value == 0 {
 		value = math.NaN()
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -6,11 +6,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// SlopeID names a slope.
+// SlopeID identifies a slope.
 type SlopeID string
 
-// The slopes that the model uses. Memory is live heap and stacks in bytes; CPU
-// is seconds of one core.
+// The slopes that the model uses. Memory is the live heap and stacks in bytes;
+// CPU is in CPU seconds.
 const (
 	PoolEntryMemory        SlopeID = "pool_entry_memory"
 	SnapshotEndpointMemory SlopeID = "snapshot_endpoint_memory"
@@ -85,12 +85,12 @@
 	GCHeadroom             SlopeID = "gc_headroom"
 )
 
-// Slopes is a file of measured slopes.
+// Slopes is the content of a file of measured slopes.
 type Slopes struct {
 	Runs []Run `json:"runs"`
 }
 
-// Run is one call of the measuring command on one machine.
+// Run is one run of the measuring command on one machine.
 type Run struct {
 	Machine Machine `json:"machine"`
 	Date    string  `json:"date"` // YYYY-MM-DD
@@ -98,7 +98,7 @@
 	Slopes  []Slope `json:"slopes"`
 }
 
-// Machine is where slopes were measured.
+// Machine describes the machine on which slopes were measured.
 type Machine struct {
 	Cores       int    `json:"cores"`
 	MemoryBytes uint64 `json:"memory_bytes"`
@@ -111,18 +111,18 @@
 type Slope struct {
 	ID    SlopeID `json:"id"`
 	Title string  `json:"title"`
-	// Unit is that of y, Per that of x.
+	// Unit is the unit of y, Per that of x.
 	Unit      string  `json:"unit"`
 	Per       string  `json:"per"`
 	Value     float64 `json:"value"`
 	Intercept float64 `json:"intercept"`
 	Spread    Spread  `json:"spread"`
 	Sizes     []int   `json:"sizes"`
-	// Residual is the root mean square distance of the points from the
-	// line, as a share of the mean of y.
+	// Residual is the root mean square distance of the points from the line,
+	// divided by the mean of y.
 	Residual float64 `json:"residual"`
-	// StandIn says what took the place of the real code, empty if nothing.
-	StandIn string `json:"stand_in,omitempty"`
+	// Substitute describes what was measured instead of the real code, if anything.
+	Substitute string `json:"stand_in,omitempty"`
 }
 
 // Spread is the range of a slope's value over repeated runs.
@@ -138,14 +138,14 @@
 	UnitSeconds = "seconds of a core"
 )
 
-// minSizes is the least number of sizes a line is fitted through, and minRuns
-// the least number of runs that a spread is taken from.
+// minSizes is the minimum number of sizes of a fitted line, and minRuns the
+// minimum number of runs of a spread.
 const (
 	minSizes = 4
 	minRuns  = 3
 )
 
-// Find returns the slope with an id, from the last run that measured it.
+// Find returns the slope with an ID, from the last run that measured it.
 func (s Slopes) Find(id SlopeID) (Slope, bool) {
 	for i := len(s.Runs) - 1; i >= 0; i-- {
 		for _, slope := range s.Runs[i].Slopes {
@@ -157,8 +157,8 @@
 	return Slope{}, false
 }
 
-// Check returns an error marked ErrBadInput for a slope without what makes it
-// believable: its unit, machine, date, command, sizes and spread.
+// Check returns an error marked ErrBadInput for a slope without the data that
+// make it reproducible: unit, machine, date, command, sizes and spread.
 func (s Slopes) Check() error {
 	for _, run := range s.Runs {
 		if run.Date == "" || run.Command == "" || run.Machine.Cores == 0 || run.Machine.Go == "" {
--- a/internal/capacity/slopes/balance.go
+++ b/internal/capacity/slopes/balance.go
@@ -41,8 +41,8 @@
 	return list
 }
 
-// fill lets a pool hear of every endpoint once.
-func fill(p *balance.Pool, endpoints []*bundle.Endpoint) {
+// reportAll passes one load report of every endpoint to a pool.
+func reportAll(p *balance.Pool, endpoints []*bundle.Endpoint) {
 	for _, e := range endpoints {
 		p.Sent(issued, e.Name)
 		p.Report(issued, e.Name, load.Report{Seq: 1, Slots: e.Slots, DrainPerSecond: 5})
@@ -54,19 +54,19 @@
 	endpoints := endpointList(n)
 	memory, err := memoryOf(func() (any, error) {
 		p := balance.NewPool(balance.Config{Seed: 1})
-		fill(p, endpoints)
+		reportAll(p, endpoints)
 		return p, nil
 	})
-	runtime.KeepAlive(endpoints) // the bundle's, not the pool's
+	runtime.KeepAlive(endpoints) // owned by the bundle, not by the pool
 	return []float64{memory}, err
 }
 
 func measureChoose(n int) ([]float64, error) {
 	endpoints := endpointList(n)
 	p := balance.NewPool(balance.Config{Seed: 1})
-	fill(p, endpoints)
+	reportAll(p, endpoints)
 	now := issued.Add(time.Second)
-	cpu, err := cpuEach(func() error {
+	cpu, err := cpuPerCall(func() error {
 		_, err := p.Choose(now, balance.Request{Tier: 1}, endpoints, nil)
 		return err
 	})
--- a/internal/capacity/slopes/bundle.go
+++ b/internal/capacity/slopes/bundle.go
@@ -14,8 +14,8 @@
 	"coveferry/internal/units"
 )
 
-// The shape of the bundles that are measured: the numbers that don't vary in a
-// series are those of the users' letter, or small.
+// The shape of the measured bundles. Numbers that don't vary in a series are
+// those of the requirements, or small.
 const (
 	bundleTiers     = 7
 	bundleModels    = 11
@@ -25,51 +25,51 @@
 	keysPerTeam     = 2
 	grantsPerTeam   = 3
 	slotsOfEndpoint = 64
-	fewEndpoints    = 64
-	fewTeams        = 16
-	fewRouters      = 16
+	fixedEndpoints  = 64
+	fixedTeams      = 16
+	fixedRouters    = 16
 )
 
 // issued is a fixed date within the validity of the bundles.
 var issued = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// shape is how many of each a bundle holds.
+// shape holds the numbers of endpoints, teams and routers of a bundle.
 type shape struct{ endpoints, teams, routers int }
 
-// varied are the shapes of which one number is measured, with their sizes.
-type varied struct {
+// bundleSeries is a series of bundles in which one of the numbers varies.
+type bundleSeries struct {
 	noun  string
 	sizes []int
 	shape func(n int) shape
 }
 
 var (
-	byEndpoints = varied{"endpoint", []int{500, 1000, 2000, 4000}, func(n int) shape { return shape{n, fewTeams, fewRouters} }}
-	byTeams     = varied{"team", []int{50, 100, 200, 400}, func(n int) shape { return shape{fewEndpoints, n, fewRouters} }}
-	byRouters   = varied{"router", []int{125, 250, 500, 1000}, func(n int) shape { return shape{fewEndpoints, fewTeams, n} }}
+	byEndpoints = bundleSeries{"endpoint", []int{500, 1000, 2000, 4000}, func(n int) shape { return shape{n, fixedTeams, fixedRouters} }}
+	byTeams     = bundleSeries{"team", []int{50, 100, 200, 400}, func(n int) shape { return shape{fixedEndpoints, n, fixedRouters} }}
+	byRouters   = bundleSeries{"router", []int{125, 250, 500, 1000}, func(n int) shape { return shape{fixedEndpoints, fixedTeams, n} }}
 )
 
-// measured is one of the series of a probe that varies a shape.
-type measured struct {
+// seriesSpec describes one of the values measured for each shape.
+type seriesSpec struct {
 	title string
 	unit  string
 }
 
-// probe makes a probe of the ids, which are in the order of what is measured.
-func (v varied) probe(name string, ids []capacity.SlopeID, what []measured, measure func(context.Context, shape) ([]float64, error)) probe {
+// probe returns a probe with the given slopes; ids and specs have the same order.
+func (v bundleSeries) probe(name string, ids []capacity.SlopeID, specs []seriesSpec, measure func(context.Context, shape) ([]float64, error)) probe {
 	p := probe{
 		name:    name + "-" + v.noun + "s",
 		sizes:   v.sizes,
 		measure: func(ctx context.Context, n int) ([]float64, error) { return measure(ctx, v.shape(n)) },
 	}
 	for i, id := range ids {
-		p.series = append(p.series, capacity.Slope{ID: id, Title: what[i].title, Unit: what[i].unit, Per: v.noun})
+		p.series = append(p.series, capacity.Slope{ID: id, Title: specs[i].title, Unit: specs[i].unit, Per: v.noun})
 	}
 	return p
 }
 
-// bundleMeasured is what measureBundle returns.
-var bundleMeasured = []measured{
+// bundleMeasured describes the results of measureBundle.
+var bundleMeasured = []seriesSpec{
 	{"bundle, encoded without spaces", capacity.UnitBytes},
 	{"snapshot of a bundle", capacity.UnitBytes},
 	{"bundle verified, decoded, checked, indexed", capacity.UnitSeconds},
@@ -90,19 +90,19 @@
 	}
 }
 
-// signed is a bundle as it travels.
-type signed struct {
+// signedBundle is an encoded bundle with its signature.
+type signedBundle struct {
 	src, sig []byte
 	keys     []bundle.PublicKey
 }
 
-// accept carries out what a process does with a bundle that it is offered.
-func (s signed) accept() (*bundle.Snapshot, error) {
+// accept verifies and indexes the bundle, as a process does on receipt.
+func (s signedBundle) accept() (*bundle.Snapshot, error) {
 	return bundle.Accept(issued, nil, s.src, s.sig, s.keys)
 }
 
-// measureBundle returns bytes, memory of the snapshot, processor time to
-// accept it, and bytes on the control channel.
+// measureBundle returns the size of a bundle, the memory of its snapshot, the CPU
+// time of accepting it, and its bytes on the control channel.
 func measureBundle(ctx context.Context, of shape) ([]float64, error) {
 	s, err := signBundle(makeBundle(of))
 	if err != nil {
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	apply, err := cpuEach(func() error {
+	apply, err := cpuPerCall(func() error {
 		_, err := s.accept()
 		return err
 	})
@@ -123,20 +123,20 @@
 	return []float64{float64(len(s.src)), memory, apply, wire}, err
 }
 
-func signBundle(b *bundle.Bundle) (signed, error) {
+func signBundle(b *bundle.Bundle) (signedBundle, error) {
 	pub, key, err := bundle.GenerateKey(rand.Reader)
 	if err != nil {
-		return signed{}, err
+		return signedBundle{}, err
 	}
 	src, err := json.Marshal(b)
 	if err != nil {
-		return signed{}, errors.Wrap(err, "encode a bundle")
+		return signedBundle{}, errors.Wrap(err, "encode a bundle")
 	}
 	sig, err := bundle.Sign("bundle", src, key)
-	return signed{src: src, sig: sig, keys: []bundle.PublicKey{pub}}, err
+	return signedBundle{src: src, sig: sig, keys: []bundle.PublicKey{pub}}, err
 }
 
-// makeBundle makes a valid bundle with names of customary length.
+// makeBundle returns a valid bundle with names of typical length.
 func makeBundle(of shape) *bundle.Bundle {
 	b := &bundle.Bundle{
 		Format:  bundle.Format,
--- a/internal/capacity/slopes/conns.go
+++ b/internal/capacity/slopes/conns.go
@@ -37,9 +37,10 @@
 }
 
 // measureConns returns the memory of n idle connections at the router's and at
-// the agent's end. Both ends are in this process, so each is found by what
-// takes its place: bare connections at both ends, then a server with bare
-// clients, then a server with a real client. A bare pair is halved.
+// the agent's end. Both ends are in this process, so each is determined as a
+// difference between three setups: bare connections at both ends, a server with
+// bare clients, and a server with a real client. Half of a bare pair counts for
+// each end.
 func measureConns(ctx context.Context, n int, secure bool) ([]float64, error) {
 	s, err := newConnSetup(secure)
 	if err != nil {
@@ -57,10 +58,10 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "real client")
 	}
-	return []float64{whole - served + bare/sides, served - bare/sides}, nil
+	return []float64{whole - served + bare/endsPerConn, served - bare/endsPerConn}, nil
 }
 
-// connSetup is what the connections of one measurement share.
+// connSetup holds the parameters shared by the connections of one measurement.
 type connSetup struct {
 	secure bool
 	ids    identities
@@ -71,9 +72,9 @@
 	return &connSetup{secure: secure, ids: ids}, err
 }
 
-// memory returns the memory of what open opens, and closes it.
+// memory returns the memory of the result of open, and closes it.
 func (s *connSetup) memory(open func() (io.Closer, error)) (float64, error) {
-	return quietly(func() (float64, error) {
+	return runAndSettle(func() (float64, error) {
 		var opened io.Closer
 		used, err := memoryOf(func() (any, error) {
 			var err error
@@ -87,7 +88,7 @@
 	})
 }
 
-// closers close in reverse order.
+// closers closes its elements in reverse order.
 type closers []io.Closer
 
 func (c closers) Close() error {
@@ -117,10 +118,10 @@
 	return pair{near, far}, err
 }
 
-// killed ends a server at once.
-type killed struct{ server *server.Server }
+// killOnClose is an io.Closer that kills a server.
+type killOnClose struct{ server *server.Server }
 
-func (k killed) Close() error { return k.server.Kill() }
+func (k killOnClose) Close() error { return k.server.Kill() }
 
 // server starts a server on loopback that answers with an empty body.
 func (s *connSetup) server() (*server.Server, error) {
@@ -136,17 +137,17 @@
 		cfg.TLS = s.ids.server()
 	}
 	srv := server.New(cfg)
-	go srv.Run() // ends with Kill
+	go srv.Run() // returns after Kill
 	return srv, nil
 }
 
-// bareClients opens connections to a server with no HTTP client behind them.
+// bareClients opens connections to a server without HTTP clients.
 func (s *connSetup) bareClients(n int) (io.Closer, error) {
 	srv, err := s.server()
 	if err != nil {
 		return nil, err
 	}
-	all := closers{killed{srv}}
+	all := closers{killOnClose{srv}}
 	for range n {
 		c, err := s.bareClient(srv.Addr())
 		if err != nil {
@@ -159,17 +160,17 @@
 
 func (s *connSetup) bareClient(addr string) (net.Conn, error) {
 	if !s.secure {
-		return greetHTTP1(addr)
+		return openHTTP1(addr)
 	}
 	c, err := tls.Dial("tcp", addr, s.ids.client())
 	if err != nil {
 		return nil, errors.Wrap(err, "dial")
 	}
-	return c, greetHTTP2(c)
+	return c, openHTTP2(c)
 }
 
-// greetHTTP1 sends one request, so that the server's buffers are there.
-func greetHTTP1(addr string) (net.Conn, error) {
+// openHTTP1 sends one request, so that the server allocates its buffers.
+func openHTTP1(addr string) (net.Conn, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "dial")
@@ -184,8 +185,8 @@
 	return c, resp.Body.Close()
 }
 
-// greetHTTP2 opens an HTTP/2 connection and waits for the server's settings.
-func greetHTTP2(c net.Conn) error {
+// openHTTP2 opens an HTTP/2 connection and waits for the server's settings.
+func openHTTP2(c net.Conn) error {
 	if _, err := io.WriteString(c, http2.ClientPreface); err != nil {
 		return errors.Wrap(err, "write the preface")
 	}
@@ -197,7 +198,7 @@
 	return errors.Wrap(err, "read settings")
 }
 
-// idleConns closes the idle connections of a client.
+// idleConns is an io.Closer that closes the idle connections of a client.
 type idleConns struct{ client *http.Client }
 
 func (c idleConns) Close() error {
@@ -205,17 +206,17 @@
 	return nil
 }
 
-// realClient opens one connection for each of n hosts, all of which lead to
-// the one server, with the client that routers use.
+// realClient opens one connection for each of n host names, all of which resolve
+// to the same server, with the client that routers use.
 func (s *connSetup) realClient(ctx context.Context, n int) (io.Closer, error) {
 	srv, err := s.server()
 	if err != nil {
 		return nil, err
 	}
 	client := s.client(srv.Addr())
-	all := closers{killed{srv}, idleConns{client}}
+	all := closers{killOnClose{srv}, idleConns{client}}
 	for i := range n {
-		if err := s.ask(ctx, client, i); err != nil {
+		if err := s.request(ctx, client, i); err != nil {
 			return all, err
 		}
 	}
@@ -235,16 +236,15 @@
 	return client
 }
 
-// withoutPings turns the pings of idle connections off. Their timers hold a
-// closed connection's memory for seconds, which would count as held before the
-// next reading.
+// withoutPings disables the pings of idle connections. Their timers retain the
+// memory of closed connections for seconds, which would distort the next reading.
 func withoutPings(client *http.Client) {
 	if t, ok := client.Transport.(*http.Transport); ok && t.HTTP2 != nil {
 		t.HTTP2.SendPingTimeout = 0
 	}
 }
 
-func (s *connSetup) ask(ctx context.Context, client *http.Client, host int) error {
+func (s *connSetup) request(ctx context.Context, client *http.Client, host int) error {
 	scheme := "http"
 	if s.secure {
 		scheme = "https"
@@ -255,7 +255,7 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return errors.Wrap(err, "ask")
+		return errors.Wrap(err, "send a request")
 	}
 	return resp.Body.Close()
 }
--- a/internal/capacity/slopes/fit.go
+++ b/internal/capacity/slopes/fit.go
@@ -10,17 +10,17 @@
 	"coveferry/internal/capacity"
 )
 
-// Line is y = Intercept + Slope*x with the distance of the points from it.
+// Line is the fitted line y = Intercept + Slope*x.
 type Line struct {
 	Slope     float64
 	Intercept float64
-	// Residual is the root mean square distance of the points, as a share
-	// of the mean of y; 0 if that mean is 0.
+	// Residual is the root mean square distance of the points from the line,
+	// divided by the mean of y; 0 if that mean is 0.
 	Residual float64
 }
 
-// Fit draws the least-squares line through the points. The lists must be of
-// equal length, and hold at least two different x.
+// Fit returns the least-squares line through the points. The slices must have the
+// same length and contain at least two different x.
 func Fit(x []int, y []float64) Line {
 	xs := make([]float64, len(x))
 	for i, n := range x {
@@ -37,14 +37,14 @@
 	}
 	var squares float64
 	for i, x := range xs {
-		off := y[i] - intercept - slope*x
-		squares += off * off
+		deviation := y[i] - intercept - slope*x
+		squares += deviation * deviation
 	}
 	return math.Sqrt(squares/float64(len(y))) / math.Abs(mean)
 }
 
-// summarize fills a slope in from the lines of repeated runs. The line whose
-// slope is the median stands for all, so that its three figures belong together.
+// summarize completes a slope from the lines of repeated runs. All its figures
+// come from the line with the median slope, so that they are consistent.
 func summarize(s capacity.Slope, sizes []int, lines []Line) capacity.Slope {
 	sorted := slices.Clone(lines)
 	slices.SortFunc(sorted, func(a, b Line) int {
--- a/internal/capacity/slopes/handshake.go
+++ b/internal/capacity/slopes/handshake.go
@@ -12,10 +12,10 @@
 	"coveferry/internal/identity"
 )
 
-// certValidity outlasts any measurement.
+// certValidity is longer than any measurement.
 const certValidity = time.Hour
 
-// identities are those of the two ends of a connection.
+// identities holds the identities of the two ends of a connection.
 type identities struct{ router, agent *identity.Identity }
 
 func newIdentities() (identities, error) {
@@ -72,10 +72,10 @@
 			return err
 		})
 	})
-	return []float64{cpu / sides, float64(count.bytes.Load())}, err
+	return []float64{cpu / endsPerConn, float64(count.bytes.Load())}, err
 }
 
-// pair is a connection with both its ends.
+// pair holds both ends of a connection.
 type pair struct{ near, far net.Conn }
 
 func (p pair) close() {
@@ -87,28 +87,28 @@
 	}
 }
 
-// handshakeTimeout bounds a handshake that hangs.
+// handshakeTimeout bounds a handshake.
 const handshakeTimeout = 10 * time.Second
 
-// pair opens a connection and carries out its handshake at both ends.
+// pair opens a connection and performs the handshake at both ends.
 func (ids identities) pair(ctx context.Context) (pair, error) {
 	near, far, err := connPair()
 	if err != nil {
 		return pair{near, far}, err
 	}
-	return ids.shake(ctx, near, far)
+	return ids.handshake(ctx, near, far)
 }
 
-// countedPair is pair, with the bytes of the handshake counted.
+// countedPair is like pair, and counts the bytes of the handshake.
 func (ids identities) countedPair(ctx context.Context, count *counter) (pair, error) {
 	near, far, err := connPair()
 	if err != nil {
 		return pair{near, far}, err
 	}
-	return ids.shake(ctx, &countedConn{Conn: near, counter: count}, far)
+	return ids.handshake(ctx, &countedConn{Conn: near, counter: count}, far)
 }
 
-func (ids identities) shake(ctx context.Context, near, far net.Conn) (pair, error) {
+func (ids identities) handshake(ctx context.Context, near, far net.Conn) (pair, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	client := tls.Client(near, ids.client())
--- a/internal/capacity/slopes/heap.go
+++ b/internal/capacity/slopes/heap.go
@@ -10,10 +10,10 @@
 const (
 	mebibyte  = 1 << 20
 	blockSize = 1 << 10
-	// churnFactor is how much garbage is made for each live byte, enough for
-	// the collector to run several times.
+	// churnFactor is the amount of garbage allocated per live byte, enough for
+	// several garbage collections.
 	churnFactor = 4
-	// readEvery is how many blocks of garbage lie between two readings.
+	// readEvery is the number of garbage blocks between two readings.
 	readEvery = 64
 )
 
@@ -28,8 +28,8 @@
 	}}
 }
 
-// measureHeap returns the largest heap while n bytes are live and garbage is
-// made.
+// measureHeap returns the largest heap size while n bytes are live and garbage is
+// allocated.
 func measureHeap(n int) []float64 {
 	before := liveMemory()
 	live := make([][]byte, max(n/blockSize, 1))
@@ -42,7 +42,7 @@
 	return []float64{largest - before}
 }
 
-// garbage keeps the compiler from leaving the blocks on the stack.
+// garbage makes the blocks escape to the heap.
 var garbage []byte
 
 func largestHeap(blocks int) float64 {
--- a/internal/capacity/slopes/keys.go
+++ b/internal/capacity/slopes/keys.go
@@ -29,21 +29,20 @@
 	keySpacing = 50 * time.Millisecond
 )
 
-// measureKeys returns the memory of n keys, and the processor time in which
-// they are used.
+// measureKeys returns the memory of n keys and the CPU time of using them.
 func measureKeys(n int) ([]float64, error) {
 	memory, err := memoryOf(func() (any, error) { return useKeys(n) })
 	if err != nil {
 		return nil, err
 	}
-	cpu, err := cpuEach(func() error {
+	cpu, err := cpuPerCall(func() error {
 		_, err := useKeys(n)
 		return err
 	})
 	return []float64{memory, cpu}, err
 }
 
-// useKeys lets the only endpoint of a model run n requests with keys.
+// useKeys runs n requests with keys at the only endpoint of a model.
 func useKeys(n int) (*once.Keeper, error) {
 	self := once.Member{Name: "endpoint-00000", VM: "vm-00000", Address: "10.0.0.1:7410"}
 	cfg := once.DefaultConfig(self)
--- a/internal/capacity/slopes/members.go
+++ b/internal/capacity/slopes/members.go
@@ -23,17 +23,17 @@
 			name:  "vm-list",
 			sizes: []int{500, 1000, 2000, 4000},
 			series: []capacity.Slope{
-				{ID: capacity.VMListBytes, Title: "platform's list read", Unit: capacity.UnitBytes, Per: "VM", StandIn: listStandIn},
-				{ID: capacity.VMListCPU, Title: "platform's list read, server and reader", Unit: capacity.UnitSeconds, Per: "VM", StandIn: listStandIn},
+				{ID: capacity.VMListBytes, Title: "platform's list read", Unit: capacity.UnitBytes, Per: "VM", Substitute: listSubstitute},
+				{ID: capacity.VMListCPU, Title: "platform's list read, server and reader", Unit: capacity.UnitSeconds, Per: "VM", Substitute: listSubstitute},
 			},
 			measure: measureVMList,
 		},
 	}
 }
 
-const listStandIn = "the stand-in of the platform's list, internal/standin/vmlist"
+const listSubstitute = "the stand-in of the platform's list, internal/standin/vmlist"
 
-// measureMembers returns the memory of a core that knows n endpoints.
+// measureMembers returns the memory of a membership core with n endpoints.
 func measureMembers(n int) ([]float64, error) {
 	memory, err := memoryOf(func() (any, error) {
 		core := membership.NewCore(membership.Tuning{})
@@ -51,8 +51,7 @@
 	return []float64{memory}, err
 }
 
-// measureVMList returns the bytes and the processor time of one reading of a
-// list of n VMs.
+// measureVMList returns the bytes and the CPU time of one read of a list of n VMs.
 func measureVMList(ctx context.Context, n int) ([]float64, error) {
 	list := vmlist.New(0)
 	vms := make([]vmlist.VM, n)
@@ -82,6 +81,6 @@
 		return nil, err
 	}
 	bytes := float64(count.bytes.Load() - before)
-	cpu, err := cpuEach(read)
+	cpu, err := cpuPerCall(read)
 	return []float64{bytes, cpu}, err
 }
--- a/internal/capacity/slopes/meter.go
+++ b/internal/capacity/slopes/meter.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// enoughCPU is how much processor time one reading takes, so that the
-	// clock's grain doesn't show.
-	enoughCPU = 30 * time.Millisecond
-	// mostRounds bounds a reading of something that takes almost no time.
-	mostRounds = 1 << 20
+	// minCPU is the minimum CPU time of a reading, well above the resolution of
+	// the clock.
+	minCPU = 30 * time.Millisecond
+	// maxRounds bounds a reading of work that takes almost no time.
+	maxRounds = 1 << 20
 )
 
-// cpuTime is the processor time that this process has used.
+// cpuTime returns the CPU time of this process.
 func cpuTime() (time.Duration, error) {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -27,7 +27,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
 }
 
-// cpuOf returns the processor time, in seconds, that work took.
+// cpuOf returns the CPU time of work in seconds.
 func cpuOf(work func() error) (float64, error) {
 	before, err := cpuTime()
 	if err != nil {
@@ -40,10 +40,10 @@
 	return (after - before).Seconds(), err
 }
 
-// cpuEach returns the processor time of one call of step, in seconds. It
-// doubles the calls until they take enough time to be read. One more call
-// before them fills caches and pools.
-func cpuEach(step func() error) (float64, error) {
+// cpuPerCall returns the CPU time of one call of step in seconds. It doubles the
+// number of calls until they take at least minCPU. One call before the
+// measurement warms up caches and pools.
+func cpuPerCall(step func() error) (float64, error) {
 	if err := step(); err != nil {
 		return 0, err
 	}
@@ -53,7 +53,7 @@
 		if err != nil {
 			return 0, err
 		}
-		if used >= enoughCPU.Seconds() || rounds >= mostRounds {
+		if used >= minCPU.Seconds() || rounds >= maxRounds {
 			return used / float64(rounds), nil
 		}
 	}
@@ -68,64 +68,66 @@
 	return nil
 }
 
-// Bounds of the collections before a reading of the memory.
+// Bounds of the garbage collections before a reading of the memory.
 const (
-	mostCollections = 12
-	// settledRounds is how many collections in a row must free nothing more.
+	maxCollections = 12
+	// settledRounds is the number of successive collections that must free
+	// nothing.
 	settledRounds = 3
-	// settledBytes is how little counts as nothing.
+	// settledBytes is the number of freed bytes that counts as nothing.
 	settledBytes = 4 << 10
 )
 
-// liveMemory is the live heap with the goroutines' stacks, in bytes. What
-// finalizers hold, such as closed connections, and what pools hold goes only
-// after several collections, so they are repeated until they free no more.
+// liveMemory returns the size of the live heap and the goroutines' stacks in
+// bytes. Objects with finalizers, such as closed connections, and the contents of
+// pools are freed only after several collections, so collections are repeated
+// until they free no more.
 func liveMemory() float64 {
-	least := collected()
+	smallest := memoryAfterGC()
 	settled := 0
-	for range mostCollections {
-		time.Sleep(settleStep) // finalizers run meanwhile
-		now := collected()
+	for range maxCollections {
+		time.Sleep(settleStep) // lets finalizers run
+		now := memoryAfterGC()
 		settled++
-		if now < least-settledBytes {
+		if now < smallest-settledBytes {
 			settled = 0
 		}
-		least = min(least, now)
+		smallest = min(smallest, now)
 		if settled == settledRounds {
 			break
 		}
 	}
-	return least
+	return smallest
 }
 
-func collected() float64 {
+func memoryAfterGC() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc) + float64(m.StackInuse)
 }
 
-// memoryOf returns the memory that what make returns holds, in bytes.
+// memoryOf returns the memory held by the result of make, in bytes.
 func memoryOf(make func() (any, error)) (float64, error) {
 	before := liveMemory()
-	held, err := make()
+	result, err := make()
 	if err != nil {
 		return 0, err
 	}
 	after := liveMemory()
-	runtime.KeepAlive(held)
+	runtime.KeepAlive(result)
 	return after - before, nil
 }
 
-// Bounds of the wait for goroutines that are ending.
+// Bounds of the wait for goroutines to end.
 const (
 	settleStep  = time.Millisecond
 	settleSteps = 2000
 )
 
-// quietly runs work and then waits until its goroutines have ended: the ends
-// of closed connections would otherwise count as held by what came before.
-func quietly[T any](work func() (T, error)) (T, error) {
+// runAndSettle runs work and waits until its goroutines have ended. Otherwise the
+// memory of connections being closed would distort the next reading.
+func runAndSettle[T any](work func() (T, error)) (T, error) {
 	before := runtime.NumGoroutine()
 	out, err := work()
 	for range settleSteps {
@@ -137,10 +139,10 @@
 	return out, err
 }
 
-// counter counts the bytes of connections, both ways.
+// counter counts the bytes of connections in both directions.
 type counter struct{ bytes atomic.Int64 }
 
-// countedConn adds what it carries to a counter.
+// countedConn adds the bytes read and written to a counter.
 type countedConn struct {
 	net.Conn
 	counter *counter
@@ -158,7 +160,7 @@
 	return n, err
 }
 
-// listen opens a listener on loopback, on a port that the system chooses.
+// listen opens a loopback listener on a free port.
 func listen() (net.Listener, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	return l, errors.Wrap(err, "listen on loopback")
--- a/internal/capacity/slopes/peers.go
+++ b/internal/capacity/slopes/peers.go
@@ -16,7 +16,7 @@
 	"coveferry/internal/subset"
 )
 
-// peerProbes measure what processes of the system do for each other.
+// peerProbes returns the probes of the interactions between processes.
 func peerProbes() []probe {
 	return []probe{
 		{
@@ -58,18 +58,19 @@
 	}
 }
 
-// The shape of a model at the size to design for: 3,700 replicas of 11 models.
+// The endpoints of a model at the design size of 3,700 replicas of 11 models, and
+// the size of a subset.
 const (
 	subsetEndpoints = 336
 	subsetSize      = 20
 )
 
-// measureSubset returns the processor time in which one router finds its
-// subset among n routers.
+// measureSubset returns the CPU time in which one of n routers computes its
+// subset.
 func measureSubset(n int) ([]float64, error) {
 	endpoints := endpointList(subsetEndpoints)
-	routers := names("router", n)
-	cpu, err := cpuEach(func() error {
+	routers := numberedNames("router", n)
+	cpu, err := cpuPerCall(func() error {
 		if len(subset.Assign(routers[0], routers, endpoints, subsetSize)) == 0 {
 			return errors.New("the subset is empty")
 		}
@@ -78,7 +79,7 @@
 	return []float64{cpu}, err
 }
 
-func names(noun string, n int) []string {
+func numberedNames(noun string, n int) []string {
 	out := make([]string, n)
 	for i := range out {
 		out[i] = fmt.Sprintf("%s-%04d", noun, i)
@@ -86,16 +87,16 @@
 	return out
 }
 
-// creditConfig is a limit of customary size.
+// creditConfig is a limit of typical size.
 var creditConfig = credit.Config{Rate: 250}
 
-// askStep lets all holders ask in turn within one period.
+// askStep is short enough for all holders to ask in turn within one period.
 const askStep = 100 * time.Microsecond
 
-// measureHome returns the processor time of one ask, and the memory of the
-// home, with n holders that ask in turn.
+// measureHome returns the CPU time of one request for credits and the memory of
+// the home, with n holders that send requests in turn.
 func measureHome(n int) ([]float64, error) {
-	holders := names("router", n)
+	holders := numberedNames("router", n)
 	ask := func(home *credit.Home, turn int) {
 		home.Ask(issued.Add(time.Duration(turn)*askStep), credit.Ask{
 			Holder: holders[turn%n], Seq: uint64(turn), Want: credit.Wants{1, 0.5, 0.25},
@@ -116,7 +117,7 @@
 		ask(home, turn)
 	}
 	turn := n
-	cpu, err := cpuEach(func() error {
+	cpu, err := cpuPerCall(func() error {
 		ask(home, turn)
 		turn++
 		return nil
@@ -124,8 +125,8 @@
 	return []float64{cpu, memory}, err
 }
 
-// measureHolders returns the processor time of one period of n holders, their
-// memory, and the bytes of their asks and grants.
+// measureHolders returns the CPU time of one period of n holders, their memory,
+// and the bytes of their requests and grants.
 func measureHolders(n int) ([]float64, error) {
 	memory, err := memoryOf(func() (any, error) { return newHolders(n), nil })
 	if err != nil {
@@ -133,9 +134,9 @@
 	}
 	h := newHolders(n)
 	bytes := 0
-	cpu, err := cpuEach(func() error {
+	cpu, err := cpuPerCall(func() error {
 		bytes = 0
-		return h.period(func(a credit.Ask, g credit.Grant) { h.asks, h.grants = a, g; bytes++ })
+		return h.runPeriod(func(a credit.Ask, g credit.Grant) { h.lastAsk, h.lastGrant = a, g; bytes++ })
 	})
 	if err != nil {
 		return nil, err
@@ -144,12 +145,12 @@
 	return []float64{cpu, memory, float64(size * bytes)}, err
 }
 
-// holders are those of many limits at one router.
+// holders holds the credit holders of many limits at one router.
 type holders struct {
-	list   []*credit.Holder
-	now    time.Time
-	asks   credit.Ask   // the last
-	grants credit.Grant // the last
+	list      []*credit.Holder
+	now       time.Time
+	lastAsk   credit.Ask
+	lastGrant credit.Grant
 }
 
 func newHolders(n int) *holders {
@@ -161,11 +162,11 @@
 	return h
 }
 
-// holderPeriod is the time between two asks of a holder.
+// holderPeriod is the time between two requests of a holder.
 const holderPeriod = 250 * time.Millisecond
 
-// period lets each holder spend and ask once, and be granted what it wants.
-func (h *holders) period(asked func(credit.Ask, credit.Grant)) error {
+// runPeriod lets each holder spend a credit, send a request and receive a grant.
+func (h *holders) runPeriod(asked func(credit.Ask, credit.Grant)) error {
 	h.now = h.now.Add(holderPeriod)
 	for _, holder := range h.list {
 		holder.Take(h.now, 1, 1)
@@ -181,16 +182,16 @@
 }
 
 func (h *holders) encodedSize() (int, error) {
-	ask, err := json.Marshal(h.asks)
+	ask, err := json.Marshal(h.lastAsk)
 	if err != nil {
 		return 0, errors.Wrap(err, "encode an ask")
 	}
-	grant, err := json.Marshal(h.grants)
+	grant, err := json.Marshal(h.lastGrant)
 	return len(ask) + len(grant), errors.Wrap(err, "encode a grant")
 }
 
-// measurePings returns the bytes and the processor time of n pings of a silent
-// connection, each answered before the next.
+// measurePings returns the bytes and the CPU time of n sequential pings on an idle
+// connection.
 func measurePings(n int) ([]float64, error) {
 	s, err := newConnSetup(true)
 	if err != nil {
@@ -208,7 +209,7 @@
 	defer raw.Close()
 	count := &counter{}
 	c := tls.Client(&countedConn{Conn: raw, counter: count}, s.ids.client())
-	if err := greetHTTP2(c); err != nil {
+	if err := openHTTP2(c); err != nil {
 		return nil, err
 	}
 	framer := http2.NewFramer(c, c)
@@ -219,10 +220,10 @@
 	cpu, err := cpuOf(func() error {
 		return repeat(n, func() error { return ping(framer) })
 	})
-	return []float64{float64(count.bytes.Load() - before), cpu / sides}, err
+	return []float64{float64(count.bytes.Load() - before), cpu / endsPerConn}, err
 }
 
-// ping sends a ping and reads up to its answer.
+// ping sends a ping and reads frames until its acknowledgement.
 func ping(framer *http2.Framer) error {
 	if err := framer.WritePing(false, [8]byte{}); err != nil {
 		return errors.Wrap(err, "write a ping")
--- a/internal/capacity/slopes/relay.go
+++ b/internal/capacity/slopes/relay.go
@@ -20,14 +20,14 @@
 	"coveferry/internal/wire"
 )
 
-// relayStandIn is what differs from the fleet: there, router and agent talk
-// HTTP/2 over mutual TLS.
-const relayStandIn = "plain HTTP/1.1 between router and agent; a source of tokens as the engine"
+// relaySubstitute describes the difference from a real fleet, in which router and
+// agent use HTTP/2 over mutual TLS.
+const relaySubstitute = "plain HTTP/1.1 between router and agent; a source of tokens as the engine"
 
-// Bounds of the relays, out of the way of what is measured.
+// Limits of the relays, too high to affect the measurement.
 const (
 	relayBodyLimit = 1 << 20
-	relayOpen      = 1 << 14
+	relayMaxOpen   = 1 << 14
 	relayDeadline  = 10 * 60 * 1000 // ms
 	relayAttempts  = 1
 	relayKey       = "team-0000-key-0"
@@ -39,9 +39,9 @@
 			name:  "router-streams",
 			sizes: []int{50, 100, 200, 400},
 			series: append(relaySeries("router", capacity.RouterStreamMemory, capacity.RouterTokenCPU, capacity.RouterRequestCPU),
-				capacity.Slope{ID: capacity.TokenBytes, Title: "token on the wire of one connection", Unit: capacity.UnitBytes, Per: "token", StandIn: relayStandIn}),
+				capacity.Slope{ID: capacity.TokenBytes, Title: "token on the wire of one connection", Unit: capacity.UnitBytes, Per: "token", Substitute: relaySubstitute}),
 			measure: func(ctx context.Context, n int) ([]float64, error) {
-				r, err := measureRelay(ctx, n, layRouter)
+				r, err := measureRelay(ctx, n, setUpRouter)
 				return []float64{r.memory, r.token, r.open, r.bytes}, err
 			},
 		},
@@ -50,7 +50,7 @@
 			sizes:  []int{50, 100, 200, 400},
 			series: relaySeries("agent", capacity.AgentStreamMemory, capacity.AgentTokenCPU, capacity.AgentRequestCPU),
 			measure: func(ctx context.Context, n int) ([]float64, error) {
-				r, err := measureRelay(ctx, n, layAgent)
+				r, err := measureRelay(ctx, n, setUpAgent)
 				return []float64{r.memory, r.token, r.open}, err
 			},
 		},
@@ -59,33 +59,33 @@
 
 func relaySeries(role string, memory, token, request capacity.SlopeID) []capacity.Slope {
 	return []capacity.Slope{
-		{ID: memory, Title: "open stream in the " + role + ", both its connections", Unit: capacity.UnitBytes, Per: "stream", StandIn: relayStandIn},
-		{ID: token, Title: "token relayed by the " + role, Unit: capacity.UnitSeconds, Per: "token", StandIn: relayStandIn},
-		{ID: request, Title: "request opened through the " + role + ", with its connections", Unit: capacity.UnitSeconds, Per: "request", StandIn: relayStandIn},
+		{ID: memory, Title: "open stream in the " + role + ", both its connections", Unit: capacity.UnitBytes, Per: "stream", Substitute: relaySubstitute},
+		{ID: token, Title: "token relayed by the " + role, Unit: capacity.UnitSeconds, Per: "token", Substitute: relaySubstitute},
+		{ID: request, Title: "request opened through the " + role + ", with its connections", Unit: capacity.UnitSeconds, Per: "request", Substitute: relaySubstitute},
 	}
 }
 
-// measureRelay measures streams through a relay. What the source and the
-// callers take is measured without the relay and taken off.
-func measureRelay(ctx context.Context, n int, lay func(*tokenSource) (route, error)) (streamReading, error) {
-	direct, err := quietly(func() (streamReading, error) { return measureStreams(ctx, n, layDirect) })
+// measureRelay measures streams through a relay. The cost of the source and the
+// callers is measured without the relay and subtracted.
+func measureRelay(ctx context.Context, n int, setUp func(*tokenSource) (route, error)) (streamReading, error) {
+	direct, err := runAndSettle(func() (streamReading, error) { return measureStreams(ctx, n, setUpDirect) })
 	if err != nil {
 		return streamReading{}, errors.Wrap(err, "direct")
 	}
-	relayed, err := measureStreams(ctx, n, lay)
+	relayed, err := measureStreams(ctx, n, setUp)
 	if err != nil {
 		return streamReading{}, errors.Wrap(err, "relayed")
 	}
-	return relayed.less(direct), nil
+	return relayed.minus(direct), nil
 }
 
-func layDirect(src *tokenSource) (route, error) {
+func setUpDirect(src *tokenSource) (route, error) {
 	url, stop, err := serve(src)
 	return route{url: url, header: make(http.Header), stop: stop}, err
 }
 
-// layRouter puts a router before the source, which stands for an agent.
-func layRouter(src *tokenSource) (route, error) {
+// setUpRouter sets up a router in front of the source, which replaces an agent.
+func setUpRouter(src *tokenSource) (route, error) {
 	origin, stopOrigin, err := serve(src)
 	if err != nil {
 		return route{}, err
@@ -98,8 +98,8 @@
 		Scheme:       "http",
 		Retry:        retry.Naive{Max: relayAttempts},
 		BodyTimeout:  handshakeTimeout,
-		MaxOpen:      relayOpen,
-		MaxBodyBytes: relayOpen * relayBodyLimit,
+		MaxOpen:      relayMaxOpen,
+		MaxBodyBytes: relayMaxOpen * relayBodyLimit,
 		Log:          zerolog.Nop(),
 		Metrics:      prometheus.NewRegistry(),
 	})
@@ -114,7 +114,7 @@
 	}}, err
 }
 
-// relaySnapshot has one endpoint, and a team without limits.
+// relaySnapshot returns a snapshot with one endpoint and a team without limits.
 func relaySnapshot(address string) *bundle.Snapshot {
 	b := makeBundle(shape{endpoints: 1, teams: 1})
 	b.Endpoints[0].Address = address
@@ -122,8 +122,8 @@
 	return bundle.NewSnapshot(b)
 }
 
-// layAgent puts an agent before the source, which stands for its engine.
-func layAgent(src *tokenSource) (route, error) {
+// setUpAgent sets up an agent in front of the source, which replaces its engine.
+func setUpAgent(src *tokenSource) (route, error) {
 	origin, stopOrigin, err := serve(src)
 	if err != nil {
 		return route{}, err
@@ -133,7 +133,7 @@
 	ag := agent.New(agent.Config{
 		Endpoint: name,
 		Engine:   agent.Engine{URL: origin},
-		Policy:   tiered.New(tiered.Config{Slots: relayOpen}),
+		Policy:   tiered.New(tiered.Config{Slots: relayMaxOpen}),
 		MaxBody:  relayBodyLimit,
 		Log:      zerolog.Nop(),
 		Metrics:  prometheus.NewRegistry(),
--- a/internal/capacity/slopes/report.go
+++ b/internal/capacity/slopes/report.go
@@ -22,8 +22,8 @@
 	}}
 }
 
-// busyReport is the report of a loaded endpoint; its seq is a time in
-// nanoseconds, as agents number them.
+// busyReport returns the report of a loaded endpoint. As in agents, Seq is a time
+// in nanoseconds.
 func busyReport(i int) load.Report {
 	r := load.Report{Seq: uint64(issued.UnixNano()) + uint64(i), Slots: slotsOfEndpoint, DrainPerSecond: 18.918918918918919}
 	for tier := range bundleTiers {
@@ -33,8 +33,8 @@
 	return r
 }
 
-// measureReports returns bytes, processor time to encode and to decode n
-// reports.
+// measureReports returns the bytes of n reports and the CPU time to encode and to
+// decode them.
 func measureReports(n int) ([]float64, error) {
 	headers, err := encodeReports(n)
 	if err != nil {
@@ -44,14 +44,14 @@
 	for _, h := range headers {
 		bytes += len(wire.HeaderLoad) + len(h.Get(wire.HeaderLoad))
 	}
-	encode, err := cpuEach(func() error {
+	encode, err := cpuPerCall(func() error {
 		_, err := encodeReports(n)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	decode, err := cpuEach(func() error { return decodeReports(headers) })
+	decode, err := cpuPerCall(func() error { return decodeReports(headers) })
 	return []float64{float64(bytes), encode, decode}, err
 }
 
--- a/internal/capacity/slopes/rpc.go
+++ b/internal/capacity/slopes/rpc.go
@@ -16,8 +16,8 @@
 	"coveferry/internal/identity"
 )
 
-// sides is how many ends of a connection run in the measuring process.
-const sides = 2
+// endsPerConn is the number of ends of a connection in the measuring process.
+const endsPerConn = 2
 
 func rpcProbes() []probe {
 	return []probe{
@@ -34,8 +34,8 @@
 	}
 }
 
-// callProbe measures calls of one kind: the channel compresses those above half
-// a kilobyte, so that one line doesn't fit all.
+// callProbe returns a probe of small or of compressed calls. They need separate
+// lines, since the channel compresses payloads from 512 bytes.
 func callProbe(name string, sizes []int, bytes, cpu capacity.SlopeID, kind string) probe {
 	return probe{
 		name:  name,
@@ -48,21 +48,22 @@
 	}
 }
 
-// payload is the parameter of a call; the reply is empty.
+// payload is the parameter of a call. The reply is empty.
 type payload struct {
 	Data string `json:"data"`
 }
 
 var methodEcho = control.NewMethod[payload, struct{}]("capacity.echo", identity.RoleRouter)
 
-// textOf makes n characters of text that doesn't compress or need escapes.
-func textOf(n int) string {
+// randomText returns n characters of incompressible text that needs no escaping.
+func randomText(n int) string {
 	raw := make([]byte, n)
 	rand.Read(raw)
 	return base64.RawURLEncoding.EncodeToString(raw)[:n]
 }
 
-// controlPeers are a server of the control channel and what clients need.
+// controlPeers is a server of the control channel with the configuration of its
+// clients.
 type controlPeers struct {
 	server *control.Server
 	client control.ClientConfig
@@ -88,7 +89,7 @@
 	control.Register(p.server, methodEcho, func(context.Context, identity.Peer, payload) (struct{}, error) {
 		return struct{}{}, nil
 	})
-	go p.server.Run() // ends with Stop
+	go p.server.Run() // returns after Stop
 	return p, nil
 }
 
@@ -97,7 +98,7 @@
 
 func (p *controlPeers) bytes() uint64 { return p.client.Traffic.Sent() + p.client.Traffic.Received() }
 
-// measureRPC returns the bytes and the processor time of a call with n bytes.
+// measureRPC returns the bytes and the CPU time of a call with an n-byte payload.
 func measureRPC(ctx context.Context, n int) ([]float64, error) {
 	p, err := newControlPeers()
 	if err != nil {
@@ -106,7 +107,7 @@
 	defer p.Close()
 	client := control.NewClient(p.client, p.target)
 	defer client.Close()
-	params := payload{Data: textOf(n)}
+	params := payload{Data: randomText(n)}
 	call := func() error {
 		_, err := control.Call(ctx, client, methodEcho, params)
 		return err
@@ -120,11 +121,11 @@
 		return nil, err
 	}
 	bytes := float64(p.bytes() - before)
-	cpu, err := cpuEach(call)
-	return []float64{bytes, cpu / sides}, err
+	cpu, err := cpuPerCall(call)
+	return []float64{bytes, cpu / endsPerConn}, err
 }
 
-// measureControlConns returns the memory of one side of n idle connections.
+// measureControlConns returns the memory of one end of n idle connections.
 func measureControlConns(ctx context.Context, n int) ([]float64, error) {
 	var open closers
 	memory, err := memoryOf(func() (any, error) {
@@ -133,7 +134,7 @@
 		return open, err
 	})
 	open.Close()
-	return []float64{memory / sides}, err
+	return []float64{memory / endsPerConn}, err
 }
 
 func openControlConns(ctx context.Context, n int) (closers, error) {
@@ -152,8 +153,8 @@
 	return open, nil
 }
 
-// wireBytes is what a message of several texts takes on the control channel,
-// which compresses it, with its reply.
+// wireBytes returns the bytes of a message of several texts on the control
+// channel, which compresses it, including the reply.
 func wireBytes(ctx context.Context, texts ...[]byte) (float64, error) {
 	p, err := newControlPeers()
 	if err != nil {
--- a/internal/capacity/slopes/sched.go
+++ b/internal/capacity/slopes/sched.go
@@ -23,8 +23,8 @@
 	}}
 }
 
-// newPolicy is the policy of an agent, with its bounds out of the way. The
-// clock stands still, so that nothing can be refused for being late.
+// newPolicy returns the policy of an agent without queue limits and early
+// refusal. The measurement uses a fixed time, so no job is refused as late.
 func newPolicy() sched.Policy {
 	return tiered.New(tiered.Config{
 		Slots:   slotsOfEndpoint,
@@ -46,8 +46,8 @@
 	}
 }
 
-// measureSched returns the processor time of one decision and the memory of
-// the policy, with n jobs waiting.
+// measureSched returns the CPU time of one decision and the memory of the policy,
+// with n waiting jobs.
 func measureSched(n int) ([]float64, error) {
 	memory, err := memoryOf(func() (any, error) { return newLoadedPolicy(n) })
 	if err != nil {
@@ -57,11 +57,11 @@
 	if err != nil {
 		return nil, err
 	}
-	cpu, err := cpuEach(p.turn)
+	cpu, err := cpuPerCall(p.replaceOldest)
 	return []float64{cpu, memory}, err
 }
 
-// loadedPolicy is a policy with all slots taken and a queue of a set length.
+// loadedPolicy is a policy with all slots in use and a queue of constant length.
 type loadedPolicy struct {
 	sched.Policy
 	running []sched.JobID // oldest first
@@ -85,12 +85,12 @@
 		return errors.Newf("job %d was refused: %s", p.offered, v.Reason)
 	}
 	p.offered++
-	p.pump()
+	p.startNext()
 	return nil
 }
 
-// pump notes what starts. Jobs that are preempted go back to the queue.
-func (p *loadedPolicy) pump() {
+// startNext executes the policy's decisions. Preempted jobs return to the queue.
+func (p *loadedPolicy) startNext() {
 	for d := p.Next(p.now); d.Action != sched.ActionNone; d = p.Next(p.now) {
 		switch d.Action {
 		case sched.ActionStart:
@@ -111,14 +111,14 @@
 	}
 }
 
-// turn lets the oldest running job finish and offers a new one.
-func (p *loadedPolicy) turn() error {
+// replaceOldest finishes the oldest running job and offers a new one.
+func (p *loadedPolicy) replaceOldest() error {
 	if len(p.running) == 0 {
 		return errors.New("no job is running")
 	}
 	id := p.running[0]
 	p.running = p.running[1:]
 	p.Finish(p.now, id)
-	p.pump()
+	p.startNext()
 	return p.offer()
 }
--- a/internal/capacity/slopes/sections.go
+++ b/internal/capacity/slopes/sections.go
@@ -9,12 +9,12 @@
 	"coveferry/internal/capacity"
 )
 
-// changesSampled is how many endpoints are changed in turn for the mean size
-// of a change; sections differ in length.
+// changesSampled is the number of endpoints changed in turn to determine the mean
+// size of a change, since sections differ in length.
 const changesSampled = 16
 
-// sectionsMeasured is what measureSections returns.
-var sectionsMeasured = []measured{
+// sectionsMeasured describes the results of measureSections.
+var sectionsMeasured = []seriesSpec{
 	{"one changed endpoint: signed manifest and its section", capacity.UnitBytes},
 	{"snapshot joined from sections", capacity.UnitBytes},
 	{"snapshot after one change, beside the one before", capacity.UnitBytes},
@@ -39,19 +39,19 @@
 	}
 }
 
-// sectioned is a bundle as it travels in sections.
-type sectioned struct {
+// sectionedBundle is a signed manifest with the sections of a bundle.
+type sectionedBundle struct {
 	src, sig []byte
 	keys     []bundle.PublicKey
 	sections map[bundle.Digest][]byte
 }
 
-func (s sectioned) accept(current *bundle.Snapshot) (*bundle.Snapshot, error) {
+func (s sectionedBundle) accept(current *bundle.Snapshot) (*bundle.Snapshot, error) {
 	return bundle.AcceptSections(issued, current, s.src, s.sig, s.keys, s.sections)
 }
 
-// texts are all that travels.
-func (s sectioned) texts() [][]byte {
+// texts returns the manifest, its signature and the sections.
+func (s sectionedBundle) texts() [][]byte {
 	out := [][]byte{s.src, s.sig}
 	for _, text := range s.sections {
 		out = append(out, text)
@@ -59,8 +59,8 @@
 	return out
 }
 
-// without leaves out the sections that another bundle has.
-func (s sectioned) without(other sectioned) sectioned {
+// without returns the bundle without the sections that another bundle has.
+func (s sectionedBundle) without(other sectionedBundle) sectionedBundle {
 	changed := make(map[bundle.Digest][]byte)
 	for d, text := range s.sections {
 		if _, have := other.sections[d]; !have {
@@ -71,32 +71,33 @@
 	return s
 }
 
-// sectioner signs versions of one bundle.
-type sectioner struct {
+// versionSigner creates signed versions of one bundle.
+type versionSigner struct {
 	shape shape
 	pub   bundle.PublicKey
 	key   bundle.PrivateKey
 }
 
-// version makes a version in which the slots of one endpoint are their own.
-func (m sectioner) version(number uint64, changed int) sectioned {
+// version returns a version in which one endpoint has a different number of
+// slots.
+func (m versionSigner) version(number uint64, changed int) sectionedBundle {
 	b := makeBundle(m.shape)
 	b.Version = number
 	b.Endpoints[changed].Slots += int(number)
 	manifest, sections := bundle.Split(b)
 	src, sig := bundle.SignManifest(&manifest, m.key)
-	return sectioned{src: src, sig: sig, keys: []bundle.PublicKey{m.pub}, sections: sections}
+	return sectionedBundle{src: src, sig: sig, keys: []bundle.PublicKey{m.pub}, sections: sections}
 }
 
-// measureSections returns the bytes of a change, the memory of a joined
-// snapshot and of the next one beside it, the processor time of a change, and
-// its bytes on the control channel.
+// measureSections returns the bytes of a change, the memory of a joined snapshot
+// and the additional memory of the next one, the CPU time of a change, and its
+// bytes on the control channel.
 func measureSections(ctx context.Context, of shape) ([]float64, error) {
 	pub, key, err := bundle.GenerateKey(rand.Reader)
 	if err != nil {
 		return nil, err
 	}
-	m := sectioner{of, pub, key}
+	m := versionSigner{of, pub, key}
 	first := m.version(1, 0)
 	var current *bundle.Snapshot
 	joined, err := memoryOf(func() (any, error) {
@@ -111,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cpu, err := cpuEach(func() error {
+	cpu, err := cpuPerCall(func() error {
 		_, err := change.accept(current)
 		return err
 	})
@@ -119,11 +120,11 @@
 		return nil, err
 	}
 	wire, err := wireBytes(ctx, change.texts()...)
-	return []float64{m.meanChange(first), joined, next, cpu, wire}, err
+	return []float64{m.meanChangeBytes(first), joined, next, cpu, wire}, err
 }
 
-// meanChange is the mean size of a change of one endpoint.
-func (m sectioner) meanChange(first sectioned) float64 {
+// meanChangeBytes returns the mean size of a change of one endpoint.
+func (m versionSigner) meanChangeBytes(first sectionedBundle) float64 {
 	total := 0
 	for i := range changesSampled {
 		at := i * m.shape.endpoints / changesSampled
--- a/internal/capacity/slopes/slopes.go
+++ b/internal/capacity/slopes/slopes.go
@@ -1,12 +1,12 @@
-// Package slopes measures what things cost against their number: bytes of
-// memory an entry, seconds of a core a message, bytes on the wire. Each slope
-// is a least-squares line through at least four sizes, taken several times
-// over, so that its residual and its spread are known.
+// Package slopes measures costs as a function of size: memory per entry, CPU
+// seconds per message, bytes on the wire. Each slope is that of a least-squares
+// line through at least four sizes, measured several times to determine its
+// residual and its spread.
 //
-// Messages travel over loopback sockets. Memory is the live heap and the
-// goroutines' stacks after a collection, without the kernel's socket buffers.
-// Processor time is that of the whole process, the collector's included, so
-// nothing else should run in the process meanwhile.
+// Messages are sent over loopback sockets. Memory is the live heap and the
+// goroutines' stacks after garbage collection, without the kernel's socket
+// buffers. CPU time is that of the whole process, including the garbage
+// collector, so nothing else should run in the process at the same time.
 package slopes
 
 import (
@@ -18,22 +18,23 @@
 	"coveferry/internal/capacity"
 )
 
-// DefaultRepeats is how often each line is measured unless Options say so.
+// DefaultRepeats is the default of Options.Repeats.
 const DefaultRepeats = 3
 
-// ErrMeasure marks a measurement that could not be carried out.
-var ErrMeasure = errors.New("can't measure")
+// ErrMeasure marks the error of a failed measurement.
+var ErrMeasure = errors.New("measurement failed")
 
-// Options say what to measure.
+// Options configures Measure.
 type Options struct {
-	// Repeats is how often each line is measured; the default is
+	// Repeats is the number of measurements of each line; 0 means
 	// DefaultRepeats.
 	Repeats int
-	// Only limits the work to the probes with these names; empty is all.
+	// Only selects probes by name; empty means all.
 	Only []string
-	// Shrink divides all sizes, to try the probes out quickly.
+	// Shrink divides all sizes, for quick trials of the probes.
 	Shrink int
-	// Progress, which may be nil, is told the name of each probe that begins.
+	// Progress, if not nil, is called with the name of each probe before it
+	// starts.
 	Progress func(probe string)
 }
 
@@ -41,13 +42,13 @@
 type probe struct {
 	name   string
 	sizes  []int
-	series []capacity.Slope // without their values
+	series []capacity.Slope // without values
 	// measure returns one reading for each of the series at size n.
 	measure func(ctx context.Context, n int) ([]float64, error)
 }
 
-// Measure carries the probes out, one after another, and returns their slopes.
-// Errors are marked ErrMeasure.
+// Measure runs the probes sequentially and returns their slopes. Errors are
+// marked ErrMeasure.
 func Measure(ctx context.Context, o Options) ([]capacity.Slope, error) {
 	o = o.withDefaults()
 	var out []capacity.Slope
@@ -67,7 +68,7 @@
 	return out, nil
 }
 
-// Probes lists the names of the probes.
+// Probes returns the names of the probes.
 func Probes() []string {
 	var names []string
 	for _, p := range probes() {
@@ -96,7 +97,7 @@
 
 // run measures a probe's series several times and fits their lines.
 func (p probe) run(ctx context.Context, o Options) ([]capacity.Slope, error) {
-	sizes := shrunk(p.sizes, o.Shrink)
+	sizes := shrinkSizes(p.sizes, o.Shrink)
 	lines := make([][]Line, len(p.series))
 	for range o.Repeats {
 		points, err := p.points(ctx, sizes)
@@ -121,7 +122,7 @@
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		readings, err := quietly(func() ([]float64, error) { return p.measure(ctx, n) })
+		readings, err := runAndSettle(func() ([]float64, error) { return p.measure(ctx, n) })
 		if err != nil {
 			return nil, errors.Wrapf(err, "size %d", n)
 		}
@@ -132,8 +133,8 @@
 	return points, nil
 }
 
-// shrunk divides the sizes but keeps them apart.
-func shrunk(sizes []int, by int) []int {
+// shrinkSizes divides the sizes but keeps them distinct.
+func shrinkSizes(sizes []int, by int) []int {
 	out := make([]int, len(sizes))
 	for i, n := range sizes {
 		out[i] = max(n/by, i+1)
--- a/internal/capacity/slopes/slopes_test.go
+++ b/internal/capacity/slopes/slopes_test.go
@@ -20,15 +20,15 @@
 	g.Expect(line.Residual).To(gomega.BeNumerically("~", 0, 1e-9))
 }
 
-func TestResidualIsAShareOfTheMean(t *testing.T) {
+func TestResidualIsRelativeToTheMean(t *testing.T) {
 	g := gomega.NewWithT(t)
-	// Each point is 1 off the line y = 10.
+	// Each point has distance 1 from the line y = 10.
 	line := Fit([]int{1, 2, 3, 4}, []float64{9, 11, 11, 9})
 	g.Expect(line.Slope).To(gomega.BeNumerically("~", 0, 1e-9))
 	g.Expect(line.Residual).To(gomega.BeNumerically("~", 0.1, 1e-9))
 }
 
-func TestSummaryTakesTheMedianAndTheRange(t *testing.T) {
+func TestSummaryHoldsMedianAndRange(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := summarize(capacity.Slope{}, []int{1, 2, 3, 4}, []Line{{Slope: 5, Intercept: 1}, {Slope: 2}, {Slope: 3, Intercept: 7}})
 	g.Expect(s.Value).To(gomega.Equal(3.0))
@@ -36,13 +36,13 @@
 	g.Expect(s.Spread).To(gomega.Equal(capacity.Spread{Min: 2, Max: 5, Runs: 3}))
 }
 
-func TestShrunkSizesStayApart(t *testing.T) {
-	gomega.NewWithT(t).Expect(shrunk([]int{10, 20, 40, 80}, 40)).To(gomega.Equal([]int{1, 2, 3, 4}))
+func TestShrunkSizesStayDistinct(t *testing.T) {
+	gomega.NewWithT(t).Expect(shrinkSizes([]int{10, 20, 40, 80}, 40)).To(gomega.Equal([]int{1, 2, 3, 4}))
 }
 
-// TestProbesGiveAllThatTheModelNeeds takes one reading of each probe at a tiny
-// size, so that nothing is said of the figures but that they are there.
-func TestProbesGiveAllThatTheModelNeeds(t *testing.T) {
+// TestProbesMeasureAllSlopesOfTheModel takes one reading of each probe at a tiny
+// size. It checks that all readings exist, not their values.
+func TestProbesMeasureAllSlopesOfTheModel(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const tiny = 4
 	var run capacity.Run
@@ -74,7 +74,7 @@
 	g := gomega.NewWithT(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	// This probe doesn't look at the context itself.
+	// This probe ignores the context.
 	_, err := Measure(ctx, Options{Shrink: 1000, Only: []string{"pool"}})
 	g.Expect(errors.Is(err, ErrMeasure)).To(gomega.BeTrue())
 	g.Expect(errors.Is(err, context.Canceled)).To(gomega.BeTrue())
--- a/internal/capacity/slopes/state.go
+++ b/internal/capacity/slopes/state.go
@@ -15,7 +15,7 @@
 	"coveferry/internal/slo"
 )
 
-// stateProbes measure what a process remembers of requests and teams.
+// stateProbes returns the probes of the state kept for requests and teams.
 func stateProbes() []probe {
 	return []probe{
 		{
@@ -38,7 +38,7 @@
 	}
 }
 
-// measureLimits returns the memory of the use of n teams' limits.
+// measureLimits returns the memory of the limit state of n teams.
 func measureLimits(ctx context.Context, n int) ([]float64, error) {
 	teams := make([]bundle.Team, n)
 	for i := range teams {
@@ -54,7 +54,7 @@
 		}
 		return f, nil
 	})
-	runtime.KeepAlive(teams) // the bundle's, not the filter's
+	runtime.KeepAlive(teams) // owned by the bundle, not by the filter
 	return []float64{memory}, err
 }
 
--- a/internal/capacity/slopes/streams.go
+++ b/internal/capacity/slopes/streams.go
@@ -14,69 +14,70 @@
 )
 
 const (
-	// relayRounds is how many tokens each stream carries in one reading.
+	// relayRounds is the number of tokens per stream in one reading.
 	relayRounds = 40
-	// chunkText is one token as engines send it.
+	// chunkText is a token in the format of the engines.
 	chunkText = `{"id":"chatcmpl-0123456789abcdef","object":"chat.completion.chunk","created":1767225600,` +
 		`"model":"model-00","choices":[{"index":0,"delta":{"content":" token"},"finish_reason":null}]}`
-	// callBody asks for a stream.
+	// callBody is a request for a stream.
 	callBody = `{"model":"model-00","stream":true,"messages":[{"role":"user","content":"Summarise the ticket."}]}`
 )
 
-// streamReading is what n streams take: the memory of all, the processor time
-// to open all, and the processor time and bytes of one token in each.
+// streamReading is the cost of n streams: the memory and the CPU time of opening
+// all of them, and the CPU time and bytes of one token in each.
 type streamReading struct{ memory, open, token, bytes float64 }
 
-// less takes off what the callers and the origin cost.
-func (r streamReading) less(base streamReading) streamReading {
+// minus subtracts the cost of the callers and the origin.
+func (r streamReading) minus(base streamReading) streamReading {
 	return streamReading{r.memory - base.memory, r.open - base.open, r.token - base.token, r.bytes}
 }
 
-// route is a way from the callers to the source of the tokens.
+// route is a path from the callers to the source of the tokens.
 type route struct {
 	url    string
 	header http.Header
 	stop   func()
 }
 
-// measureStreams opens n streams along a route that it sets up.
-func measureStreams(ctx context.Context, n int, lay func(src *tokenSource) (route, error)) (streamReading, error) {
+// measureStreams measures n streams along the route set up by setUp.
+func measureStreams(ctx context.Context, n int, setUp func(src *tokenSource) (route, error)) (streamReading, error) {
 	before := liveMemory()
-	src := &tokenSource{rounds: make(chan *round)}
-	way, err := lay(src)
+	src := &tokenSource{rounds: make(chan *tokenRound)}
+	path, err := setUp(src)
 	if err != nil {
 		return streamReading{}, err
 	}
-	defer way.stop()
+	defer path.stop()
 	count := &counter{}
 	callers := &http.Client{Transport: countedTransport(count, n)}
 	defer callers.CloseIdleConnections()
-	open := &streams{}
+	open := &openStreams{}
 	defer open.close()
 	var r streamReading
-	r.open, err = cpuOf(func() error { return open.add(ctx, callers, way, n) })
+	r.open, err = cpuOf(func() error { return open.add(ctx, callers, path, n) })
 	if err != nil {
 		return streamReading{}, err
 	}
-	if err := open.tokens(ctx, src, 1); err != nil {
+	if err := open.relayTokens(ctx, src, 1); err != nil {
 		return streamReading{}, err
 	}
 	r.memory = liveMemory() - before
 	sent := count.bytes.Load()
-	cpu, err := cpuOf(func() error { return open.tokens(ctx, src, relayRounds) })
+	cpu, err := cpuOf(func() error { return open.relayTokens(ctx, src, relayRounds) })
 	r.token = cpu / relayRounds
 	r.bytes = float64(count.bytes.Load()-sent) / relayRounds
 	return r, err
 }
 
-// round is one token in each stream.
-type round struct{ sent sync.WaitGroup }
+// tokenRound is the sending of one token in each stream.
+type tokenRound struct{ sent sync.WaitGroup }
 
-// tokenSource is an engine that sends a token in each stream when told.
-type tokenSource struct{ rounds chan *round }
+// tokenSource is an engine stub that sends one token per stream in each round.
+type tokenSource struct{ rounds chan *tokenRound }
 
-// ServeHTTP sends a first token, without which relays hold the head of the
-// answer back, and then one for each round it takes, until the caller is gone.
+// ServeHTTP sends a first token, since relays don't forward the response header
+// before it, and then one for each round it receives, until the caller
+// disconnects.
 func (s *tokenSource) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", sse.ContentType)
 	flush := http.NewResponseController(w).Flush
@@ -84,12 +85,13 @@
 	flush()
 	for {
 		select {
-		case next := <-s.rounds:
+		case round := <-s.rounds:
 			sse.WriteData(w, chunkText)
 			flush()
-			next.sent.Done()
-			// The others take theirs before this stream takes another.
-			next.sent.Wait()
+			round.sent.Done()
+			// Wait for the other streams, so that this one doesn't take their part of
+			// the round.
+			round.sent.Wait()
 		case <-r.Context().Done():
 			return
 		}
@@ -102,24 +104,24 @@
 		return "", func() {}, err
 	}
 	srv := &http.Server{Handler: h}
-	go srv.Serve(l) // ends with Close
+	go srv.Serve(l) // returns after Close
 	return "http://" + l.Addr().String(), func() { srv.Close() }, nil
 }
 
-// streams are the callers' ends of open streams.
-type streams struct {
+// openStreams holds the callers' ends of open streams.
+type openStreams struct {
 	bodies  []io.ReadCloser
 	readers []*bufio.Reader
 }
 
 // add opens n more streams and reads the first token of each.
-func (s *streams) add(ctx context.Context, c *http.Client, way route, n int) error {
+func (s *openStreams) add(ctx context.Context, c *http.Client, path route, n int) error {
 	return repeat(n, func() error {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, way.url, strings.NewReader(callBody))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, path.url, strings.NewReader(callBody))
 		if err != nil {
 			return errors.Wrap(err, "make a request")
 		}
-		req.Header = way.header.Clone()
+		req.Header = path.header.Clone()
 		resp, err := c.Do(req)
 		if err != nil {
 			return errors.Wrap(err, "open a stream")
@@ -133,21 +135,21 @@
 	})
 }
 
-func (s *streams) close() {
+func (s *openStreams) close() {
 	for _, b := range s.bodies {
 		b.Close()
 	}
 }
 
-// tokens sends a number of tokens through each stream, one round after
-// another, so that no two tokens of a stream share a read.
-func (s *streams) tokens(ctx context.Context, src *tokenSource, rounds int) error {
+// relayTokens sends a number of tokens through each stream, one round after
+// another, so that no two tokens of a stream arrive in one read.
+func (s *openStreams) relayTokens(ctx context.Context, src *tokenSource, rounds int) error {
 	return repeat(rounds, func() error {
-		next := &round{}
-		next.sent.Add(len(s.readers))
+		round := &tokenRound{}
+		round.sent.Add(len(s.readers))
 		for range s.readers {
 			select {
-			case src.rounds <- next:
+			case src.rounds <- round:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
--- a/internal/capacity/slopes/watch.go
+++ b/internal/capacity/slopes/watch.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// watchStandIn is what takes the place of the platform's service.
-	watchStandIn = "the stand-in of the configuration service, internal/standin/configsvc"
-	// watchChanges is how many changes one reading takes.
+	// watchSubstitute describes what replaces the platform's service.
+	watchSubstitute = "the stand-in of the configuration service, internal/standin/configsvc"
+	// watchChanges is the number of changes in one reading.
 	watchChanges = 20
 	watchValue   = 64 // bytes
 	watchKey     = "bundle"
-	// watchRate keeps the service's limit out of the way.
+	// watchRate is a rate limit too high to have an effect.
 	watchRate = 1 << 20
 )
 
@@ -30,21 +30,21 @@
 		name:  "watch",
 		sizes: []int{10, 20, 40, 80},
 		series: []capacity.Slope{
-			{ID: capacity.WatchBytes, Title: "one change told to a waiting watch, then renewed", Unit: capacity.UnitBytes, Per: "watcher", StandIn: watchStandIn},
-			{ID: capacity.WatchCPU, Title: "one change told to a waiting watch, service and watcher", Unit: capacity.UnitSeconds, Per: "watcher", StandIn: watchStandIn},
+			{ID: capacity.WatchBytes, Title: "one change told to a waiting watch, then renewed", Unit: capacity.UnitBytes, Per: "watcher", Substitute: watchSubstitute},
+			{ID: capacity.WatchCPU, Title: "one change told to a waiting watch, service and watcher", Unit: capacity.UnitSeconds, Per: "watcher", Substitute: watchSubstitute},
 		},
 		measure: measureWatch,
 	}}
 }
 
-// arrivals tells when watches arrive at the service.
-type arrivals struct {
+// watchBarrier blocks watches at the service until await counts them.
+type watchBarrier struct {
 	service http.Handler
 	begun   chan struct{}
 }
 
-// ServeHTTP notes a watch before it is served.
-func (a *arrivals) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP serves a watch after await has counted it.
+func (a *watchBarrier) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
 	case a.begun <- struct{}{}:
 		a.service.ServeHTTP(w, r)
@@ -52,8 +52,8 @@
 	}
 }
 
-// await waits until a number of watches have begun.
-func (a *arrivals) await(ctx context.Context, watchers int) error {
+// await waits until a number of watches have arrived, and unblocks them.
+func (a *watchBarrier) await(ctx context.Context, watchers int) error {
 	for range watchers {
 		select {
 		case <-a.begun:
@@ -64,12 +64,11 @@
 	return nil
 }
 
-// measureWatch returns the bytes and the processor time of one change with n
-// watchers.
+// measureWatch returns the bytes and the CPU time of one change with n watchers.
 func measureWatch(ctx context.Context, n int) ([]float64, error) {
 	service := configsvc.New(configsvc.Config{ReadsPerSecond: watchRate, Burst: watchRate})
-	seen := &arrivals{service: service.Handler(), begun: make(chan struct{})}
-	url, stop, err := serve(seen)
+	barrier := &watchBarrier{service: service.Handler(), begun: make(chan struct{})}
+	url, stop, err := serve(barrier)
 	if err != nil {
 		return nil, err
 	}
@@ -79,10 +78,10 @@
 	defer client.CloseIdleConnections()
 	cpu, err := cpuOf(func() error {
 		return watchAll(ctx, client, url+configsvc.PathValues+watchKey, n, func() error {
-			if err := seen.await(ctx, n); err != nil {
+			if err := barrier.await(ctx, n); err != nil {
 				return err
 			}
-			_, err := service.Publish(watchKey, []byte(textOf(watchValue)))
+			_, err := service.Publish(watchKey, []byte(randomText(watchValue)))
 			return err
 		})
 	})
@@ -90,8 +89,8 @@
 	return []float64{bytes / watchChanges, cpu / watchChanges}, err
 }
 
-// watchAll lets n watchers see a number of changes. A watch that comes after
-// its change is answered at once.
+// watchAll makes watchChanges changes that n watchers receive. A watch that
+// arrives after its change is answered immediately.
 func watchAll(ctx context.Context, client *http.Client, url string, n int, change func() error) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for range n {
--- a/internal/capacity/table.go
+++ b/internal/capacity/table.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Table is a part of a report in words, ready to be laid out.
+// Table is a part of a report as formatted text cells.
 type Table struct {
 	// ID is unique within a report.
 	ID     string
@@ -14,7 +14,7 @@
 	Rows   [][]string
 }
 
-// Tables puts the whole report in words.
+// Tables formats the whole report.
 func (r Report) Tables() []Table {
 	tables := []Table{r.derivedTable(), r.settingsTable()}
 	for _, role := range Roles() {
@@ -29,7 +29,7 @@
 func (r Report) derivedTable() Table {
 	t := Table{ID: "derived", Title: "What follows from the figures", Header: []string{"load", "value", "from"}}
 	for _, d := range r.Derived {
-		t.Rows = append(t.Rows, []string{d.Name, withUnit(d.Value.Value, d.Unit), words(d.Value.Sources)})
+		t.Rows = append(t.Rows, []string{d.Name, withUnit(d.Value.Value, d.Unit), joinSources(d.Value.Sources)})
 	}
 	return t
 }
@@ -47,8 +47,8 @@
 	}
 }
 
-// words names each kind of source once, with all its inputs.
-func words(sources []Source) string {
+// joinSources formats sources, grouped by kind.
+func joinSources(sources []Source) string {
 	var parts []string
 	last := ""
 	for _, s := range sources {
@@ -82,7 +82,7 @@
 	return t
 }
 
-// rowHeader is the header of the tables of rows.
+// rowHeader is the header of tables of rows.
 var rowHeader = []string{
 	"what", "number", "each", "memory", "bytes/s", "of a core", "of its allowance", "verdict", "mechanism", "stage", "from",
 }
@@ -110,23 +110,23 @@
 	return t
 }
 
-// cells are the columns of rowHeader.
+// cells returns the columns of rowHeader.
 func (r Row) cells() []string {
 	return []string{
-		r.words(), r.number(), r.each(), r.shown(r.Memory(), FormatBytes), r.shown(r.Bandwidth(), FormatBytes),
-		r.shown(r.CPU(), FormatPercent), r.shareCell(), string(r.Verdict), r.Mechanism.words(), string(r.Stage),
-		words(r.sources()),
+		r.description(), r.number(), r.each(), r.formatNonZero(r.Memory(), FormatBytes), r.formatNonZero(r.Bandwidth(), FormatBytes),
+		r.formatNonZero(r.CPU(), FormatPercent), r.shareCell(), string(r.Verdict), r.Mechanism.description(), string(r.Stage),
+		joinSources(r.sources()),
 	}
 }
 
-func (r Row) words() string {
+func (r Row) description() string {
 	if r.Note == "" {
 		return r.Item
 	}
 	return r.Item + " (" + r.Note + ")"
 }
 
-// isState reports whether the row is held rather than sent or done.
+// isState reports whether the row describes state rather than messages or work.
 func (r Row) isState() bool { return len(r.PerSecond.Sources) == 0 }
 
 func (r Row) number() string {
@@ -138,7 +138,7 @@
 
 func perSecond(q Quantity) string {
 	if !q.Known() {
-		return notGiven
+		return unknownText
 	}
 	return FormatNumber(q.Value) + "/s"
 }
@@ -157,8 +157,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// shown leaves out what a row doesn't have.
-func (r Row) shown(q Quantity, format func(float64) string) string {
+// formatNonZero formats a quantity; empty if it is 0.
+func (r Row) formatNonZero(q Quantity, format func(float64) string) string {
 	if q.Value == 0 {
 		return ""
 	}
@@ -169,17 +169,17 @@
 	if r.Verdict == VerdictNone {
 		return ""
 	}
-	return shareWords(r.Worst)
+	return formatShare(r.Worst)
 }
 
-func shareWords(s Share) string {
+func formatShare(s Share) string {
 	if s.Resource == "" || !s.Ratio.Known() {
 		return formatTimes(s)
 	}
 	return formatTimes(s) + " " + string(s.Resource)
 }
 
-func (m Mechanism) words() string {
+func (m Mechanism) description() string {
 	if m.File == "" {
 		return m.Name
 	}
@@ -214,7 +214,7 @@
 	for _, row := range r.Service {
 		t.Rows = append(t.Rows, []string{
 			row.Item, string(row.Plan), withUnit(row.Value.Value, row.Unit), withUnit(row.Limit.Value, row.Unit),
-			formatTimes(row.Share), string(row.Verdict), row.Note, words(row.Value.Sources),
+			formatTimes(row.Share), string(row.Verdict), row.Note, joinSources(row.Value.Sources),
 		})
 	}
 	return t
@@ -227,7 +227,7 @@
 		if !row.After.Ratio.Known() {
 			after = "not worked out"
 		}
-		t.Rows = append(t.Rows, []string{row.Name, string(row.Plan), shareWords(row.Share), row.Mend, row.Cost, after})
+		t.Rows = append(t.Rows, []string{row.Name, string(row.Plan), formatShare(row.Share), row.Remedy, row.Cost, after})
 	}
 	return t
 }
@@ -241,8 +241,8 @@
 			continue
 		}
 		t.Rows = append(t.Rows, []string{
-			row.Event, FormatNumber(row.LostRouters.Value), FormatNumber(row.LostAgents.Value), FormatPercent(row.Kept.Value),
-			FormatNumber(row.Broken.Value), FormatSeconds(row.Repeats.Value), perSecond(row.Refused), row.Tier,
+			row.Event, FormatNumber(row.LostRouters.Value), FormatNumber(row.LostAgents.Value), FormatPercent(row.CapacityKept.Value),
+			FormatNumber(row.BrokenStreams.Value), FormatSeconds(row.Repeats.Value), perSecond(row.Refused), row.Tier,
 		})
 	}
 	return t
@@ -254,8 +254,8 @@
 	}}
 	for _, row := range r.Failures {
 		t.Rows = append(t.Rows, []string{
-			row.Event, string(row.Plan), FormatNumber(row.Handshakes.Value), FormatNumber(row.Worst.Value),
-			FormatSeconds(row.WorstCPU.Value), FormatSeconds(row.Recovery.Value), FormatSeconds(row.ReadSeconds.Value),
+			row.Event, string(row.Plan), FormatNumber(row.Handshakes.Value), FormatNumber(row.MaxHandshakes.Value),
+			FormatSeconds(row.MaxHandshakeCPU.Value), FormatSeconds(row.Recovery.Value), FormatSeconds(row.ReadSeconds.Value),
 		})
 	}
 	return t
@@ -265,15 +265,15 @@
 	t := Table{ID: "breaks", Title: "What breaks first as the fleet grows", Header: []string{"what", "plan", "breaks at", "share now", "at twice", "at ten times"}}
 	for _, row := range r.Breaks {
 		t.Rows = append(t.Rows, []string{
-			row.Name, string(row.Plan), row.when(), shareWords(row.Now), formatTimes(row.AtTwice), formatTimes(row.AtTen),
+			row.Name, string(row.Plan), row.breaksAt(), formatShare(row.Now), formatTimes(row.AtTwice), formatTimes(row.AtTen),
 		})
 	}
 	return t
 }
 
-func (r BreakRow) when() string {
+func (r BreakRow) breaksAt() string {
 	switch at := r.At.Value; {
-	case at <= leastFactor*roundingSlack:
+	case at <= minFactor*roundingSlack:
 		return "over at any size"
 	case at < 1:
 		return fmt.Sprintf("over already, from %s× the size", FormatNumber(at))
@@ -300,7 +300,7 @@
 	spread := fmt.Sprintf("%s to %s in %d", FormatSlope(s, s.Spread.Min), FormatSlope(s, s.Spread.Max), s.Spread.Runs)
 	return []string{
 		string(s.ID), s.Title, FormatSlope(s, s.Value), s.Per, spread, FormatSlope(s, s.Intercept),
-		strings.Join(sizes, " "), FormatPercent(s.Residual), s.StandIn, fmt.Sprint(run),
+		strings.Join(sizes, " "), FormatPercent(s.Residual), s.Substitute, fmt.Sprint(run),
 	}
 }
 
--- a/internal/capacity/totals.go
+++ b/internal/capacity/totals.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Total is what a role spends of one resource on control under one plan.
+// Total is the usage of one resource by a role's control plane under one plan.
 type Total struct {
 	Role      Role     `json:"role"`
 	Plan      Plan     `json:"plan"`
@@ -16,8 +16,8 @@
 	Verdict   Verdict  `json:"verdict"`
 }
 
-// totals adds up the control rows of each role that has an allowance. A reader
-// is a router or an agent as well; its total takes in the agent's rows.
+// totals sums up the control rows of each role that has an allowance. A reader is
+// also a router or an agent; its total includes the agent's rows.
 func (m *model) totals(rows []Row) []Total {
 	var out []Total
 	for _, role := range []Role{RoleRouter, RoleAgent, RoleReader} {
@@ -43,7 +43,7 @@
 	}
 	t := Total{Role: role, Plan: plan, Resource: res, Allowance: m.allowance.Of(res)}
 	for _, r := range rows {
-		if slices.Contains(roles, r.Role) && r.Plane == PlaneControl && r.in(plan) {
+		if slices.Contains(roles, r.Role) && r.Plane == PlaneControl && r.inPlan(plan) {
 			t.Amount = t.Amount.Plus(r.Amount(res))
 		}
 	}
@@ -55,8 +55,8 @@
 	return t
 }
 
-// ServiceRow is what the configuration service or a change's way to every
-// process takes of a limit.
+// ServiceRow compares a load of the configuration service, or the propagation of
+// a change to every process, with its limit.
 type ServiceRow struct {
 	ID      RowID    `json:"id"`
 	Plan    Plan     `json:"plan"`
@@ -69,8 +69,8 @@
 	Note    string   `json:"note,omitempty"`
 }
 
-// readsPerChange are the calls a reader makes for one change: the watch that
-// returns the value and is renewed, and with sections one read more.
+// The calls of a reader for one change: the watch, which returns the value and is
+// renewed, and with sections one additional read.
 const (
 	readsPerChangeWhole    = 1
 	readsPerChangeSections = 2
@@ -78,25 +78,25 @@
 
 func (m *model) service() []ServiceRow {
 	l, f := m.loads, m.figures
-	whole := l.readersMesh.Scale(readsPerChangeWhole)
-	few := l.readersDesign.Scale(readsPerChangeSections)
+	wholeReads := l.readersMesh.Scale(readsPerChangeWhole)
+	sectionReads := l.readersDesign.Scale(readsPerChangeSections)
 	rows := []ServiceRow{
 		{ID: "service.reads.all", Plan: PlanToday, Item: "calls at the mean rate of changes, every process watching",
-			Value: whole.Times(l.changes), Limit: f.serviceReads, Unit: "calls/s", Note: "no process reads the service yet; this is what each doing so would take"},
+			Value: wholeReads.Times(l.changes), Limit: f.serviceReads, Unit: "calls/s", Note: "no process reads the service yet; this is what each doing so would take"},
 		{ID: "service.burst.all", Plan: PlanToday, Item: "calls at one change a second, every process watching",
-			Value: whole, Limit: f.serviceReads, Unit: "calls/s", Note: "changes come in bursts; the letter gives only the sum of a day"},
+			Value: wholeReads, Limit: f.serviceReads, Unit: "calls/s", Note: "changes come in bursts; the letter gives only the sum of a day"},
 		{ID: "service.value.whole", Plan: PlanToday, Item: "whole bundle as one value",
 			Value: l.bundle, Limit: f.serviceValue, Unit: "B"},
 		{ID: "service.force.all", Plan: PlanToday, Item: "time until every process has read one change",
-			Value: whole.Per(f.serviceReads), Limit: f.inForce, Unit: "s", Note: "the service's rate alone; network and retries come on top"},
+			Value: wholeReads.Per(f.serviceReads), Limit: f.inForce, Unit: "s", Note: "the service's rate alone; network and retries come on top"},
 		{ID: "service.reads.few", Plan: PlanDesign, Item: "calls at the mean rate of changes, few readers",
-			Value: few.Times(l.changes), Limit: f.serviceReads, Unit: "calls/s"},
+			Value: sectionReads.Times(l.changes), Limit: f.serviceReads, Unit: "calls/s"},
 		{ID: "service.burst.few", Plan: PlanDesign, Item: "calls at one change a second, few readers",
-			Value: few, Limit: f.serviceReads, Unit: "calls/s"},
+			Value: sectionReads, Limit: f.serviceReads, Unit: "calls/s"},
 		{ID: "service.value.section", Plan: PlanDesign, Item: "manifest with one changed section",
 			Value: l.change, Limit: f.serviceValue, Unit: "B"},
 		{ID: "service.force.links", Plan: PlanDesign, Item: "processor time on the way to the last process",
-			Value: m.stepsSeconds(), Limit: f.inForce, Unit: "s", Note: "no network time: the letter gives no round-trip times at this size"},
+			Value: m.propagationSeconds(), Limit: f.inForce, Unit: "s", Note: "no network time: the letter gives no round-trip times at this size"},
 	}
 	for i := range rows {
 		rows[i].Share = Share{Ratio: rows[i].Value.Per(rows[i].Limit)}
@@ -105,10 +105,10 @@
 	return rows
 }
 
-// stepsSeconds is the work on the way of one change from the readers to the
-// last process: at each step a process handles it and passes it on to all its
-// links but the one it came by.
-func (m *model) stepsSeconds() Quantity {
+// propagationSeconds returns the CPU time on the path of one change from the
+// readers to the last process. At each hop a process applies the change and
+// forwards it on all its links except the one that it arrived on.
+func (m *model) propagationSeconds() Quantity {
 	onward := m.settings.partners.Scale(2).Offset(-1)
 	offer := m.callCPU(m.settings.offerBytes)
 	step := m.loads.applyChange.Plus(onward.Times(offer.Plus(m.callCPU(m.loads.change))))
