--- a/internal/bench/arrivals/capacity.go
+++ b/internal/bench/arrivals/capacity.go
@@ -24,21 +24,21 @@
 	PrefillPerToken time.Duration
 }
 
-// Step returns the duration of a decode step with all slots in use.
-func (s Shape) Step() time.Duration {
+// StepTime returns the duration of a decode step with all slots in use.
+func (s Shape) StepTime() time.Duration {
 	return s.TokenTime + time.Duration(s.Slots-1)*s.BatchSlope
 }
 
 // TokensPerSecond returns the decode throughput of all engines with all slots in
 // use.
 func (s Shape) TokensPerSecond() float64 {
-	return float64(s.Engines*s.Slots) / s.Step().Seconds()
+	return float64(s.Engines*s.Slots) / s.StepTime().Seconds()
 }
 
 // RequestsPerSecond returns the rate of a user's requests that the engines can
 // answer without prefix-cache hits.
 func (s Shape) RequestsPerSecond(u User) float64 {
-	decode := MeanTokens(u) * s.Step().Seconds() / float64(s.Slots)
+	decode := MeanTokens(u) * s.StepTime().Seconds() / float64(s.Slots)
 	prefill := meanPromptTokens(u) * s.PrefillPerToken.Seconds()
 	return float64(s.Engines) / (decode + prefill)
 }
@@ -48,7 +48,7 @@
 func (s Shape) Load(list []Arrival, d time.Duration) float64 {
 	work := 0.0
 	for _, a := range list {
-		decode := float64(a.Tokens) * s.Step().Seconds() / float64(s.Slots)
+		decode := float64(a.Tokens) * s.StepTime().Seconds() / float64(s.Slots)
 		prefill := float64(len(a.Prompt)) / bytesPerToken * s.PrefillPerToken.Seconds()
 		work += decode + prefill
 	}
--- a/internal/bench/arrivals/prompt.go
+++ b/internal/bench/arrivals/prompt.go
@@ -22,20 +22,20 @@
 type prefixKey struct{ team, class string }
 
 func newSharedPrompts(m Mix) sharedPrompts {
-	d := sharedPrompts{words: make(map[string]int), prefixes: make(map[prefixKey]string)}
+	p := sharedPrompts{words: make(map[string]int), prefixes: make(map[prefixKey]string)}
 	for _, c := range m.Classes() {
-		d.words[c.Name] = c.PromptWords
+		p.words[c.Name] = c.PromptWords
 	}
-	return d
+	return p
 }
 
 // prompt returns the shared prefix followed by the request's own part.
-func (d sharedPrompts) prompt(a *Arrival) string {
+func (p sharedPrompts) prompt(a *Arrival) string {
 	key := prefixKey{a.Team, a.Class}
-	text, ok := d.prefixes[key]
+	text, ok := p.prefixes[key]
 	if !ok {
-		text = sharedPrefix(key, d.words[a.Class])
-		d.prefixes[key] = text
+		text = sharedPrefix(key, p.words[a.Class])
+		p.prefixes[key] = text
 	}
 	return fmt.Sprintf("%s[[id=%s]] [[tokens=%d]]", text, a.ID, a.Tokens)
 }
--- a/internal/bench/check/check.go
+++ b/internal/bench/check/check.go
@@ -66,29 +66,29 @@
 
 // Example is a request with a violation.
 type Example struct {
-	Fault   Fault  `json:"fault"`
-	Request string `json:"request"`
+	Violation Violation `json:"fault"`
+	Request   string    `json:"request"`
 	// End, Code and Tokens are taken from the request's outcome, if any.
 	End    client.End `json:"end,omitempty"`
 	Code   string     `json:"code,omitempty"`
 	Tokens int        `json:"tokens,omitempty"`
 }
 
-// Fault is a kind of violation, named as in the JSON of Counts.
-type Fault string
+// Violation is a kind of violation, named as in the JSON of Counts.
+type Violation string
 
 // The kinds of violations.
 const (
-	FaultLost             Fault = "lost"
-	FaultDoubled          Fault = "doubled"
-	FaultMixed            Fault = "mixed"
-	FaultTruncatedAsWhole Fault = "truncated_as_whole"
-	FaultFalseNotRun      Fault = "false_not_run"
-	FaultSecondRun        Fault = "second_runs"
-	FaultUnknownRun       Fault = "unknown_runs"
+	ViolationLost             Violation = "lost"
+	ViolationDoubled          Violation = "doubled"
+	ViolationMixed            Violation = "mixed"
+	ViolationTruncatedAsWhole Violation = "truncated_as_whole"
+	ViolationFalseNotRun      Violation = "false_not_run"
+	ViolationSecondRun        Violation = "second_runs"
+	ViolationUnknownRun       Violation = "unknown_runs"
 )
 
-// maxExamples bounds the examples of all faults together.
+// maxExamples bounds the examples of all violations together.
 const maxExamples = 20
 
 // Total returns the number of violations.
@@ -109,7 +109,7 @@
 	}
 	for _, r := range runs {
 		if !known[r.Request] {
-			c.add(FaultUnknownRun, r.Request)
+			c.add(ViolationUnknownRun, r.Request)
 		}
 	}
 	return c
@@ -142,15 +142,15 @@
 func (c *Counts) checkRequest(s Sent, outcomes []client.Outcome, runs runCount) {
 	if s.NonIdempotent {
 		for range runs.secondRuns() {
-			c.add(FaultSecondRun, s.ID)
+			c.add(ViolationSecondRun, s.ID)
 		}
 	}
 	if len(outcomes) == 0 {
-		c.add(FaultLost, s.ID)
+		c.add(ViolationLost, s.ID)
 		return
 	}
 	for range len(outcomes) - 1 {
-		c.add(FaultDoubled, s.ID)
+		c.add(ViolationDoubled, s.ID)
 	}
 	for _, o := range outcomes {
 		c.checkOutcome(s, o, runs)
@@ -161,47 +161,47 @@
 	e := Example{Request: s.ID, End: o.End, Code: o.Code, Tokens: o.Tokens}
 	switch {
 	case o.Run == wire.RunNot && runs.all > 0:
-		c.addExample(FaultFalseNotRun, e)
+		c.addExample(ViolationFalseNotRun, e)
 	case o.End == client.EndTruncated || o.End == client.EndFailed:
-		c.addExample(FaultLost, e)
+		c.addExample(ViolationLost, e)
 	}
 	switch {
 	case strings.HasPrefix(s.Answer, o.Text):
 		if o.End == client.EndComplete && len(o.Text) < len(s.Answer) {
-			c.addExample(FaultTruncatedAsWhole, e)
+			c.addExample(ViolationTruncatedAsWhole, e)
 		}
 	case strings.HasPrefix(o.Text, s.Answer):
-		c.addExample(FaultDoubled, e)
+		c.addExample(ViolationDoubled, e)
 	default:
-		c.addExample(FaultMixed, e)
+		c.addExample(ViolationMixed, e)
 	}
 }
 
-func (c *Counts) add(f Fault, request string) {
+func (c *Counts) add(f Violation, request string) {
 	c.addExample(f, Example{Request: request})
 }
 
-func (c *Counts) addExample(f Fault, e Example) {
+func (c *Counts) addExample(f Violation, e Example) {
 	*c.counter(f)++
-	e.Fault = f
+	e.Violation = f
 	if len(c.Examples) < maxExamples {
 		c.Examples = append(c.Examples, e)
 	}
 }
 
-func (c *Counts) counter(f Fault) *int {
+func (c *Counts) counter(f Violation) *int {
 	switch f {
-	case FaultLost:
+	case ViolationLost:
 		return &c.Lost
-	case FaultDoubled:
+	case ViolationDoubled:
 		return &c.Doubled
-	case FaultMixed:
+	case ViolationMixed:
 		return &c.Mixed
-	case FaultTruncatedAsWhole:
+	case ViolationTruncatedAsWhole:
 		return &c.TruncatedAsWhole
-	case FaultFalseNotRun:
+	case ViolationFalseNotRun:
 		return &c.FalseNotRun
-	case FaultSecondRun:
+	case ViolationSecondRun:
 		return &c.SecondRuns
 	default:
 		return &c.UnknownRuns
--- a/internal/bench/check/check_test.go
+++ b/internal/bench/check/check_test.go
@@ -93,7 +93,8 @@
 	}
 }
 
-// An answer with any text other than the expected one must be reported.
+// A complete answer with any other text than the expected one, including a prefix
+// of it, must be reported.
 func TestAlteredTextIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := faultlessRun()
--- a/internal/bench/client/client.go
+++ b/internal/bench/client/client.go
@@ -25,7 +25,7 @@
 )
 
 // ErrBadRequest marks the error of a request that could not be built.
-var ErrBadRequest = errors.New("request can't be made")
+var ErrBadRequest = errors.New("request could not be built")
 
 // Client sends requests to routers.
 type Client struct {
--- a/internal/bench/client/outcome.go
+++ b/internal/bench/client/outcome.go
@@ -38,8 +38,8 @@
 	// RequestID is the router's ID of the request, if the caller received it.
 	RequestID string
 	// Due is the planned and Sent the actual time of sending. Latencies are
-	// relative to Due, so that a slow bench doesn't improve the results
-	// (coordinated omission).
+	// relative to Due, so that delays of the bench itself count as latency
+	// instead of being hidden (coordinated omission).
 	Due  time.Duration
 	Sent time.Duration
 	// First is the time of the first token; it is undefined if Tokens is 0.
--- a/internal/bench/measure/group.go
+++ b/internal/bench/measure/group.go
@@ -60,8 +60,8 @@
 	From float64 `json:"from_s"`
 	To   float64 `json:"to_s"`
 	// Offered is the rate of requests due in the phase, per second.
-	// Attainment is the fraction of them attained, and InTime the fraction
-	// answered in time.
+	// Attainment is the fraction of these requests that were attained (see the
+	// package comment), and InTime the fraction answered in time.
 	Offered    float64 `json:"offered_per_s"`
 	Attainment float64 `json:"attainment"`
 	InTime     float64 `json:"in_time_share"`
--- a/internal/bench/measure/measure.go
+++ b/internal/bench/measure/measure.go
@@ -106,14 +106,14 @@
 
 // tally accumulates samples.
 type tally struct {
-	m              Measures
-	window         time.Duration
-	inTimeInWindow int
-	goodTokens     int
-	refusals       map[Refusal]*Refusal
-	first          latencyHistogram
-	between        latencyHistogram
-	total          latencyHistogram
+	m           Measures
+	window      time.Duration
+	goodAnswers int
+	goodTokens  int
+	refusals    map[Refusal]*Refusal
+	first       latencyHistogram
+	between     latencyHistogram
+	total       latencyHistogram
 }
 
 func newTally(window time.Duration) *tally {
@@ -141,7 +141,7 @@
 	t.m.InTime++
 	t.m.Useful += s.Outcome.Tokens
 	if s.Outcome.Ended <= t.window {
-		t.inTimeInWindow++
+		t.goodAnswers++
 		t.goodTokens += s.Outcome.Tokens
 	}
 }
@@ -197,7 +197,7 @@
 	m.RefusedShare = share(m.Ends.Refused, m.Requests)
 	m.Wasted = m.wastedShare()
 	if t.window > 0 {
-		m.Goodput = float64(t.inTimeInWindow) / t.window.Seconds()
+		m.Goodput = float64(t.goodAnswers) / t.window.Seconds()
 		m.GoodputTokens = float64(t.goodTokens) / t.window.Seconds()
 	}
 	m.Refusals = t.refusalList()
--- a/internal/bench/path/part.go
+++ b/internal/bench/path/part.go
@@ -59,15 +59,15 @@
 // Usage as JSON from in, writes the answers to out, and returns at the end of in.
 func ServePart(in io.Reader, out io.Writer) error {
 	dec, enc := json.NewDecoder(in), json.NewEncoder(out)
-	var o partConfig
-	if err := dec.Decode(&o); err != nil {
+	var pc partConfig
+	if err := dec.Decode(&pc); err != nil {
 		return errors.Wrap(err, "path: decode the part's configuration")
 	}
-	srv, err := newPart(o)
+	srv, err := newPart(pc)
 	if err != nil {
-		return errors.Wrapf(err, "path: start the %s", o.Role)
+		return errors.Wrapf(err, "path: start the %s", pc.Role)
 	}
-	stopProfile, err := startCPUProfile(o.Profile)
+	stopProfile, err := startCPUProfile(pc.Profile)
 	if err != nil {
 		return errors.CombineErrors(err, srv.Kill())
 	}
@@ -76,7 +76,7 @@
 	go func() { served <- srv.Run() }()
 	err = enc.Encode(startReply{Address: srv.Addr()})
 	if err == nil {
-		err = serveUsage(dec, enc, o.Profile)
+		err = serveUsage(dec, enc, pc.Profile)
 	}
 	return errors.CombineErrors(errors.CombineErrors(err, srv.Kill()), <-served)
 }
@@ -103,7 +103,7 @@
 	}
 }
 
-func newPart(o partConfig) (*server.Server, error) {
+func newPart(pc partConfig) (*server.Server, error) {
 	l, err := listen()
 	if err != nil {
 		return nil, err
@@ -111,30 +111,30 @@
 	cfg := server.Config{
 		Listener: l, HeaderTimeout: grace, MaxHeaderBytes: maxHeaderBytes, Grace: grace, Log: zerolog.Nop(),
 	}
-	switch o.Role {
+	switch pc.Role {
 	case roleEngine:
-		eng := engine.Config{Slots: engineSlots, TokenTime: o.TokenTime.Std(), Models: []string{model}}
+		eng := engine.Config{Slots: engineSlots, TokenTime: pc.TokenTime.Std(), Models: []string{model}}
 		cfg.Handler = engine.New(eng).Handler()
 		return server.New(cfg), nil
 	case roleAgent, roleRouter:
-		return newTLSPart(o, cfg)
+		return newTLSPart(pc, cfg)
 	default:
-		return nil, errors.Newf("unknown part %q", o.Role)
+		return nil, errors.Newf("unknown part %q", pc.Role)
 	}
 }
 
-func newTLSPart(o partConfig, cfg server.Config) (*server.Server, error) {
-	id, err := identity.New(o.CA, o.Cert, o.Key)
+func newTLSPart(pc partConfig, cfg server.Config) (*server.Server, error) {
+	id, err := identity.New(pc.CA, pc.Cert, pc.Key)
 	if err != nil {
 		return nil, err
 	}
-	if o.Role == roleAgent {
+	if pc.Role == roleAgent {
 		cfg.TLS = id.ServerConfig(identity.RoleRouter)
-		cfg.Handler = agentHandler(o.Next)
+		cfg.Handler = agentHandler(pc.Next)
 		return server.New(cfg), nil
 	}
 	client := server.NewClient(id.ClientConfig(identity.RoleAgent, identity.AnyName), nil)
-	cfg.Handler = routerHandler(o.Next, client)
+	cfg.Handler = routerHandler(pc.Next, client)
 	return server.New(cfg), nil
 }
 
--- a/internal/bench/path/parts.go
+++ b/internal/bench/path/parts.go
@@ -44,20 +44,20 @@
 	dec      *json.Decoder
 }
 
-func startPart(launch Launch, o partConfig) (*partProcess, error) {
+func startPart(launch Launch, pc partConfig) (*partProcess, error) {
 	requests, answers, wait, err := launch()
 	if err != nil {
 		return nil, err
 	}
 	p := &partProcess{requests: requests, wait: wait, enc: json.NewEncoder(requests), dec: json.NewDecoder(answers)}
 	var r startReply
-	err = p.enc.Encode(o)
+	err = p.enc.Encode(pc)
 	if err == nil {
 		err = p.dec.Decode(&r)
 	}
 	if err != nil {
 		// The exit error is more informative than the pipe error.
-		return nil, errors.Wrapf(errors.CombineErrors(p.stop(), err), "path: configure the %s", o.Role)
+		return nil, errors.Wrapf(errors.CombineErrors(p.stop(), err), "path: configure the %s", pc.Role)
 	}
 	p.address = r.Address
 	return p, nil
@@ -107,20 +107,20 @@
 	return err
 }
 
-func (p *partProcesses) startPart(launch Launch, o partConfig) (*partProcess, error) {
+func (p *partProcesses) startPart(launch Launch, pc partConfig) (*partProcess, error) {
 	if p.profile != "" {
-		o.Profile = p.profile + "-" + o.Role
+		pc.Profile = p.profile + "-" + pc.Role
 	}
-	return startPart(launch, o)
+	return startPart(launch, pc)
 }
 
-func (p *partProcesses) startWithIdentity(launch Launch, a *identity.Authority, role identity.Role, o partConfig) (*partProcess, error) {
+func (p *partProcesses) startWithIdentity(launch Launch, a *identity.Authority, role identity.Role, pc partConfig) (*partProcess, error) {
 	pair, err := a.Issue(role, endpoint, certValidity)
 	if err != nil {
-		return nil, errors.Wrapf(err, "path: certificate of the %s", o.Role)
+		return nil, errors.Wrapf(err, "path: certificate of the %s", pc.Role)
 	}
-	o.CA, o.Cert, o.Key = a.CertPEM(), pair.CertPEM, pair.KeyPEM
-	return p.startPart(launch, o)
+	pc.CA, pc.Cert, pc.Key = a.CertPEM(), pair.CertPEM, pair.KeyPEM
+	return p.startPart(launch, pc)
 }
 
 func (p *partProcesses) directURL() string { return "http://" + p.engine.address }
@@ -140,25 +140,25 @@
 // partUsage is the usage of all parts.
 type partUsage struct{ engine, agent, router Usage }
 
-func (p *partProcesses) usage(collectGarbage bool) (s partUsage, err error) {
+func (p *partProcesses) usage(collectGarbage bool) (u partUsage, err error) {
 	for _, part := range []struct {
 		of    *partProcess
 		usage *Usage
-	}{{p.engine, &s.engine}, {p.agent, &s.agent}, {p.router, &s.router}} {
+	}{{p.engine, &u.engine}, {p.agent, &u.agent}, {p.router, &u.router}} {
 		if *part.usage, err = part.of.usage(collectGarbage); err != nil {
-			return s, err
+			return u, err
 		}
 	}
-	return s, nil
+	return u, nil
 }
 
 // minus returns the usage since an earlier reading.
-func (s partUsage) minus(t partUsage) partUsage {
-	return partUsage{s.engine.minus(t.engine), s.agent.minus(t.agent), s.router.minus(t.router)}
+func (u partUsage) minus(t partUsage) partUsage {
+	return partUsage{u.engine.minus(t.engine), u.agent.minus(t.agent), u.router.minus(t.router)}
 }
 
-func (s partUsage) plus(t partUsage) partUsage {
-	return partUsage{s.engine.plus(t.engine), s.agent.plus(t.agent), s.router.plus(t.router)}
+func (u partUsage) plus(t partUsage) partUsage {
+	return partUsage{u.engine.plus(t.engine), u.agent.plus(t.agent), u.router.plus(t.router)}
 }
 
 func (u Usage) minus(v Usage) Usage { return Usage{u.CPU - v.CPU, u.Memory - v.Memory} }
--- a/internal/bench/path/path.go
+++ b/internal/bench/path/path.go
@@ -34,7 +34,7 @@
 	streamTime     = 3 * time.Second        // duration of the measurement of open streams
 	grace          = 5 * time.Second
 	certValidity   = 24 * time.Hour
-	alternations   = 10 // number of alternations between direct and routed calls
+	alternations   = 10 // pairs of a direct and a routed slice of the duration
 )
 
 // Options configures a measurement.
--- a/internal/bench/path/streams.go
+++ b/internal/bench/path/streams.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// read counts events until the stream ends or is closed. It closes came at the
-// first event.
+// read counts events until the stream ends or is closed. It closes firstEvent
+// at the first event.
 func (s *openStreams) read(body io.Reader, firstEvent chan struct{}) {
 	first := true
 	for _, err := range sse.Read(body) {
--- a/internal/bench/policy.go
+++ b/internal/bench/policy.go
@@ -25,13 +25,13 @@
 		return report.Policy{}, errors.CombineErrors(err, fleet.Stop())
 	}
 	t := r.runLoad(ctx, e, name, fleet)
-	w := collectWork(fleet.Engines(), newRequestIndex(e.arrivals, t.sent.Outcomes))
+	w := collectWork(fleet.Engines(), newRequestIndex(e.arrivals, t.result.Outcomes))
 	return e.evaluate(name, t, w)
 }
 
 // loadResult is the result of sending the load with one policy.
 type loadResult struct {
-	sent    client.RunResult
+	result  client.RunResult
 	elapsed time.Duration
 	// window is the time during which load arrived.
 	window time.Duration
@@ -57,7 +57,7 @@
 	var faults sync.WaitGroup
 	faults.Go(func() { r.injectFaults(faultCtx, fleet, e.events(), start) })
 	opt := client.Options{Start: start, MaxOpen: MaxOpen, Progress: r.Progress.Step}
-	sent := client.Run(ctx, c, e.arrivals, opt)
+	result := client.Run(ctx, c, e.arrivals, opt)
 	elapsed := time.Since(start)
 	endFaults()
 	faults.Wait()
@@ -66,7 +66,7 @@
 		r.Log.Warn().Err(err).Msg("the fleet didn't stop cleanly")
 	}
 	return loadResult{
-		sent:    sent,
+		result:  result,
 		elapsed: elapsed,
 		window:  min(elapsed, e.opt.Duration),
 		cores:   cores,
@@ -74,8 +74,8 @@
 }
 
 func (e experiment) evaluate(name string, t loadResult, w engineWork) (report.Policy, error) {
-	samples := e.samples(t.sent.Outcomes, w)
-	sent, err := e.sent(t.sent.Outcomes)
+	samples := e.samples(t.result.Outcomes, w)
+	sent, err := e.sent(t.result.Outcomes)
 	if err != nil {
 		return report.Policy{}, err
 	}
@@ -86,10 +86,10 @@
 		Elapsed:      t.elapsed.Seconds(),
 		Window:       t.window.Seconds(),
 		CPUCores:     t.cores,
-		MaxOpen:      t.sent.MaxOpen,
-		LimitHit:     t.sent.LimitHit,
+		MaxOpen:      t.result.MaxOpen,
+		LimitHit:     t.result.LimitHit,
 		SendLag:      measure.SendLag(samples),
-		Checks:       check.Check(sent, t.sent.Outcomes, w.runs),
+		Checks:       check.Check(sent, t.result.Outcomes, w.runs),
 		Unattributed: w.unattributed.runs,
 		All:          all,
 		Groups:       measure.Groups(samples, t.window, e.classes(), arrivals.Tiers()),
--- a/internal/bench/record.go
+++ b/internal/bench/record.go
@@ -28,27 +28,27 @@
 }
 
 func newRequestIndex(list []arrivals.Arrival, outcomes []client.Outcome) requestIndex {
-	a := requestIndex{byRequest: make(map[string]string), byKey: make(map[string]string)}
+	x := requestIndex{byRequest: make(map[string]string), byKey: make(map[string]string)}
 	for _, o := range outcomes {
 		if o.RequestID != "" {
-			a.byRequest[o.RequestID] = o.ID
+			x.byRequest[o.RequestID] = o.ID
 		}
 	}
 	for _, arrival := range list {
 		if key := client.IdempotencyKey(arrival); key != "" {
-			a.byKey[key] = arrival.ID
+			x.byKey[key] = arrival.ID
 		}
 	}
-	return a
+	return x
 }
 
 // arrivalID returns the ID of a run's arrival. It is empty if the caller sent no
 // idempotency key and disconnected before it received the request ID.
-func (a requestIndex) arrivalID(r engine.Run) string {
-	if id, ok := a.byKey[r.IdempotencyKey]; ok {
+func (x requestIndex) arrivalID(r engine.Run) string {
+	if id, ok := x.byKey[r.IdempotencyKey]; ok {
 		return id
 	}
-	return a.byRequest[baseRequestID(r.RequestID)]
+	return x.byRequest[baseRequestID(r.RequestID)]
 }
 
 // baseRequestID removes the suffixes, separated by dots, with which routers and
@@ -58,11 +58,11 @@
 	return id
 }
 
-func collectWork(engines []Engine, a requestIndex) engineWork {
+func collectWork(engines []Engine, x requestIndex) engineWork {
 	w := engineWork{produced: make(map[string]int)}
 	for i, e := range engines {
 		for _, r := range e.Record() {
-			w.addRun(i, a.arrivalID(r), r)
+			w.addRun(i, x.arrivalID(r), r)
 		}
 	}
 	return w
--- a/internal/bench/runner.go
+++ b/internal/bench/runner.go
@@ -153,7 +153,7 @@
 			Routers:  routers,
 			Engines:  e.shape.Engines,
 			Slots:    e.shape.Slots,
-			Step:     e.shape.Step().Seconds() * 1e3,
+			Step:     e.shape.StepTime().Seconds() * 1e3,
 			Capacity: e.shape.TokensPerSecond(),
 			Offered:  float64(tokens) / e.opt.Duration.Seconds(),
 			Load:     e.shape.Load(e.arrivals, e.opt.Duration),
--- a/internal/bench/scenario/scenario.go
+++ b/internal/bench/scenario/scenario.go
@@ -64,8 +64,8 @@
 	// Every is the interval of repetition; 0 means none. Repetitions hit the
 	// engines in turn.
 	Every time.Duration
-	// Share, if set, replaces Every: each minute the fault occurs as many times
-	// as this fraction of the engines, at even intervals.
+	// Share, if set, replaces Every: the fault occurs Share times the number of
+	// engines per minute, at even intervals.
 	Share float64
 	// OneIn hits every engine whose index is a multiple of it, all at once; 0
 	// hits a single engine.
--- a/internal/bench/teamlimit/load.go
+++ b/internal/bench/teamlimit/load.go
@@ -62,10 +62,10 @@
 
 // sendTo sends one router's requests at their due times, open-loop.
 func (l *load) sendTo(ctx context.Context, i int) {
-	gap := time.Duration(float64(time.Second) / l.demand(i))
+	interval := time.Duration(float64(time.Second) / l.demand(i))
 	// The first requests of the routers are staggered over one interval.
-	due := gap * time.Duration(i) / time.Duration(len(l.urls))
-	for ; due < warmUp+l.opt.Duration; due += gap {
+	due := interval * time.Duration(i) / time.Duration(len(l.urls))
+	for ; due < warmUp+l.opt.Duration; due += interval {
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/bench/teamlimit/result.go
+++ b/internal/bench/teamlimit/result.go
@@ -27,21 +27,21 @@
 // Row holds the measurements of one enforcement mode with one number of routers.
 type Row struct {
 	Routers  int    `json:"routers"`
-	Way      string `json:"way"`
+	Mode     string `json:"way"`
 	Sent     int64  `json:"sent"`
 	Admitted int64  `json:"admitted"`
 	Refused  int64  `json:"refused"`
 	// Failed counts requests with another status or without a response.
 	Failed int64 `json:"failed"`
-	// Over and Under are the admitted requests above and below the limit, as
-	// fractions of the limit.
+	// Over is the admitted excess over the limit and Under the unused part of
+	// the limit, as fractions of the limit.
 	Over  float64 `json:"over_admission"`
 	Under float64 `json:"under_use"`
 }
 
 func newRow(routers int, mode string, o Options, c *counts) Row {
 	row := Row{
-		Routers: routers, Way: mode,
+		Routers: routers, Mode: mode,
 		Sent: c.sent.Load(), Admitted: c.admitted.Load(), Refused: c.refused.Load(), Failed: c.failed.Load(),
 	}
 	share := float64(row.Admitted)/(o.Limit*o.Duration.Seconds()) - 1
@@ -64,7 +64,7 @@
 	t.AppendHeader(table.Row{"routers", "way", "sent", "admitted", "refused", "failed", "over", "under"})
 	for _, row := range r.Rows {
 		t.AppendRow(table.Row{
-			row.Routers, row.Way, row.Sent, row.Admitted, row.Refused, row.Failed,
+			row.Routers, row.Mode, row.Sent, row.Admitted, row.Refused, row.Failed,
 			percent(row.Over), percent(row.Under),
 		})
 	}
--- a/internal/bench/teamlimit/teamlimit.go
+++ b/internal/bench/teamlimit/teamlimit.go
@@ -56,7 +56,7 @@
 // Check returns an error marked ErrInvalid if the options are invalid.
 func (o Options) Check() error {
 	if len(o.Routers) == 0 || !(o.Limit > 0) || o.Duration <= 0 {
-		return errors.Mark(errors.New("sizes, limit and duration must be positive"), ErrInvalid)
+		return errors.Mark(errors.New("numbers of routers, limit and duration must be positive"), ErrInvalid)
 	}
 	for _, n := range o.Routers {
 		if n < 2 {
@@ -85,14 +85,14 @@
 	}
 	result := Result{Format: Format, Scenario: Name, Doc: Doc, Limit: o.Limit, Duration: o.Duration.Seconds()}
 	for _, routers := range o.Routers {
-		for _, w := range enforcements() {
-			row, err := o.measure(ctx, routers, w, log)
+		for _, e := range enforcements() {
+			row, err := o.measure(ctx, routers, e, log)
 			if ctx.Err() != nil {
 				result.Partial = true
 				return result, nil
 			}
 			if err != nil {
-				return result, errors.Wrapf(err, "%s with %d routers", w.name, routers)
+				return result, errors.Wrapf(err, "%s with %d routers", e.name, routers)
 			}
 			result.Rows = append(result.Rows, row)
 		}
@@ -100,8 +100,8 @@
 	return result, nil
 }
 
-func (o Options) measure(ctx context.Context, routers int, w enforcement, log zerolog.Logger) (Row, error) {
-	f, err := fleet.Start(o.spec(routers, w.mode, log))
+func (o Options) measure(ctx context.Context, routers int, e enforcement, log zerolog.Logger) (Row, error) {
+	f, err := fleet.Start(o.spec(routers, e.mode, log))
 	if err != nil {
 		return Row{}, err
 	}
@@ -109,7 +109,7 @@
 	if err := f.Stop(); err != nil {
 		return Row{}, errors.Wrap(err, "stop the fleet")
 	}
-	return newRow(routers, w.name, o, counts), nil
+	return newRow(routers, e.name, o, counts), nil
 }
 
 func (o Options) spec(routers int, mode limits.Mode, log zerolog.Logger) fleet.Spec {
--- a/internal/capacity/failures.go
+++ b/internal/capacity/failures.go
@@ -13,19 +13,20 @@
 	CapacityKept Quantity `json:"kept"`
 	// BrokenStreams is an upper bound of the broken streams.
 	BrokenStreams Quantity `json:"broken"`
-	// Repeats is the number of broken streams divided by the fleet's request
-	// rate, in seconds.
+	// Repeats is the time in which the fleet normally receives as many requests
+	// as there are broken streams to repeat, in seconds.
 	Repeats Quantity `json:"repeats"`
 	// Refused is the rate of requests that exceed the remaining capacity, per
 	// second, if there was no spare capacity.
 	Refused Quantity `json:"refused"`
 	// Handshakes is the number of connections that are opened again.
 	Handshakes Quantity `json:"handshakes"`
-	// MaxHandshakes is the largest number of handshakes at one process, and WorstCPU their
-	// CPU seconds there.
+	// MaxHandshakes is the largest number of handshakes at one process, and
+	// MaxHandshakeCPU the CPU seconds that these take at that process.
 	MaxHandshakes   Quantity `json:"worst"`
 	MaxHandshakeCPU Quantity `json:"worst_cpu"`
-	// Recovery is the duration of those within the CPU allowance, in seconds.
+	// Recovery is the time that MaxHandshakeCPU takes if only the control
+	// plane's CPU allowance is used, in seconds.
 	Recovery Quantity `json:"recovery"`
 	// ReadSeconds is the time for which the reads of returning processes use
 	// the configuration service's whole rate.
--- a/internal/capacity/over.go
+++ b/internal/capacity/over.go
@@ -139,8 +139,8 @@
 }
 
 func overRow(id RowID, name string, plan Plan, share Share, after map[RowID]Share) OverRow {
-	remedy := remedies[id]
-	return OverRow{Name: name, Plan: plan, Share: share, Remedy: remedy.action, Cost: remedy.cost, After: shareByID(after, remedy.replacement)}
+	r := remedies[id]
+	return OverRow{Name: name, Plan: plan, Share: share, Remedy: r.action, Cost: r.cost, After: shareByID(after, r.replacement)}
 }
 
 // overTotals returns the totals over their allowance. Their remedy is that of
--- a/internal/capacity/peers.go
+++ b/internal/capacity/peers.go
@@ -9,8 +9,8 @@
 // pingRows returns the rows of the pings of connections without open streams.
 func (m *model) pingRows(role Role, prefix RowID, mesh, subset, streams Quantity) []Row {
 	rate := func(conns Quantity) Quantity {
-		silent := conns.Times(streams.Per(conns).apply(silentProbability))
-		return silent.Per(m.settings.ping)
+		idle := conns.Times(streams.Per(conns).apply(idleProbability))
+		return idle.Per(m.settings.ping)
 	}
 	bytes, cpu := m.slope(PingBytes), m.slope(PingCPU)
 	note := "streams spread evenly; without traffic every connection is silent"
@@ -20,9 +20,9 @@
 	}
 }
 
-// silentProbability is the probability that a connection has no stream, given the
+// idleProbability is the probability that a connection has no stream, given the
 // mean number of streams on a connection.
-func silentProbability(mean float64) float64 { return math.Exp(-mean) }
+func idleProbability(mean float64) float64 { return math.Exp(-mean) }
 
 // activeProbability is the probability that a team with the given mean number of
 // requests in an interval has at least one.
@@ -51,10 +51,10 @@
 // creditRowPrefix is the prefix of the IDs of the rows of credits and permits.
 const creditRowPrefix = "router.credits."
 
-// creditRows returns the rows of credits for team limits. A router requests
-// credits for the teams that it serves, and is itself the home of its share of
-// all limits. A holder sends a request each period while it has demand or
-// credits.
+// creditRows returns the rows of credits for team limits. A router sends asks
+// (requests for credits) for the teams that it serves, and is itself the home of
+// its share of all limits. A holder sends an ask each period while it has demand
+// or credits.
 func (m *model) creditRows() []Row {
 	f, l, s := m.figures, m.loads, m.settings
 	alive := s.creditTTL.Plus(s.creditPeriod)
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -52,11 +52,11 @@
 	// PlanNoCredits is the design without credits and permits, its most
 	// expensive mechanism.
 	PlanNoCredits Plan = "as designed, without team limits"
-	// PlanBoth marks rows that are part of both plans.
+	// PlanBoth marks rows that are part of both PlanToday and PlanDesign.
 	PlanBoth Plan = "in both"
 )
 
-// Plans returns the two plans in the order of the report.
+// Plans returns PlanToday and PlanDesign, in the order of the report.
 func Plans() []Plan { return []Plan{PlanToday, PlanDesign} }
 
 // In reports whether mechanisms of the stage are part of the plan.
--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -110,7 +110,7 @@
 const copiesPerChange = 2
 
 // commonRows returns the rows that routers and agents have in common: the
-// configuration, and news of members that join and leave.
+// configuration, and changes of the membership.
 func (m *model) commonRows(role Role, prefix RowID) []Row {
 	l := m.loads
 	one := Quantity{Value: 1}
@@ -132,8 +132,8 @@
 	}, m.partnerRows(role, prefix)...)
 }
 
-// partnerRows returns the rows of the links that carry changes and membership
-// news. A process has the links that it opened and, on average, as many that
+// partnerRows returns the rows of the links that carry changes of the
+// configuration and of the membership. A process has the links that it opened and, on average, as many that
 // partners opened to it.
 func (m *model) partnerRows(role Role, prefix RowID) []Row {
 	s := m.settings
--- a/internal/capacity/settings.go
+++ b/internal/capacity/settings.go
@@ -13,7 +13,7 @@
 	// the configuration service.
 	ReadersPerDomain float64 `json:"readers_per_domain"`
 	// Partners is the number of partners that each process chooses to exchange
-	// news with; on average, as many others choose it.
+	// updates with; on average, as many others choose it.
 	Partners float64 `json:"partners"`
 	// HeartbeatSeconds is the time between two exchanges with a partner, and
 	// ExchangeBytes the payload of one with its reply.
@@ -21,8 +21,8 @@
 	ExchangeBytes    float64 `json:"exchange_bytes"`
 	// OfferBytes is the payload that announces a version to a partner.
 	OfferBytes float64 `json:"offer_bytes"`
-	// CreditPeriodSeconds is the time between two requests for credits of a
-	// limit, and CreditTTLSeconds their validity.
+	// CreditPeriodSeconds is the time between two asks (requests for credits)
+	// of a limit, and CreditTTLSeconds their validity.
 	CreditPeriodSeconds float64 `json:"credit_period_seconds"`
 	CreditTTLSeconds    float64 `json:"credit_ttl_seconds"`
 	// PingSeconds is the time after which an idle connection is pinged.
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -107,7 +107,7 @@
 }
 
 // Slope is the fitted line y = Intercept + Value*x. Value, Intercept and
-// Residual are medians over the repeated runs.
+// Residual are those of the repeated run with the median Value.
 type Slope struct {
 	ID    SlopeID `json:"id"`
 	Title string  `json:"title"`
@@ -121,7 +121,8 @@
 	// Residual is the root mean square distance of the points from the line,
 	// divided by the mean of y.
 	Residual float64 `json:"residual"`
-	// Substitute describes what was measured instead of the real code, if anything.
+	// Substitute describes what was measured instead of the real code, if
+	// anything, often a stub (stand-in) of a service.
 	Substitute string `json:"stand_in,omitempty"`
 }
 
--- a/internal/capacity/slopes/meter.go
+++ b/internal/capacity/slopes/meter.go
@@ -22,7 +22,7 @@
 func cpuTime() (time.Duration, error) {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		return 0, errors.Wrap(err, "read processor time")
+		return 0, errors.Wrap(err, "read CPU time")
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
 }
--- a/internal/capacity/slopes/peers.go
+++ b/internal/capacity/slopes/peers.go
@@ -93,8 +93,8 @@
 // askStep is short enough for all holders to ask in turn within one period.
 const askStep = 100 * time.Microsecond
 
-// measureHome returns the CPU time of one request for credits and the memory of
-// the home, with n holders that send requests in turn.
+// measureHome returns the CPU time of one ask (request for credits) and the memory
+// of the home, with n holders that ask in turn.
 func measureHome(n int) ([]float64, error) {
 	holders := numberedNames("router", n)
 	ask := func(home *credit.Home, turn int) {
@@ -126,7 +126,7 @@
 }
 
 // measureHolders returns the CPU time of one period of n holders, their memory,
-// and the bytes of their requests and grants.
+// and the bytes of their asks and grants.
 func measureHolders(n int) ([]float64, error) {
 	memory, err := memoryOf(func() (any, error) { return newHolders(n), nil })
 	if err != nil {
@@ -162,10 +162,10 @@
 	return h
 }
 
-// holderPeriod is the time between two requests of a holder.
+// holderPeriod is the time between two asks of a holder.
 const holderPeriod = 250 * time.Millisecond
 
-// runPeriod lets each holder spend a credit, send a request and receive a grant.
+// runPeriod lets each holder spend a credit, send an ask and receive a grant.
 func (h *holders) runPeriod(asked func(credit.Ask, credit.Grant)) error {
 	h.now = h.now.Add(holderPeriod)
 	for _, holder := range h.list {
--- a/internal/capacity/slopes/sched.go
+++ b/internal/capacity/slopes/sched.go
@@ -85,12 +85,13 @@
 		return errors.Newf("job %d was refused: %s", p.offered, v.Reason)
 	}
 	p.offered++
-	p.startNext()
+	p.applyDecisions()
 	return nil
 }
 
-// startNext executes the policy's decisions. Preempted jobs return to the queue.
-func (p *loadedPolicy) startNext() {
+// applyDecisions applies the policy's decisions until there are none. Preempted
+// jobs return to the queue.
+func (p *loadedPolicy) applyDecisions() {
 	for d := p.Next(p.now); d.Action != sched.ActionNone; d = p.Next(p.now) {
 		switch d.Action {
 		case sched.ActionStart:
@@ -119,6 +120,6 @@
 	id := p.running[0]
 	p.running = p.running[1:]
 	p.Finish(p.now, id)
-	p.startNext()
+	p.applyDecisions()
 	return p.offer()
 }
--- a/internal/capacity/slopes/sections.go
+++ b/internal/capacity/slopes/sections.go
@@ -78,15 +78,15 @@
 	key   bundle.PrivateKey
 }
 
-// version returns a version in which one endpoint has a different number of
-// slots.
-func (m versionSigner) version(number uint64, changed int) sectionedBundle {
-	b := makeBundle(m.shape)
+// version returns a version in which the endpoint with index changed has a
+// different number of slots.
+func (s versionSigner) version(number uint64, changed int) sectionedBundle {
+	b := makeBundle(s.shape)
 	b.Version = number
 	b.Endpoints[changed].Slots += int(number)
 	manifest, sections := bundle.Split(b)
-	src, sig := bundle.SignManifest(&manifest, m.key)
-	return sectionedBundle{src: src, sig: sig, keys: []bundle.PublicKey{m.pub}, sections: sections}
+	src, sig := bundle.SignManifest(&manifest, s.key)
+	return sectionedBundle{src: src, sig: sig, keys: []bundle.PublicKey{s.pub}, sections: sections}
 }
 
 // measureSections returns the bytes of a change, the memory of a joined snapshot
@@ -97,8 +97,8 @@
 	if err != nil {
 		return nil, err
 	}
-	m := versionSigner{of, pub, key}
-	first := m.version(1, 0)
+	s := versionSigner{of, pub, key}
+	first := s.version(1, 0)
 	var current *bundle.Snapshot
 	joined, err := memoryOf(func() (any, error) {
 		current, err = first.accept(nil)
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, err
 	}
-	change := m.version(2, 0).without(first)
+	change := s.version(2, 0).without(first)
 	next, err := memoryOf(func() (any, error) { return change.accept(current) })
 	if err != nil {
 		return nil, err
@@ -120,15 +120,15 @@
 		return nil, err
 	}
 	wire, err := wireBytes(ctx, change.texts()...)
-	return []float64{m.meanChangeBytes(first), joined, next, cpu, wire}, err
+	return []float64{s.meanChangeBytes(first), joined, next, cpu, wire}, err
 }
 
 // meanChangeBytes returns the mean size of a change of one endpoint.
-func (m versionSigner) meanChangeBytes(first sectionedBundle) float64 {
+func (s versionSigner) meanChangeBytes(first sectionedBundle) float64 {
 	total := 0
 	for i := range changesSampled {
-		at := i * m.shape.endpoints / changesSampled
-		total += len(slices.Concat(m.version(2, at).without(first).texts()...))
+		at := i * s.shape.endpoints / changesSampled
+		total += len(slices.Concat(s.version(2, at).without(first).texts()...))
 	}
 	return float64(total) / changesSampled
 }
--- a/internal/capacity/slopes/watch.go
+++ b/internal/capacity/slopes/watch.go
@@ -44,19 +44,19 @@
 }
 
 // ServeHTTP serves a watch after await has counted it.
-func (a *watchBarrier) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *watchBarrier) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
-	case a.begun <- struct{}{}:
-		a.service.ServeHTTP(w, r)
+	case b.begun <- struct{}{}:
+		b.service.ServeHTTP(w, r)
 	case <-r.Context().Done():
 	}
 }
 
 // await waits until a number of watches have arrived, and unblocks them.
-func (a *watchBarrier) await(ctx context.Context, watchers int) error {
+func (b *watchBarrier) await(ctx context.Context, watchers int) error {
 	for range watchers {
 		select {
-		case <-a.begun:
+		case <-b.begun:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// measureWatch returns the bytes and the CPU time of one change with n watchers.
+// measureWatch returns the bytes and the CPU time per change, including the
+// renewal of the watches, with n watchers.
 func measureWatch(ctx context.Context, n int) ([]float64, error) {
 	service := configsvc.New(configsvc.Config{ReadsPerSecond: watchRate, Burst: watchRate})
 	barrier := &watchBarrier{service: service.Handler(), begun: make(chan struct{})}
--- a/internal/standin/configsvc/configsvc.go
+++ b/internal/standin/configsvc/configsvc.go
@@ -1,5 +1,5 @@
-// Package configsvc is a stub of the platform's configuration service,
-// which the system can read and watch but not write.
+// Package configsvc is a stub (stand-in) of the platform's configuration
+// service, which the system can read and watch but not write.
 //
 // It imitates a key-value service with long polling, in the manner of Consul's
 // blocking queries and of HTTP entity tags: GET /v1/values/{key} answers with
--- a/internal/standin/configsvc/handler.go
+++ b/internal/standin/configsvc/handler.go
@@ -33,7 +33,7 @@
 		s.writeUnchanged(w, key)
 		return
 	}
-	v, ok := s.currentVersion(key)
+	v, ok := s.servedVersion(key)
 	if !ok {
 		web.WriteError(w, http.StatusNotFound, "no such value")
 		return
@@ -70,14 +70,14 @@
 	return ok
 }
 
-// currentVersion returns the version that readers see now.
-func (s *Service) currentVersion(key string) (version, bool) {
+// servedVersion returns the version that readers see now, the pinned one if any.
+func (s *Service) servedVersion(key string) (version, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.currentVersionLocked(key)
+	return s.servedVersionLocked(key)
 }
 
-func (s *Service) currentVersionLocked(key string) (version, bool) {
+func (s *Service) servedVersionLocked(key string) (version, bool) {
 	versions := s.values[key]
 	if number, ok := s.pinned[key]; ok {
 		return findVersion(versions, number)
@@ -97,7 +97,7 @@
 	defer s.addWaiting(-1)
 	for {
 		s.mu.Lock()
-		v, ok := s.currentVersionLocked(key)
+		v, ok := s.servedVersionLocked(key)
 		changed := s.changed
 		s.mu.Unlock()
 		if ok && v.number > number {
@@ -126,7 +126,7 @@
 
 func (s *Service) writeUnchanged(w http.ResponseWriter, key string) {
 	s.mu.Lock()
-	v, ok := s.currentVersionLocked(key)
+	v, ok := s.servedVersionLocked(key)
 	s.stats.NotModified++
 	s.mu.Unlock()
 	if ok {
--- a/internal/standin/engine/answer.go
+++ b/internal/standin/engine/answer.go
@@ -80,8 +80,8 @@
 	return append(buf, vocabulary[splitMix64(a.key+uint64(i))%uint64(len(vocabulary))]...)
 }
 
-// answerPosition is an offset within an answer: a number of complete tokens and the
-// bytes of the next one that were already delivered.
+// answerPosition is an offset within an answer: a number of complete tokens and
+// the bytes of the next one that were already delivered.
 type answerPosition struct {
 	tokens       int
 	partialBytes int // bytes of the next token
--- a/internal/standin/engine/control.go
+++ b/internal/standin/engine/control.go
@@ -42,7 +42,7 @@
 	defer e.mu.Unlock()
 	return State{
 		Speed:    e.speed,
-		Crashed:  e.isCrashed,
+		Crashed:  e.crashed,
 		Paused:   e.paused,
 		Hung:     e.hung,
 		Running:  len(e.running),
--- a/internal/standin/engine/doc.go
+++ b/internal/standin/engine/doc.go
@@ -1,4 +1,4 @@
-// Package engine is a stub of a language-model engine: its HTTP
+// Package engine is a stub (stand-in) of a language-model engine: its HTTP
 // interface behaves like that of a vLLM server, as far as a router and an agent
 // can observe it.
 //
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -13,25 +13,25 @@
 type Engine struct {
 	cfg Config
 
-	mu        sync.Mutex
-	speed     float64
-	isCrashed bool
-	hung      bool
-	looping   bool
-	arrived   uint64
-	waiting   waitQueue
-	running   []*sequence
-	kvUsed    int
-	rec       recorder
-	load      *loadLog
-	prefix    *prefixCache
-	events    *eventLog
-	imports   *simplelru.LRU[string, kvState]
-	assets    assets
-	orders    []OrderRecord
-
-	// crashed is closed by a crash and replaced by a restart.
-	crashed chan struct{}
+	mu      sync.Mutex
+	speed   float64
+	crashed bool
+	hung    bool
+	looping bool
+	arrived uint64
+	waiting waitQueue
+	running []*sequence
+	kvUsed  int
+	rec     recorder
+	load    *loadLog
+	prefix  *prefixCache
+	events  *eventLog
+	imports *simplelru.LRU[string, kvState]
+	assets  assets
+	orders  []OrderRecord
+
+	// crashSignal is closed by a crash and replaced by a restart.
+	crashSignal chan struct{}
 	// unpaused is closed unless the engine is paused.
 	unpaused chan struct{}
 	paused   bool
@@ -42,13 +42,13 @@
 func New(cfg Config) *Engine {
 	cfg = cfg.withDefaults()
 	e := &Engine{
-		cfg:      cfg,
-		speed:    cfg.Speed,
-		rec:      newRecorder(cfg.RecordLimit),
-		waiting:  waitQueue{priorities: cfg.Priorities},
-		crashed:  make(chan struct{}),
-		unpaused: make(chan struct{}),
-		events:   newEventLog(cfg),
+		cfg:         cfg,
+		speed:       cfg.Speed,
+		rec:         newRecorder(cfg.RecordLimit),
+		waiting:     waitQueue{priorities: cfg.Priorities},
+		crashSignal: make(chan struct{}),
+		unpaused:    make(chan struct{}),
+		events:      newEventLog(cfg),
 	}
 	e.clearMemory()
 	close(e.unpaused)
@@ -89,10 +89,10 @@
 	}
 	e.arrived++
 	s := &sequence{
-		req:     req,
-		arrival: e.arrived,
-		notify:  make(chan struct{}, 1),
-		crashed: e.crashed,
+		req:         req,
+		arrival:     e.arrived,
+		notify:      make(chan struct{}, 1),
+		crashSignal: e.crashSignal,
 	}
 	e.waiting.push(s)
 	e.sampleLoad(time.Now())
--- a/internal/standin/engine/events.go
+++ b/internal/standin/engine/events.go
@@ -26,7 +26,8 @@
 	BlockSize   int       `json:"block_size"`
 }
 
-// eventLimit bounds the events kept for readers that lag behind.
+// eventLimit is the number of latest events that are always kept for readers that
+// lag behind.
 const eventLimit = 4096
 
 // eventLog holds events until they are due, and the latest of them for readers
--- a/internal/standin/engine/extras.go
+++ b/internal/standin/engine/extras.go
@@ -147,7 +147,7 @@
 	ctl := http.NewResponseController(w)
 	follow := r.URL.Query().Get("follow") != "false"
 	e.mu.Lock()
-	crashed := e.crashed
+	crashSignal := e.crashSignal
 	e.mu.Unlock()
 	for {
 		page := e.eventsAfter(after)
@@ -158,7 +158,7 @@
 		if err := ctl.Flush(); err != nil || !follow {
 			return
 		}
-		if !awaitEvents(r, page, crashed) || !e.waitUntilUp(r.Context()) {
+		if !awaitEvents(r, page, crashSignal) || !e.waitUntilUp(r.Context()) {
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -192,7 +192,7 @@
 
 // awaitEvents waits until there may be more events. It returns false if the
 // reader disconnected or the engine crashed.
-func awaitEvents(r *http.Request, page eventPage, crashed <-chan struct{}) bool {
+func awaitEvents(r *http.Request, page eventPage, crashSignal <-chan struct{}) bool {
 	var due <-chan time.Time
 	changed := page.changed
 	if page.wait >= 0 {
@@ -206,7 +206,7 @@
 		return true
 	case <-changed:
 		return true
-	case <-crashed:
+	case <-crashSignal:
 		return false
 	case <-r.Context().Done():
 		return false
--- a/internal/standin/engine/handler.go
+++ b/internal/standin/engine/handler.go
@@ -46,15 +46,15 @@
 // is crashed or the caller has disconnected.
 func (e *Engine) waitUntilUp(ctx context.Context) bool {
 	e.mu.Lock()
-	unpaused, crashed, isCrashed := e.unpaused, e.crashed, e.isCrashed
+	unpaused, crashSignal, crashed := e.unpaused, e.crashSignal, e.crashed
 	e.mu.Unlock()
-	if isCrashed {
+	if crashed {
 		return false
 	}
 	select {
 	case <-unpaused:
 		return true
-	case <-crashed:
+	case <-crashSignal:
 		return false
 	case <-ctx.Done():
 		return false
@@ -124,7 +124,8 @@
 	return body, nil
 }
 
-// errTruncated marks an answer that is cut off by a crash.
+// errTruncated marks an answer that ends early, since the engine crashed or the
+// caller disconnected while it was paused, and an order interrupted by a crash.
 var errTruncated = errors.New("engine: the answer is cut off")
 
 // relay writes a sequence's tokens as they are produced.
@@ -135,7 +136,7 @@
 	for {
 		select {
 		case <-s.notify:
-		case <-s.crashed:
+		case <-s.crashSignal:
 			return errTruncated
 		case <-ctx.Done():
 			return ctx.Err()
--- a/internal/standin/engine/loop.go
+++ b/internal/standin/engine/loop.go
@@ -13,22 +13,22 @@
 		return
 	}
 	e.looping = true
-	go e.decode(e.crashed)
+	go e.decode(e.crashSignal)
 }
 
 func (e *Engine) canStep() bool {
 	idle := len(e.running) == 0 && e.waiting.Len() == 0
-	return !idle && !e.isCrashed && !e.paused && !e.hung
+	return !idle && !e.crashed && !e.paused && !e.hung
 }
 
 // decode runs steps until there is no more work or the engine crashes.
-func (e *Engine) decode(crashed chan struct{}) {
+func (e *Engine) decode(crashSignal chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	<-timer.C
 	due := time.Now()
 	for {
-		cost, ok := e.beginStep(crashed)
+		cost, ok := e.beginStep(crashSignal)
 		if !ok {
 			return
 		}
@@ -36,16 +36,17 @@
 		timer.Reset(time.Until(due))
 		select {
 		case <-timer.C:
-		case <-crashed:
+		case <-crashSignal:
 			return
 		}
-		if !e.endStep(crashed, time.Now()) {
+		if !e.endStep(crashSignal, time.Now()) {
 			return
 		}
 	}
 }
 
-// schedule returns the end of the step that follows one due at last.
+// schedule returns the due time of a step, given the due time of the previous
+// one, last. A delay of more than maxCatchUp isn't made up for.
 func schedule(last, now time.Time, cost time.Duration) time.Time {
 	if oldest := now.Add(-maxCatchUp); last.Before(oldest) {
 		last = oldest
@@ -54,10 +55,10 @@
 }
 
 // beginStep admits waiting sequences and returns the duration of the step.
-func (e *Engine) beginStep(crashed chan struct{}) (time.Duration, bool) {
+func (e *Engine) beginStep(crashSignal chan struct{}) (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.loopActive(crashed) {
+	if !e.loopActive(crashSignal) {
 		return 0, false
 	}
 	now := time.Now()
@@ -67,10 +68,10 @@
 }
 
 // endStep applies the step's result to every running sequence.
-func (e *Engine) endStep(crashed chan struct{}, now time.Time) bool {
+func (e *Engine) endStep(crashSignal chan struct{}, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.loopActive(crashed) {
+	if !e.loopActive(crashSignal) {
 		return false
 	}
 	e.advance(now)
@@ -81,8 +82,8 @@
 
 // loopActive reports whether the loop started with this channel continues, and
 // updates looping. Loops started before a crash hold another channel and stop.
-func (e *Engine) loopActive(crashed chan struct{}) bool {
-	if crashed != e.crashed {
+func (e *Engine) loopActive(crashSignal chan struct{}) bool {
+	if crashSignal != e.crashSignal {
 		return false
 	}
 	e.looping = e.canStep()
--- a/internal/standin/engine/memory.go
+++ b/internal/standin/engine/memory.go
@@ -55,13 +55,13 @@
 
 // lastInOrder returns the running sequence that is last in serving order.
 func (e *Engine) lastInOrder() *sequence {
-	worst := e.running[0]
+	last := e.running[0]
 	for _, s := range e.running[1:] {
-		if servedBefore(e.cfg.Priorities, worst, s) {
-			worst = s
+		if servedBefore(e.cfg.Priorities, last, s) {
+			last = s
 		}
 	}
-	return worst
+	return last
 }
 
 // preempt returns a running sequence to the queue. It resumes later from the
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -100,13 +100,13 @@
 	e.mu.Lock()
 	accepted := e.passesFence(o)
 	e.recordOrder(o, accepted)
-	crashed := e.crashed
+	crashSignal := e.crashSignal
 	e.mu.Unlock()
 	if !accepted {
 		return errFenced
 	}
 	if o.takesLoadTime() {
-		if err := e.waitUnlessCrashed(e.cfg.LoadTime, crashed); err != nil {
+		if err := e.waitUnlessCrashed(e.cfg.LoadTime, crashSignal); err != nil {
 			return err
 		}
 	}
@@ -138,13 +138,13 @@
 
 // waitUnlessCrashed waits for d. It returns errTruncated if the engine crashes
 // first.
-func (e *Engine) waitUnlessCrashed(d time.Duration, crashed <-chan struct{}) error {
+func (e *Engine) waitUnlessCrashed(d time.Duration, crashSignal <-chan struct{}) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return nil
-	case <-crashed:
+	case <-crashSignal:
 		return errTruncated
 	}
 }
--- a/internal/standin/engine/record_test.go
+++ b/internal/standin/engine/record_test.go
@@ -122,8 +122,8 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		e.beginStep(e.crashed)
-		e.endStep(e.crashed, time.Now())
+		e.beginStep(e.crashSignal)
+		e.endStep(e.crashSignal, time.Now())
 	}
 }
 
--- a/internal/standin/engine/schedule_test.go
+++ b/internal/standin/engine/schedule_test.go
@@ -279,7 +279,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := gomega.NewWithT(t)
 		e := New(Config{TokenTime: step})
-		before := e.crashed
+		before := e.crashSignal
 		e.Crash()
 		e.Restart()
 		p := launch(newClient(t, e.Handler()), "a", "[[tokens=3]]", "")
--- a/internal/standin/engine/sequence.go
+++ b/internal/standin/engine/sequence.go
@@ -3,7 +3,7 @@
 import "container/heap"
 
 // sequence is a waiting or running request. All fields except req, notify and
-// crashed are guarded by the engine's lock.
+// crashSignal are guarded by the engine's lock.
 type sequence struct {
 	req     *request
 	arrival uint64
@@ -20,8 +20,8 @@
 	end      End
 	// notify wakes the handler after produced or end changed.
 	notify chan struct{}
-	// crashed is closed when the engine crashes.
-	crashed <-chan struct{}
+	// crashSignal is closed when the engine crashes.
+	crashSignal <-chan struct{}
 }
 
 // contextTokens returns the number of tokens that must be in the KV cache before
--- a/internal/standin/engine/switches.go
+++ b/internal/standin/engine/switches.go
@@ -18,16 +18,16 @@
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.isCrashed {
+	if e.crashed {
 		return
 	}
-	e.isCrashed = true
+	e.crashed = true
 	e.looping = false
 	now := time.Now()
 	e.failSequences(now)
 	e.clearMemory()
 	e.events.reset(now)
-	close(e.crashed)
+	close(e.crashSignal)
 }
 
 func (e *Engine) failSequences(now time.Time) {
@@ -44,11 +44,11 @@
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.isCrashed {
+	if !e.crashed {
 		return
 	}
-	e.isCrashed = false
-	e.crashed = make(chan struct{})
+	e.crashed = false
+	e.crashSignal = make(chan struct{})
 	e.clearPauseAndHang()
 }
 
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,4 +1,4 @@
-// Package service is a stub of a plain HTTP service beside the model
+// Package service is a stub (stand-in) of a plain HTTP service beside the model
 // engines, such as one that issues filing receipts or accepts damage
 // reports. It answers every POST, whatever the path, with a hash of the body
 // and a run number, so that a repeated call can be detected.
@@ -9,8 +9,8 @@
 // disconnects. A crash can hit a call before or after its effect; the caller sees
 // the same aborted connection in both cases.
 //
-// /control/ holds fault injection for experiments: POST /control/service-time, /fail,
-// /crash and /restart, GET /control/record. Left out: authentication, other
+// /control/ holds fault injection for experiments: POST /control/service-time,
+// /fail, /crash and /restart, GET /control/record. Left out: authentication, other
 // methods, and idempotency on the service's side; the Idempotency-Key header
 // is recorded and otherwise ignored.
 package service
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -1,4 +1,4 @@
-// Package vmlist is a stub of the platform's list of live and leaving
+// Package vmlist is a stub (stand-in) of the platform's list of live and leaving
 // VMs.
 //
 // It imitates a list compiled from delayed reports: GET /v1/vms answers with the
--- a/internal/standin/web/web.go
+++ b/internal/standin/web/web.go
@@ -1,5 +1,5 @@
-// Package web holds HTTP helpers shared by the stub servers: JSON bodies, error
-// bodies, and a gate that simulates an outage.
+// Package web holds HTTP helpers shared by the stub servers (stand-ins): JSON bodies,
+// error bodies, and a gate that simulates an outage.
 package web
 
 import (
@@ -72,11 +72,11 @@
 func NewGate() *Gate { return &Gate{cancels: make(map[*http.Request]context.CancelFunc)} }
 
 // SetClosed closes or opens the gate.
-func (g *Gate) SetClosed(shut bool) {
+func (g *Gate) SetClosed(closed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.closed = shut
-	if !shut {
+	g.closed = closed
+	if !closed {
 		return
 	}
 	for _, cancel := range g.cancels {
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights is a stub of the platform's weight store, from which
-// engines fetch the weights of a model.
+// Package weights is a stub (stand-in) of the platform's weight store, from
+// which engines fetch the weights of a model.
 //
 // It imitates an object store with quotas: GET /weights/{model} sends the
 // model's bytes. A token bucket in bytes per second bounds all downloads
