--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -23,7 +23,7 @@
 	mechControl   = Mechanism{"control channel, jsonrpc2 over mutual TLS", "internal/control/client.go"}
 	mechHolder    = Mechanism{"credits leased from a limit's home", "internal/credit/holder.go"}
 	mechPermits   = Mechanism{"permits leased from a limit's home", "internal/credit/permitholder.go"}
-	mechHome      = Mechanism{"home of a limit", "internal/credit/home.go"}
+	mechHome      = Mechanism{"home of a limit", "internal/credit/owner.go"}
 	mechSLO       = Mechanism{"service levels by class and tier", "internal/slo/recorder.go"}
 	mechStream    = Mechanism{Name: "load report between the tokens of an open stream"}
 	mechCollector = Mechanism{Name: "garbage collector at its default pace"}
