--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -12,7 +12,7 @@
 	return wire.Status{Endpoint: ag.cfg.Endpoint, Clock: ag.clockReading(), Load: ag.queue.loadReport()}
 }
 
-// serveStatus answers a router's health check. It sends nothing to the engine and
+// serveStatus answers a router's probe. It sends nothing to the engine and
 // doesn't change the queue.
 func (ag *Agent) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/daemon/agent.go
+++ b/internal/daemon/agent.go
@@ -26,7 +26,7 @@
 	"coveferry/internal/telemetry"
 )
 
-// An agent accepts attempt bodies of up to resumeFactor times the bundle's request limit: the
+// resumeFactor bounds attempt bodies at an agent to a multiple of the bundle's request limit: the
 // router enforces that limit, and a resumed request also carries the response so far.
 const resumeFactor = 2
 
@@ -62,7 +62,7 @@
 	}
 	placementRunner := newPlacement(s, id, reg, log)
 	announcer := newAnnouncer(ag, bundles.node.Snapshot, id, log)
-	announcement := membership.NewDelivery(announcer)
+	leaveNotice := membership.NewDelivery(announcer)
 	attemptServer, err := newAttemptServer(s, announcer.Wrap(placementRunner.Wrap(ag.Handler())), id, log)
 	if err != nil {
 		return err
@@ -81,7 +81,7 @@
 	addServer(&g, attemptServer, func() error {
 		log.Info().Msg("stopping: refusing new attempts and finishing running ones")
 		ready.Close(gateServing)
-		return agentPlan(s.Shutdown).Run(startDrain(ag, placementRunner, announcement), handOver(ag, log), attemptServer.Stop)
+		return agentPlan(s.Shutdown).Run(startDrain(ag, placementRunner, leaveNotice), handOver(ag, log), attemptServer.Stop)
 	}, &stopErr)
 	addServer(&g, admin, admin.Stop, &stopErr)
 	addIdentity(&g, id, log)
@@ -175,23 +175,23 @@
 
 // Timing of an agent's shutdown, in addition to the time in the settings.
 const (
-	// drainNotice is how long new attempts get a refusal before the listener closes.
-	drainNotice = 2 * time.Second
+	// agentDrainTime is how long new attempts get a refusal before the listener closes.
+	agentDrainTime = 2 * time.Second
 	// handOverMargin is the time for moved attempts to start elsewhere.
 	handOverMargin = 5 * time.Second
 )
 
 func agentPlan(s settings.Shutdown) server.ShutdownPlan {
-	return server.ShutdownPlan{DrainTime: drainNotice, Grace: s.StreamsGrace.Std(), HandoverMargin: handOverMargin}
+	return server.ShutdownPlan{DrainTime: agentDrainTime, Grace: s.StreamsGrace.Std(), HandoverMargin: handOverMargin}
 }
 
 // startDrain returns a function that makes the agent refuse new attempts and notify the
 // routers while refusals are still sent.
-func startDrain(ag *agent.Agent, runner *placement.Runner, announcement *membership.Delivery) func() {
+func startDrain(ag *agent.Agent, runner *placement.Runner, leaveNotice *membership.Delivery) func() {
 	return func() {
 		runner.Leave()
 		ag.Leave()
-		announcement.Start()
+		leaveNotice.Start()
 	}
 }
 
--- a/internal/daemon/direct.go
+++ b/internal/daemon/direct.go
@@ -79,12 +79,12 @@
 	StopWithin time.Duration
 	// RetryRatio and RetryWindow bound the attempts beyond the first one of each request, and
 	// RetrySlack is the number of additional retries that each service may get in a window,
-	// all counted over all routers. RetryBounded reports whether a ratio is set, which may be
-	// 0.
-	RetryBounded bool
-	RetryRatio   float64
-	RetryWindow  time.Duration
-	RetrySlack   float64
+	// all counted over all routers. RetryRatioStated reports whether a ratio is stated, which may
+	// be 0.
+	RetryRatioStated bool
+	RetryRatio       float64
+	RetryWindow      time.Duration
+	RetrySlack       float64
 }
 
 const (
@@ -273,30 +273,30 @@
 
 func (d *directRouter) run(ctx context.Context) error {
 	var g run.Group
-	var failed error
+	var stopErr error
 	addContextActor(&g, ctx)
-	addServer(&g, d.callers, d.stop, &failed)
+	addServer(&g, d.callers, d.stop, &stopErr)
 	mux := http.NewServeMux()
 	mux.HandleFunc(d.cfg.ReadyPattern, d.serveReady)
 	ready, err := newAdminServer(d.cfg.Ready, mux)
 	if err != nil {
 		return err
 	}
-	addServer(&g, ready, ready.Stop, &failed)
+	addServer(&g, ready, ready.Stop, &stopErr)
 	if d.cfg.Metrics != "" {
 		metrics, err := newAdminServer(d.cfg.Metrics, telemetry.NewMux(d.reg, d.ready))
 		if err != nil {
 			return err
 		}
-		addServer(&g, metrics, metrics.Stop, &failed)
+		addServer(&g, metrics, metrics.Stop, &stopErr)
 	}
-	d.addPeers(&g, &failed)
+	d.addPeers(&g, &stopErr)
 	addLoop(&g, d.follower.Run)
 	addLoop(&g, membership.NewHealthProber(d.members, d.updater.checkHealth).Run)
 	addLoop(&g, d.watchUnresponsive)
 	addLoop(&g, d.followSettings)
 	d.ready.Open(gateServing)
-	return errors.CombineErrors(g.Run(), failed)
+	return errors.CombineErrors(g.Run(), stopErr)
 }
 
 // stop reports not ready so that the load balancer stops sending connections, then finishes
--- a/internal/daemon/directlimits.go
+++ b/internal/daemon/directlimits.go
@@ -6,7 +6,7 @@
 	"coveferry/internal/balance"
 )
 
-// logLimit logs when an endpoint sets, changes or removes its rate limit.
+// logLimit logs when an endpoint states a rate limit, another one, or none any more.
 func (d *directRouter) logLimit(e balance.LimitEvent) {
 	line := d.log.Info().Str("endpoint", e.Endpoint).Bool("from_router", e.FromPeer)
 	if !e.Limited {
@@ -17,8 +17,8 @@
 }
 
 // registerLimits registers metrics of endpoints' rate limits. Summed over the routers, the
-// parts are the allowed rate and the requests the actual one; the limits are the same on each
-// router.
+// routers' shares (the metric with "part" in its name) are the allowed rate and the requests the
+// actual one; the limits are the same on each router.
 func (d *directRouter) registerLimits() {
 	gauge := func(name, help string, value func(balance.LimitTotals) float64) {
 		d.reg.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 {
--- a/internal/daemon/directlist.go
+++ b/internal/daemon/directlist.go
@@ -66,15 +66,15 @@
 	l.d.log.Info().Int("endpoints", len(entries)).Int("kept", dir.KeptCount()).Strs("evacuated", dir.Evacuated()).
 		Uint64("revision", dir.Revision()).Msg("endpoint list changed")
 	l.logEvacuations(last, dir)
-	places := make([]membership.EndpointSpec, len(entries))
+	specs := make([]membership.EndpointSpec, len(entries))
 	vms := make([]membership.VM, len(entries))
 	for i, e := range entries {
-		places[i] = membership.EndpointSpec{
+		specs[i] = membership.EndpointSpec{
 			Endpoint: e.Endpoint.Name, VM: e.Endpoint.VM, Address: e.Endpoint.Address, Incarnation: e.Endpoint.ProcessID(),
 		}
 		vms[i] = membership.VM{Name: e.Endpoint.VM, Leaving: !dir.AcceptsWork(e.Endpoint.Name)}
 	}
-	l.d.members.HandleEvent(membership.BundleApplied{Endpoints: places})
+	l.d.members.HandleEvent(membership.BundleApplied{Endpoints: specs})
 	// Mark cold endpoints before they accept work again.
 	l.markCold(last, dir, entries)
 	l.d.members.HandleEvent(membership.ListRead{VMs: vms, At: time.Unix(int64(dir.Revision()), 0)})
--- a/internal/daemon/directpeers.go
+++ b/internal/daemon/directpeers.go
@@ -65,11 +65,11 @@
 }
 
 // addPeers adds the actors that share the source's data with other routers.
-func (d *directRouter) addPeers(g *run.Group, failed *error) {
+func (d *directRouter) addPeers(g *run.Group, stopErr *error) {
 	if d.peers == nil {
 		return
 	}
-	g.Add(d.control.Run, func(error) { *failed = errors.CombineErrors(*failed, d.control.Stop()) })
+	g.Add(d.control.Run, func(error) { *stopErr = errors.CombineErrors(*stopErr, d.control.Stop()) })
 	addLoop(g, d.peers.Run)
 }
 
--- a/internal/daemon/directreading.go
+++ b/internal/daemon/directreading.go
@@ -34,10 +34,10 @@
 	// between two calls, if no bound requires less.
 	defaultWait        = 5 * time.Second
 	defaultMinInterval = 200 * time.Millisecond
-	// minWait and minMinInterval bound the load on the service however short a bound is: a
+	// minWait and shortestInterval bound the load on the service however short a bound is: a
 	// wait of several response times, and ten calls a second per reader.
-	minWait        = 200 * time.Millisecond
-	minMinInterval = 100 * time.Millisecond
+	minWait          = 200 * time.Millisecond
+	shortestInterval = 100 * time.Millisecond
 	// readTimeout bounds the time without data in one call, before and during its response.
 	// The service responds in milliseconds, or in a quarter of a second when it is slow.
 	readTimeout = 600 * time.Millisecond
@@ -54,7 +54,7 @@
 	if b.DrainWithin > 0 {
 		spare := b.DrainWithin - (t.Wait + t.Slack + readTimeout)
 		minInterval := max(time.Duration(minIntervalShare*float64(b.DrainWithin)), min(t.Wait, time.Duration(spareShare*float64(spare))))
-		t.MinInterval = max(minMinInterval, minInterval)
+		t.MinInterval = max(shortestInterval, minInterval)
 	}
 	t.OutageThreshold = maxAgeWaits*t.Wait + outageSlacks*t.Slack
 	return t
--- a/internal/daemon/directreading_test.go
+++ b/internal/daemon/directreading_test.go
@@ -27,7 +27,7 @@
 			"a drain that leaves time", DirectBounds{RevokeWithin: 5 * time.Second, DrainWithin: 4 * time.Second, ConfigWithin: 4 * time.Second},
 			time.Second, time.Second,
 		},
-		{"very short", DirectBounds{RevokeWithin: 1, DrainWithin: 1, ConfigWithin: 1}, minWait, minMinInterval},
+		{"very short", DirectBounds{RevokeWithin: 1, DrainWithin: 1, ConfigWithin: 1}, minWait, shortestInterval},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/daemon/directretries.go
+++ b/internal/daemon/directretries.go
@@ -33,7 +33,7 @@
 // retryShares converts the operator's bounds to the ratio and floor of a retry.BudgetConfig.
 func retryShares(b DirectBounds) (ratio, floor float64) {
 	ratio, floor = ratioShare*b.RetryRatio, retryFloor
-	if b.RetryBounded && b.RetryRatio == 0 {
+	if b.RetryRatioStated && b.RetryRatio == 0 {
 		ratio = retry.ExplicitZero
 	}
 	if b.RetrySlack > 0 && b.RetryWindow > 0 {
--- a/internal/daemon/directretries_test.go
+++ b/internal/daemon/directretries_test.go
@@ -68,7 +68,7 @@
 	noRetries, ok := retryPolicy(settings.Retry{MaxAttempts: 3}).(*retry.Policy)
 	g.Expect(ok).To(BeTrue())
 	g.Expect(countRetries(noRetries)).To(BeZero(), "settings of a router with agents")
-	bounds := DirectBounds{RetryBounded: true, RetryWindow: 10 * time.Second, RetrySlack: 52}
+	bounds := DirectBounds{RetryRatioStated: true, RetryWindow: 10 * time.Second, RetrySlack: 52}
 	g.Expect(countRetries(directRetries(bounds, func() int { return 1 }, 1))).To(BeNumerically("<=", 52), "a platform's bounds")
 	bounds = DirectBounds{RetryWindow: 10 * time.Second}
 	g.Expect(countRetries(directRetries(bounds, func() int { return 1 }, 1))).To(BeNumerically("~", 100, 5), "bounds that aren't stated")
@@ -76,7 +76,7 @@
 
 func TestReloadUpdatesRetryBudget(t *testing.T) {
 	g := NewWithT(t)
-	bounds := DirectBounds{RetryBounded: true, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 52}
+	bounds := DirectBounds{RetryRatioStated: true, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 52}
 	d := &directRouter{cfg: DirectConfig{Reload: func() (DirectBounds, error) { return bounds, nil }}, log: zerolog.Nop()}
 	d.bounds.Store(&bounds)
 	d.retries = directRetries(bounds, func() int { return 1 }, 1).Budget
--- a/internal/daemon/directstop.go
+++ b/internal/daemon/directstop.go
@@ -8,9 +8,9 @@
 
 // Timing of a direct router's shutdown.
 const (
-	// noticeShare of StopWithin is the longest time before a stopping router refuses new
+	// drainShare of StopWithin is the longest time before a stopping router refuses new
 	// requests.
-	noticeShare = 0.33
+	drainShare = 0.33
 	// directDrainTime is how long the load balancer may still send connections after the router
 	// reports not ready: two readiness checks, one second apart.
 	directDrainTime = 2500 * time.Millisecond
@@ -23,6 +23,6 @@
 
 // stopPlan returns the shutdown plan for a router that must exit within the given time.
 func stopPlan(within time.Duration) server.ShutdownPlan {
-	notice := min(directDrainTime, time.Duration(noticeShare*float64(within)))
-	return server.ShutdownPlan{DrainTime: notice, Grace: within - notice - directHandoverMargin, HandoverMargin: directHandoverMargin}
+	drainTime := min(directDrainTime, time.Duration(drainShare*float64(within)))
+	return server.ShutdownPlan{DrainTime: drainTime, Grace: within - drainTime - directHandoverMargin, HandoverMargin: directHandoverMargin}
 }
--- a/internal/daemon/directsilence.go
+++ b/internal/daemon/directunresponsive.go
@@ -12,7 +12,7 @@
 
 // watchUnresponsive triggers health checks of endpoints that send nothing although they have open
 // requests. The requests keep waiting, except streams that have a copy at another endpoint:
-// they resume there once the first endpoint is considered lost.
+// they resume there once the first endpoint is presumed down.
 func (d *directRouter) watchUnresponsive(ctx context.Context) {
 	tick := time.NewTicker(balance.UnresponsiveCheckInterval)
 	defer tick.Stop()
--- a/internal/daemon/onplatform/onplatform.go
+++ b/internal/daemon/onplatform/onplatform.go
@@ -52,13 +52,13 @@
 
 func boundsOf(s *platform.Settings) daemon.DirectBounds {
 	return daemon.DirectBounds{
-		RevokeWithin: s.RevokeWithin,
-		DrainWithin:  s.DrainWithin,
-		ConfigWithin: s.ConfigWithin,
-		StopWithin:   s.StopWithin,
-		RetryBounded: s.RetryRatioStated,
-		RetryRatio:   s.RetryRatio,
-		RetryWindow:  s.RetryWindow,
-		RetrySlack:   s.RetrySlack,
+		RevokeWithin:     s.RevokeWithin,
+		DrainWithin:      s.DrainWithin,
+		ConfigWithin:     s.ConfigWithin,
+		StopWithin:       s.StopWithin,
+		RetryRatioStated: s.RetryRatioStated,
+		RetryRatio:       s.RetryRatio,
+		RetryWindow:      s.RetryWindow,
+		RetrySlack:       s.RetrySlack,
 	}
 }
--- a/internal/daemon/standalone.go
+++ b/internal/daemon/standalone.go
@@ -79,7 +79,7 @@
 	return engines
 }
 
-// Standalone runs a router, agents and stand-in engines in this process until the
+// Standalone runs a router, agents and stub engines in this process until the
 // environment's context ends, then finishes open requests.
 func Standalone(env *cli.Env, s *settings.Standalone) error {
 	log := logging.New(s.Log, env.Stderr)
@@ -100,7 +100,7 @@
 		Profile:       standaloneProfile(s),
 		Log:           log,
 		Metrics:       reg,
-		Service:       sloTracker,
+		SLO:           sloTracker,
 	})
 	if err != nil {
 		return err
--- a/internal/filters/choose/choose.go
+++ b/internal/filters/choose/choose.go
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// recordLimitPart records for the log which rate limit of the endpoint the attempt counts
-// against.
+// recordLimitPart records for the log which share of the endpoint's rate limit the attempt is
+// charged to.
 func (f *Filter) recordLimitPart(r *request.Request) {
 	if part, limited := f.pool.LimitOf(time.Now(), r.Endpoint); limited {
 		r.LimitPart = part.String()
--- a/internal/filters/dispatch/direct.go
+++ b/internal/filters/dispatch/direct.go
@@ -113,7 +113,7 @@
 		f.pool.Report(now, e.Name, report)
 	}
 	if current && (reply.Signed || reply.RateLimit.Kind == upstream.LimitSet) {
-		// A queue-full refusal that names no limit doesn't clear a known limit.
+		// A queue-full refusal that states no rate limit doesn't clear a known one.
 		f.pool.ApplyLimit(now, sent, e.Name, reply.RateLimit)
 	}
 }
--- a/internal/filters/dispatch/dispatch.go
+++ b/internal/filters/dispatch/dispatch.go
@@ -52,7 +52,7 @@
 func (*Filter) Name() string { return "dispatch" }
 
 // Do sends the attempt to one endpoint or, with late binding, to a pair of endpoints of
-// which one runs it. Its error is an *ExpiredError, a *RefusedError, a *NoAnswerError, or
+// which one runs it. Its error is an *ExpiredError, a *RefusedError, a *NoResponseError, or
 // an error of the next filter. When Do returns, the response is closed, so nothing of this
 // attempt can reach the caller any more.
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
--- a/internal/filters/dispatch/silent.go
+++ b/internal/filters/dispatch/unresponsive.go
@@ -10,7 +10,7 @@
 	"coveferry/internal/request"
 )
 
-// errEndpointUnresponsive ends an attempt at an endpoint that is considered lost although no
+// errEndpointUnresponsive ends an attempt at an endpoint that is presumed down although no
 // connection broke. The run resumes from its KV cache copy.
 var errEndpointUnresponsive = errors.New("the endpoint is unresponsive; resuming the run from its copy")
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// CancelCopiedRuns cancels the attempts at an endpoint that is considered lost, so that
+// CancelCopiedRuns cancels the attempts at an endpoint that is presumed down, so that
 // their runs resume from KV cache copies. It cancels only those whose copy is at an
 // endpoint in use. Other attempts keep waiting: the endpoint may recover, and a request
 // that may run only once can't be retried elsewhere. It returns the number of canceled
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -60,8 +60,7 @@
 	Network Network
 	// NewID generates the routers' request IDs; nil means random IDs.
 	NewID func() string
-	// Rand returns the routers' random numbers from [0, 1); nil means that each
-	// router has its own source.
+	// Rand returns the routers' random numbers from [0, 1); nil uses math/rand.
 	Rand func() float64
 	// Clock is the clock of routers and agents; nil means clock.Boot.
 	Clock clock.Clock
@@ -73,8 +72,8 @@
 	Keys    *once.Config
 	Log     zerolog.Logger
 	Metrics prometheus.Registerer // of the first router; may be nil
-	// Service tracks the service levels of the first router; may be nil.
-	Service *slo.Tracker
+	// SLO tracks the service levels of the first router; may be nil.
+	SLO *slo.Tracker
 }
 
 // Network connects the routers, agents and engines of a fleet.
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -30,7 +30,7 @@
 }
 
 // start runs the exchange with the other routers. If they have no control servers,
-// the profile must set limits.Alone.
+// the profile must set limits.PerRouter.
 func (t *teamLimits) start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.cancel = cancel
--- a/internal/fleet/nodes.go
+++ b/internal/fleet/nodes.go
@@ -170,7 +170,7 @@
 	address := anyPort
 	if i == 0 && existing == nil {
 		cfg.Metrics = f.spec.Metrics
-		cfg.SLO = f.spec.Service
+		cfg.SLO = f.spec.SLO
 		if f.spec.RouterAddress != "" {
 			address = f.spec.RouterAddress
 		}
--- a/internal/fleet/profile.go
+++ b/internal/fleet/profile.go
@@ -25,7 +25,8 @@
 	Throttle throttle.Config
 	// LateBinding lets a request wait at two endpoints at once.
 	LateBinding bool
-	// IgnoreKeys disables idempotency keys.
+	// IgnoreKeys sends requests with an idempotency key to any endpoint and runs them without
+	// checking their keys, for comparison.
 	IgnoreKeys bool
 	// TeamLimits is the way in which routers enforce the limits of teams.
 	TeamLimits limits.Mode
--- a/internal/router/drain.go
+++ b/internal/router/drain.go
@@ -33,8 +33,8 @@
 // request sent on an idle connection while it closes would be lost.
 func (rt *Router) CloseCallerConnections() { rt.drain.closeConns.Store(true) }
 
-// RefuseNewRequests refuses new requests from now on, which leaves the rest of the drain time
-// to the open ones.
+// RefuseNewRequests refuses new requests from now on, which leaves the rest of the planned stop
+// (server.ShutdownPlan.Grace) to the open ones.
 func (rt *Router) RefuseNewRequests() { rt.drain.refuseNew.Store(true) }
 
 // stoppingError is returned for requests that arrive after RefuseNewRequests.
@@ -50,8 +50,8 @@
 	}
 }
 
-// AbortOpenRequests aborts the requests that didn't finish within the drain time, with a typed
-// error.
+// AbortOpenRequests aborts the requests that are still open near the end of
+// server.ShutdownPlan.Grace, with a typed error.
 func (rt *Router) AbortOpenRequests() { rt.drain.abort(errAborted) }
 
 // withAbort returns a context that is canceled with errAborted when open requests are aborted.
--- a/internal/router/routed.go
+++ b/internal/router/routed.go
@@ -50,8 +50,8 @@
 // routes.
 const routedRetryAfter = 100 * time.Millisecond
 
-// refuseLateFactor is the expected time to the first part of the answer, as a multiple of the
-// route's objective, above which a routed request is refused.
+// refuseLateFactor is the expected wait for other requests, as a multiple of the longest
+// objective of the service, above which a routed request is refused.
 const refuseLateFactor = 1.0
 
 // Log lines per second for completed and for failed requests. At a few hundred bytes per line
@@ -89,8 +89,8 @@
 	)
 }
 
-// ResumeFromCopies cancels the streams at unresponsive endpoints that have a copy of their run
-// at a usable endpoint, so that they resume from it. Without Routing it does nothing.
+// ResumeFromCopies cancels those streams at endpoints presumed down whose run has a copy at a
+// usable endpoint, so that they resume from it. Without Routing it does nothing.
 func (rt *Router) ResumeFromCopies(endpoints []string) {
 	if rt.directDispatch == nil {
 		return
