--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -24,8 +24,8 @@
 	Prefix uint64
 	// Prompt describes the parts and sizes of the prompt, if the caller sent them.
 	Prompt prompt.Prompt
-	// MaxGap is the longest allowed pause between two events of the stream; 0 means no limit.
-	// Stride is the number of tokens in an event.
+	// MaxGap is the gap limit, the longest allowed pause between two events of the stream; 0 means
+	// none. Stride is the number of tokens in an event.
 	MaxGap time.Duration
 	Stride int
 	// Objective is the target for the time to the first event of the response; 0 means none.
--- a/internal/balance/bound.go
+++ b/internal/balance/bound.go
@@ -29,11 +29,11 @@
 	shareAt     time.Time
 }
 
-// cold says whether the endpoint has just started or rejoined. rate is what a cold endpoint
+// cold reports whether the endpoint has just started or rejoined. rate is what a cold endpoint
 // accepts; 0 means that cold endpoints aren't limited.
 func (b *rateState) cold(t time.Time, rate float64) bool { return rate > 0 && t.Before(b.coldUntil) }
 
-// treatAsCold says whether the endpoint gets the rate of a cold one. A suspect endpoint does too:
+// treatAsCold reports whether the endpoint gets the rate of a cold one. A suspect endpoint does too:
 // where no other endpoint may take requests, it must not get all of them at once.
 func (b *rateState) treatAsCold(now time.Time, req Request) bool {
 	return b.cold(now, req.ColdRate) || b.suspect && req.ColdRate > 0 && !req.majoritySuspect
@@ -60,7 +60,7 @@
 	return req.Tier
 }
 
-// reducedCapacity says whether the endpoint is left out of the decisions on isolated kinds and
+// reducedCapacity reports whether the endpoint is left out of the decisions on isolated kinds and
 // preferred endpoints: it is cold, or its limit turns requests away. A limit that no request
 // reaches changes nothing.
 func (b *rateState) reducedCapacity(now time.Time, coldRate float64) bool {
@@ -76,7 +76,7 @@
 	return b.share
 }
 
-// ready says whether the endpoint may be sent the request now. The caller holds the lock of its
+// ready reports whether the endpoint may be sent the request now. The caller holds the lock of its
 // shard.
 func (p *Pool) ready(now time.Time, st *state, e *bundle.Endpoint, req Request) bool {
 	limit, limited := st.rateState.currentLimit(now, e, req)
@@ -98,7 +98,7 @@
 	}
 }
 
-// Take says whether an endpoint may be sent a request now and, if its rate is limited, counts the
+// Take reports whether an endpoint may be sent a request now and, if its rate is limited, counts the
 // request against this router's share. Only the tier and the cold rate of req matter.
 func (p *Pool) Take(now time.Time, e *bundle.Endpoint, req Request) bool {
 	sh := p.shard(e.Name)
@@ -116,9 +116,9 @@
 	return taken
 }
 
-// MayCheck says whether an endpoint may be sent a health check and, if the endpoint states a limit,
-// counts the check like a request. Checks of cold endpoints aren't counted, since only checks find
-// out that such an endpoint has returned.
+// MayCheck reports whether an endpoint may be sent a health check and, if the endpoint states a
+// limit, counts the check like a request. Checks of cold endpoints aren't counted, since only
+// checks find out that such an endpoint has returned.
 func (p *Pool) MayCheck(now time.Time, e *bundle.Endpoint) bool { return p.Take(now, e, Request{}) }
 
 // recordUnserved records that no endpoint could take a request, so that the next turn at the
--- a/internal/balance/cold_test.go
+++ b/internal/balance/cold_test.go
@@ -88,7 +88,7 @@
 	answered        map[int]int // in time, by the second of the request
 }
 
-func runCrashSim(routers int, limit float64, lasts time.Duration) *crashSim {
+func runCrashSim(routers int, limit float64, duration time.Duration) *crashSim {
 	c := &crashSim{rnd: rand.New(rand.NewPCG(7, 7)), rate: limit, total: map[int]int{}, answered: map[int]int{}}
 	const domains, endpoints = 3, 56
 	var names []string
@@ -111,7 +111,7 @@
 		c.endpoints = append(c.endpoints, &crashEndpoint{Endpoint: bundle.Endpoint{Name: fmt.Sprint("e", i), FailureDomain: names[i%domains], Slots: 64}})
 	}
 	const load = 12 * endpoints // requests a second, half the capacity
-	for at := time.Duration(0); at < lasts; at += time.Duration(c.rnd.ExpFloat64() / load * float64(time.Second)) {
+	for at := time.Duration(0); at < duration; at += time.Duration(c.rnd.ExpFloat64() / load * float64(time.Second)) {
 		c.on(epoch.Add(at), c.request)
 	}
 	c.on(epoch.Add(4*time.Second), func(now time.Time) {
--- a/internal/balance/copy.go
+++ b/internal/balance/copy.go
@@ -38,8 +38,8 @@
 	return best
 }
 
-// betterCopyTarget says whether a is a better place for the copy than b: in another failure domain
-// than the chosen endpoint, or else by rendezvous hashing.
+// betterCopyTarget reports whether a is a better place for the copy than b: in another failure
+// domain than the chosen endpoint, or else by rendezvous hashing.
 func betterCopyTarget(p prompt.Prompt, views []View, chosen, a, b int) bool {
 	farA := views[a].FailureDomain != views[chosen].FailureDomain
 	farB := views[b].FailureDomain != views[chosen].FailureDomain
--- a/internal/balance/cost.go
+++ b/internal/balance/cost.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Cost weights in milliseconds. Only their ratios matter; design note 0013 has the measurements.
+// Cost weights in milliseconds. Only their ratios matter; design note 0013 and the commits of this
+// file have the measurements.
 const (
 	// perStreamCost is the delay that one more stream in a batch causes the others. A value of 4
 	// does no better.
--- a/internal/balance/demand.go
+++ b/internal/balance/demand.go
@@ -20,10 +20,10 @@
 // Requests of further kinds aren't counted.
 const maxKinds = 64
 
-// Kind holds decaying sums over the requests for a service with the same maximum gap.
+// Kind holds decaying sums over the requests for a service with the same gap limit.
 type Kind struct {
 	Service string `json:"service"`
-	// GapMillis is the longest allowed pause between two events; 0 means no limit.
+	// GapMillis is the gap limit, the longest allowed pause between two events; 0 means none.
 	GapMillis int64 `json:"gap"`
 	// Requests is the number of requests with the longer half-life, RecentRequests with the
 	// shorter.
@@ -36,7 +36,7 @@
 	PrefillSeconds float64 `json:"read"`
 	SlotSeconds    float64 `json:"held"`
 	// Ended is the number of responses that ended, and Late of those that exceeded their
-	// objective or maximum gap.
+	// objective or gap limit.
 	Ended float64 `json:"ended"`
 	Late  float64 `json:"late"`
 }
--- a/internal/balance/expect.go
+++ b/internal/balance/expect.go
@@ -4,11 +4,11 @@
 
 // Estimate implements ChoiceEstimator.
 func (p PromptAware) Estimate(req Request, views, leaving []View, chosen int) Estimates {
-	isolation := p.demand.lastIsolation(req.Service)
+	decision := p.demand.lastIsolation(req.Service)
 	regular, _ := splitReducedCapacity(views, usableViews(views))
 	ranked := rankForTightGap(views, regular)
-	e := Estimates{TightGap: isolation.isolates(req.MaxGap), DedicatedEndpoints: isolation.dedicated}
-	group := isolation.rankedGroup(e.TightGap, ranked)
+	e := Estimates{TightGap: decision.isolates(req.MaxGap), DedicatedEndpoints: decision.dedicated}
+	group := decision.rankedGroup(e.TightGap, ranked)
 	e.PrefillTime = prefillTime(req, &views[chosen])
 	reach := group
 	if e.TightGap {
--- a/internal/balance/failures.go
+++ b/internal/balance/failures.go
@@ -48,15 +48,15 @@
 }
 
 // Add adds another router's summary of the same endpoint.
-func (w FailureSummary) Add(o FailureSummary) FailureSummary {
-	w.Attempts += o.Attempts
-	w.Failed += o.Failed
-	w.Reporters += o.Reporters
-	if w.Unresponsive == 0 || o.Unresponsive > 0 && o.UnresponsiveMillis < w.UnresponsiveMillis {
-		w.UnresponsiveMillis = o.UnresponsiveMillis
-	}
-	w.Unresponsive += o.Unresponsive
-	return w
+func (s FailureSummary) Add(o FailureSummary) FailureSummary {
+	s.Attempts += o.Attempts
+	s.Failed += o.Failed
+	s.Reporters += o.Reporters
+	if s.Unresponsive == 0 || o.Unresponsive > 0 && o.UnresponsiveMillis < s.UnresponsiveMillis {
+		s.UnresponsiveMillis = o.UnresponsiveMillis
+	}
+	s.Unresponsive += o.Unresponsive
+	return s
 }
 
 // RecentFailures lists up to limit endpoints at which attempts of this router failed recently or
@@ -221,21 +221,21 @@
 	return failing
 }
 
-// isFailing says whether more attempts failed than chance explains, given the share of failures at
-// the other endpoints of the group. Rare failures follow a Poisson distribution, whose variance is
-// its mean; one is added because the mean is only an estimate.
-func (w FailureSummary) isFailing(groupShare float64) bool {
-	expected := groupShare * float64(w.Attempts)
+// isFailing reports whether more attempts failed than chance explains, given the share of failures
+// at the other endpoints of the group. Rare failures follow a Poisson distribution, whose variance
+// is its mean; one is added because the mean is only an estimate.
+func (s FailureSummary) isFailing(groupShare float64) bool {
+	expected := groupShare * float64(s.Attempts)
 	threshold := expected + failingStdDevs*math.Sqrt(expected+1)
-	return w.Failed >= minFailed && float64(w.Failed) > threshold &&
-		w.failedShare() > minFailedShare
+	return s.Failed >= minFailed && float64(s.Failed) > threshold &&
+		s.failedShare() > minFailedShare
 }
 
-func (w FailureSummary) failedShare() float64 {
-	if w.Attempts <= 0 {
+func (s FailureSummary) failedShare() float64 {
+	if s.Attempts <= 0 {
 		return 0
 	}
-	return float64(w.Failed) / float64(w.Attempts)
+	return float64(s.Failed) / float64(s.Attempts)
 }
 
 func (p *Pool) avoid(now time.Time, endpoint string) {
--- a/internal/balance/failures_test.go
+++ b/internal/balance/failures_test.go
@@ -13,7 +13,7 @@
 	p.Done(now, endpoint, res, 0)
 }
 
-// isAvoided says whether the i-th endpoint is avoided.
+// isAvoided reports whether the i-th endpoint is avoided.
 func isAvoided(p *Pool, now time.Time, i int) bool { return viewOf(p, now, i).Weight == 0 }
 
 func TestEndpointFailingAtSeveralRoutersIsAvoided(t *testing.T) {
--- a/internal/balance/isolation.go
+++ b/internal/balance/isolation.go
@@ -10,7 +10,7 @@
 type serviceEndpoints struct {
 	endpoints int
 	slots     float64 // of one endpoint
-	// gap is the time between two events of a stream while the endpoint reads no prompts.
+	// gap is the time between two events of a stream while the endpoint prefills no prompts.
 	gap time.Duration
 }
 
@@ -21,7 +21,7 @@
 	dedicated int
 }
 
-// isolates says whether streams with this gap limit are isolated.
+// isolates reports whether streams with this gap limit are isolated.
 func (s isolation) isolates(gap time.Duration) bool {
 	return slices.Contains(s.gapLimits, gap.Milliseconds())
 }
@@ -33,9 +33,9 @@
 	// grows or its own endpoints fail.
 	isolateAbove = 0.05
 	rejoinBelow  = 0.02
-	// prefillTarget is the target share of an endpoint's time spent on reading prompts (prefill).
-	// Above it prompts wait for each other for longer than they take to read; at it they wait
-	// half as long as at 0.5.
+	// prefillTarget is the target share of an endpoint's time spent on prefill. Above it prompts
+	// wait for each other for longer than their own prefill takes; at it they wait half as long as
+	// at 0.5.
 	prefillTarget = 0.35
 	// slotTarget is the target share of slots in use by streams, which leaves room for chance
 	// and bursts.
@@ -72,11 +72,11 @@
 	return next
 }
 
-// prefillSlowdown is how much longer a prompt takes to read beside running streams than alone.
+// prefillSlowdown is how much longer a prefill takes beside running streams than alone.
 const prefillSlowdown = 1.5
 
-// canJoin says whether at most rejoinBelow of the streams of each other kind would be late because
-// of the kind's prompts, on the given number of dedicated endpoints.
+// canJoin reports whether at most rejoinBelow of the streams of each other kind would be late
+// because of the kind's prompts, on the given number of dedicated endpoints.
 func canJoin(k Kind, others Demand, endpoints int, f serviceEndpoints) bool {
 	rate := k.rate() / float64(max(endpoints, 1))
 	prefill := prefillSlowdown * k.meanPrefillSeconds()
--- a/internal/balance/isolation_test.go
+++ b/internal/balance/isolation_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// engineShape is an engine: seconds per output token and per prompt token read, slots and tokens
-// per event.
+// engineShape is an engine: seconds per output token and per prefilled prompt token, slots and
+// tokens per event.
 type engineShape struct {
 	name        string
 	token, read float64
@@ -41,9 +41,9 @@
 	return serviceEndpoints{endpoints: n, slots: s.slots, gap: seconds(s.token * float64(s.stride))}
 }
 
-// mixedDemand is short prompts with long answers, whose gap limit is three times the time to read an
-// average long prompt, beside long prompts with short answers. Each kind needs the given part of the
-// capacity of n endpoints.
+// mixedDemand is short prompts with long answers, whose gap limit is three times the prefill time
+// of an average long prompt, beside long prompts with short answers. Each kind needs the given part
+// of the capacity of n endpoints.
 func (s engineShape) mixedDemand(n int, part float64) Demand {
 	const longTokens = 3000
 	gap := seconds(3*longTokens*s.read + s.token*float64(s.stride))
@@ -254,8 +254,8 @@
 
 // Isolated streams don't wait for the long prompts at other endpoints. In a burst of these, the mean
 // prefill backlog of all endpoints was also assumed at the stream's endpoint, and 44 routers
-// refused 30 streams within half a second for a wait of over 1.5 s at endpoints with nothing to
-// read.
+// rejected 30 streams within half a second for a wait of over 1.5 s at endpoints with nothing to
+// prefill.
 func TestExpectedWaitIgnoresBacklogOfOtherEndpoints(t *testing.T) {
 	g := NewWithT(t)
 	all := newEndpoints(12)
--- a/internal/balance/lab/sim.go
+++ b/internal/balance/lab/sim.go
@@ -85,8 +85,8 @@
 	// Policy creates the policy of a router.
 	Policy           func() balance.Policy
 	OutlierDetection bool
-	// With LateBinding requests are queued at up to two endpoints, depending on the
-	// LateBindingThreshold of the pool's configuration.
+	// LateBinding queues requests at up to two endpoints, depending on the LateBindingThreshold of
+	// the pool's configuration.
 	LateBinding          bool
 	LateBindingThreshold float64
 }
--- a/internal/balance/limit.go
+++ b/internal/balance/limit.go
@@ -48,17 +48,17 @@
 }
 
 // set stores a limit that the endpoint stated at the given time.
-func (l *limit) set(now, at time.Time, named bool, perSecond float64) (changed bool) {
-	changed = named != l.active || math.Abs(perSecond-l.advertised) > minRelativeChange*l.advertised
-	l.active, l.perSecond, l.statedAt = named, perSecond, at
+func (l *limit) set(now, at time.Time, stated bool, perSecond float64) (changed bool) {
+	changed = stated != l.active || math.Abs(perSecond-l.advertised) > minRelativeChange*l.advertised
+	l.active, l.perSecond, l.statedAt = stated, perSecond, at
 	if changed {
 		l.changedAt, l.advertised = now, perSecond
 	}
 	return changed
 }
 
-// limits is the state shared by the rate limits of all endpoints.
-type limits struct {
+// limitStats is the state shared by the rate limits of all endpoints.
+type limitStats struct {
 	// seen says that some endpoint has stated a limit since this router started.
 	seen atomic.Bool
 	// sent counts requests to endpoints with a limit.
--- a/internal/balance/limit_sim_test.go
+++ b/internal/balance/limit_sim_test.go
@@ -44,13 +44,13 @@
 	limitSimDuration  = 24 * time.Second
 	perToken          = time.Second / 56900 // of prefill
 	perEvent          = 18 * time.Millisecond
-	maxWait           = 1200 * time.Millisecond // beyond which requests are refused
+	maxWait           = 1200 * time.Millisecond // beyond which requests are rejected
 )
 
-// limitedEngine reads prompts one after the other and then sends events.
+// limitedEngine prefills prompts one after the other and then sends events.
 type limitedEngine struct {
 	bundle.Endpoint
-	freeAt  time.Time // when it has read all its prompts
+	freeAt  time.Time // when it has prefilled all its prompts
 	cached  map[uint64]bool
 	running int
 	limit   upstream.RateLimit
@@ -64,10 +64,10 @@
 	pools   []*Pool
 	engines []*limitedEngine
 	// total, noEndpoint, late and inTime count requests by rank while limits are stated: all,
-	// those without an available endpoint, those refused because of the wait, and those on time.
+	// those without an available endpoint, those rejected because of the wait, and those on time.
 	total, noEndpoint, late, inTime [3]int
-	// sharedTokensRead counts the tokens of shared prompt parts that weren't cached.
-	sharedTokensRead int
+	// sharedTokensPrefilled counts the tokens of shared prompt parts that weren't cached.
+	sharedTokensPrefilled int
 }
 
 func runLimitSim(routers, limited int, perSecond float64) *limitSim {
@@ -186,7 +186,7 @@
 		tokens += k.shared
 		e.cached[group] = true
 		if counts {
-			n.sharedTokensRead += k.shared
+			n.sharedTokensPrefilled += k.shared
 		}
 	}
 	if e.freeAt.Before(now) {
--- a/internal/balance/loadaware_test.go
+++ b/internal/balance/loadaware_test.go
@@ -93,21 +93,21 @@
 	g.Expect(float64(otherDomain) / 3000).To(gomega.BeNumerically("~", 1.0/3+2.0/9, 0.03))
 }
 
-func TestMayRefuseOnlyWithoutPreemptableLowerTier(t *testing.T) {
+func TestMayRejectOnlyWithoutPreemptableLowerTier(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p := NewPool(Config{})
 	list := namedEndpoints("a", "b")
 	full := load.Report{Seq: 1, Slots: 4, Queued: tierCounts(3), Running: tierCounts(2, 2)}
 	p.Report(epoch, "a", full)
-	g.Expect(p.MayRefuse(epoch, 1, list)).To(gomega.BeFalse(), "b is unknown")
+	g.Expect(p.MayReject(epoch, 1, list)).To(gomega.BeFalse(), "b is unknown")
 	p.Report(epoch, "b", full)
-	g.Expect(p.MayRefuse(epoch, 1, list)).To(gomega.BeTrue())
-	g.Expect(p.MayRefuse(epoch, 0, list)).To(gomega.BeFalse(), "tier 1 runs below")
-	g.Expect(p.MayRefuse(epoch.Add(time.Minute), 1, list)).To(gomega.BeFalse(), "reports are old")
+	g.Expect(p.MayReject(epoch, 1, list)).To(gomega.BeTrue())
+	g.Expect(p.MayReject(epoch, 0, list)).To(gomega.BeFalse(), "tier 1 runs below")
+	g.Expect(p.MayReject(epoch.Add(time.Minute), 1, list)).To(gomega.BeFalse(), "reports are old")
 	p.Report(epoch, "b", load.Report{Seq: 2, Slots: 4, Running: tierCounts(3)})
-	g.Expect(p.MayRefuse(epoch, 1, list)).To(gomega.BeFalse(), "b has room")
+	g.Expect(p.MayReject(epoch, 1, list)).To(gomega.BeFalse(), "b has room")
 	p.SetLeaving("b", true)
-	g.Expect(p.MayRefuse(epoch, 1, list)).To(gomega.BeTrue(), "b is leaving")
+	g.Expect(p.MayReject(epoch, 1, list)).To(gomega.BeTrue(), "b is leaving")
 }
 
 func TestPairHasSecondEndpointOnlyIfFirstIsBusy(t *testing.T) {
--- a/internal/balance/member.go
+++ b/internal/balance/member.go
@@ -11,8 +11,8 @@
 	sh.state(endpoint).rateState.suspect = suspect
 }
 
-// MajoritySuspect says whether more than half of the endpoint's group, itself included, is suspect:
-// then it is this router that was cut off.
+// MajoritySuspect reports whether more than half of the endpoint's group, itself included, is
+// suspect: then it is this router that was cut off.
 func (p *Pool) MajoritySuspect(endpoint string) bool {
 	all, suspect := p.countInGroup(p.groupOf(endpoint))
 	return 2*suspect > all
--- a/internal/balance/peerlimits.go
+++ b/internal/balance/peerlimits.go
@@ -30,7 +30,7 @@
 }
 
 // Digest is what a router sends so that its peer reports only changes if both digests agree.
-func (w LimitSummaries) Digest() uint64 { return w.NameDigest }
+func (s LimitSummaries) Digest() uint64 { return s.NameDigest }
 
 // LimitsForPeer returns the limits to report to a peer whose digest is theirs: those changed within
 // the given time, and the others too if the digests differ.
@@ -100,34 +100,34 @@
 }
 
 func (l *limit) summary(endpoint string, now time.Time) LimitSummary {
-	w := LimitSummary{Endpoint: endpoint, AgeMillis: now.Sub(l.statedAt).Milliseconds()}
+	s := LimitSummary{Endpoint: endpoint, AgeMillis: now.Sub(l.statedAt).Milliseconds()}
 	if l.active {
 		perSecond := l.perSecond
-		w.PerSecond = &perSecond
+		s.PerSecond = &perSecond
 	}
-	return w
+	return s
 }
 
 // ApplyPeerLimits applies the limits that a peer sent at sentAt. Endpoints that this router doesn't
 // know are skipped.
 func (p *Pool) ApplyPeerLimits(now, sentAt time.Time, limits []LimitSummary) {
-	for _, w := range limits {
-		p.applyPeerLimit(now, sentAt.Add(-time.Duration(max(0, w.AgeMillis))*time.Millisecond), w)
+	for _, s := range limits {
+		p.applyPeerLimit(now, sentAt.Add(-time.Duration(max(0, s.AgeMillis))*time.Millisecond), s)
 	}
 }
 
-func (p *Pool) applyPeerLimit(now, at time.Time, w LimitSummary) {
-	sh := p.shard(w.Endpoint)
+func (p *Pool) applyPeerLimit(now, at time.Time, s LimitSummary) {
+	sh := p.shard(s.Endpoint)
 	sh.mu.Lock()
-	st, known := sh.states[w.Endpoint]
-	changed := known && !at.Before(st.restartedAt) && st.rateState.limit.applyPeer(now, at, w)
+	st, known := sh.states[s.Endpoint]
+	changed := known && !at.Before(st.restartedAt) && st.rateState.limit.applyPeer(now, at, s)
 	sh.mu.Unlock()
 	if !changed {
 		return
 	}
-	event := LimitEvent{Endpoint: w.Endpoint, Limited: w.PerSecond != nil, FromPeer: true}
+	event := LimitEvent{Endpoint: s.Endpoint, Limited: s.PerSecond != nil, FromPeer: true}
 	if event.Limited {
-		event.PerSecond = *w.PerSecond
+		event.PerSecond = *s.PerSecond
 	}
 	p.notifyLimit(event)
 }
@@ -139,17 +139,17 @@
 // applyPeer applies a limit that, by another router's report, the endpoint stated at the given time.
 // If it equals the known one, it must be newer by more than timestampTolerance: otherwise the delay
 // of each report would make the statement look newer than it is.
-func (l *limit) applyPeer(now, at time.Time, w LimitSummary) (changed bool) {
-	named, perSecond := w.PerSecond != nil, 0.0
-	if named {
-		perSecond = *w.PerSecond
+func (l *limit) applyPeer(now, at time.Time, s LimitSummary) (changed bool) {
+	stated, perSecond := s.PerSecond != nil, 0.0
+	if stated {
+		perSecond = *s.PerSecond
 	}
 	after := l.statedAt
-	if named == l.active && perSecond == l.perSecond {
+	if stated == l.active && perSecond == l.perSecond {
 		after = after.Add(timestampTolerance)
 	}
-	if !at.After(after) || !(perSecond >= 0) || l.statedAt.IsZero() && !named {
+	if !at.After(after) || !(perSecond >= 0) || l.statedAt.IsZero() && !stated {
 		return false
 	}
-	return l.set(now, at, named, perSecond)
+	return l.set(now, at, stated, perSecond)
 }
--- a/internal/balance/peerloads.go
+++ b/internal/balance/peerloads.go
@@ -47,23 +47,23 @@
 // ApplyPeerLoads merges the loads that a peer sent at sentAt. Endpoints that this router doesn't
 // know, or has newer reports of, are skipped.
 func (p *Pool) ApplyPeerLoads(sentAt time.Time, loads []LoadSummary) {
-	for _, w := range loads {
-		sh := p.shard(w.Endpoint)
+	for _, s := range loads {
+		sh := p.shard(s.Endpoint)
 		sh.mu.Lock()
-		if st, ok := sh.states[w.Endpoint]; ok {
-			st.applyPeerLoad(sentAt.Add(-time.Duration(w.AgeMillis)*time.Millisecond), w)
+		if st, ok := sh.states[s.Endpoint]; ok {
+			st.applyPeerLoad(sentAt.Add(-time.Duration(s.AgeMillis)*time.Millisecond), s)
 		}
 		sh.mu.Unlock()
 	}
 }
 
 // applyPeerLoad applies a load report that another router received at the given time.
-func (st *state) applyPeerLoad(at time.Time, w LoadSummary) {
+func (st *state) applyPeerLoad(at time.Time, s LoadSummary) {
 	if !at.After(st.reportedAt) || at.Before(st.restartedAt) {
 		return
 	}
 	st.load.Running, st.load.Queued = [len(st.load.Running)]int{}, [len(st.load.Queued)]int{}
-	st.load.Running[0], st.load.Queued[0] = w.Running, w.Queued
+	st.load.Running[0], st.load.Queued[0] = s.Running, s.Queued
 	st.reportedAt, st.reportFromPeer = at, true
 	st.dropSendsUntil(at)
 }
--- a/internal/balance/pool.go
+++ b/internal/balance/pool.go
@@ -23,7 +23,7 @@
 	// nextDetectAt is when outlier detection runs next, in Unix nanoseconds.
 	nextDetectAt atomic.Int64
 	detectMu     sync.Mutex
-	limits       limits
+	limits       limitStats
 	domains      domainMonitor
 }
 
@@ -106,8 +106,8 @@
 
 // StreamObserver is a Policy that learns from finished streams.
 type StreamObserver interface {
-	// StreamEnded records the end of a stream of a service with the given maximum gap, the time
-	// for which it held its slot, and whether it exceeded its objective or maximum gap.
+	// StreamEnded records the end of a stream of a service with the given gap limit, the time
+	// for which it held its slot, and whether it exceeded its objective or gap limit.
 	StreamEnded(now time.Time, service string, gap, held time.Duration, late bool)
 }
 
@@ -219,7 +219,7 @@
 	return excluded
 }
 
-// availability says whether an endpoint may be sent a request.
+// availability reports whether an endpoint may be sent a request.
 type availability uint8
 
 const (
--- a/internal/balance/prompts.go
+++ b/internal/balance/prompts.go
@@ -44,10 +44,10 @@
 		return leastLoadedOf(views, usable, rnd), true
 	}
 	regular, reduced := splitReducedCapacity(views, usable)
-	isolation := p.demand.decideIsolation(now, req.Service, summarizeEndpoints(req, views, regular))
-	tightGap := isolation.isolates(req.MaxGap)
+	decision := p.demand.decideIsolation(now, req.Service, summarizeEndpoints(req, views, regular))
+	tightGap := decision.isolates(req.MaxGap)
 	share := p.demand.share()
-	group := endpointsFor(now, tightGap, isolation, share, views, regular)
+	group := endpointsFor(now, tightGap, decision, share, views, regular)
 	preferred := preferredEndpoint(req, views, group)
 	sampled := sampleSize(len(group), share)
 	estimateOtherRouters(views, share, float64(sampled)/float64(len(group)))
@@ -77,9 +77,9 @@
 
 // endpointsFor returns the endpoints that a kind of request uses. share is this router's share of
 // all requests.
-func endpointsFor(now time.Time, tight bool, isolation isolation, share float64, views []View, usable []int) []int {
+func endpointsFor(now time.Time, tight bool, decision isolation, share float64, views []View, usable []int) []int {
 	ranked := rankForTightGap(views, usable)
-	group := isolation.rankedGroup(tight, ranked)
+	group := decision.rankedGroup(tight, ranked)
 	if !tight {
 		return group
 	}
--- a/internal/balance/refuse.go
+++ b/internal/balance/reject.go
@@ -6,11 +6,11 @@
 	"coveferry/internal/bundle"
 )
 
-// MayRefuse says whether a router may refuse a request of the tier by itself: only if each usable
+// MayReject reports whether a router may reject a request of the tier by itself: only if each usable
 // candidate reported, within Config.FullReportMaxAge, that all its slots are in use and that it has
 // no work of a lower tier to preempt. An ejected endpoint still counts, since it can preempt work.
 // With no usable candidate the result is true.
-func (p *Pool) MayRefuse(now time.Time, tier int, candidates []*bundle.Endpoint) bool {
+func (p *Pool) MayReject(now time.Time, tier int, candidates []*bundle.Endpoint) bool {
 	var v View
 	for _, c := range candidates {
 		if p.fillView(now, c, &v, Request{}) != accepting {
@@ -23,8 +23,8 @@
 	return true
 }
 
-// canTake says whether the endpoint may have room for the tier. Without a report younger than maxAge
-// it may.
+// canTake reports whether the endpoint may have room for the tier. Without a report younger than
+// maxAge it may.
 func (v *View) canTake(now time.Time, tier int, maxAge time.Duration) bool {
 	unknown := v.ReportedAt.IsZero() || now.Sub(v.ReportedAt) > maxAge
 	hasRoom := v.Load.TotalRunning() < v.Load.Slots
--- a/internal/balance/restart_test.go
+++ b/internal/balance/restart_test.go
@@ -3,8 +3,8 @@
 // An endpoint may restart under the same name: its caches are empty, and the state of the previous
 // process no longer applies. Since the list entry hadn't changed, routers took it for the same
 // process: prompts were sent for lost caches, requests that had ended with the crash counted as
-// running, and the crash counted against the new process. Before the pool could handle restarts,
-// all the state listed in the first test was kept.
+// running, and the crash counted against the new process. A pool that doesn't handle restarts keeps
+// all the state listed in the first test.
 
 import (
 	"testing"
--- a/internal/balance/speed.go
+++ b/internal/balance/speed.go
@@ -72,7 +72,8 @@
 
 // speedEstimate is the expected speed of an endpoint.
 type speedEstimate struct {
-	// SecondsPerOutputToken is 0 if unknown.
+	// SecondsPerOutputToken is the time between two output tokens, 0 if unknown, and
+	// SecondsPerPromptToken the prefill time of a prompt token.
 	SecondsPerOutputToken, SecondsPerPromptToken float64
 	// PrefillOverhead is the fixed part of a prompt's prefill time, in seconds.
 	PrefillOverhead float64
--- a/internal/balance/start_test.go
+++ b/internal/balance/start_test.go
@@ -4,7 +4,7 @@
 // tight gap limits were late: sums counted for half a second held a sixth of their final values, and
 // for so small a load no endpoints are dedicated. At 103 routers and 180 endpoints the share of late
 // streams was .32 in the first two seconds and .02 from the eighth on. In the first test no endpoint
-// was dedicated after .6 s before the fix, and as many as after ten seconds since.
+// was dedicated after .6 s without the extrapolation, and with it as many as after ten seconds.
 
 import (
 	"testing"
--- a/internal/balance/unresponsive.go
+++ b/internal/balance/unresponsive.go
@@ -8,7 +8,7 @@
 const (
 	// UnresponsiveTimeout is the time without any response data, over all open requests at an
 	// endpoint, after which the endpoint is health-checked regardless of the other endpoints. It is
-	// longer than an idle engine needs to read the longest prompts, and a third of the time after
+	// longer than an idle engine needs to prefill the longest prompts, and a third of the time after
 	// which the endpoint list drops an endpoint that has stopped reporting.
 	UnresponsiveTimeout = time.Second
 	// UnresponsiveCheckInterval is the interval between two checks for unresponsive endpoints.
@@ -141,15 +141,15 @@
 	}
 }
 
-// isUnresponsive says whether this router found the endpoint unresponsive and got no response
+// isUnresponsive reports whether this router found the endpoint unresponsive and got no response
 // since. The finding holds while the endpoint is suspect, or for two check intervals.
 func (st *state) isUnresponsive(now time.Time) bool {
 	return !st.foundUnresponsiveAt.IsZero() && (st.rateState.suspect || now.Sub(st.foundUnresponsiveAt) <= 2*UnresponsiveCheckInterval) && st.foundUnresponsiveAt.After(st.lastResponseAt)
 }
 
-// rejectsPeerReport says whether a peer's report that the endpoint is unresponsive isn't accepted:
-// too few routers found it so, if the endpoint sends no load reports, or it has responded or
-// reported its load since.
+// rejectsPeerReport reports whether a peer's report that the endpoint is unresponsive isn't
+// accepted: too few routers found it so, if the endpoint sends no load reports, or it has responded
+// or reported its load since.
 func (st *state) rejectsPeerReport(now time.Time, w FailureSummary) bool {
 	since := now.Add(-time.Duration(w.UnresponsiveMillis) * time.Millisecond)
 	if st.reportedAt.IsZero() && w.Unresponsive < minUnresponsiveReporters {
--- a/internal/balance/unresponsive_kinds_sim_test.go
+++ b/internal/balance/unresponsive_kinds_sim_test.go
@@ -129,7 +129,7 @@
 	return unserved, total
 }
 
-// violatesRule says whether too many of the most urgent requests got no response.
+// violatesRule reports whether too many of the most urgent requests got no response.
 func (d *silenceSim) violatesRule() bool {
 	unserved, total := d.worstWindow(0)
 	return unserved >= ruleMinUnserved && float64(unserved) > ruleMaxShare*float64(total)
--- a/internal/balance/unresponsive_sim_test.go
+++ b/internal/balance/unresponsive_sim_test.go
@@ -72,7 +72,8 @@
 	return last
 }
 
-// simEngine reads prompts one after the other and responds to nothing while it is silent.
+// simEngine prefills prompts one after the other and responds to nothing while it is silent. Silent
+// is an engine's true state, unresponsive what routers find.
 type simEngine struct {
 	bundle.Endpoint
 	silent   bool
--- a/internal/balance/unresponsivedomain.go
+++ b/internal/balance/unresponsivedomain.go
@@ -70,7 +70,7 @@
 	Unresponsive         bool
 }
 
-// recordCheck records a check and says whether the checks have come without a long pause for at
+// recordCheck records a check and reports whether the checks have come without a long pause for at
 // least maxCheckGap.
 func (w *domainMonitor) recordCheck(now time.Time) bool {
 	w.mu.Lock()
@@ -184,8 +184,8 @@
 	return max(0, now.Sub(maxTime(d.lastResponseAt, d.active[endpoints-1].waitingSince)))
 }
 
-// isUnresponsive says whether the failure domain is unresponsive: the given number of endpoints was
-// found so, or their response gap is unusual among the group's domains.
+// isUnresponsive reports whether the failure domain is unresponsive: the given number of endpoints
+// was found so, or their response gap is unusual among the group's domains.
 func (d *domainState) isUnresponsive(now time.Time, e *engineSpeeds, endpoints int) bool {
 	if d.unresponsive >= endpoints && now.Sub(d.lastResponseAt) >= minReportedDomainGap {
 		return true
--- a/internal/balance/work.go
+++ b/internal/balance/work.go
@@ -66,21 +66,21 @@
 }
 
 // register adds the request to the state of its endpoint, whose shard is locked.
-func (a *TrackedRequest) register(st *state, w Work) {
-	a.state = st
-	a.statedLimit = st.rateState.limit.active
-	if !a.statedLimit && !a.sent.Before(st.rateState.coldUntil) {
-		a.speeds = st.speeds // a cold endpoint or one with a stated rate limit isn't typical of its group
+func (t *TrackedRequest) register(st *state, w Work) {
+	t.state = st
+	t.statedLimit = st.rateState.limit.active
+	if !t.statedLimit && !t.sent.Before(st.rateState.coldUntil) {
+		t.speeds = st.speeds // a cold endpoint or one with a stated rate limit isn't typical of its group
 	}
-	st.recordSent(a.sent)
-	st.inflightByTier[a.tier]++
+	st.recordSent(t.sent)
+	st.inflightByTier[t.tier]++
 	if w.TightGap {
 		st.tightGapStreams++
 	}
 	if w.Prompt.Tokens > 0 {
-		a.promptTokens = st.recordPrompt(a.sent, w.Prompt)
-		a.measuresPrefill = a.promptTokens <= w.Prompt.UnsharedTokens() && st.pendingPrefillTokens() == 0
-		st.pendingPrefill[a.tier] += a.promptTokens
+		t.promptTokens = st.recordPrompt(t.sent, w.Prompt)
+		t.measuresPrefill = t.promptTokens <= w.Prompt.UnsharedTokens() && st.pendingPrefillTokens() == 0
+		st.pendingPrefill[t.tier] += t.promptTokens
 	}
 }
 
@@ -105,90 +105,90 @@
 }
 
 // DataReceived records that any part of a response arrived from the endpoint.
-func (a *TrackedRequest) DataReceived(now time.Time) {
-	a.update(func(st *state) {
-		if a.speeds != nil {
-			a.speeds.recordResponseGap(now.Sub(st.waitingSince))
+func (t *TrackedRequest) DataReceived(now time.Time) {
+	t.update(func(st *state) {
+		if t.speeds != nil {
+			t.speeds.recordResponseGap(now.Sub(st.waitingSince))
 		}
 		st.waitingSince, st.lastResponseAt = now, now
 	})
 }
 
 // EventReceived records an event of the response. It isn't safe for concurrent use.
-func (a *TrackedRequest) EventReceived(now time.Time) {
-	if a.firstEventAt.IsZero() {
-		a.firstEventAt = now
-		a.PrefillDone()
-		if a.measuresPrefill && a.speeds != nil {
-			a.speeds.recordFirstToken(now.Sub(a.sent).Seconds(), a.promptTokens)
+func (t *TrackedRequest) EventReceived(now time.Time) {
+	if t.firstEventAt.IsZero() {
+		t.firstEventAt = now
+		t.PrefillDone()
+		if t.measuresPrefill && t.speeds != nil {
+			t.speeds.recordFirstToken(now.Sub(t.sent).Seconds(), t.promptTokens)
 		}
 	}
-	perToken := a.pace.record(now)
-	if perToken == 0 || a.speeds == nil {
+	perToken := t.pace.record(now)
+	if perToken == 0 || t.speeds == nil {
 		return // no sample
 	}
-	a.update(func(st *state) { st.outputToken.add(perToken, outputTokenQuantile) })
-	a.speeds.recordOutputToken(perToken)
+	t.update(func(st *state) { st.outputToken.add(perToken, outputTokenQuantile) })
+	t.speeds.recordOutputToken(perToken)
 }
 
 // PrefillDone records that the prompt is prefilled or no longer needs to be. Further calls have
 // no effect.
-func (a *TrackedRequest) PrefillDone() {
-	a.prefillOnce.Do(func() {
-		a.update(func(st *state) { st.pendingPrefill[a.tier] = max(0, st.pendingPrefill[a.tier]-a.promptTokens) })
+func (t *TrackedRequest) PrefillDone() {
+	t.prefillOnce.Do(func() {
+		t.update(func(st *state) { st.pendingPrefill[t.tier] = max(0, st.pendingPrefill[t.tier]-t.promptTokens) })
 	})
 }
 
 // Release records that the request no longer holds a slot at its endpoint. Further calls have no
 // effect.
-func (a *TrackedRequest) Release() {
-	a.PrefillDone()
-	a.releaseOnce.Do(func() {
-		a.update(func(st *state) {
-			st.inflightByTier[a.tier] = max(0, st.inflightByTier[a.tier]-1)
-			if a.tightGap {
+func (t *TrackedRequest) Release() {
+	t.PrefillDone()
+	t.releaseOnce.Do(func() {
+		t.update(func(st *state) {
+			st.inflightByTier[t.tier] = max(0, st.inflightByTier[t.tier]-1)
+			if t.tightGap {
 				st.tightGapStreams = max(0, st.tightGapStreams-1)
 			}
 		})
-		if learner, ok := a.pool.cfg.Policy.(StreamObserver); ok && !a.firstEventAt.IsZero() && !a.statedLimit {
-			learner.StreamEnded(a.pace.last, a.service, a.maxGap, a.pace.last.Sub(a.sent), a.late())
+		if learner, ok := t.pool.cfg.Policy.(StreamObserver); ok && !t.firstEventAt.IsZero() && !t.statedLimit {
+			learner.StreamEnded(t.pace.last, t.service, t.maxGap, t.pace.last.Sub(t.sent), t.late())
 		}
 	})
 }
 
-// late reports whether the response exceeded its objective or maximum gap.
-func (a *TrackedRequest) late() bool {
-	firstEventLate := a.objective > 0 && a.firstEventAt.Sub(a.sent) > a.objective
-	gapExceeded := a.maxGap > 0 && a.pace.longestGap > a.maxGap
+// late reports whether the response exceeded its objective or gap limit.
+func (t *TrackedRequest) late() bool {
+	firstEventLate := t.objective > 0 && t.firstEventAt.Sub(t.sent) > t.objective
+	gapExceeded := t.maxGap > 0 && t.pace.longestGap > t.maxGap
 	return firstEventLate || gapExceeded
 }
 
 // Refused records that the endpoint refused the request for lack of capacity.
-func (a *TrackedRequest) Refused(now time.Time) {
-	a.update(func(st *state) {
+func (t *TrackedRequest) Refused(now time.Time) {
+	t.update(func(st *state) {
 		st.refusedAt, st.requestsAtRefusal = now, st.load.TotalRunning()+st.load.TotalQueued()
 	})
 }
 
 // Done records the outcome of the request. Times to first token depend on the prompts rather than
 // the endpoints, so that they aren't compared between endpoints.
-func (a *TrackedRequest) Done(now time.Time, res Result) {
-	if a.statedLimit {
+func (t *TrackedRequest) Done(now time.Time, res Result) {
+	if t.statedLimit {
 		res = ResultCancelled // doesn't affect the endpoint's health
 	}
 	failing := false
-	a.update(func(st *state) {
-		st.recordDone(now, res, 0, a.pool.cfg.FirstTokenSmoothing)
-		failing = res == ResultFailed && st.health.failureShare > a.pool.cfg.Outlier.FailureShare
+	t.update(func(st *state) {
+		st.recordDone(now, res, 0, t.pool.cfg.FirstTokenSmoothing)
+		failing = res == ResultFailed && st.health.failureShare > t.pool.cfg.Outlier.FailureShare
 	})
-	a.pool.detectOutliers(now, failing)
+	t.pool.detectOutliers(now, failing)
 }
 
-func (a *TrackedRequest) update(f func(*state)) {
-	sh := a.pool.shard(a.endpoint)
+func (t *TrackedRequest) update(f func(*state)) {
+	sh := t.pool.shard(t.endpoint)
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	if sh.states[a.endpoint] == a.state {
-		f(a.state)
+	if sh.states[t.endpoint] == t.state {
+		f(t.state)
 	}
 }
--- a/internal/endpointrate/limit_test.go
+++ b/internal/endpointrate/limit_test.go
@@ -74,14 +74,14 @@
 
 func TestStatedLimitIsKeptAndUsedAcrossRouters(t *testing.T) {
 	g := NewWithT(t)
-	const lasts = 40 * time.Second
+	const duration = 40 * time.Second
 	for _, s := range fleetShapes {
 		for _, perSecond := range []float64{0.1, 0.5, 1, 1.1, 3, 7, 13, 50, 400} {
 			maximum, minUsed := 0, math.Inf(1)
 			for seed := range uint64(3) {
 				rnd := rand.New(rand.NewPCG(seed, 2))
 				demandRate := max(5*perSecond, callersPerRouter*float64(s.routers))
-				p := simulate(s, demandRate, lasts, rnd, byOwners(s.routers, s.domains, limitOf(perSecond), allRouters))
+				p := simulate(s, demandRate, duration, rnd, byOwners(s.routers, s.domains, limitOf(perSecond), allRouters))
 				maximum, minUsed = max(maximum, p.maxInWindow), min(minUsed, p.meanRate/perSecond)
 			}
 			t.Logf("%3d routers, limit %5.4g: maximum in 4 s %4d of %5.1f allowed, used %.2f", s.routers, perSecond, maximum, maxAllowed(perSecond), minUsed)
@@ -95,11 +95,11 @@
 // the whole limit for each router.
 func TestOwnersKeepALimitThatIndependentRoutersExceed(t *testing.T) {
 	g := NewWithT(t)
-	const lasts = 40 * time.Second
+	const span = 40 * time.Second
 	for _, s := range fleetShapes[2:] {
 		for _, perSecond := range []float64{1, 13} {
 			demandRate := max(5*perSecond, callersPerRouter*float64(s.routers))
-			run := func(may admitFunc) simResult { return simulate(s, demandRate, lasts, rand.New(rand.NewPCG(3, 2)), may) }
+			run := func(may admitFunc) simResult { return simulate(s, demandRate, span, rand.New(rand.NewPCG(3, 2)), may) }
 			equalShares := run(byEqualShares(s.routers, perSecond, rand.New(rand.NewPCG(3, 1))))
 			pacers := make([]Pacer, s.routers)
 			wholeLimits := run(func(router int, at time.Duration) bool { return pacers[router].Take(epoch.Add(at), perSecond, 0) })
@@ -119,12 +119,12 @@
 // The router with the largest share stops, and the others still count it for a while.
 func TestLimitIsUsedAfterLossOfAnOwner(t *testing.T) {
 	g := NewWithT(t)
-	const lasts = 40 * time.Second
+	const duration = 40 * time.Second
 	for _, s := range fleetShapes[1:] {
 		for _, perSecond := range []float64{0.5, 1, 13} {
 			run := func(lost int) simResult {
 				admit := byOwners(s.routers, s.domains, limitOf(perSecond), allRouters)
-				return simulate(s, max(5*perSecond, callersPerRouter*float64(s.routers)), lasts, rand.New(rand.NewPCG(1, 2)), func(router int, at time.Duration) bool {
+				return simulate(s, max(5*perSecond, callersPerRouter*float64(s.routers)), duration, rand.New(rand.NewPCG(1, 2)), func(router int, at time.Duration) bool {
 					return router != lost && admit(router, at)
 				})
 			}
@@ -206,7 +206,7 @@
 // second each. It returns the share of each tier that is sent, and the share of the limits that
 // is used.
 func simulateTiers(urgentPerSecond, otherPerSecond float64) (urgent, other, used float64) {
-	const perSecond, lasts = 4.0, 60 * time.Second
+	const perSecond, duration = 4.0, 60 * time.Second
 	rnd := rand.New(rand.NewPCG(1, 1))
 	var pacers [4]Pacer
 	var requested, sent [2]float64
@@ -218,7 +218,7 @@
 			tier = 1
 		}
 		at := next[tier]
-		if at > lasts {
+		if at > duration {
 			break
 		}
 		next[tier] += time.Duration(rnd.ExpFloat64() / rates[tier] * float64(time.Second))
@@ -227,7 +227,7 @@
 			sent[tier]++
 		}
 	}
-	return sent[0] / requested[0], sent[1] / requested[1], (sent[0] + sent[1]) / (lasts.Seconds() * perSecond * float64(len(pacers)))
+	return sent[0] / requested[0], sent[1] / requested[1], (sent[0] + sent[1]) / (duration.Seconds() * perSecond * float64(len(pacers)))
 }
 
 // sendToFirst sends a request to the first endpoint that admits it.
--- a/internal/endpointrate/share.go
+++ b/internal/endpointrate/share.go
@@ -1,15 +1,15 @@
 // Package endpointrate divides an endpoint's rate limit over all routers among them. A cold
 // endpoint has such a limit: it has just started or its failure domain was taken back into use,
 // so that its caches are empty and overload crashes it. An endpoint that states a rate limit in
-// its responses has one too. The limit has to hold while routers hear nothing of each other.
+// its responses has one too. The limit has to hold while routers are partitioned from each other.
 //
 // A few routers own a share of the rate: in each of a few failure domains those that rank first
 // for the endpoint by rendezvous hashing. The others send it nothing. With few owners no share is
 // so small that requests have to be admitted at random, and routers that disagree on the members
 // of the fleet differ only within their failure domain. This differs from retry budgets, which
-// depend on each router's own requests, and from team limits, whose credits are leased from a
-// home router: an endpoint's rate may be below one a second, and the limit holds while routers
-// are lost.
+// depend on each router's own requests, and from team limits, whose credits are leased from their
+// owner, a single router: an endpoint's rate may be below one a second, and the limit holds while
+// routers are lost.
 package endpointrate
 
 import (
@@ -66,8 +66,8 @@
 	// OwnDomainRouters are the routers of its failure domain, with or without itself, and Domains
 	// all failure domains that have routers.
 	OwnDomainRouters, Domains []string
-	// LostRouters is the number of other routers last known if none has been heard from for long,
-	// else 0. They may still be running and hear as little.
+	// LostRouters is the number of other routers last known if none has been seen for long,
+	// else 0. They may still be running, partitioned from this one.
 	LostRouters int
 }
 
--- a/internal/filters/shed/shed.go
+++ b/internal/filters/shed/shed.go
@@ -78,7 +78,7 @@
 func (f *Filter) Do(ctx context.Context, r *request.Request, next pipeline.Next) error {
 	t := f.throttleFor(r)
 	now := time.Now()
-	if !t.Allow(now, r.Tier, f.random()) && f.pool.MayRefuse(now, r.Tier, r.Candidates) {
+	if !t.Allow(now, r.Tier, f.random()) && f.pool.MayReject(now, r.Tier, r.Candidates) {
 		t.Refused(now, r.Tier)
 		return &Error{Tier: r.Tier, RetryAfter: f.retryAfter(now, r)}
 	}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -207,8 +207,8 @@
 		return f.cfg.Source.Read(ctx, call.fresh)
 	}
 	// The timeout starts anew with each part received: a configuration of a megabyte takes 1.1 s
-	// over a link of 10 Mbit/s. Calls with a fixed timeout of 0.4 s plus the wait failed on it
-	// repeatedly, and no update of endpoints came through.
+	// over a link of 10 Mbit/s. A fixed timeout of 0.4 s plus the wait would abort it each time, and
+	// no update of endpoints would come through.
 	ctx, cancel := idle.WithTimeout(ctx, call.wait+f.cfg.Timing.Slack, f.cfg.Timing.Slack)
 	defer cancel()
 	return f.cfg.Source.Await(ctx, f.Directory().Revision(), call.wait)
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -104,8 +104,7 @@
 	tier        int
 }
 
-// Admit admits a request of the team at a tier. The error is an
-// *ExceededError.
+// Admit admits a request of the team at a tier. The error is an *Error.
 func (l *Limiter) Admit(now time.Time, team *bundle.Team, tier int) (Ticket, error) {
 	sh := l.usages.shard(team.Name)
 	sh.mu.Lock()
--- a/internal/limits/message.go
+++ b/internal/limits/message.go
@@ -72,11 +72,11 @@
 var errBadRequest = errors.New("limits: an ask's numbers are out of range")
 
 // Check implements control.Checker.
-func (a LeaseRequests) Check() error {
-	if len(a.Teams) > maxTeams {
-		return errors.Newf("limits: %d teams in a message, %d at most", len(a.Teams), maxTeams)
+func (r LeaseRequests) Check() error {
+	if len(r.Teams) > maxTeams {
+		return errors.Newf("limits: %d teams in a message, %d at most", len(r.Teams), maxTeams)
 	}
-	for _, t := range a.Teams {
+	for _, t := range r.Teams {
 		if !t.Requests.valid() || !t.Tokens.valid() || !t.Permits.valid() {
 			return errors.Wrapf(errBadRequest, "team %q", t.Team)
 		}
@@ -84,23 +84,23 @@
 	return nil
 }
 
-func (a *RateRequest) valid() bool {
-	if a == nil {
+func (r *RateRequest) valid() bool {
+	if r == nil {
 		return true
 	}
-	ok := len(a.Want) <= load.MaxTiers && valid(a.Return)
-	for _, w := range a.Want {
+	ok := len(r.Want) <= load.MaxTiers && valid(r.Return)
+	for _, w := range r.Want {
 		ok = ok && valid(w)
 	}
 	return ok
 }
 
-func (a *PermitRequest) valid() bool {
-	if a == nil {
+func (r *PermitRequest) valid() bool {
+	if r == nil {
 		return true
 	}
-	ok := len(a.Want) <= load.MaxTiers && a.Quota >= 0 && a.Running >= 0
-	for _, w := range a.Want {
+	ok := len(r.Want) <= load.MaxTiers && r.Quota >= 0 && r.Running >= 0
+	for _, w := range r.Want {
 		ok = ok && w >= 0
 	}
 	return ok
@@ -108,23 +108,23 @@
 
 func valid(n float64) bool { return n >= 0 && !math.IsInf(n, 0) }
 
-func newRateRequest(a credit.LeaseRequest) *RateRequest {
-	return &RateRequest{Seq: a.Seq, Want: trimZeros(a.Want[:]), Return: a.Return}
+func newRateRequest(r credit.LeaseRequest) *RateRequest {
+	return &RateRequest{Seq: r.Seq, Want: trimZeros(r.Want[:]), Return: r.Return}
 }
 
-func (a *RateRequest) toCredit(holder string) credit.LeaseRequest {
-	out := credit.LeaseRequest{Holder: holder, Seq: a.Seq, Return: a.Return}
-	copy(out.Want[:], a.Want)
+func (r *RateRequest) toCredit(holder string) credit.LeaseRequest {
+	out := credit.LeaseRequest{Holder: holder, Seq: r.Seq, Return: r.Return}
+	copy(out.Want[:], r.Want)
 	return out
 }
 
-func newPermitRequest(a credit.PermitRequest) *PermitRequest {
-	return &PermitRequest{Seq: a.Seq, Quota: a.Quota, Running: a.Running, Want: trimZeros(a.Want[:])}
+func newPermitRequest(r credit.PermitRequest) *PermitRequest {
+	return &PermitRequest{Seq: r.Seq, Quota: r.Quota, Running: r.Running, Want: trimZeros(r.Want[:])}
 }
 
-func (a *PermitRequest) toCredit(holder string) credit.PermitRequest {
-	out := credit.PermitRequest{Holder: holder, Seq: a.Seq, Quota: a.Quota, Running: a.Running}
-	copy(out.Want[:], a.Want)
+func (r *PermitRequest) toCredit(holder string) credit.PermitRequest {
+	out := credit.PermitRequest{Holder: holder, Seq: r.Seq, Quota: r.Quota, Running: r.Running}
+	copy(out.Want[:], r.Want)
 	return out
 }
 
--- a/internal/limits/owner.go
+++ b/internal/limits/owner.go
@@ -97,38 +97,38 @@
 // own are left out, so that the holder continues as if the owner didn't answer.
 func (o *ownedLimits) grant(now time.Time, holder string, requests LeaseRequests, r reachability) Grants {
 	var out Grants
-	for _, a := range requests.Teams {
-		sh := &o[shardOf(a.Team)]
-		if g, ok := sh.grant(now, holder, a, r); ok {
+	for _, req := range requests.Teams {
+		sh := &o[shardOf(req.Team)]
+		if g, ok := sh.grant(now, holder, req, r); ok {
 			out.Teams = append(out.Teams, g)
 		}
 	}
 	return out
 }
 
-func (sh *ownerShard) grant(now time.Time, holder string, a TeamRequest, r reachability) (TeamGrant, bool) {
+func (sh *ownerShard) grant(now time.Time, holder string, req TeamRequest, r reachability) (TeamGrant, bool) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	o := sh.teams[a.Team]
+	o := sh.teams[req.Team]
 	if o == nil {
 		return TeamGrant{}, false
 	}
-	g := TeamGrant{Team: a.Team}
-	g.Requests = grantRate(now, o.requests, holder, a.Requests, r)
-	g.Tokens = grantRate(now, o.tokens, holder, a.Tokens, r)
-	if o.permits != nil && a.Permits != nil {
+	g := TeamGrant{Team: req.Team}
+	g.Requests = grantRate(now, o.requests, holder, req.Requests, r)
+	g.Tokens = grantRate(now, o.tokens, holder, req.Tokens, r)
+	if o.permits != nil && req.Permits != nil {
 		o.permits.SetReachable(r.reachable, r.total)
-		grant := o.permits.Grant(now, a.Permits.toCredit(holder))
+		grant := o.permits.Grant(now, req.Permits.toCredit(holder))
 		g.Permits = &PermitGrant{Seq: grant.Seq, Quota: grant.Quota}
 	}
 	return g, true
 }
 
-func grantRate(now time.Time, o *credit.Owner, holder string, a *RateRequest, r reachability) *RateGrant {
-	if o == nil || a == nil {
+func grantRate(now time.Time, o *credit.Owner, holder string, req *RateRequest, r reachability) *RateGrant {
+	if o == nil || req == nil {
 		return nil
 	}
 	o.SetReachable(now, r.reachable, r.total)
-	grant := o.Grant(now, a.toCredit(holder))
+	grant := o.Grant(now, req.toCredit(holder))
 	return &RateGrant{Seq: grant.Seq, Amount: grant.Amount}
 }
--- a/internal/limits/peers.go
+++ b/internal/limits/peers.go
@@ -42,11 +42,11 @@
 	p.contacts[name] = contact{at: now, using: using}
 	unreachable := 0
 	for peer, c := range p.contacts {
-		silence := now.Sub(c.at)
+		sinceContact := now.Sub(c.at)
 		switch {
-		case silence >= forgetAfter:
+		case sinceContact >= forgetAfter:
 			delete(p.contacts, peer)
-		case silence >= ttl && c.using:
+		case sinceContact >= ttl && c.using:
 			unreachable++
 		}
 	}
--- a/internal/limits/runner.go
+++ b/internal/limits/runner.go
@@ -200,8 +200,8 @@
 
 func (r collection) add(owner, team string, u *usage) {
 	u.urgent, u.refused = false, false
-	if a, due := u.leaseRequest(r.now, team); due {
-		r.batches[owner] = LeaseRequests{Teams: append(r.batches[owner].Teams, a)}
+	if req, due := u.leaseRequest(r.now, team); due {
+		r.batches[owner] = LeaseRequests{Teams: append(r.batches[owner].Teams, req)}
 	}
 }
 
--- a/internal/membership/prober.go
+++ b/internal/membership/prober.go
@@ -85,17 +85,17 @@
 }
 
 // fetchStatus sends one probe. Its error is a *ProbeError.
-func (p *Prober) fetchStatus(ctx context.Context, of EndpointSpec) (wire.Status, error) {
+func (p *Prober) fetchStatus(ctx context.Context, spec EndpointSpec) (wire.Status, error) {
 	if p.healthCheck != nil {
-		return p.checkHealth(ctx, of)
+		return p.checkHealth(ctx, spec)
 	}
-	name := of.Endpoint
+	name := spec.Endpoint
 	connected := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected = true },
 	})
 	var status wire.Status
-	url := p.scheme + "://" + of.Address + wire.PathStatus
+	url := p.scheme + "://" + spec.Address + wire.PathStatus
 	err := getJSON(ctx, p.client, url, maxStatusBytes, &status)
 	if err == nil && status.Endpoint != name {
 		err = errors.Newf("the address belongs to %q", status.Endpoint)
@@ -108,12 +108,12 @@
 
 // checkHealth returns the result of a health check as a status. The status is attributed to
 // the incarnation that was known when the check was sent.
-func (p *Prober) checkHealth(ctx context.Context, of EndpointSpec) (wire.Status, error) {
-	connected, err := p.healthCheck(ctx, of.Endpoint)
+func (p *Prober) checkHealth(ctx context.Context, spec EndpointSpec) (wire.Status, error) {
+	connected, err := p.healthCheck(ctx, spec.Endpoint)
 	if err != nil {
-		return wire.Status{}, &ProbeError{Endpoint: of.Endpoint, Connected: connected, Cause: err}
+		return wire.Status{}, &ProbeError{Endpoint: spec.Endpoint, Connected: connected, Cause: err}
 	}
-	return wire.Status{Endpoint: of.Endpoint, Clock: wire.Clock{Incarnation: cmp.Or(of.Incarnation, of.Endpoint)}}, nil
+	return wire.Status{Endpoint: spec.Endpoint, Clock: wire.Clock{Incarnation: cmp.Or(spec.Incarnation, spec.Endpoint)}}, nil
 }
 
 // endpointSpec returns an endpoint of the bundle in force; only the name is set if the bundle
--- a/internal/membership/restart_test.go
+++ b/internal/membership/restart_test.go
@@ -1,10 +1,10 @@
 package membership
 
 // A new process under an endpoint's name must not inherit the leaving status, the broken
-// connections or the delayed messages of the process before it. Before the source of the
-// endpoints provided incarnations, an endpoint that had reported leaving and then restarted
-// stayed out of use until its entry changed, and all statuses of a new process at another
-// address were rejected as outdated.
+// connections or the delayed messages of the process before it. Without the incarnations that the
+// source of the endpoints provides, an endpoint that reported leaving and then restarts would stay
+// out of use until its entry changes, and all statuses of a new process at another address would be
+// rejected as outdated.
 
 import (
 	"testing"
--- a/internal/peers/failures.go
+++ b/internal/peers/failures.go
@@ -71,10 +71,10 @@
 func (f *failureReports) sum(own []balance.FailureSummary, now time.Time, except string) []balance.FailureSummary {
 	totals := make(map[string]balance.FailureSummary)
 	add := func(reports []balance.FailureSummary) {
-		for _, w := range reports {
-			total := totals[w.Endpoint].Add(w)
-			total.Endpoint = w.Endpoint
-			totals[w.Endpoint] = total
+		for _, s := range reports {
+			total := totals[s.Endpoint].Add(s)
+			total.Endpoint = s.Endpoint
+			totals[s.Endpoint] = total
 		}
 	}
 	add(own)
@@ -89,8 +89,8 @@
 		}
 	}
 	var reports []balance.FailureSummary
-	for _, w := range totals {
-		reports = append(reports, w)
+	for _, s := range totals {
+		reports = append(reports, s)
 	}
 	slices.SortFunc(reports, func(a, b balance.FailureSummary) int { return strings.Compare(a.Endpoint, b.Endpoint) })
 	return reports
@@ -103,8 +103,8 @@
 	if pool == nil || len(reports) == 0 {
 		return
 	}
-	for _, w := range (*pool).ApplyPeerFailures(now, reports) {
-		s.cfg.Log.Info().Str("endpoint", w.Endpoint).Int("attempts", w.Attempts).Int("failed", w.Failed).
-			Int("witnesses", w.Reporters).Msg("endpoint is avoided: it fails for several routers")
+	for _, summary := range (*pool).ApplyPeerFailures(now, reports) {
+		s.cfg.Log.Info().Str("endpoint", summary.Endpoint).Int("attempts", summary.Attempts).Int("failed", summary.Failed).
+			Int("witnesses", summary.Reporters).Msg("endpoint is avoided: it fails for several routers")
 	}
 }
--- a/internal/peers/hello.go
+++ b/internal/peers/hello.go
@@ -106,10 +106,10 @@
 }
 
 // exchangeDomainDemand has readers report the demand of their failure domains to each other.
-// Each router dedicates its share of the endpoints to a kind of request by the total demand. When
-// routers took the demand of their own domain for the total, those of two domains dedicated 20 and
-// 35 of 180 endpoints for seconds, and sent long prompts to endpoints that the other domain had
-// dedicated.
+// Each router dedicates its share of the endpoints to a kind of request by the total demand. If
+// each took the demand of its own domain for the total, two domains would dedicate different numbers
+// of endpoints (20 and 35 of 180 for seconds in one case), and send long prompts to endpoints that
+// the other domain has dedicated.
 func (s *Source) exchangeDomainDemand(ctx context.Context) {
 	for {
 		now := time.Now()
--- a/internal/peers/serve.go
+++ b/internal/peers/serve.go
@@ -35,7 +35,7 @@
 // errNoState is the reply of a router that has no state yet.
 var errNoState = errors.New("peers: nothing is known here yet")
 
-// readyState returns this router's state, or errNothing if it has none to send yet.
+// readyState returns this router's state, or errNoState if it has none to send yet.
 func (s *Source) readyState() (State, error) {
 	state := s.localState()
 	if state == nil || state.Config() == nil || state.Directory().Len() == 0 {
--- a/internal/peers/serve_bench_test.go
+++ b/internal/peers/serve_bench_test.go
@@ -61,8 +61,8 @@
 	return s, polls
 }
 
-// The cost of a poll to a reader grew with the number of endpoints: 18, 65, 227 and 1,574 us for
-// these shapes. With the values that all polls share cached it is 6, 13, 43 and 77 us.
+// Without cached values the cost of a poll to a reader grows with the number of endpoints: 18, 65,
+// 227 and 1,574 us for these shapes. With the values that all polls share it is 6, 13, 43 and 77 us.
 func BenchmarkServeUpdate(b *testing.B) {
 	for _, shape := range []struct{ routers, endpoints int }{{7, 50}, {20, 180}, {71, 644}, {71, 3700}} {
 		b.Run(fmt.Sprintf("%d routers, %d endpoints", shape.routers, shape.endpoints), func(b *testing.B) {
@@ -94,9 +94,9 @@
 	return s, hellos
 }
 
-// The cost of a hello to a seed grew with the square of the fleet, as all routers were sorted for
-// each failure domain and ranked at each comparison: 49, 232, 888 and 8,128 us for these shapes.
-// With a single pass over the routers it is 20, 46, 160 and 394 us.
+// Sorting all routers for each failure domain, and ranking them at each comparison, would make the
+// cost of a hello to a seed grow with the square of the fleet: 49, 232, 888 and 8,128 us for these
+// shapes. A single pass takes 20, 46, 160 and 394 us.
 func BenchmarkServeHello(b *testing.B) {
 	for _, shape := range []struct{ routers, domains int }{{28, 3}, {103, 5}, {357, 5}, {880, 27}} {
 		b.Run(fmt.Sprintf("%d routers in %d domains", shape.routers, shape.domains), func(b *testing.B) {
--- a/internal/peers/start.go
+++ b/internal/peers/start.go
@@ -49,7 +49,7 @@
 		}
 	}
 	s.cfg.Log.Info().Dur("after", time.Since(start)).Int("routers", s.members.countSeen(time.Now())).
-		Msg("no other router had anything to read; reading the source")
+		Msg("no other router had anything to read; reading the origin")
 	return follow.Reading{}, false
 }
 
--- a/internal/peers/start_test.go
+++ b/internal/peers/start_test.go
@@ -2,8 +2,8 @@
 
 // Guards against repeated calls to the origin by all routers of a fleet that starts before there is
 // a configuration, while their readers have no state either. 103 routers made some 450 calls in
-// 0.85 s, half of all calls of a day without faults. This test counted 240 calls of 30 routers in
-// two seconds before, and 47 since.
+// 0.85 s, half of all calls of a day without faults. In this test 30 routers then make 240 calls in
+// two seconds, otherwise 47.
 
 import (
 	"fmt"
@@ -81,7 +81,7 @@
 
 // Guards against one full read per starting router. 357 routers made 2,091 calls in 50 s, 5.9 each:
 // a starting router knows no other, considers itself the reader of its failure domain, and reads
-// the configuration and each page of the list. This test counted 31, 103 and 357 reads before.
+// the configuration and each page of the list. In this test that is 31, 103 and 357 reads.
 func TestFleetStartNeedsFewFullReads(t *testing.T) {
 	for _, routers := range []int{3, 31, 103, 357} {
 		t.Run(fmt.Sprint(routers), func(t *testing.T) {
--- a/internal/placement/errors.go
+++ b/internal/placement/errors.go
@@ -34,7 +34,7 @@
 	return 0
 }
 
-// hadNoEffect says whether an order that ended with the error had no effect and
+// hadNoEffect reports whether an order that ended with the error had no effect and
 // never will. This holds for 4xx, 503 (not now) and 507 (out of memory). Other
 // 5xx statuses and broken connections leave it open.
 func hadNoEffect(err error) bool {
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -23,7 +23,7 @@
 	maxUnloadRound     = time.Minute
 )
 
-// Peer is another endpoint whose agent places models.
+// Peer is another endpoint whose agent places models; elsewhere a peer is another router.
 type Peer struct {
 	Name    string
 	Address string // IP and port of the agent
--- a/internal/subset/selector.go
+++ b/internal/subset/selector.go
@@ -26,7 +26,7 @@
 type selection struct {
 	inputHash uint64
 	names     map[string]bool
-	// endpoints is the subset as objects of snapshot, the one that was last passed to Select.
+	// snapshot is the one that was last passed to Select, and endpoints the subset as its objects.
 	snapshot  *bundle.Snapshot
 	endpoints []*bundle.Endpoint
 }
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -53,7 +53,7 @@
 
 // Allow reports whether to send a request of the tier. draw is a random number
 // in [0, 1). If the result is false, the caller refuses the request if
-// balance.Pool.MayRefuse allows it and sends it otherwise. In all cases the
+// balance.Pool.MayReject allows it and sends it otherwise. In all cases the
 // caller reports the outcome with Accepted or Refused. Requests in flight aren't
 // counted, so that slow answers don't look like refusals.
 func (t *Throttle) Allow(now time.Time, tier int, draw float64) bool {
